--- a/chain/agree.go
+++ b/chain/agree.go
@@ -74,7 +74,7 @@
 	if owner.campaign != nil {
 		owner.driveCampaign(now)
 	}
-	takers := owner.view.Takers()
+	takers := owner.view.Proposers()
 	place := slices.Index(takers, owner.self.Identity())
 	if place < 0 || !owner.wantsView(now) {
 		owner.needed = -1
@@ -116,7 +116,7 @@
 		return true
 	}
 	for _, node := range owner.view.Core {
-		rank, fit := owner.view.Rank(node.Identity()), owner.fitCore(node) && owner.reaches(node)
+		rank, fit := owner.view.ChainIndex(node.Identity()), owner.fitCore(node) && owner.reaches(node)
 		_, doubted := owner.doubts[node.Identity()]
 		if rank >= 0 && (!fit || doubted) && living > 1 {
 			return len(owner.view.Chain) > 1 || fit
@@ -166,14 +166,14 @@
 	for _, node := range targets {
 		owner.send(node, MessagePrepare, prepare)
 	}
-	owner.emit(contract.Count{Name: "view_campaigns", By: 1})
+	owner.emit(contract.AddCounter{Name: "view_campaigns", Delta: 1})
 }
 
 // suffixRecords gives the end of the log for members outside of the chain, in one message.
 func (owner *Owner) suffixRecords(suffix []contract.Version) []contract.Record {
 	for ; len(suffix) > 0; suffix = suffix[1:] {
-		base := owner.versions[owner.before(suffix[0].Place.Revision)]
-		if records := contract.Records(base, suffix, contract.RecordsMost); len(records) == len(suffix) {
+		base := owner.versions[owner.before(suffix[0].Position.Revision)]
+		if records := contract.EncodeRecords(base, suffix, contract.MaxRecordBytes); len(records) == len(suffix) {
 			return records
 		}
 	}
@@ -209,10 +209,10 @@
 // joinLog gives the end of the proposer's log that a member outside of the chain takes up, so that it may join at the tail. Within one
 // view the logs of its chain never disagree, so nothing has to give way.
 func (owner *Owner) joinLog(prepare Prepare) []contract.Version {
-	if owner.holder() || len(prepare.Suffix) == 0 || prepare.Suffix[0].Place.Revision > owner.top+1 {
+	if owner.holder() || len(prepare.Suffix) == 0 || prepare.Suffix[0].Position.Revision > owner.top+1 {
 		return nil
 	}
-	versions, _ := contract.OpenRecords(prepare.Suffix, owner.at)
+	versions, _ := contract.DecodeRecords(prepare.Suffix, owner.at)
 	return versions
 }
 
@@ -337,7 +337,7 @@
 	owner.forsake()
 	owner.assigned, owner.verified, owner.settled = owner.top, 0, len(view.Chain) == 1 && owner.committed >= owner.top
 	owner.persist(now, job{record: true})
-	owner.emit(Viewed{View: view}, contract.Say{What: "view", Detail: []any{"number", view.Number, "chain", len(view.Chain)}})
+	owner.emit(Viewed{View: view}, contract.Log{Message: "view", Attributes: []any{"number", view.Number, "chain", len(view.Chain)}})
 }
 
 // Viewed tells the rest of the node that a view was committed.
--- a/chain/catchup.go
+++ b/chain/catchup.go
@@ -33,7 +33,7 @@
 type Fetch struct {
 	Node contract.CoreNode `json:"node"`
 	From int64             `json:"from"`
-	Base contract.Place    `json:"base"`
+	Base contract.Position `json:"base"`
 }
 
 // History answers a Fetch.
@@ -46,7 +46,7 @@
 
 func (owner *Owner) lacks() (int64, int64) {
 	count, first := int64(0), int64(0)
-	known := max(owner.committed, owner.seen.Held.Place.Revision)
+	known := max(owner.committed, owner.seen.Held.Position.Revision)
 	for revision := max(1, known-owner.bounds.History+1); revision <= known; revision++ {
 		if !owner.knows(revision) || revision > owner.committed {
 			count++
@@ -79,11 +79,11 @@
 }
 
 // baseFor gives the newest committed version that is held before a revision, or else the newest of all.
-func (owner *Owner) baseFor(revision int64) contract.Place {
-	if version, there := owner.versions[owner.before(revision)]; there && version.Place.Revision <= owner.committed {
-		return version.Place
+func (owner *Owner) baseFor(revision int64) contract.Position {
+	if version, there := owner.versions[owner.before(revision)]; there && version.Position.Revision <= owner.committed {
+		return version.Position
 	}
-	return owner.versions[owner.committed].Place
+	return owner.versions[owner.committed].Position
 }
 
 // tellCatchUp says when this member begins to lack versions and when it lacks none any more.
@@ -95,10 +95,10 @@
 	owner.behind = behind
 	if behind {
 		owner.behindSince = now
-		owner.emit(contract.Say{What: "catching up", Detail: []any{"versions", lacks}})
+		owner.emit(contract.Log{Message: "catching up", Attributes: []any{"versions", lacks}})
 		return
 	}
-	owner.emit(contract.Say{What: "caught up", Detail: []any{"ms", (now - owner.behindSince).Milliseconds()}})
+	owner.emit(contract.Log{Message: "caught up", Attributes: []any{"ms", (now - owner.behindSince).Milliseconds()}})
 }
 
 func (owner *Owner) fetch(fetch Fetch) {
@@ -109,34 +109,34 @@
 		}
 	}
 	base, _ := owner.at(fetch.Base)
-	past := slices.DeleteFunc(owner.pastOperations(), func(one contract.PastOperation) bool { return one.Place.Revision < fetch.From })
-	owner.send(fetch.Node, MessageHistory, History{Records: contract.Records(base, versions, contract.RecordsMost), Past: past, Committed: owner.committed})
+	past := slices.DeleteFunc(owner.pastOperations(), func(one contract.PastOperation) bool { return one.Position.Revision < fetch.From })
+	owner.send(fetch.Node, MessageHistory, History{Records: contract.EncodeRecords(base, versions, contract.MaxRecordBytes), Past: past, Committed: owner.committed})
 }
 
 // history takes committed versions. What can't be put together here is asked for whole the next time.
 func (owner *Owner) history(now time.Duration, history History) {
-	versions, failure := contract.OpenRecords(history.Records, owner.at)
+	versions, failure := contract.DecodeRecords(history.Records, owner.at)
 	if failure != nil {
-		owner.emit(contract.Count{Name: "versions_unreadable", By: 1})
+		owner.emit(contract.AddCounter{Name: "versions_unreadable", Delta: 1})
 	}
 	fresh := []contract.Version{}
 	for _, version := range versions {
-		held, there := owner.versions[version.Place.Revision]
-		contradicts := there && (held.Place == version.Place || version.Place.Revision <= owner.committed)
+		held, there := owner.versions[version.Position.Revision]
+		contradicts := there && (held.Position == version.Position || version.Position.Revision <= owner.committed)
 		if !contradicts {
 			fresh = append(fresh, version)
 		}
-		owner.cursor = version.Place.Revision
+		owner.cursor = version.Position.Revision
 	}
 	if len(versions) == 0 {
 		owner.cursor = 0
 	}
 	arrived := func(now time.Duration) {
 		for _, version := range fresh {
-			if _, there := owner.versions[version.Place.Revision]; !there || version.Place.Revision > owner.committed {
+			if _, there := owner.versions[version.Position.Revision]; !there || version.Position.Revision > owner.committed {
 				owner.install(version)
 			}
-			owner.committed = max(owner.committed, version.Place.Revision)
+			owner.committed = max(owner.committed, version.Position.Revision)
 		}
 		owner.remember(history.Past)
 		owner.queuePast()
@@ -150,7 +150,7 @@
 }
 
 // Base gives a version that is held, for whoever sends others to be read here as the changes of that.
-func (owner *Owner) Base() contract.Place { return owner.versions[owner.committed].Place }
+func (owner *Owner) Base() contract.Position { return owner.versions[owner.committed].Position }
 
 // Lacking gives the first committed revision that is missing here, or nothing.
 func (owner *Owner) Lacking() int64 {
--- a/chain/chain.go
+++ b/chain/chain.go
@@ -44,11 +44,11 @@
 	Token  int64
 	Writes []Write
 	Member *MemberRecord
-	Drop   []contract.Place
+	Drop   []contract.Position
 	// Past are all operations whose versions are no longer kept, if they changed.
 	Past *[]contract.PastOperation
 	// Committed is the newest version that is known to be committed.
-	Committed *contract.Place
+	Committed *contract.Position
 }
 
 // Write is one version that is written to the data folder: as the change of another one that the folder holds, or whole.
@@ -59,7 +59,7 @@
 }
 
 // Record gives what is written.
-func (write Write) Record() contract.Record { return write.Version.RecordFrom(write.Base) }
+func (write Write) Record() contract.Record { return write.Version.RecordRelativeTo(write.Base) }
 
 // Persisted ends a Persist; Failure tells why nothing of it may be relied on.
 type Persisted struct {
@@ -79,20 +79,20 @@
 	// Damaged names the files that were put aside, each with the reason.
 	Damaged []string
 	// Committed is the newest version that this folder knows to be committed.
-	Committed contract.Place
+	Committed contract.Position
 }
 
 // Stored is one version in the data folder. Base is the version that it is written as a change of, and has no revision where it is whole.
 type Stored struct {
-	Place contract.Place
-	Base  contract.Place
+	Place contract.Position
+	Base  contract.Position
 	Size  int
 }
 
 // Newest gives the newest version known to be committed, if the folder still has it.
 func (recovered Recovered) Newest() (contract.Version, bool) {
 	for _, version := range recovered.Versions {
-		if version.Place == recovered.Committed && version.Place.Revision > 0 {
+		if version.Position == recovered.Committed && version.Position.Revision > 0 {
 			return version, true
 		}
 	}
@@ -173,7 +173,7 @@
 	// mayBootstrap is what the folder remembers of the first start.
 	mayBootstrap bool
 	founders     []string
-	marked       contract.Place
+	marked       contract.Position
 }
 
 // New makes the owner of a member. Its identity is that of its data folder, or self's where the folder has none. start names this start
@@ -209,7 +209,7 @@
 	return there
 }
 
-func (owner *Owner) rank() int { return owner.view.Rank(owner.self.Identity()) }
+func (owner *Owner) rank() int { return owner.view.ChainIndex(owner.self.Identity()) }
 
 func (owner *Owner) IsHead() bool { return owner.rank() == 0 }
 
@@ -320,7 +320,7 @@
 func read[Body any](owner *Owner, message contract.Message, then func(Body)) {
 	var body Body
 	if json.Unmarshal(message.Body, &body) != nil {
-		owner.emit(contract.Count{Name: "messages_broken", By: 1})
+		owner.emit(contract.AddCounter{Name: "messages_broken", Delta: 1})
 		return
 	}
 	then(body)
--- a/chain/compose.go
+++ b/chain/compose.go
@@ -47,8 +47,8 @@
 		return answered && promise.Fit && !doubted
 	}
 	view := contract.View{Number: owner.view.Number + 1}
-	for _, identity := range owner.view.Takers() {
-		if len(view.Chain) > 0 && owner.view.Rank(identity) < 0 {
+	for _, identity := range owner.view.Proposers() {
+		if len(view.Chain) > 0 && owner.view.ChainIndex(identity) < 0 {
 			break
 		}
 		if promise := promises[identity]; fits(identity) && promise.Vote && owner.linked(view.Chain, identity) {
@@ -82,7 +82,7 @@
 	}
 	for _, node := range view.Core {
 		identity := node.Identity()
-		if view.Rank(identity) < 0 && fits(identity) && owner.caughtUp(promises[identity]) && owner.linked(view.Chain, identity) {
+		if view.ChainIndex(identity) < 0 && fits(identity) && owner.caughtUp(promises[identity]) && owner.linked(view.Chain, identity) {
 			view.Chain = append(view.Chain, identity)
 		}
 	}
--- a/chain/folder.go
+++ b/chain/folder.go
@@ -17,20 +17,20 @@
 // folder knows how the versions lie in the data folder: whole, or as the change of an earlier one, which then has to stay as long as they
 // do. What it knows is what was synced.
 type folder struct {
-	files map[contract.Place]file
+	files map[contract.Position]file
 	// released are the files that nobody wants but others are changes of.
-	released map[contract.Place]bool
+	released map[contract.Position]bool
 }
 
 // file is one version in the data folder.
 type file struct {
 	// base is the version that it is a change of, without a revision where it is whole.
-	base contract.Place
+	base contract.Position
 	size int
 }
 
 func newFolder(stored []Stored) folder {
-	made := folder{files: map[contract.Place]file{}, released: map[contract.Place]bool{}}
+	made := folder{files: map[contract.Position]file{}, released: map[contract.Position]bool{}}
 	for _, one := range stored {
 		made.files[one.Place] = file{base: one.Base, size: one.Size}
 	}
@@ -38,21 +38,21 @@
 }
 
 // plan says how versions are written and which files are removed, so that all that stays can be put together again.
-func (folder folder) plan(versions []contract.Version, drop []contract.Place) ([]Write, []contract.Place) {
+func (folder folder) plan(versions []contract.Version, drop []contract.Position) ([]Write, []contract.Position) {
 	next := folder.copy()
 	for _, place := range drop {
 		next.released[place] = true
 	}
 	for _, version := range versions {
-		delete(next.released, version.Place)
+		delete(next.released, version.Position)
 	}
 	writes := []Write{}
 	for _, version := range versions {
 		write := Write{Version: version}
 		if next.fitsChange(version) {
-			write.Base = contract.Version{Place: version.Base}
+			write.Base = contract.Version{Position: version.Base}
 		}
-		next.files[version.Place] = file{base: write.Base.Place, size: sizeOf(write)}
+		next.files[version.Position] = file{base: write.Base.Position, size: sizeOf(write)}
 		writes = append(writes, write)
 	}
 	return writes, next.unneeded()
@@ -70,7 +70,7 @@
 }
 
 func sizeOf(write Write) int {
-	if write.Base.Place.Revision > 0 {
+	if write.Base.Position.Revision > 0 {
 		return write.Version.Change.Size()
 	}
 	return write.Version.Document().Size()
@@ -79,7 +79,7 @@
 // fitsChange tells whether a version is written as the change of its base.
 func (folder folder) fitsChange(version contract.Version) bool {
 	_, there := folder.files[version.Base]
-	if !there || folder.released[version.Base] || version.Base.Revision >= version.Place.Revision {
+	if !there || folder.released[version.Base] || version.Base.Revision >= version.Position.Revision {
 		return false
 	}
 	size := version.Change.Size()
@@ -95,8 +95,8 @@
 }
 
 // unneeded gives the released files that no other one is a change of, those included that the folder never had.
-func (folder folder) unneeded() []contract.Place {
-	needed := map[contract.Place]bool{}
+func (folder folder) unneeded() []contract.Position {
+	needed := map[contract.Position]bool{}
 	for place := range folder.files {
 		if folder.released[place] {
 			continue
@@ -105,24 +105,24 @@
 			needed[base] = true
 		}
 	}
-	removed := []contract.Place{}
+	removed := []contract.Position{}
 	for place := range folder.released {
 		if !needed[place] {
 			removed = append(removed, place)
 		}
 	}
-	slices.SortFunc(removed, contract.Place.Compare)
+	slices.SortFunc(removed, contract.Position.Compare)
 	return removed
 }
 
 // done takes up that a write was synced.
-func (folder folder) done(writes []Write, drop, removed []contract.Place) {
+func (folder folder) done(writes []Write, drop, removed []contract.Position) {
 	for _, place := range drop {
 		folder.released[place] = true
 	}
 	for _, write := range writes {
-		folder.files[write.Version.Place] = file{base: write.Base.Place, size: sizeOf(write)}
-		delete(folder.released, write.Version.Place)
+		folder.files[write.Version.Position] = file{base: write.Base.Position, size: sizeOf(write)}
+		delete(folder.released, write.Version.Position)
 	}
 	for _, place := range removed {
 		delete(folder.files, place)
--- a/chain/folder_test.go
+++ b/chain/folder_test.go
@@ -18,31 +18,31 @@
 )
 
 // files are what a data folder holds as records, by place.
-type files map[contract.Place][]byte
+type files map[contract.Position][]byte
 
-func (held files) save(writes []Write, removed []contract.Place) {
+func (held files) save(writes []Write, removed []contract.Position) {
 	for _, place := range removed {
 		delete(held, place)
 	}
 	for _, write := range writes {
 		content, failure := json.Marshal(write.Record())
 		Expect(failure).NotTo(HaveOccurred())
-		held[write.Version.Place] = content
+		held[write.Version.Position] = content
 	}
 }
 
 // open reads all files as a start does, and gives them as they lie there.
 func (held files) open() ([]contract.Version, []Stored) {
-	places := []contract.Place{}
+	places := []contract.Position{}
 	for place := range held {
 		places = append(places, place)
 	}
-	slices.SortFunc(places, contract.Place.Compare)
+	slices.SortFunc(places, contract.Position.Compare)
 	versions, stored := []contract.Version{}, []Stored{}
 	for _, place := range places {
 		record := contract.Record{}
 		Expect(json.Unmarshal(held[place], &record)).To(Succeed())
-		version, failure := record.Open(versions)
+		version, failure := record.Decode(versions)
 		Expect(failure).NotTo(HaveOccurred())
 		one := Stored{Place: place, Size: record.Size()}
 		if record.Base != nil {
@@ -57,29 +57,29 @@
 	It("given writes, views that leave versions behind, trims, failed writes and restarts, then all that is wanted can always be put together", func() {
 		for seed := range uint64(foldersTried) {
 			random := rand.New(rand.NewPCG(seed, 6))
-			known, held, log := newFolder(nil), files{}, []contract.Version{contract.FirstVersion(contract.Place{View: 1, Revision: 1}, "", document.Empty().Apply(many(40)))}
+			known, held, log := newFolder(nil), files{}, []contract.Version{contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(40)))}
 			writes, removed := known.plan(log, nil)
 			held.save(writes, removed)
 			known.done(writes, nil, removed)
 			view := int64(1)
 			for step := range foldersSteps {
-				fresh, drop := []contract.Version{}, []contract.Place{}
+				fresh, drop := []contract.Version{}, []contract.Position{}
 				switch random.IntN(8) {
 				case 0:
 					view++
 					for count := random.IntN(3); count > 0 && len(log) > 1; count-- {
-						drop = append(drop, log[len(log)-1].Place)
+						drop = append(drop, log[len(log)-1].Position)
 						log = log[:len(log)-1]
 					}
 				case 1:
 					for count := random.IntN(6); count > 0 && len(log) > 1; count-- {
-						drop = append(drop, log[0].Place)
+						drop = append(drop, log[0].Position)
 						log = log[1:]
 					}
 				default:
 					for range 1 + random.IntN(3) {
 						last := log[len(log)-1]
-						next := last.Next(contract.Place{View: view, Revision: last.Place.Revision + 1}, fmt.Sprint(step), item(fmt.Sprint(random.IntN(1000))))
+						next := last.Next(contract.Position{View: view, Revision: last.Position.Revision + 1}, fmt.Sprint(step), item(fmt.Sprint(random.IntN(1000))))
 						log, fresh = append(log, next), append(fresh, next)
 					}
 				}
@@ -92,15 +92,15 @@
 				known.done(writes, drop, removed)
 				versions, stored := held.open()
 				for _, version := range log {
-					place := slices.IndexFunc(versions, func(other contract.Version) bool { return other.Place == version.Place })
-					Expect(place).To(BeNumerically(">=", 0), "seed %d, step %d: %v is lost", seed, step, version.Place)
+					place := slices.IndexFunc(versions, func(other contract.Version) bool { return other.Position == version.Position })
+					Expect(place).To(BeNumerically(">=", 0), "seed %d, step %d: %v is lost", seed, step, version.Position)
 					Expect(versions[place].Digest).To(Equal(version.Digest))
 				}
 				if random.IntN(20) == 0 {
 					known = newFolder(stored)
 					for _, version := range versions {
-						if !slices.ContainsFunc(log, func(other contract.Version) bool { return other.Place == version.Place }) {
-							known.released[version.Place] = true
+						if !slices.ContainsFunc(log, func(other contract.Version) bool { return other.Position == version.Position }) {
+							known.released[version.Position] = true
 						}
 					}
 				}
@@ -109,15 +109,15 @@
 	})
 
 	It("writes a version whole when the changes in a row are many or as large as the version", func() {
-		known, last := newFolder(nil), contract.FirstVersion(contract.Place{View: 1, Revision: 1}, "", document.Empty().Apply(many(400)))
+		known, last := newFolder(nil), contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(400)))
 		whole := 0
 		for revision := int64(1); revision <= 4*changesMost; revision++ {
 			writes, removed := known.plan([]contract.Version{last}, nil)
 			known.done(writes, nil, removed)
-			if writes[0].Base.Place.Revision == 0 {
+			if writes[0].Base.Position.Revision == 0 {
 				whole++
 			}
-			last = last.Next(contract.Place{View: 1, Revision: revision + 1}, "", item(fmt.Sprint(revision)))
+			last = last.Next(contract.Position{View: 1, Revision: revision + 1}, "", item(fmt.Sprint(revision)))
 		}
 		Expect(whole).To(Equal(4))
 	})
--- a/chain/forsaken_test.go
+++ b/chain/forsaken_test.go
@@ -40,7 +40,7 @@
 		Expect(owner.IsHead()).To(BeTrue())
 		Expect(owner.Versions()).NotTo(ContainElement(former), "nobody waits for it under its key")
 		again, _ := owner.Submit(7*time.Millisecond, "lost", former.Change)
-		Expect(again.Place).To(Equal(contract.Place{View: 2, Revision: former.Place.Revision}))
+		Expect(again.Position).To(Equal(contract.Position{View: 2, Revision: former.Position.Revision}))
 	}
 
 	It("given that the next view comes before it is synced, then it is forgotten, and taken when it is asked for again", func() {
@@ -64,6 +64,6 @@
 		owner.Handle(5*time.Millisecond, message(MessageNews, view(2)))
 		Expect(owner.Versions()).To(ContainElement(version))
 		later, _ := owner.Submit(7*time.Millisecond, "later", document.Change{})
-		Expect(later.Place.Revision).To(Equal(version.Place.Revision + 1))
+		Expect(later.Position.Revision).To(Equal(version.Position.Revision + 1))
 	})
 })
--- a/chain/found.go
+++ b/chain/found.go
@@ -130,11 +130,11 @@
 }
 
 func (owner *Owner) blankFleet() bool {
-	if !owner.bootstrap || owner.view.Number > 0 || owner.seen.Held.Place.Revision > 0 || len(owner.salvaged) > 0 {
+	if !owner.bootstrap || owner.view.Number > 0 || owner.seen.Held.Position.Revision > 0 || len(owner.salvaged) > 0 {
 		return false
 	}
 	for _, member := range owner.seen.Members {
-		if member.View > 0 || member.Place.Revision > 0 {
+		if member.View > 0 || member.Position.Revision > 0 {
 			return false
 		}
 	}
@@ -175,13 +175,13 @@
 	for _, node := range peers {
 		owner.send(node, MessageFoundAsk, FoundAsk{Ballot: ballot, Node: owner.self})
 	}
-	owner.emit(contract.Count{Name: "foundings_tried", By: 1})
+	owner.emit(contract.AddCounter{Name: "foundings_tried", Delta: 1})
 }
 
 func (owner *Owner) best() *contract.Version {
 	var best *contract.Version
 	take := func(version contract.Version) {
-		if version.Place.Revision > 0 && (best == nil || best.Place.Before(version.Place)) {
+		if version.Position.Revision > 0 && (best == nil || best.Position.Before(version.Position)) {
 			best = &version
 		}
 	}
@@ -230,7 +230,7 @@
 		if owner.view.Number == 0 && !other.Blank {
 			return
 		}
-		if other.Best != nil && (foundation.Image == nil || foundation.Image.Place.Before(other.Best.Place)) {
+		if other.Best != nil && (foundation.Image == nil || foundation.Image.Position.Before(other.Best.Position)) {
 			foundation.Image = other.Best
 		}
 		foundation.View.Core = append(foundation.View.Core, node)
@@ -315,28 +315,28 @@
 	if image != nil {
 		for _, source := range []map[int64]contract.Version{owner.salvaged, former} {
 			for revision, version := range source {
-				if revision < image.Place.Revision && revision > image.Place.Revision-owner.bounds.History && !image.Place.Before(version.Place) {
+				if revision < image.Position.Revision && revision > image.Position.Revision-owner.bounds.History && !image.Position.Before(version.Position) {
 					owner.keep(version)
 				}
 			}
 		}
 		owner.keep(*image)
-		owner.top, owner.committed = image.Place.Revision, image.Place.Revision
+		owner.top, owner.committed = image.Position.Revision, image.Position.Revision
 		owner.remember(past)
 		owner.emit(Committed{Version: *image})
 		owner.settle(owner.committed)
 	}
 	owner.foundAccepted = nil
-	drop := []contract.Place{}
+	drop := []contract.Position{}
 	for _, source := range []map[int64]contract.Version{owner.salvaged, former} {
 		for revision, version := range source {
-			if kept, there := owner.versions[revision]; !there || kept.Place != version.Place {
-				drop = append(drop, version.Place)
+			if kept, there := owner.versions[revision]; !there || kept.Position != version.Position {
+				drop = append(drop, version.Position)
 			}
 		}
 	}
 	owner.queueDrop(drop)
 	owner.salvaged = map[int64]contract.Version{}
 	owner.adopt(now, foundation.View)
-	owner.emit(contract.Count{Name: "foundings", By: 1})
+	owner.emit(contract.AddCounter{Name: "foundings", Delta: 1})
 }
--- a/chain/found_test.go
+++ b/chain/found_test.go
@@ -52,8 +52,8 @@
 						}
 					case Persist:
 						waiting[place] = append(waiting[place], Persisted{Token: command.Token})
-					case contract.Count:
-						counts[command.Name] += command.By
+					case contract.AddCounter:
+						counts[command.Name] += command.Delta
 					}
 				}
 			}
@@ -97,7 +97,7 @@
 	}
 
 	It("given a machine whose folder holds a version, when it may found but has no view, then it never founds a blank fleet", func() {
-		held := Recovered{Versions: []contract.Version{{Place: contract.Place{View: 1, Revision: 4}}}}
+		held := Recovered{Versions: []contract.Version{{Position: contract.Position{View: 1, Revision: 4}}}}
 		owners, counts := core([]bool{true, true, true}, []Recovered{held, {}, {}}, 5*time.Minute)
 		for _, owner := range owners {
 			Expect(owner.View().Number).To(BeZero())
--- a/chain/log.go
+++ b/chain/log.go
@@ -25,7 +25,7 @@
 	// bytes are those of all kept changes.
 	bytes int64
 	// operations finds what an operation made by its key. It holds the operations of all kept versions and those that are past.
-	operations map[string]contract.Place
+	operations map[string]contract.Position
 	// past are the committed operations whose versions are no longer kept, by revision.
 	past map[int64]contract.PastOperation
 	// pastChanged tells that the folder has to be told of them.
@@ -33,7 +33,7 @@
 }
 
 func newLog(historyMost, bytesMost int64) log {
-	return log{historyMost: historyMost, bytesMost: bytesMost, versions: map[int64]contract.Version{}, operations: map[string]contract.Place{}, past: map[int64]contract.PastOperation{}}
+	return log{historyMost: historyMost, bytesMost: bytesMost, versions: map[int64]contract.Version{}, operations: map[string]contract.Position{}, past: map[int64]contract.PastOperation{}}
 }
 
 // Operation gives the version that an operation made, whether or not it is committed yet; without its content, where that is no longer kept.
@@ -42,8 +42,8 @@
 	if !there {
 		return contract.Version{}, false
 	}
-	if past, gone := log.past[place.Revision]; gone && past.Place == place {
-		return contract.Version{Place: place, Operation: past.Operation}, true
+	if past, gone := log.past[place.Revision]; gone && past.Position == place {
+		return contract.Version{Position: place, Operation: past.Operation}, true
 	}
 	return log.at(place)
 }
@@ -71,8 +71,8 @@
 }
 
 // at gives the version of a place, if the log has it.
-func (log *log) at(place contract.Place) (contract.Version, bool) {
-	if version, there := log.versions[place.Revision]; there && version.Place == place {
+func (log *log) at(place contract.Position) (contract.Version, bool) {
+	if version, there := log.versions[place.Revision]; there && version.Position == place {
 		return version, true
 	}
 	return contract.Version{}, false
@@ -89,7 +89,7 @@
 }
 
 // follows tells whether the log has the version before those that are passed.
-func (log *log) follows(previous contract.Place) bool {
+func (log *log) follows(previous contract.Position) bool {
 	_, there := log.at(previous)
 	return previous.Revision == 0 || there && previous.Revision <= log.top
 }
@@ -103,14 +103,14 @@
 
 // keep puts a version into the log.
 func (log *log) keep(version contract.Version) {
-	revision := version.Place.Revision
+	revision := version.Position.Revision
 	if former, there := log.versions[revision]; there {
 		log.forget(former)
 	}
 	delete(log.past, revision)
 	log.versions[revision] = version
-	log.bytes += version.Weight()
-	log.operations[contract.OperationKey(version.Operation)] = version.Place
+	log.bytes += version.RetainedBytes()
+	log.operations[contract.OperationKey(version.Operation)] = version.Position
 	if log.oldest == 0 || revision < log.oldest {
 		log.oldest = revision
 	}
@@ -118,12 +118,12 @@
 
 // forget takes a version out of the log.
 func (log *log) forget(version contract.Version) {
-	delete(log.versions, version.Place.Revision)
-	log.bytes -= version.Weight()
-	log.forgetOperation(version.Operation, version.Place)
+	delete(log.versions, version.Position.Revision)
+	log.bytes -= version.RetainedBytes()
+	log.forgetOperation(version.Operation, version.Position)
 }
 
-func (log *log) forgetOperation(operation string, place contract.Place) {
+func (log *log) forgetOperation(operation string, place contract.Position) {
 	if key := contract.OperationKey(operation); log.operations[key] == place {
 		delete(log.operations, key)
 	}
@@ -132,12 +132,12 @@
 // remember takes up operations whose versions are no longer kept, as the folder or another member has them.
 func (log *log) remember(operations []contract.PastOperation) {
 	for _, one := range operations {
-		revision := one.Place.Revision
+		revision := one.Position.Revision
 		if log.knows(revision) || !log.Remembers(revision) || revision > log.committed {
 			continue
 		}
 		log.past[revision] = one
-		log.operations[contract.OperationKey(one.Operation)] = one.Place
+		log.operations[contract.OperationKey(one.Operation)] = one.Position
 		log.pastChanged = true
 	}
 }
@@ -153,36 +153,36 @@
 
 // trim forgets the committed versions that are too old or too many bytes, but never the newest, and gives their places. Revisions may have
 // gaps, none larger than the window.
-func (log *log) trim() []contract.Place {
-	drop := []contract.Place{}
+func (log *log) trim() []contract.Position {
+	drop := []contract.Position{}
 	for ; log.oldest > 0 && log.oldest < log.committed && (!log.Remembers(log.oldest) || log.bytes > log.bytesMost); log.oldest++ {
 		version, there := log.versions[log.oldest]
 		if !there {
 			continue
 		}
-		drop = append(drop, version.Place)
+		drop = append(drop, version.Position)
 		log.forget(version)
 		if log.Remembers(log.oldest) {
-			log.past[log.oldest] = contract.PastOperation{Place: version.Place, Operation: version.Operation}
-			log.operations[contract.OperationKey(version.Operation)] = version.Place
+			log.past[log.oldest] = contract.PastOperation{Position: version.Position, Operation: version.Operation}
+			log.operations[contract.OperationKey(version.Operation)] = version.Position
 			log.pastChanged = true
 		}
 	}
 	for revision, one := range log.past {
 		if !log.Remembers(revision) {
 			delete(log.past, revision)
-			log.forgetOperation(one.Operation, one.Place)
+			log.forgetOperation(one.Operation, one.Position)
 		}
 	}
 	return drop
 }
 
 // truncate takes all versions after a revision out of the log and gives their places.
-func (log *log) truncate(last int64) []contract.Place {
-	drop := []contract.Place{}
+func (log *log) truncate(last int64) []contract.Position {
+	drop := []contract.Position{}
 	for revision, version := range log.versions {
 		if revision > last {
-			drop = append(drop, version.Place)
+			drop = append(drop, version.Position)
 			log.forget(version)
 		}
 	}
--- a/chain/log_test.go
+++ b/chain/log_test.go
@@ -15,11 +15,11 @@
 		window     = 40
 	)
 	// grown gives a log of so many committed versions, each of which is a change of changeSize bytes.
-	grown := func(count int64) (*log, []contract.Place) {
-		made, dropped := newLog(window, bytesMost), []contract.Place{}
+	grown := func(count int64) (*log, []contract.Position) {
+		made, dropped := newLog(window, bytesMost), []contract.Position{}
 		version := contract.Version{}
 		for revision := int64(1); revision <= count; revision++ {
-			version = version.Next(contract.Place{View: 1, Revision: revision}, contract.OperationOf(fmt.Sprint("o", revision), "f"),
+			version = version.Next(contract.Position{View: 1, Revision: revision}, contract.OperationID(fmt.Sprint("o", revision), "f"),
 				item(fmt.Sprintf("%q", fmt.Sprintf("%0*d", changeSize-len("/item")-2, revision))))
 			made.keep(version)
 			made.top, made.committed = revision, revision
@@ -36,8 +36,8 @@
 		for revision := int64(1); revision <= 30; revision++ {
 			version, there := made.Operation(fmt.Sprint("o", revision))
 			Expect(there).To(BeTrue(), "operation %d", revision)
-			Expect(version.Place.Revision).To(Equal(revision))
-			Expect(version.Operation).To(Equal(contract.OperationOf(fmt.Sprint("o", revision), "f")))
+			Expect(version.Position.Revision).To(Equal(revision))
+			Expect(version.Operation).To(Equal(contract.OperationID(fmt.Sprint("o", revision), "f")))
 		}
 		Expect(made.RemembersAll()).To(BeTrue())
 	})
@@ -59,7 +59,7 @@
 		other.keep(newest)
 		other.top, other.committed = 30, 30
 		Expect(other.knows(3)).To(BeFalse())
-		other.remember(append(made.pastOperations(), contract.PastOperation{Place: contract.Place{View: 9, Revision: 30}, Operation: "wrong/f"}))
+		other.remember(append(made.pastOperations(), contract.PastOperation{Position: contract.Position{View: 9, Revision: 30}, Operation: "wrong/f"}))
 		Expect(other.knows(3)).To(BeTrue())
 		_, there := other.Operation("o3")
 		Expect(there).To(BeTrue())
@@ -91,8 +91,8 @@
 
 var _ = It("gives no version for a place of another view under the same revision", func() {
 	made := newLog(10, 1000)
-	made.keep(contract.FirstVersion(contract.Place{View: 2, Revision: 4}, "o/f", document.Empty()))
-	version, there := made.at(contract.Place{View: 1, Revision: 4})
+	made.keep(contract.NewVersion(contract.Position{View: 2, Revision: 4}, "o/f", document.Empty()))
+	version, there := made.at(contract.Position{View: 1, Revision: 4})
 	Expect(there).To(BeFalse())
-	Expect(version.Place).To(BeZero(), "else what follows would be told as its change")
+	Expect(version.Position).To(BeZero(), "else what follows would be told as its change")
 })
--- a/chain/past_test.go
+++ b/chain/past_test.go
@@ -62,7 +62,7 @@
 		case Persist:
 			trio.pending = append(trio.pending, delivery{from, Persisted{Token: command.Token}})
 		case Committed:
-			if trio.held.Place.Before(command.Version.Place) {
+			if trio.held.Position.Before(command.Version.Position) {
 				trio.held = command.Version
 			}
 		case contract.Send:
@@ -126,7 +126,7 @@
 	head := trio.head()
 	for place, owner := range trio.owners {
 		if owner == head {
-			_, commands := head.Submit(trio.now, contract.OperationOf(fmt.Sprint(number), "f"), change)
+			_, commands := head.Submit(trio.now, contract.OperationID(fmt.Sprint(number), "f"), change)
 			trio.take(place, commands)
 		}
 	}
--- a/chain/persist.go
+++ b/chain/persist.go
@@ -24,20 +24,20 @@
 	versions []contract.Version
 	record   bool
 	past     bool
-	drop     []contract.Place
-	mark     *contract.Place
+	drop     []contract.Position
+	mark     *contract.Position
 	after    func(now time.Duration)
 	// writes and removed are how versions and drop are carried out, once the job is under way.
 	writes  []Write
-	removed []contract.Place
+	removed []contract.Position
 }
 
 // recover takes up what the data folder held. A folder without a member record makes a new member, whose versions are only salvage.
 func (owner *Owner) recover(recovered Recovered) {
 	newest := map[int64]contract.Version{}
 	for _, version := range recovered.Versions {
-		if former, there := newest[version.Place.Revision]; !there || former.Place.Before(version.Place) {
-			newest[version.Place.Revision] = version
+		if former, there := newest[version.Position.Revision]; !there || former.Position.Before(version.Position) {
+			newest[version.Position.Revision] = version
 		}
 	}
 	record := recovered.Member
@@ -61,14 +61,14 @@
 
 // recoverLog takes up the log of a member of a view. One that was not in the chain keeps only what was committed: nobody counts on the
 // rest, and the chain may have gone another way.
-func (owner *Owner) recoverLog(newest map[int64]contract.Version, committed contract.Place) {
-	if marked, there := newest[committed.Revision]; there && marked.Place == committed {
+func (owner *Owner) recoverLog(newest map[int64]contract.Version, committed contract.Position) {
+	if marked, there := newest[committed.Revision]; there && marked.Position == committed {
 		owner.committed, owner.marked = committed.Revision, committed
 	}
-	drop, holder := []contract.Place{}, owner.holder()
+	drop, holder := []contract.Position{}, owner.holder()
 	for revision, version := range newest {
 		if revision > owner.committed && !holder {
-			drop = append(drop, version.Place)
+			drop = append(drop, version.Position)
 			continue
 		}
 		owner.keep(version)
@@ -88,7 +88,7 @@
 }
 
 // queueDrop has versions removed from the folder with the next write.
-func (owner *Owner) queueDrop(places []contract.Place) {
+func (owner *Owner) queueDrop(places []contract.Position) {
 	if len(places) > 0 {
 		owner.jobs = append(owner.jobs, job{drop: places})
 	}
@@ -96,7 +96,7 @@
 
 // holder tells whether this member's log counts: it is in the chain, or has everything that was acknowledged before the chain shrank.
 func (owner *Owner) holder() bool {
-	return slices.Contains(owner.view.Takers(), owner.self.Identity())
+	return slices.Contains(owner.view.Proposers(), owner.self.Identity())
 }
 
 // present says once, at the first tick, what was recovered, and has a new member's identity written down before anything else.
@@ -142,7 +142,7 @@
 		}
 	}}
 	for _, work := range batch {
-		merged.versions = slices.DeleteFunc(merged.versions, func(version contract.Version) bool { return slices.Contains(work.drop, version.Place) })
+		merged.versions = slices.DeleteFunc(merged.versions, func(version contract.Version) bool { return slices.Contains(work.drop, version.Position) })
 		merged.versions = append(merged.versions, work.versions...)
 		merged.drop = append(merged.drop, work.drop...)
 		merged.record = merged.record || work.record
@@ -180,7 +180,7 @@
 	if event.Failure != "" {
 		owner.setFit(false, event.Failure)
 		owner.jobs = append([]job{*work}, owner.jobs...)
-		owner.emit(contract.Count{Name: "disk_failures", By: 1})
+		owner.emit(contract.AddCounter{Name: "disk_failures", Delta: 1})
 		return
 	}
 	owner.setFit(true, "")
@@ -204,6 +204,6 @@
 func (owner *Owner) setFit(fit bool, why string) {
 	if owner.fit != fit {
 		owner.fit = fit
-		owner.emit(contract.Say{What: "disk", Detail: []any{"fit", fit, "why", why}})
+		owner.emit(contract.Log{Message: "disk", Attributes: []any{"fit", fit, "why", why}})
 	}
 }
--- a/chain/state.go
+++ b/chain/state.go
@@ -23,7 +23,7 @@
 	fmt.Fprintf(text, "%s view %+v promised %v accepted %+v sealed %v settled %v fit %v\n", owner.self.Identity(), owner.view, owner.promised, owner.accepted, owner.sealed, owner.settled, owner.fit)
 	fmt.Fprintf(text, "top %d committed %d assigned %d verified %d oldest %d marked %v\n", owner.top, owner.committed, owner.assigned, owner.verified, owner.oldest, owner.marked)
 	for _, version := range owner.Versions() {
-		fmt.Fprintln(text, version.Place, version.Operation, version.Digest)
+		fmt.Fprintln(text, version.Position, version.Operation, version.Digest)
 	}
 	fmt.Fprintln(text, "past", owner.pastOperations(), "salvaged", len(owner.salvaged))
 	if running := owner.campaign; running != nil {
@@ -49,9 +49,9 @@
 }
 
 func (work job) describe() string {
-	places := []contract.Place{}
+	places := []contract.Position{}
 	for _, version := range work.versions {
-		places = append(places, version.Place)
+		places = append(places, version.Position)
 	}
 	return fmt.Sprint(places, work.record, work.past, work.drop, work.mark != nil, work.after != nil)
 }
--- a/chain/vouch_test.go
+++ b/chain/vouch_test.go
@@ -27,8 +27,8 @@
 	member := func() *Owner {
 		owner := New(nodes[1], "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(1, 1)))
 		owner.Handle(0, message(MessageNews, "head", contract.View{Number: 1, Core: nodes, Chain: names, Holders: names}))
-		version := contract.FirstVersion(contract.Place{View: 1, Revision: 1}, "first", document.Empty())
-		owner.Handle(0, message(MessagePass, "head", Pass{From: nodes[0], View: 1, Records: []contract.Record{version.WholeRecord()}, Top: 1}))
+		version := contract.NewVersion(contract.Position{View: 1, Revision: 1}, "first", document.Empty())
+		owner.Handle(0, message(MessagePass, "head", Pass{From: nodes[0], View: 1, Records: []contract.Record{version.FullRecord()}, Top: 1}))
 		for token := int64(1); token <= 4; token++ {
 			owner.Handle(time.Millisecond, Persisted{Token: token})
 		}
--- a/chain/write.go
+++ b/chain/write.go
@@ -14,22 +14,22 @@
 	Records []contract.Record `json:"records"`
 	// Previous is the place before the first version, or the newest one where there is none: the receiver's log must have it. The first
 	// record is the change of that version.
-	Previous  contract.Place `json:"previous"`
-	Committed int64          `json:"committed"`
-	Top       int64          `json:"top"`
+	Previous  contract.Position `json:"previous"`
+	Committed int64             `json:"committed"`
+	Top       int64             `json:"top"`
 }
 
 // Done is the tail's word that the whole chain has synced all versions up to a place.
 type Done struct {
-	View  int64          `json:"view"`
-	Place contract.Place `json:"place"`
+	View  int64             `json:"view"`
+	Place contract.Position `json:"place"`
 	// Settled tells that the tail has all that its head had when the view began.
 	Settled bool `json:"settled"`
 }
 
 // outrun tells whether another node holds a committed version that is newer than a revision, as after a disk lost what it had synced:
 // then this member neither numbers versions nor answers reads until it has that version again.
-func (owner *Owner) outrun(revision int64) bool { return owner.seen.Held.Place.Revision > revision }
+func (owner *Owner) outrun(revision int64) bool { return owner.seen.Held.Position.Revision > revision }
 
 // Open tells whether this node may number a write now.
 func (owner *Owner) Open() bool {
@@ -65,15 +65,15 @@
 	latest, _ := owner.Latest()
 	highest := owner.assigned
 	for _, member := range owner.seen.Members {
-		highest = max(highest, member.Place.Revision)
+		highest = max(highest, member.Position.Revision)
 	}
-	version := latest.Next(contract.Place{View: owner.view.Number, Revision: highest + 1}, operation, change)
-	owner.assigned = version.Place.Revision
+	version := latest.Next(contract.Position{View: owner.view.Number, Revision: highest + 1}, operation, change)
+	owner.assigned = version.Position.Revision
 	owner.keep(version)
 	number := owner.view.Number
 	owner.persist(now, job{versions: []contract.Version{version}, after: func(now time.Duration) {
 		if owner.view.Number == number && !owner.sealed {
-			owner.top = max(owner.top, version.Place.Revision)
+			owner.top = max(owner.top, version.Position.Revision)
 			owner.passOn(owner.sheet([]contract.Version{version}))
 		}
 	}})
@@ -87,11 +87,11 @@
 	pass := Pass{View: owner.view.Number, Committed: owner.committed, Top: owner.top}
 	last := owner.top
 	if len(versions) > 0 {
-		last = owner.before(versions[0].Place.Revision)
+		last = owner.before(versions[0].Position.Revision)
 	}
 	previous := owner.versions[last]
-	pass.Previous = previous.Place
-	pass.Records = contract.Records(previous, versions, contract.RecordsMost)
+	pass.Previous = previous.Position
+	pass.Records = contract.EncodeRecords(previous, versions, contract.MaxRecordBytes)
 	return pass
 }
 
@@ -109,16 +109,16 @@
 func (owner *Owner) pass(now time.Duration, pass Pass) {
 	rank := owner.rank()
 	if pass.View != owner.view.Number || owner.sealed || rank < 1 || owner.view.Chain[rank-1] != pass.From.Identity() {
-		owner.emit(contract.Count{Name: "passes_refused", By: 1})
+		owner.emit(contract.AddCounter{Name: "passes_refused", Delta: 1})
 		return
 	}
 	if !owner.follows(pass.Previous) {
-		owner.emit(contract.Count{Name: "passes_early", By: 1})
+		owner.emit(contract.AddCounter{Name: "passes_early", Delta: 1})
 		return
 	}
-	passed, failure := contract.OpenRecords(pass.Records, owner.at)
+	passed, failure := contract.DecodeRecords(pass.Records, owner.at)
 	if failure != nil {
-		owner.emit(contract.Count{Name: "versions_unreadable", By: 1}, contract.Say{What: "passed versions can't be read", Detail: []any{"error", failure}})
+		owner.emit(contract.AddCounter{Name: "versions_unreadable", Delta: 1}, contract.Log{Message: "passed versions can't be read", Attributes: []any{"error", failure}})
 		return
 	}
 	fresh, fine := owner.fresh(passed)
@@ -144,12 +144,12 @@
 func (owner *Owner) fresh(versions []contract.Version) ([]contract.Version, bool) {
 	fresh := []contract.Version{}
 	for _, version := range versions {
-		held, there := owner.versions[version.Place.Revision]
-		if there && held.Place == version.Place && version.Place.Revision <= owner.top {
+		held, there := owner.versions[version.Position.Revision]
+		if there && held.Position == version.Position && version.Position.Revision <= owner.top {
 			continue
 		}
-		if there && version.Place.Revision <= owner.committed {
-			owner.emit(contract.Count{Name: "committed_conflicts", By: 1}, contract.Say{What: "pass against a committed version", Detail: []any{"revision", version.Place.Revision}})
+		if there && version.Position.Revision <= owner.committed {
+			owner.emit(contract.AddCounter{Name: "committed_conflicts", Delta: 1}, contract.Log{Message: "pass against a committed version", Attributes: []any{"revision", version.Position.Revision}})
 			return nil, false
 		}
 		fresh = append(fresh, version)
@@ -158,18 +158,18 @@
 }
 
 // conflicts gives what must leave the folder before versions are written: others under their revisions and all that was built on those.
-func (owner *Owner) conflicts(fresh []contract.Version) []contract.Place {
+func (owner *Owner) conflicts(fresh []contract.Version) []contract.Position {
 	first := int64(0)
 	for _, version := range fresh {
-		held, there := owner.versions[version.Place.Revision]
-		if there && held.Place != version.Place && (first == 0 || version.Place.Revision < first) {
-			first = version.Place.Revision
+		held, there := owner.versions[version.Position.Revision]
+		if there && held.Position != version.Position && (first == 0 || version.Position.Revision < first) {
+			first = version.Position.Revision
 		}
 	}
-	drop := []contract.Place{}
+	drop := []contract.Position{}
 	for revision, version := range owner.versions {
 		if first > 0 && revision >= first && revision > owner.committed {
-			drop = append(drop, version.Place)
+			drop = append(drop, version.Position)
 		}
 	}
 	return drop
@@ -185,7 +185,7 @@
 	}
 	owner.verified = max(owner.verified, pass.Previous.Revision)
 	if count := len(passed); count > 0 {
-		owner.verified = max(owner.verified, passed[count-1].Place.Revision)
+		owner.verified = max(owner.verified, passed[count-1].Position.Revision)
 	}
 	owner.settle(min(pass.Committed, owner.verified))
 	if !owner.IsTail() {
@@ -199,10 +199,10 @@
 
 // discard removes versions from the folder that were written for a view which ended meanwhile.
 func (owner *Owner) discard(now time.Duration, versions []contract.Version) {
-	drop := []contract.Place{}
+	drop := []contract.Position{}
 	for _, version := range versions {
-		if held, there := owner.versions[version.Place.Revision]; !there || held.Place != version.Place {
-			drop = append(drop, version.Place)
+		if held, there := owner.versions[version.Position.Revision]; !there || held.Position != version.Position {
+			drop = append(drop, version.Position)
 		}
 	}
 	if len(drop) > 0 {
@@ -211,8 +211,8 @@
 }
 
 func (owner *Owner) install(version contract.Version) {
-	revision := version.Place.Revision
-	if held, there := owner.versions[revision]; there && held.Place != version.Place {
+	revision := version.Position.Revision
+	if held, there := owner.versions[revision]; there && held.Position != version.Position {
 		owner.truncate(max(revision-1, owner.committed))
 	}
 	owner.keep(version)
@@ -231,12 +231,12 @@
 }
 
 func (owner *Owner) announce() {
-	owner.sendOthers(owner.view.Core, MessageDone, Done{View: owner.view.Number, Place: owner.versions[owner.committed].Place, Settled: owner.settled})
+	owner.sendOthers(owner.view.Core, MessageDone, Done{View: owner.view.Number, Place: owner.versions[owner.committed].Position, Settled: owner.settled})
 }
 
 func (owner *Owner) done(now time.Duration, done Done) {
 	version, there := owner.versions[done.Place.Revision]
-	if done.View == owner.view.Number && (there && version.Place == done.Place || done.Place.Revision == 0) {
+	if done.View == owner.view.Number && (there && version.Position == done.Place || done.Place.Revision == 0) {
 		owner.settled = owner.settled || done.Settled
 		owner.settle(done.Place.Revision)
 		return
@@ -255,9 +255,9 @@
 		}
 	}
 	owner.committed = max(owner.committed, revision)
-	if version, there := owner.versions[owner.committed]; there && version.Place != owner.marked {
-		owner.marked = version.Place
-		owner.jobs = append(owner.jobs, job{mark: &version.Place})
+	if version, there := owner.versions[owner.committed]; there && version.Position != owner.marked {
+		owner.marked = version.Position
+		owner.jobs = append(owner.jobs, job{mark: &version.Position})
 	}
 	owner.queueDrop(owner.trim())
 	owner.queuePast()
@@ -287,16 +287,16 @@
 
 // Row is one kept revision as the history tells it.
 type Row struct {
-	Place     contract.Place `json:"place"`
-	Operation string         `json:"operation"`
-	Digest    string         `json:"digest"`
+	Place     contract.Position `json:"place"`
+	Operation string            `json:"operation"`
+	Digest    string            `json:"digest"`
 }
 
 func (owner *Owner) History() []Row {
 	rows := []Row{}
 	for _, version := range owner.Versions() {
-		if version.Place.Revision <= owner.committed {
-			rows = append(rows, Row{version.Place, version.Operation, version.Digest})
+		if version.Position.Revision <= owner.committed {
+			rows = append(rows, Row{version.Position, version.Operation, version.Digest})
 		}
 	}
 	return rows
--- a/contract/ask.go
+++ b/contract/ask.go
@@ -3,18 +3,18 @@
 import "time"
 
 // Ask is an operator's question; any node takes it, the authority answers it.
-type Ask struct {
-	Token     int64  `json:"-"`
-	Verb      string `json:"verb"`
-	Subject   string `json:"subject"`
-	Body      []byte `json:"body"`
-	Base      int64  `json:"base"`
-	HasBase   bool   `json:"hasBase"`
-	Revision  int64  `json:"revision"`
-	Operation string `json:"operation"`
-	Forwarded bool   `json:"forwarded"`
+type OperatorRequest struct {
+	Token           int64  `json:"-"`
+	Verb            string `json:"verb"`
+	Subject         string `json:"subject"`
+	Body            []byte `json:"body"`
+	BaseRevision    int64  `json:"base"`
+	HasBaseRevision bool   `json:"hasBase"`
+	Revision        int64  `json:"revision"`
+	Operation       string `json:"operation"`
+	Forwarded       bool   `json:"forwarded"`
 	// Prompt asks for the answer as soon as the write is acknowledged; without it the answer waits until it is in force everywhere.
-	Prompt bool `json:"prompt,omitempty"`
+	ReplyOnCommit bool `json:"prompt,omitempty"`
 }
 
 const (
@@ -40,12 +40,12 @@
 
 // Forward passes an ask to the authority, once.
 type Forward struct {
-	Ask     Ask
+	Request OperatorRequest
 	Address string
 }
 
-func (ask Ask) Writes() bool {
-	switch ask.Verb {
+func (request OperatorRequest) IsWrite() bool {
+	switch request.Verb {
 	case VerbPut, VerbPatch, VerbDrain, VerbUndrain, VerbScale, VerbReplace, VerbUpdate:
 		return true
 	}
@@ -53,24 +53,24 @@
 }
 
 // Authority is the tail for what was accepted, the head for everything else.
-func (ask Ask) Authority(view View) (CoreNode, bool) {
-	if ask.Verb == VerbGet || ask.Verb == VerbHistory {
+func (request OperatorRequest) AuthoritativeNode(view View) (CoreNode, bool) {
+	if request.Verb == VerbGet || request.Verb == VerbHistory {
 		return view.Tail()
 	}
 	return view.Head()
 }
 
 // Accepted is the answer to a write.
-type Accepted struct {
-	Outcome   string   `json:"outcome"`
-	Revision  int64    `json:"revision,omitempty"`
-	View      int64    `json:"view,omitempty"`
-	Operation string   `json:"operation,omitempty"`
-	Lacking   []string `json:"lacking,omitempty"`
-	Error     string   `json:"error,omitempty"`
+type WriteResult struct {
+	Outcome      string   `json:"outcome"`
+	Revision     int64    `json:"revision,omitempty"`
+	View         int64    `json:"view,omitempty"`
+	Operation    string   `json:"operation,omitempty"`
+	MissingNodes []string `json:"lacking,omitempty"`
+	Error        string   `json:"error,omitempty"`
 }
 
-type Trouble struct {
+type ErrorBody struct {
 	Outcome      string   `json:"outcome,omitempty"`
 	Error        string   `json:"error"`
 	RetryAfterMs int64    `json:"retryAfterMs,omitempty"`
@@ -78,6 +78,6 @@
 	Nodes        []string `json:"nodes,omitempty"`
 }
 
-func Refuse(token int64, status int, err string, after time.Duration) Answer {
-	return Answer{Token: token, Status: status, Body: Trouble{Error: err, RetryAfterMs: after.Milliseconds()}, After: after}
+func ErrorResponse(token int64, status int, err string, after time.Duration) Response {
+	return Response{Token: token, Status: status, Body: ErrorBody{Error: err, RetryAfterMs: after.Milliseconds()}, RetryAfter: after}
 }
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -12,7 +12,7 @@
 
 type Command any
 
-type Owner interface {
+type StateMachine interface {
 	Handle(now time.Duration, event Event) []Command
 }
 
@@ -22,18 +22,18 @@
 )
 
 type Member struct {
-	Name        string `json:"name"`
-	Boot        string `json:"boot"`
-	Kind        string `json:"kind"`
-	Core        bool   `json:"core,omitempty"`
-	Blind       bool   `json:"blind,omitempty"`
-	Zone        string `json:"zone"`
-	Region      string `json:"region"`
-	Address     string `json:"address"`
-	Incarnation int64  `json:"incarnation"`
-	Heartbeat   int64  `json:"heartbeat"`
-	Place       Place  `json:"place"`
-	View        int64  `json:"view"`
+	Name        string   `json:"name"`
+	Boot        string   `json:"boot"`
+	Kind        string   `json:"kind"`
+	Core        bool     `json:"core,omitempty"`
+	Impaired    bool     `json:"blind,omitempty"`
+	Zone        string   `json:"zone"`
+	Region      string   `json:"region"`
+	Address     string   `json:"address"`
+	Incarnation int64    `json:"incarnation"`
+	Heartbeat   int64    `json:"heartbeat"`
+	Position    Position `json:"place"`
+	View        int64    `json:"view"`
 	// CoreID is the identity of a core member's data folder; it is empty on nodes without one.
 	CoreID string `json:"coreId,omitempty"`
 }
@@ -51,35 +51,35 @@
 }
 
 // Place orders committed manifests: the view that numbered one, then its revision.
-type Place struct {
+type Position struct {
 	View     int64 `json:"view"`
 	Revision int64 `json:"revision"`
 }
 
-func (place Place) Before(other Place) bool {
-	if place.View != other.View {
-		return place.View < other.View
+func (position Position) Before(other Position) bool {
+	if position.View != other.View {
+		return position.View < other.View
 	}
-	return place.Revision < other.Revision
+	return position.Revision < other.Revision
 }
 
 // OperationOf names an operation in a version: the key that its sender chose, and the fingerprint of what was ordered under it.
-func OperationOf(key, fingerprint string) string { return key + "/" + fingerprint }
+func OperationID(key, fingerprint string) string { return key + "/" + fingerprint }
 
 // OperationKey gives the key that an operation was sent under.
 func OperationKey(operation string) string {
-	if place := strings.LastIndex(operation, "/"); place >= 0 {
-		return operation[:place]
+	if separator := strings.LastIndex(operation, "/"); separator >= 0 {
+		return operation[:separator]
 	}
 	return operation
 }
 
 // Compare orders places by revision, then by view.
-func (place Place) Compare(other Place) int {
-	if order := cmp.Compare(place.Revision, other.Revision); order != 0 {
+func (position Position) Compare(other Position) int {
+	if order := cmp.Compare(position.Revision, other.Revision); order != 0 {
 		return order
 	}
-	return cmp.Compare(place.View, other.View)
+	return cmp.Compare(position.View, other.View)
 }
 
 type Tick struct{}
@@ -91,7 +91,7 @@
 	Boot string          `json:"boot"`
 	Body json.RawMessage `json:"body"`
 	// Via is the route back by the relays that brought it, empty for one that came directly.
-	Via string `json:"-"`
+	ReturnRoute string `json:"-"`
 }
 
 type Send struct {
@@ -101,34 +101,34 @@
 }
 
 // Answer ends an operator's or a caller's question that a process asked its owner.
-type Answer struct {
-	Token  int64
-	Status int
-	Body   any
-	After  time.Duration
+type Response struct {
+	Token      int64
+	Status     int
+	Body       any
+	RetryAfter time.Duration
 }
 
-type Count struct {
-	Name string
-	By   int64
+type AddCounter struct {
+	Name  string
+	Delta int64
 }
 
-type Gauge struct {
+type SetGauge struct {
 	Name  string
 	Value int64
 }
 
 // Took tells how long something took.
-type Took struct {
-	What  string
-	Class string
-	Span  time.Duration
+type ObserveDuration struct {
+	Name     string
+	Class    string
+	Duration time.Duration
 }
 
-type Say struct {
-	What   string
-	Detail []any
+type Log struct {
+	Message    string
+	Attributes []any
 }
 
 // Adopted tells that another version is in force on this node.
-type Adopted struct{ Version Version }
+type VersionAdopted struct{ Version Version }
--- a/contract/epoch_test.go
+++ b/contract/epoch_test.go
@@ -17,21 +17,21 @@
 }
 
 var _ = Describe("questions for lists and their answers", func() {
-	epoch := contract.Epoch{Number: 4, Node: "b-control", Life: "b2"}
+	epoch := contract.Epoch{Number: 4, Node: "b-control", Incarnation: "b2"}
 	written := func(body any) string {
 		GinkgoHelper()
-		content, failure := json.Marshal(body)
-		Expect(failure).NotTo(HaveOccurred())
+		content, err := json.Marshal(body)
+		Expect(err).NotTo(HaveOccurred())
 		return string(content)
 	}
 
 	It("given a node that holds nothing, when it asks, then it writes only what it knows", func() {
-		ask := contract.LeaseRequest{Node: "a-data", Address: "a:1", Region: "east", Asked: time.Second, Shards: 1}
-		Expect(written(ask)).To(Equal(`{"node":"a-data","address":"a:1","region":"east","asked":1000000000,"shards":1}`))
+		request := contract.LeaseRequest{Node: "a-data", Address: "a:1", Region: "east", SentAt: time.Second, ShardCount: 1}
+		Expect(written(request)).To(Equal(`{"node":"a-data","address":"a:1","region":"east","asked":1000000000,"shards":1}`))
 	})
 
 	It("given a list that the asker holds already, when it is answered, then nothing is written of servers, nor the number of the first shard", func() {
-		lease := contract.Lease{Region: "east", Asked: time.Second, Epoch: epoch, Number: 17, Life: time.Second, Revision: 3, Same: true, Shards: 1}
+		lease := contract.Lease{Region: "east", RequestSentAt: time.Second, Epoch: epoch, Number: 17, Duration: time.Second, Revision: 3, Unchanged: true, ShardCount: 1}
 		Expect(written(lease)).To(Equal(`{"region":"east","asked":1000000000,"epoch":{"number":4,"node":"b-control","life":"b2"},"number":17,"life":1000000000,"revision":3,"same":true,"shards":1}`))
 	})
 
@@ -44,9 +44,9 @@
 			Expect(fresh).To(Equal(same))
 		},
 		Entry("a question", `{"node":"a-data","boot":"b1","address":"a:1","region":"east","shard":0,"asked":1,"highest":{"number":0,"node":""},"number":0,"shards":1}`,
-			&contract.LeaseRequest{Node: "a-data", Address: "a:1", Region: "east", Asked: 1, Shards: 1}, &contract.LeaseRequest{}),
+			&contract.LeaseRequest{Node: "a-data", Address: "a:1", Region: "east", SentAt: 1, ShardCount: 1}, &contract.LeaseRequest{}),
 		Entry("a list", `{"region":"east","shard":0,"asked":1,"epoch":{"number":4,"node":"b-control","life":"b2"},"number":0,"life":2,"servers":null,"revision":0,"shards":1}`,
-			&contract.Lease{Region: "east", Asked: 1, Epoch: epoch, Life: 2, Shards: 1}, &contract.Lease{}),
+			&contract.Lease{Region: "east", RequestSentAt: 1, Epoch: epoch, Duration: 2, ShardCount: 1}, &contract.Lease{}),
 		Entry("a server", `{"name":"s","address":"s:1","zone":"h","pool":"p","incarnation":"1","slots":8,"share":0,"running":0,"waiting":0,"report":0}`,
 			&contract.Candidate{Name: "s", Address: "s:1", Zone: "h", Pool: "p", Incarnation: "1", Slots: 8}, &contract.Candidate{}),
 		Entry("a refusal", `{"region":"east","shard":0,"owner":""}`, &contract.NotOwner{Region: "east"}, &contract.NotOwner{}))
--- a/contract/order.go
+++ b/contract/order.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-func Weight(parts ...string) uint64 {
+func RendezvousWeight(parts ...string) uint64 {
 	hash := fnv.New64a()
 	for _, part := range parts {
 		_, _ = hash.Write([]byte(part))
@@ -19,10 +19,10 @@
 }
 
 // Ordered gives names in the agreed order for a subject: every node computes the same one.
-func Ordered(subject string, names []string) []string {
+func RendezvousOrder(subject string, names []string) []string {
 	ordered := append([]string{}, names...)
 	sort.Slice(ordered, func(left, right int) bool {
-		first, second := Weight(subject, ordered[left]), Weight(subject, ordered[right])
+		first, second := RendezvousWeight(subject, ordered[left]), RendezvousWeight(subject, ordered[right])
 		if first != second {
 			return first > second
 		}
@@ -35,5 +35,5 @@
 	if shards < 1 {
 		return 0
 	}
-	return int(Weight("shard", server) % uint64(shards))
+	return int(RendezvousWeight("shard", server) % uint64(shards))
 }
--- a/contract/stream.go
+++ b/contract/stream.go
@@ -13,8 +13,8 @@
 func WriteRecords(writer io.Writer, records []Record) error {
 	encoder := json.NewEncoder(writer)
 	for _, record := range records {
-		if failure := encoder.Encode(record); failure != nil {
-			return eris.Wrap(failure, "record cannot be written as JSON")
+		if err := encoder.Encode(record); err != nil {
+			return eris.Wrap(err, "record cannot be written as JSON")
 		}
 	}
 	return nil
@@ -27,38 +27,38 @@
 		if kind := decoder.PeekKind(); kind != '{' {
 			break
 		}
-		record, failure := readRecord(decoder)
-		if failure != nil {
-			return nil, eris.Wrap(failure, "record cannot be read")
+		record, err := readRecord(decoder)
+		if err != nil {
+			return nil, eris.Wrap(err, "record cannot be read")
 		}
 		records = append(records, record)
 	}
-	if _, failure := decoder.ReadToken(); failure != io.EOF {
-		return nil, eris.Wrap(failure, "records end in something else")
+	if _, err := decoder.ReadToken(); err != io.EOF {
+		return nil, eris.Wrap(err, "records end in something else")
 	}
 	return records, nil
 }
 
 func readRecord(decoder *jsontext.Decoder) (Record, error) {
 	record := Record{}
-	failure := document.ReadMembers(decoder, func(name string) error {
+	err := document.ReadMembers(decoder, func(name string) error {
 		switch name {
 		case "change":
-			change, failure := document.ReadChange(decoder)
+			change, err := document.ReadChange(decoder)
 			record.Change = &change
-			return failure
+			return err
 		case "manifest":
-			content, failure := document.Read(decoder)
+			content, err := document.Read(decoder)
 			record.content = content
-			return failure
+			return err
 		}
-		value, failure := decoder.ReadValue()
-		if failure != nil {
-			return failure
+		value, err := decoder.ReadValue()
+		if err != nil {
+			return err
 		}
 		switch name {
 		case "place":
-			return json.Unmarshal(value, &record.Place)
+			return json.Unmarshal(value, &record.Position)
 		case "operation":
 			return json.Unmarshal(value, &record.Operation)
 		case "digest":
@@ -68,5 +68,5 @@
 		}
 		return nil
 	})
-	return record, failure
+	return record, err
 }
--- a/contract/tally.go
+++ b/contract/tally.go
@@ -2,17 +2,17 @@
 
 // Tally is what a data node saw of its calls at a server lately: those that got no connection, those that failed in another
 // way, and those that were answered well.
-type Tally struct {
-	Lost   int64 `json:"l,omitempty"`
-	Failed int64 `json:"f,omitempty"`
-	Well   int64 `json:"w,omitempty"`
+type CallTally struct {
+	Unconnected int64 `json:"l,omitempty"`
+	Failed      int64 `json:"f,omitempty"`
+	Succeeded   int64 `json:"w,omitempty"`
 }
 
 // Bad counts the calls that were not answered well.
-func (tally Tally) Bad() int64 { return tally.Lost + tally.Failed }
+func (tally CallTally) Failures() int64 { return tally.Unconnected + tally.Failed }
 
-func (tally Tally) Calls() int64 { return tally.Bad() + tally.Well }
+func (tally CallTally) Total() int64 { return tally.Failures() + tally.Succeeded }
 
-func (tally Tally) Plus(other Tally) Tally {
-	return Tally{Lost: tally.Lost + other.Lost, Failed: tally.Failed + other.Failed, Well: tally.Well + other.Well}
+func (tally CallTally) Add(other CallTally) CallTally {
+	return CallTally{Unconnected: tally.Unconnected + other.Unconnected, Failed: tally.Failed + other.Failed, Succeeded: tally.Succeeded + other.Succeeded}
 }
--- a/contract/version_test.go
+++ b/contract/version_test.go
@@ -16,16 +16,16 @@
 	for part := range 200 {
 		parts = append(parts, fmt.Sprintf(`"p%d":%d`, part, part))
 	}
-	content, failure := document.Parse([]byte(`{"items":{"all":{` + strings.Join(parts, ",") + `}}}`))
-	if failure != nil {
-		t.Fatal(failure)
+	content, err := document.Parse([]byte(`{"items":{"all":{` + strings.Join(parts, ",") + `}}}`))
+	if err != nil {
+		t.Fatal(err)
 	}
-	versions := []Version{FirstVersion(Place{View: 1, Revision: 1}, "o1/f", content)}
+	versions := []Version{NewVersion(Position{View: 1, Revision: 1}, "o1/f", content)}
 	for number := 1; number < count; number++ {
 		change := document.Change{}
 		change.Put("/items/all/p7", fmt.Sprint("7", number))
 		last := versions[len(versions)-1]
-		versions = append(versions, last.Next(Place{View: 1, Revision: last.Place.Revision + 1}, fmt.Sprintf("o%d/f", number+1), change))
+		versions = append(versions, last.Next(Position{View: 1, Revision: last.Position.Revision + 1}, fmt.Sprintf("o%d/f", number+1), change))
 	}
 	return versions
 }
@@ -33,13 +33,13 @@
 // sent gives records as they arrive.
 func sent(t *testing.T, records []Record) []Record {
 	t.Helper()
-	content, failure := json.Marshal(records)
-	if failure != nil {
-		t.Fatal(failure)
+	content, err := json.Marshal(records)
+	if err != nil {
+		t.Fatal(err)
 	}
 	arrived := []Record{}
-	if failure := json.Unmarshal(content, &arrived); failure != nil {
-		t.Fatal(failure)
+	if err := json.Unmarshal(content, &arrived); err != nil {
+		t.Fatal(err)
 	}
 	return arrived
 }
@@ -47,13 +47,13 @@
 func TestRecordsAreOpenedAsTheyWereSent(t *testing.T) {
 	versions := series(t, 20)
 	for base := range versions {
-		records := sent(t, Records(versions[base], versions[base+1:], RecordsMost))
-		opened, failure := OpenRecords(records, func(place Place) (Version, bool) { return versions[base], place == versions[base].Place })
-		if failure != nil || len(opened) != len(versions)-base-1 {
-			t.Fatal(base, failure, len(opened))
+		records := sent(t, EncodeRecords(versions[base], versions[base+1:], MaxRecordBytes))
+		decoded, err := DecodeRecords(records, func(index Position) (Version, bool) { return versions[base], index == versions[base].Position })
+		if err != nil || len(decoded) != len(versions)-base-1 {
+			t.Fatal(base, err, len(decoded))
 		}
-		for place, version := range opened {
-			if want := versions[base+1+place]; version.Digest != want.Digest || version.Operation != want.Operation || string(version.Document().JSON()) != string(want.Document().JSON()) {
+		for index, version := range decoded {
+			if want := versions[base+1+index]; version.Digest != want.Digest || version.Operation != want.Operation || string(version.Document().JSON()) != string(want.Document().JSON()) {
 				t.Fatal("another version was opened")
 			}
 		}
@@ -62,37 +62,37 @@
 
 func TestARecordIsTheChangeOfAnyBaseOrWhole(t *testing.T) {
 	versions := series(t, 6)
-	back := versions[1].RecordFrom(versions[5])
-	if back.Whole() || back.Size() > 100 {
+	back := versions[1].RecordRelativeTo(versions[5])
+	if back.IsFull() || back.Size() > 100 {
 		t.Fatal("an older version is no small change of a newer one")
 	}
-	opened, failure := OpenRecords(sent(t, []Record{back}), func(Place) (Version, bool) { return versions[5], true })
-	if failure != nil || opened[0].Digest != versions[1].Digest {
-		t.Fatal(failure)
+	decoded, err := DecodeRecords(sent(t, []Record{back}), func(Position) (Version, bool) { return versions[5], true })
+	if err != nil || decoded[0].Digest != versions[1].Digest {
+		t.Fatal(err)
 	}
-	if !versions[3].RecordFrom(Version{}).Whole() {
+	if !versions[3].RecordRelativeTo(Version{}).IsFull() {
 		t.Fatal("without a base a record is whole")
 	}
 }
 
 func TestWhatCannotBePutTogetherIsRefused(t *testing.T) {
 	versions := series(t, 4)
-	none := func(Place) (Version, bool) { return Version{}, false }
-	records := Records(versions[0], versions[1:], RecordsMost)
-	if opened, failure := OpenRecords(records, none); failure == nil || len(opened) > 0 {
+	none := func(Position) (Version, bool) { return Version{}, false }
+	records := EncodeRecords(versions[0], versions[1:], MaxRecordBytes)
+	if decoded, err := DecodeRecords(records, none); err == nil || len(decoded) > 0 {
 		t.Fatal("a change was opened without its base")
 	}
-	wrongBase := func(Place) (Version, bool) { return FirstVersion(versions[0].Place, "", document.Empty()), true }
-	if opened, failure := OpenRecords(records, wrongBase); failure == nil || len(opened) > 0 {
+	wrongBase := func(Position) (Version, bool) { return NewVersion(versions[0].Position, "", document.Empty()), true }
+	if decoded, err := DecodeRecords(records, wrongBase); err == nil || len(decoded) > 0 {
 		t.Fatal("a change of another content was opened")
 	}
-	held := func(Place) (Version, bool) { return versions[0], true }
+	lookup := func(Position) (Version, bool) { return versions[0], true }
 	broken := sent(t, records)
 	broken[1].Change.Set["/items/all/p8"] = document.Value("0")
-	if opened, failure := OpenRecords(broken, held); failure == nil || len(opened) != 1 {
-		t.Fatal("a change that was altered was opened, or the one before it was not:", failure, len(opened))
+	if decoded, err := DecodeRecords(broken, lookup); err == nil || len(decoded) != 1 {
+		t.Fatal("a change that was altered was opened, or the one before it was not:", err, len(decoded))
 	}
-	if _, failure := OpenRecords([]Record{{Place: versions[1].Place, Digest: versions[1].Digest, Base: &versions[0].Place}}, held); failure == nil {
+	if _, err := DecodeRecords([]Record{{Position: versions[1].Position, Digest: versions[1].Digest, Base: &versions[0].Position}}, lookup); err == nil {
 		t.Fatal("a record without a change was opened")
 	}
 	var version Version
@@ -103,10 +103,10 @@
 
 func TestRecordsFitIntoAMessage(t *testing.T) {
 	versions := series(t, 20)
-	if records := Records(Version{}, versions, 0); len(records) != 1 {
+	if records := EncodeRecords(Version{}, versions, 0); len(records) != 1 {
 		t.Fatal("at least one record is sent:", len(records))
 	}
-	if records := Records(versions[0], versions[1:], 100); len(records) == 0 || len(records) > 10 {
+	if records := EncodeRecords(versions[0], versions[1:], 100); len(records) == 0 || len(records) > 10 {
 		t.Fatal(len(records))
 	}
 }
--- a/contract/view.go
+++ b/contract/view.go
@@ -25,10 +25,10 @@
 }
 
 // Takers are those who may propose the next view, in the agreed order.
-func (view View) Takers() []string {
+func (view View) Proposers() []string {
 	takers := append([]string{}, view.Chain...)
 	for _, holder := range view.Holders {
-		if view.Rank(holder) < 0 {
+		if view.ChainIndex(holder) < 0 {
 			takers = append(takers, holder)
 		}
 	}
@@ -58,7 +58,7 @@
 	return view.Node(view.Chain[len(view.Chain)-1])
 }
 
-func (view View) Rank(identity string) int {
+func (view View) ChainIndex(identity string) int {
 	for index, member := range view.Chain {
 		if member == identity {
 			return index
@@ -70,7 +70,7 @@
 func (view View) Majority() int { return len(view.Core)/2 + 1 }
 
 // RecordsMost is how many bytes of versions one message carries.
-const RecordsMost = 1 << 20
+const MaxRecordBytes = 1 << 20
 
 func Digest(content []byte) string {
 	sum := sha256.Sum256(content)
--- a/control/control.go
+++ b/control/control.go
@@ -91,7 +91,7 @@
 	commands := []contract.Command{}
 	if gap := owner.Woke(now); gap > 0 {
 		owner.shardsWoke(now)
-		commands = append(commands, contract.Count{Name: "woken", By: 1}, contract.Say{What: "woken from a freeze", Detail: []any{"ms", gap.Milliseconds()}})
+		commands = append(commands, contract.AddCounter{Name: "woken", Delta: 1}, contract.Log{Message: "woken from a freeze", Attributes: []any{"ms", gap.Milliseconds()}})
 	}
 	commands = append(commands, owner.Node.Handle(now, event)...)
 	switch event := event.(type) {
@@ -112,7 +112,7 @@
 		commands = append(commands, owner.chain.Handle(now, event)...)
 	case Leave:
 		commands = append(commands, owner.Neighbours.Farewell()...)
-	case contract.Ask:
+	case contract.OperatorRequest:
 		commands = append(commands, owner.ask(now, event)...)
 	default:
 		commands = append(commands, owner.shardEvent(now, event)...)
@@ -125,12 +125,12 @@
 	commands := []contract.Command{}
 	owner.Neighbours.Blind(owner.shard.Blind() || owner.Neighbours.Deaf(now))
 	if owner.chain != nil {
-		owner.Neighbours.Hold(owner.Feed.Version().Place, owner.Feed.View().Number, owner.chain.Fit())
+		owner.Neighbours.Hold(owner.Feed.Version().Position, owner.Feed.View().Number, owner.chain.Fit())
 		commands = append(commands, owner.chain.Handle(now, chain.Seen{Members: owner.Neighbours.Members(now), Held: owner.Feed.Version(), View: owner.Feed.View()})...)
 	}
 	commands = append(commands, owner.askRefill(now, members)...)
 	if owner.Feed.Known() {
-		commands = append(commands, owner.tickShards(now, shard.Seen{Members: members, Manifest: owner.Feed.Manifest(), Revision: owner.Feed.Version().Place.Revision})...)
+		commands = append(commands, owner.tickShards(now, shard.Seen{Members: members, Manifest: owner.Feed.Manifest(), Revision: owner.Feed.Version().Position.Revision})...)
 	}
 	commands = append(commands, owner.index.Tick(now, owner.peers(members))...)
 	commands = append(commands, owner.tickWrites(now)...)
@@ -177,8 +177,8 @@
 			commands = append(owner.Feed.Take(feed.Change{View: &view}, owner.Neighbours.Active()), commands...)
 		case chain.Vouched:
 			commands = append(owner.vouched(now, command), commands...)
-		case contract.Adopted:
-			out = append(out, contract.Say{What: "manifest in force", Detail: []any{"revision", command.Version.Place.Revision}})
+		case contract.VersionAdopted:
+			out = append(out, contract.Log{Message: "manifest in force", Attributes: []any{"revision", command.Version.Position.Revision}})
 		default:
 			out = append(out, command)
 		}
@@ -194,12 +194,12 @@
 	return owner.chain.Self().Identity()
 }
 
-func (owner *Owner) authority(ask contract.Ask) bool {
-	node, there := ask.Authority(owner.Feed.View())
+func (owner *Owner) authority(ask contract.OperatorRequest) bool {
+	node, there := ask.AuthoritativeNode(owner.Feed.View())
 	return there && node.Identity() == owner.Identity()
 }
 
-func (owner *Owner) ask(now time.Duration, ask contract.Ask) []contract.Command {
+func (owner *Owner) ask(now time.Duration, ask contract.OperatorRequest) []contract.Command {
 	if ask.Verb == contract.VerbWhy {
 		return owner.why(now, ask)
 	}
@@ -210,22 +210,22 @@
 		return owner.place(now, ask)
 	}
 	if !owner.authority(ask) {
-		node, there := ask.Authority(owner.Feed.View())
+		node, there := ask.AuthoritativeNode(owner.Feed.View())
 		if !there || ask.Forwarded {
-			return []contract.Command{contract.Refuse(ask.Token, 503, "no authority is known here yet; nothing was done", owner.Bounds.Round())}
+			return []contract.Command{contract.ErrorResponse(ask.Token, 503, "no authority is known here yet; nothing was done", owner.Bounds.Round())}
 		}
 		ask.Forwarded = true
-		return []contract.Command{contract.Forward{Ask: ask, Address: node.Address}}
+		return []contract.Command{contract.Forward{Request: ask, Address: node.Address}}
 	}
 	switch ask.Verb {
 	case contract.VerbGet, contract.VerbHistory:
 		token := owner.whenVouched(func(_ time.Duration, fine bool) []contract.Command { return owner.answerRead(ask, fine) })
 		return owner.chain.Vouch(now, token)
 	case contract.VerbMembers:
-		return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: map[string]any{
+		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{
 			"members": owner.Neighbours.Members(now), "silent": owner.Neighbours.Silent(now)}}}
 	case contract.VerbChain:
-		return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: map[string]any{
+		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{
 			"view": owner.chain.View(), "committed": owner.chain.Committed(), "sealed": owner.chain.Sealed(), "open": owner.chain.Open()}}}
 	case contract.VerbShards, contract.VerbRetirements:
 		return owner.shards(now, ask)
@@ -251,43 +251,43 @@
 }
 
 // place says where a prompt belongs; any control node that is asked answers, since a wrong place costs reading alone.
-func (owner *Owner) place(now time.Duration, ask contract.Ask) []contract.Command {
+func (owner *Owner) place(now time.Duration, ask contract.OperatorRequest) []contract.Command {
 	var asked index.Ask
 	if json.Unmarshal(ask.Body, &asked) != nil {
-		return []contract.Command{contract.Refuse(ask.Token, 400, "not a question for a place", 0)}
+		return []contract.Command{contract.ErrorResponse(ask.Token, 400, "not a question for a place", 0)}
 	}
 	place, there := owner.index.Place(now, asked)
 	if !there && asked.Known {
-		return []contract.Command{contract.Refuse(ask.Token, 404, "this place is not known here", 0)}
+		return []contract.Command{contract.ErrorResponse(ask.Token, 404, "this place is not known here", 0)}
 	}
 	if !there {
-		return []contract.Command{contract.Refuse(ask.Token, 404, "no candidate for this place", 0)}
+		return []contract.Command{contract.ErrorResponse(ask.Token, 404, "no candidate for this place", 0)}
 	}
-	commands := []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: place}, contract.Gauge{Name: "index_places", Value: int64(owner.index.Len())}}
+	commands := []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: place}, contract.SetGauge{Name: "index_places", Value: int64(owner.index.Len())}}
 	if asked.Known {
-		commands = append(commands, contract.Count{Name: "index_known_given", By: 1})
+		commands = append(commands, contract.AddCounter{Name: "index_known_given", Delta: 1})
 	}
 	return commands
 }
 
 // gone tells every live core machine what an operator knows: there may be no authority left to tell.
-func (owner *Owner) gone(now time.Duration, ask contract.Ask) []contract.Command {
+func (owner *Owner) gone(now time.Duration, ask contract.OperatorRequest) []contract.Command {
 	word, commands := Gone{Name: ask.Subject + "-" + contract.KindControl}, []contract.Command{}
 	if owner.Neighbours.Alive(now, word.Name) {
-		return []contract.Command{contract.Refuse(ask.Token, 409, "this machine is alive", 0)}
+		return []contract.Command{contract.ErrorResponse(ask.Token, 409, "this machine is alive", 0)}
 	}
 	told := []string{}
 	for _, member := range owner.Neighbours.Live(now, func(member contract.Member) bool { return member.Core }) {
 		told = append(told, member.Name)
 		commands = append(commands, contract.Send{To: member.Address, Kind: MessageGone, Body: word})
 	}
-	return append(commands, contract.Answer{Token: ask.Token, Status: 200, Body: map[string]any{"told": told}})
+	return append(commands, contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{"told": told}})
 }
 
 func (owner *Owner) told(message contract.Message) []contract.Command {
 	var word Gone
 	if message.Kind == MessageGone && json.Unmarshal(message.Body, &word) == nil && owner.chain.Declare(word.Name) {
-		return []contract.Command{contract.Say{What: "declared gone", Detail: []any{"machine", word.Name}}}
+		return []contract.Command{contract.Log{Message: "declared gone", Attributes: []any{"machine", word.Name}}}
 	}
 	return nil
 }
@@ -308,13 +308,13 @@
 	return then(now, vouched.Fine)
 }
 
-func (owner *Owner) answerRead(ask contract.Ask, fine bool) []contract.Command {
+func (owner *Owner) answerRead(ask contract.OperatorRequest, fine bool) []contract.Command {
 	if !fine {
-		return []contract.Command{contract.Count{Name: "reads_without_quorum", By: 1},
-			contract.Refuse(ask.Token, 503, "the core cannot vouch for its view now", owner.Bounds.Round())}
+		return []contract.Command{contract.AddCounter{Name: "reads_without_quorum", Delta: 1},
+			contract.ErrorResponse(ask.Token, 503, "the core cannot vouch for its view now", owner.Bounds.Round())}
 	}
 	if ask.Verb == contract.VerbHistory {
-		return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: map[string]any{"revisions": owner.chain.History()}}}
+		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{"revisions": owner.chain.History()}}}
 	}
 	revision := ask.Revision
 	if revision == 0 {
@@ -322,9 +322,9 @@
 	}
 	version, there := owner.chain.Version(revision)
 	if !there {
-		return []contract.Command{contract.Refuse(ask.Token, 404, "no such revision is kept", 0)}
+		return []contract.Command{contract.ErrorResponse(ask.Token, 404, "no such revision is kept", 0)}
 	}
-	return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: version}}
+	return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: version}}
 }
 
 // Leave hands the duties over when this process stops on purpose.
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -32,14 +32,14 @@
 	if failure != nil {
 		tb.Fatal(failure)
 	}
-	return contract.FirstVersion(contract.Place{View: 1, Revision: 1}, "first/f", content)
+	return contract.NewVersion(contract.Position{View: 1, Revision: 1}, "first/f", content)
 }
 
 // oneRouteChanged orders another time-out for one route.
-func oneRouteChanged(base int64) contract.Ask {
+func oneRouteChanged(base int64) contract.OperatorRequest {
 	body := fmt.Sprintf(`{"gateway":{"revision":%d,"upsert":{"routes":{"tenant-00007":{"host":"tenant-00007.example.com","prefix":"/v1/","kind":"streaming",`+
 		`"timeoutMs":%d,"aimMs":1400,"gapMs":71,"rank":1,"attempts":2,"resumable":true,"affinity":true,"service":"model-0"}}},"remove":{}}}`, base+1, 60000+base)
-	return contract.Ask{Verb: contract.VerbUpdate, HasBase: true, Base: base, Operation: fmt.Sprint("o", base), Body: []byte(body)}
+	return contract.OperatorRequest{Verb: contract.VerbUpdate, HasBaseRevision: true, BaseRevision: base, Operation: fmt.Sprint("o", base), Body: []byte(body)}
 }
 
 // changed gives the versions that so many changes of one route make of a first one.
@@ -48,11 +48,11 @@
 	versions := []contract.Version{first}
 	for len(versions) < count {
 		last := versions[len(versions)-1]
-		change, failure := changeOf(oneRouteChanged(last.Place.Revision), newest{Version: last})
+		change, failure := changeOf(oneRouteChanged(last.Position.Revision), newest{Version: last})
 		if failure != nil {
 			tb.Fatal(failure)
 		}
-		versions = append(versions, last.Next(contract.Place{View: 1, Revision: last.Place.Revision + 1}, fmt.Sprintf("o%d/f", len(versions)), change))
+		versions = append(versions, last.Next(contract.Position{View: 1, Revision: last.Position.Revision + 1}, fmt.Sprintf("o%d/f", len(versions)), change))
 	}
 	return versions
 }
@@ -86,8 +86,8 @@
 			if failure != nil {
 				b.Fatal(failure)
 			}
-			next := last.Next(contract.Place{View: 1, Revision: last.Place.Revision + 1}, "next/f", change)
-			content, failure := json.Marshal(chain.Pass{View: 1, Previous: last.Place, Records: contract.Records(last, []contract.Version{next}, contract.RecordsMost)})
+			next := last.Next(contract.Position{View: 1, Revision: last.Position.Revision + 1}, "next/f", change)
+			content, failure := json.Marshal(chain.Pass{View: 1, Previous: last.Position, Records: contract.EncodeRecords(last, []contract.Version{next}, contract.MaxRecordBytes)})
 			if failure != nil {
 				b.Fatal(failure)
 			}
@@ -116,18 +116,18 @@
 		disk := &countingDisk{}
 		last := versions[len(versions)-1]
 		next := nextOf(b, last)
-		content, failure := json.Marshal(contract.Records(last, []contract.Version{next}, contract.RecordsMost))
+		content, failure := json.Marshal(contract.EncodeRecords(last, []contract.Version{next}, contract.MaxRecordBytes))
 		if failure != nil {
 			b.Fatal(failure)
 		}
-		held := func(place contract.Place) (contract.Version, bool) { return last, place == last.Place }
+		held := func(place contract.Position) (contract.Version, bool) { return last, place == last.Position }
 		b.ResetTimer()
 		for range b.N {
 			records := []contract.Record{}
 			if failure := json.Unmarshal(content, &records); failure != nil {
 				b.Fatal(failure)
 			}
-			opened, failure := contract.OpenRecords(records, held)
+			opened, failure := contract.DecodeRecords(records, held)
 			if failure != nil {
 				b.Fatal(failure)
 			}
@@ -141,11 +141,11 @@
 
 func nextOf(tb testing.TB, last contract.Version) contract.Version {
 	tb.Helper()
-	change, failure := changeOf(oneRouteChanged(last.Place.Revision), newest{Version: last})
+	change, failure := changeOf(oneRouteChanged(last.Position.Revision), newest{Version: last})
 	if failure != nil {
 		tb.Fatal(failure)
 	}
-	return last.Next(contract.Place{View: 1, Revision: last.Place.Revision + 1}, "next/f", change)
+	return last.Next(contract.Position{View: 1, Revision: last.Position.Revision + 1}, "next/f", change)
 }
 
 // BenchmarkNode is one changed route at a node that follows the feed, until it is in force there.
@@ -160,7 +160,7 @@
 			if place > 0 {
 				former = later[place-1]
 			}
-			body, failure := json.Marshal(feed.Delivery{Records: contract.Records(former, []contract.Version{version}, contract.RecordsMost)})
+			body, failure := json.Marshal(feed.Delivery{Records: contract.EncodeRecords(former, []contract.Version{version}, contract.MaxRecordBytes)})
 			if failure != nil {
 				b.Fatal(failure)
 			}
@@ -177,7 +177,7 @@
 				b.StartTimer()
 			}
 			node.Handle(time.Second, contract.Message{Kind: feed.MessageChange, Body: deliveries[place]}, nil)
-			if node.Version().Place != later[place].Place {
+			if node.Version().Position != later[place].Position {
 				b.Fatal("not in force")
 			}
 		}
--- a/control/gateway.go
+++ b/control/gateway.go
@@ -23,33 +23,33 @@
 	return read
 }
 
-func (newest newest) there() bool { return newest.Place.Revision > 0 }
+func (newest newest) there() bool { return newest.Position.Revision > 0 }
 
 // readLatest gives the newest version as it is read; a version that this head has just made is not read again.
 func (owner *Owner) readLatest(latest contract.Version) newest {
-	if owner.newest.Place != latest.Place {
+	if owner.newest.Position != latest.Position {
 		owner.newest = readNewest(latest)
 	}
 	return owner.newest
 }
 
 // overtaken tells why a change of the gateway's configuration no longer stands on the newest one.
-func overtaken(ask contract.Ask, latest newest) string {
+func overtaken(ask contract.OperatorRequest, latest newest) string {
 	if ask.Verb != contract.VerbReplace && ask.Verb != contract.VerbUpdate {
 		return ""
 	}
 	if latest.invalid != nil {
 		return "the newest manifest cannot be read"
 	}
-	if current := latest.read.Gateway.Revision; ask.Base != current {
-		return fmt.Sprintf("the gateway's configuration moved: base %d, now %d", ask.Base, current)
+	if current := latest.read.Gateway.Revision; ask.BaseRevision != current {
+		return fmt.Sprintf("the gateway's configuration moved: base %d, now %d", ask.BaseRevision, current)
 	}
 	return ""
 }
 
 // forgotten tells whether an order builds on a configuration that is older than all kept versions: then the order may have been taken
 // and its version been dropped since.
-func (owner *Owner) forgotten(ask contract.Ask) bool {
+func (owner *Owner) forgotten(ask contract.OperatorRequest) bool {
 	if ask.Verb != contract.VerbReplace && ask.Verb != contract.VerbUpdate {
 		return false
 	}
@@ -57,16 +57,16 @@
 	if !there || owner.chain.RemembersAll() {
 		return false
 	}
-	return ask.Base < manifest.GatewayRevision(oldest.Document())
+	return ask.BaseRevision < manifest.GatewayRevision(oldest.Document())
 }
 
 // standing gives the newest version when a drain or an undrain asks for what already is so, and wants no version of its own.
-func (owner *Owner) standing(ask contract.Ask) (contract.Version, bool) {
-	if !ask.Prompt || ask.Verb != contract.VerbDrain && ask.Verb != contract.VerbUndrain {
+func (owner *Owner) standing(ask contract.OperatorRequest) (contract.Version, bool) {
+	if !ask.ReplyOnCommit || ask.Verb != contract.VerbDrain && ask.Verb != contract.VerbUndrain {
 		return contract.Version{}, false
 	}
 	latest, fine := owner.chain.Latest()
-	if !fine || latest.Place.Revision == 0 || !owner.chain.Open() {
+	if !fine || latest.Position.Revision == 0 || !owner.chain.Open() {
 		return contract.Version{}, false
 	}
 	read := owner.readLatest(latest)
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -19,15 +19,15 @@
 	GinkgoHelper()
 	read, failure := document.Parse([]byte(content))
 	Expect(failure).NotTo(HaveOccurred())
-	return contract.FirstVersion(contract.Place{View: 1, Revision: revision}, contract.OperationOf("first", "f"), read)
+	return contract.NewVersion(contract.Position{View: 1, Revision: revision}, contract.OperationID("first", "f"), read)
 }
 
 // composed gives the version that an order makes of a former one.
 func composed(former contract.Version, verb string, body []byte) contract.Version {
 	GinkgoHelper()
-	change, _, _, failure := compose(contract.Ask{Verb: verb, Body: body}, readNewest(former))
+	change, _, _, failure := compose(contract.OperatorRequest{Verb: verb, Body: body}, readNewest(former))
 	Expect(failure).NotTo(HaveOccurred())
-	return former.Next(contract.Place{View: 1, Revision: former.Place.Revision + 1}, contract.OperationOf("first", "f"), change)
+	return former.Next(contract.Position{View: 1, Revision: former.Position.Revision + 1}, contract.OperationID("first", "f"), change)
 }
 
 const oneRoute = `"r":{"host":"h","prefix":"/","timeoutMs":1000,"service":"s"}`
@@ -43,7 +43,7 @@
 			if verb == contract.VerbUpdate {
 				body = []byte(fmt.Sprintf(`{"gateway":{"revision":%d,"upsert":{},"remove":{}}}`, revision))
 			}
-			_, _, _, failure := compose(contract.Ask{Verb: verb, Body: body}, readNewest(latest()))
+			_, _, _, failure := compose(contract.OperatorRequest{Verb: verb, Body: body}, readNewest(latest()))
 			if taken {
 				Expect(failure).NotTo(HaveOccurred())
 				return
@@ -54,19 +54,19 @@
 
 	It("given a change on another base than the current one, when it is looked at, then it is overtaken", func() {
 		for base, late := range map[int64]bool{0: true, 4: true, 5: false, 6: true} {
-			Expect(overtaken(contract.Ask{Verb: contract.VerbReplace, Base: base}, readNewest(latest())) != "").To(Equal(late), "base %d", base)
+			Expect(overtaken(contract.OperatorRequest{Verb: contract.VerbReplace, BaseRevision: base}, readNewest(latest())) != "").To(Equal(late), "base %d", base)
 		}
-		Expect(overtaken(contract.Ask{Verb: contract.VerbReplace, Base: 0}, readNewest(contract.Version{}))).To(BeEmpty())
-		Expect(overtaken(contract.Ask{Verb: contract.VerbDrain, Base: 0}, readNewest(latest()))).To(BeEmpty())
+		Expect(overtaken(contract.OperatorRequest{Verb: contract.VerbReplace, BaseRevision: 0}, readNewest(contract.Version{}))).To(BeEmpty())
+		Expect(overtaken(contract.OperatorRequest{Verb: contract.VerbDrain, BaseRevision: 0}, readNewest(latest()))).To(BeEmpty())
 	})
 
 	It("given a drained zone, when a whole configuration comes, then the zone stays drained and is not withdrawn again", func() {
 		version := latest()
-		change, _, drains, failure := compose(contract.Ask{Verb: contract.VerbDrain, Subject: "east-a"}, readNewest(version))
+		change, _, drains, failure := compose(contract.OperatorRequest{Verb: contract.VerbDrain, Subject: "east-a"}, readNewest(version))
 		Expect(failure).NotTo(HaveOccurred())
 		Expect(drains).To(HaveKey("east-a"))
-		drained := version.Next(contract.Place{View: 1, Revision: 2}, "", change)
-		change, next, drains, failure := compose(contract.Ask{Verb: contract.VerbReplace, Body: section(6, "")}, readNewest(drained))
+		drained := version.Next(contract.Position{View: 1, Revision: 2}, "", change)
+		change, next, drains, failure := compose(contract.OperatorRequest{Verb: contract.VerbReplace, Body: section(6, "")}, readNewest(drained))
 		Expect(failure).NotTo(HaveOccurred())
 		Expect(drains).To(BeEmpty())
 		read, failure := manifest.FromDocument(drained.Document().Apply(change))
@@ -79,7 +79,7 @@
 
 	It("given a change that names an unknown service, when it is composed, then nothing of it is taken", func() {
 		body := []byte(`{"gateway":{"revision":6,"upsert":{"routes":{"q":{"host":"h","prefix":"/q/","timeoutMs":1,"service":"none"}}}}}`)
-		_, _, _, failure := compose(contract.Ask{Verb: contract.VerbUpdate, Body: body}, readNewest(latest()))
+		_, _, _, failure := compose(contract.OperatorRequest{Verb: contract.VerbUpdate, Body: body}, readNewest(latest()))
 		Expect(failure).To(MatchError(ContainSubstring("gateway.routes.q.service")))
 	})
 })
--- a/control/gather.go
+++ b/control/gather.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func (owner *Owner) shards(now time.Duration, ask contract.Ask) []contract.Command {
+func (owner *Owner) shards(now time.Duration, ask contract.OperatorRequest) []contract.Command {
 	all := []shard.Status{}
 	fits := func(member contract.Member) bool { return member.Kind == contract.KindControl }
 	return owner.gather(now, fits, MessageStatusAsk, owner.statusMessage(""), func(body json.RawMessage) bool {
@@ -135,12 +135,12 @@
 			}
 			answer = map[string]any{"retirements": retired}
 		}
-		return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: answer}}
+		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: answer}}
 	})
 }
 
 // cache sums what the control nodes were told of the servers' caches; older ones answer with something else, which is left out.
-func (owner *Owner) cache(now time.Duration, ask contract.Ask) []contract.Command {
+func (owner *Owner) cache(now time.Duration, ask contract.OperatorRequest) []contract.Command {
 	all := []index.Cached{}
 	fits := func(member contract.Member) bool { return member.Kind == contract.KindControl }
 	message := func(token int64) any { return StatusAsk{Token: token, Address: owner.Self().Address, Cache: true} }
@@ -151,11 +151,11 @@
 		}
 		return false
 	}, func(time.Duration) []contract.Command {
-		return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: map[string]any{"servers": index.Merge(all)}}}
+		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{"servers": index.Merge(all)}}}
 	})
 }
 
-func (owner *Owner) why(now time.Duration, ask contract.Ask) []contract.Command {
+func (owner *Owner) why(now time.Duration, ask contract.OperatorRequest) []contract.Command {
 	traces := []json.RawMessage{}
 	fits := func(member contract.Member) bool { return member.Kind == contract.KindData }
 	return owner.gather(now, fits, MessageWhyAsk, owner.statusMessage(ask.Subject), func(body json.RawMessage) bool {
@@ -166,8 +166,8 @@
 		return false
 	}, func(time.Duration) []contract.Command {
 		if len(traces) == 0 {
-			return []contract.Command{contract.Refuse(ask.Token, 404, "no node remembers this call", 0)}
+			return []contract.Command{contract.ErrorResponse(ask.Token, 404, "no node remembers this call", 0)}
 		}
-		return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: map[string]any{"call": ask.Subject, "traces": traces}}}
+		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{"call": ask.Subject, "traces": traces}}}
 	})
 }
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -11,11 +11,11 @@
 	. "github.com/onsi/gomega"
 )
 
-func (world *world) asks(name string, body []byte) contract.Answer {
+func (world *world) asks(name string, body []byte) contract.Response {
 	GinkgoHelper()
-	answers := []contract.Answer{}
-	for _, command := range world.nodes[name].owner.Handle(world.now, contract.Ask{Token: 7, Verb: contract.VerbPlace, Body: body, Forwarded: true}) {
-		if answer, fine := command.(contract.Answer); fine {
+	answers := []contract.Response{}
+	for _, command := range world.nodes[name].owner.Handle(world.now, contract.OperatorRequest{Token: 7, Verb: contract.VerbPlace, Body: body, Forwarded: true}) {
+		if answer, fine := command.(contract.Response); fine {
 			answers = append(answers, answer)
 		}
 	}
@@ -102,7 +102,7 @@
 				for _, command := range owner.Handle(world.now, contract.Tick{}) {
 					if persist, fine := command.(index.Persist); fine {
 						snapshots = append(snapshots, persist.Snapshot)
-						Expect(owner.Handle(world.now, index.Persisted{Error: "full"})).To(ContainElement(contract.Count{Name: "index_unsaved", By: 1}))
+						Expect(owner.Handle(world.now, index.Persisted{Error: "full"})).To(ContainElement(contract.AddCounter{Name: "index_unsaved", Delta: 1}))
 					}
 				}
 			}
@@ -134,7 +134,7 @@
 			return owner.Handle(world.now, contract.Message{Kind: kind, From: "other", Body: content})
 		}
 		counted := told(index.MessageUsed, index.Used{Address: "other", Uses: uses, Results: index.Results(world.now, 2*time.Second, uses)})
-		Expect(counted).To(ContainElement(contract.Count{Name: "index_checked", By: 1}))
+		Expect(counted).To(ContainElement(contract.AddCounter{Name: "index_checked", Delta: 1}))
 		for _, cache := range []bool{true, false} {
 			bodies := []json.RawMessage{}
 			for _, command := range told(MessageStatusAsk, StatusAsk{Token: 1, Address: "other", Cache: cache}) {
--- a/control/refuse.go
+++ b/control/refuse.go
@@ -12,7 +12,7 @@
 // newest, and once the version that it rests on is committed: a head that was cut off knows neither what came after it nor whether what
 // it numbered last will stand.
 type refusal struct {
-	ask      contract.Ask
+	ask      contract.OperatorRequest
 	status   int
 	reason   string
 	revision int64
@@ -20,8 +20,8 @@
 }
 
 // refuseSurely refuses an order for what a version says.
-func (owner *Owner) refuseSurely(now time.Duration, ask contract.Ask, rests contract.Version, status int, reason string) []contract.Command {
-	pending := refusal{ask: ask, status: status, reason: reason, revision: rests.Place.Revision, until: now + owner.Bounds.Commit()}
+func (owner *Owner) refuseSurely(now time.Duration, ask contract.OperatorRequest, rests contract.Version, status int, reason string) []contract.Command {
+	pending := refusal{ask: ask, status: status, reason: reason, revision: rests.Position.Revision, until: now + owner.Bounds.Commit()}
 	token := owner.whenVouched(func(_ time.Duration, fine bool) []contract.Command {
 		switch {
 		case !fine:
@@ -55,7 +55,7 @@
 }
 
 // confirmStanding answers an order that asks for what already is so, once a majority has confirmed the view in which it is.
-func (owner *Owner) confirmStanding(now time.Duration, ask contract.Ask, version contract.Version) []contract.Command {
+func (owner *Owner) confirmStanding(now time.Duration, ask contract.OperatorRequest, version contract.Version) []contract.Command {
 	token := owner.whenVouched(func(now time.Duration, fine bool) []contract.Command {
 		if !fine {
 			return owner.refuse(ask, 503, "no majority confirms that this already is so; nothing was done")
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -31,7 +31,7 @@
 type node struct {
 	name   string
 	region string
-	owner  contract.Owner
+	owner  contract.StateMachine
 	lists  map[string][]string
 }
 
@@ -52,13 +52,13 @@
 	for _, region := range []string{"east", "north", "west"} {
 		for number := range 2 {
 			name := fmt.Sprintf("%s-s%d", region, number)
-			made.listing.Servers = append(made.listing.Servers, contract.ServerRow{Name: name, Address: name + ":80", Region: region, Zone: region + "-a", Pool: "s",
-				Incarnation: name, Unmeasured: true})
+			made.listing.Servers = append(made.listing.Servers, contract.ListedServer{Name: name, Address: name + ":80", Region: region, Zone: region + "-a", Pool: "s",
+				Incarnation: name, AssumedReady: true})
 			made.start(fmt.Sprintf("%s-m%d", region, number))
 		}
 	}
 	for _, name := range manifest.SortedKeys(made.nodes) {
-		made.post(name, feed.MessageChange, feed.Delivery{Records: []contract.Record{versionOf(1, threeRegions).WholeRecord()}})
+		made.post(name, feed.MessageChange, feed.Delivery{Records: []contract.Record{versionOf(1, threeRegions).FullRecord()}})
 	}
 	return made
 }
--- a/control/stale_test.go
+++ b/control/stale_test.go
@@ -34,7 +34,7 @@
 	kept := composed(contract.Version{}, contract.VerbReplace, section(5, oneRoute))
 	settings := env.New(env.WithName("m1"), env.WithZone("east-a"), env.WithRegion("east"), env.WithControl("m1"))
 	settings.Wide = true
-	recovered := chain.Recovered{Member: chain.MemberRecord{ID: nodes[0].ID, View: view}, Versions: []contract.Version{kept}, Committed: kept.Place}
+	recovered := chain.Recovered{Member: chain.MemberRecord{ID: nodes[0].ID, View: view}, Versions: []contract.Version{kept}, Committed: kept.Position}
 	owner := New(settings, "start", &recovered, rand.New(rand.NewPCG(1, 1)))
 	hear(owner, 0)
 	owner.Handle(0, contract.Tick{})
@@ -53,11 +53,11 @@
 }
 
 // answers lets time pass and gives what was answered.
-func answers(owner *Owner, commands []contract.Command, span time.Duration) []contract.Answer {
-	given := []contract.Answer{}
+func answers(owner *Owner, commands []contract.Command, span time.Duration) []contract.Response {
+	given := []contract.Response{}
 	take := func(commands []contract.Command) {
 		for _, command := range commands {
-			if answer, fine := command.(contract.Answer); fine {
+			if answer, fine := command.(contract.Response); fine {
 				given = append(given, answer)
 			}
 		}
@@ -70,23 +70,23 @@
 }
 
 var _ = Describe("a head that was left behind", func() {
-	order := func(verb string, base, revision int64) contract.Ask {
-		return contract.Ask{Token: 1, Verb: verb, Base: base, HasBase: true, Body: section(revision, oneRoute), Operation: "order", Prompt: true}
+	order := func(verb string, base, revision int64) contract.OperatorRequest {
+		return contract.OperatorRequest{Token: 1, Verb: verb, BaseRevision: base, HasBaseRevision: true, Body: section(revision, oneRoute), Operation: "order", ReplyOnCommit: true}
 	}
 
-	DescribeTable("neither refuses nor confirms from its old state", func(ask contract.Ask) {
+	DescribeTable("neither refuses nor confirms from its old state", func(ask contract.OperatorRequest) {
 		owner := staleHead()
 		given := answers(owner, owner.Handle(2*time.Millisecond, ask), time.Second)
 		Expect(given).To(HaveLen(1))
 		Expect(given[0].Status).To(Equal(503), "%+v", given[0].Body)
-		Expect(given[0].After).To(BeNumerically(">", 0), "and says when to come back")
+		Expect(given[0].RetryAfter).To(BeNumerically(">", 0), "and says when to come back")
 	},
 		Entry("an order on top of a version that it has missed", order(contract.VerbReplace, 9, 12)),
 		Entry("an order whose revision its own passes", order(contract.VerbReplace, 5, 3)),
-		Entry("a change by name that its own state does not allow", contract.Ask{Token: 1, Verb: contract.VerbUpdate, Base: 5, HasBase: true, Operation: "order", Prompt: true,
+		Entry("a change by name that its own state does not allow", contract.OperatorRequest{Token: 1, Verb: contract.VerbUpdate, BaseRevision: 5, HasBaseRevision: true, Operation: "order", ReplyOnCommit: true,
 			Body: []byte(`{"gateway":{"revision":6,"upsert":{"routes":{"q":{"host":"h","prefix":"/q/","timeoutMs":1,"service":"none"}}}}}`)}),
-		Entry("an undrain of a zone that it does not know to be drained", contract.Ask{Token: 1, Verb: contract.VerbUndrain, Subject: "east-a", Operation: "order", Prompt: true}),
-		Entry("a question for an operation that it does not know", contract.Ask{Token: 1, Verb: contract.VerbOperation, Subject: "order"}),
+		Entry("an undrain of a zone that it does not know to be drained", contract.OperatorRequest{Token: 1, Verb: contract.VerbUndrain, Subject: "east-a", Operation: "order", ReplyOnCommit: true}),
+		Entry("a question for an operation that it does not know", contract.OperatorRequest{Token: 1, Verb: contract.VerbOperation, Subject: "order"}),
 	)
 
 	It("refuses once a majority confirms its view", func() {
@@ -110,20 +110,20 @@
 		given := answers(owner, owner.Handle(2*time.Millisecond, order(contract.VerbReplace, 5, 6)), owner.Bounds.Round())
 		Expect(given).To(HaveLen(1))
 		Expect(given[0].Status).To(Equal(504))
-		Expect(given[0].Body.(contract.Accepted).Outcome).To(Equal("unknown"))
-		Expect(given[0].After).To(BeNumerically(">", 0))
+		Expect(given[0].Body.(contract.WriteResult).Outcome).To(Equal("unknown"))
+		Expect(given[0].RetryAfter).To(BeNumerically(">", 0))
 	})
 
 	It("waits for the chain as long as a majority of the core answers it", func() {
 		owner := staleHead()
 		commands := owner.Handle(2*time.Millisecond, order(contract.VerbReplace, 5, 6))
-		given := []contract.Answer{}
+		given := []contract.Response{}
 		for now := 10 * time.Millisecond; now < owner.Bounds.Commit(); now += owner.Bounds.Tick() {
 			commands = append(commands, owner.Handle(now, contract.Tick{})...)
 			for len(commands) > 0 {
 				command := commands[0]
 				commands = commands[1:]
-				if answer, fine := command.(contract.Answer); fine {
+				if answer, fine := command.(contract.Response); fine {
 					given = append(given, answer)
 				}
 				if send, fine := command.(contract.Send); fine && send.Kind == chain.MessageProbe {
--- a/control/write.go
+++ b/control/write.go
@@ -19,19 +19,19 @@
 const statusUnknown = 504
 
 type write struct {
-	ask       contract.Ask
+	ask       contract.OperatorRequest
 	revision  int64
 	operation string
 	began     time.Duration
 	committed bool
 }
 
-func fingerprint(ask contract.Ask) string {
-	return contract.Digest([]byte(ask.Verb + "\x00" + ask.Subject + "\x00" + fmt.Sprint(ask.Base, ask.HasBase) + "\x00" + string(ask.Body)))[:16]
+func fingerprint(ask contract.OperatorRequest) string {
+	return contract.Digest([]byte(ask.Verb + "\x00" + ask.Subject + "\x00" + fmt.Sprint(ask.BaseRevision, ask.HasBaseRevision) + "\x00" + string(ask.Body)))[:16]
 }
 
 // patchOf gives an ask's JSON merge patch, or the whole tree for a put.
-func patchOf(ask contract.Ask) (map[string]any, error) {
+func patchOf(ask contract.OperatorRequest) (map[string]any, error) {
 	switch ask.Verb {
 	case contract.VerbDrain, contract.VerbUndrain:
 		return map[string]any{"zones": map[string]any{ask.Subject: map[string]any{"drained": ask.Verb == contract.VerbDrain}}}, nil
@@ -41,19 +41,19 @@
 	return manifest.Tree(ask.Body)
 }
 
-func (owner *Owner) refuse(ask contract.Ask, status int, err string) []contract.Command {
+func (owner *Owner) refuse(ask contract.OperatorRequest, status int, err string) []contract.Command {
 	after := time.Duration(0)
 	if status == 503 {
 		after = owner.Bounds.Round()
 	}
-	return []contract.Command{contract.Count{Name: fmt.Sprintf("writes_refused_%d", status), By: 1}, contract.Refuse(ask.Token, status, err, after)}
+	return []contract.Command{contract.AddCounter{Name: fmt.Sprintf("writes_refused_%d", status), Delta: 1}, contract.ErrorResponse(ask.Token, status, err, after)}
 }
 
-func (owner *Owner) write(now time.Duration, ask contract.Ask, withdrawn map[string]bool) []contract.Command {
+func (owner *Owner) write(now time.Duration, ask contract.OperatorRequest, withdrawn map[string]bool) []contract.Command {
 	if ask.Operation == "" {
 		return owner.refuse(ask, 400, "an operation key is missing")
 	}
-	operation := contract.OperationOf(ask.Operation, fingerprint(ask))
+	operation := contract.OperationID(ask.Operation, fingerprint(ask))
 	if former, there := owner.chain.Operation(ask.Operation); there {
 		if former.Operation != operation {
 			return owner.refuse(ask, 422, "this operation key was used for another write")
@@ -72,10 +72,10 @@
 		return owner.refuse(ask, 503, "the latest version is not here; nothing was committed")
 	}
 	gateway := ask.Verb == contract.VerbReplace || ask.Verb == contract.VerbUpdate
-	if !gateway && ask.HasBase && ask.Base != latest.Place.Revision {
-		return owner.refuseSurely(now, ask, latest, 409, fmt.Sprintf("the manifest moved: base %d, now %d", ask.Base, latest.Place.Revision))
+	if !gateway && ask.HasBaseRevision && ask.BaseRevision != latest.Position.Revision {
+		return owner.refuseSurely(now, ask, latest, 409, fmt.Sprintf("the manifest moved: base %d, now %d", ask.BaseRevision, latest.Position.Revision))
 	}
-	if (ask.Verb == contract.VerbPut || gateway) && !ask.HasBase {
+	if (ask.Verb == contract.VerbPut || gateway) && !ask.HasBaseRevision {
 		return owner.refuse(ask, 400, "a whole manifest needs its base revision")
 	}
 	read := owner.readLatest(latest)
@@ -102,7 +102,7 @@
 
 // compose gives the change that an order makes of the newest version, the manifest with it, and the zones it drains newly, with their
 // regions and shards.
-func compose(ask contract.Ask, latest newest) (document.Change, manifest.Manifest, map[string]zoneReach, error) {
+func compose(ask contract.OperatorRequest, latest newest) (document.Change, manifest.Manifest, map[string]zoneReach, error) {
 	change, err := changeOf(ask, latest)
 	if err != nil {
 		return change, manifest.Manifest{}, nil, err
@@ -126,7 +126,7 @@
 }
 
 // changeOf gives the change that an order makes of the newest version.
-func changeOf(ask contract.Ask, latest newest) (document.Change, error) {
+func changeOf(ask contract.OperatorRequest, latest newest) (document.Change, error) {
 	patch, err := patchOf(ask)
 	if err != nil {
 		return document.Change{}, err
@@ -165,7 +165,7 @@
 }
 
 // withdraw has the owners of a zone's shards take it out of their lists before the drain is accepted.
-func (owner *Owner) withdraw(now time.Duration, ask contract.Ask, zone string, reach zoneReach, withdrawn map[string]bool) []contract.Command {
+func (owner *Owner) withdraw(now time.Duration, ask contract.OperatorRequest, zone string, reach zoneReach, withdrawn map[string]bool) []contract.Command {
 	covered := map[int]bool{}
 	fits := func(member contract.Member) bool {
 		return member.Kind == contract.KindControl && (member.Region == reach.region || owner.wide)
@@ -195,15 +195,15 @@
 	})
 }
 
-func (owner *Owner) await(now time.Duration, ask contract.Ask, version contract.Version, operation string) {
+func (owner *Owner) await(now time.Duration, ask contract.OperatorRequest, version contract.Version, operation string) {
 	owner.token++
-	owner.writes[owner.token] = &write{ask: ask, revision: version.Place.Revision, operation: operation, began: now,
-		committed: version.Place.Revision <= owner.chain.Committed()}
+	owner.writes[owner.token] = &write{ask: ask, revision: version.Position.Revision, operation: operation, began: now,
+		committed: version.Position.Revision <= owner.chain.Committed()}
 }
 
 func (owner *Owner) committed(now time.Duration, version contract.Version) {
 	for _, pending := range owner.writes {
-		if pending.revision == version.Place.Revision && pending.operation == version.Operation {
+		if pending.revision == version.Position.Revision && pending.operation == version.Operation {
 			pending.committed = true
 		}
 	}
@@ -219,11 +219,11 @@
 			continue
 		}
 		delete(owner.writes, token)
-		answer := contract.Answer{Token: pending.ask.Token, Status: status, Body: accepted}
+		answer := contract.Response{Token: pending.ask.Token, Status: status, Body: accepted}
 		if status == statusUnknown {
-			answer.After = owner.Bounds.Round()
+			answer.RetryAfter = owner.Bounds.Round()
 		}
-		commands = append(commands, contract.Count{Name: fmt.Sprintf("writes_answered_%d", status), By: 1}, answer)
+		commands = append(commands, contract.AddCounter{Name: fmt.Sprintf("writes_answered_%d", status), Delta: 1}, answer)
 	}
 	return append(commands, owner.tickRefusals(now)...)
 }
@@ -243,8 +243,8 @@
 }
 
 // outcome gives the status of a write, or 0 while it is not known.
-func (owner *Owner) outcome(now time.Duration, pending *write) (int, contract.Accepted) {
-	accepted := contract.Accepted{Revision: pending.revision, Operation: pending.ask.Operation, View: owner.Feed.View().Number}
+func (owner *Owner) outcome(now time.Duration, pending *write) (int, contract.WriteResult) {
+	accepted := contract.WriteResult{Revision: pending.revision, Operation: pending.ask.Operation, View: owner.Feed.View().Number}
 	if !pending.committed {
 		if now-pending.began <= owner.Bounds.Commit() && !owner.chain.OutOfContact(now) {
 			return 0, accepted
@@ -252,11 +252,11 @@
 		accepted.Outcome, accepted.Error = "unknown", "not yet acknowledged by the whole chain; ask by the operation key"
 		return statusUnknown, accepted
 	}
-	if pending.ask.Prompt {
+	if pending.ask.ReplyOnCommit {
 		accepted.Outcome = "committed"
 		return 200, accepted
 	}
-	if accepted.Lacking = owner.lacking(now, pending.revision); len(accepted.Lacking) == 0 {
+	if accepted.MissingNodes = owner.lacking(now, pending.revision); len(accepted.MissingNodes) == 0 {
 		accepted.Outcome = "in force"
 		return 200, accepted
 	}
@@ -270,21 +270,21 @@
 func (owner *Owner) lacking(now time.Duration, revision int64) []string {
 	lacking := owner.Neighbours.Silent(now)
 	for _, member := range owner.Neighbours.Members(now) {
-		if member.Place.Revision < revision && member.Name != owner.Self().Name {
+		if member.Position.Revision < revision && member.Name != owner.Self().Name {
 			lacking = append(lacking, member.Name)
 		}
 	}
 	return lacking
 }
 
-func (owner *Owner) operation(now time.Duration, ask contract.Ask) []contract.Command {
+func (owner *Owner) operation(now time.Duration, ask contract.OperatorRequest) []contract.Command {
 	version, there := owner.chain.Operation(ask.Subject)
 	if !there {
 		return owner.refuseSurely(now, ask, contract.Version{}, 404, "no kept version has this operation key")
 	}
-	accepted := contract.Accepted{Outcome: "committed", Revision: version.Place.Revision, View: version.Place.View, Operation: ask.Subject}
-	if version.Place.Revision > owner.chain.Committed() {
+	accepted := contract.WriteResult{Outcome: "committed", Revision: version.Position.Revision, View: version.Position.View, Operation: ask.Subject}
+	if version.Position.Revision > owner.chain.Committed() {
 		accepted.Outcome = "unknown"
 	}
-	return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: accepted}}
+	return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: accepted}}
 }
--- a/data/data.go
+++ b/data/data.go
@@ -122,7 +122,7 @@
 
 func (owner *Owner) emit(commands ...contract.Command) { owner.out = append(owner.out, commands...) }
 
-func (owner *Owner) count(name string) { owner.emit(contract.Count{Name: name, By: 1}) }
+func (owner *Owner) count(name string) { owner.emit(contract.AddCounter{Name: name, Delta: 1}) }
 
 func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
 	return owner.Relayed(now, event, owner.handle)
@@ -134,9 +134,9 @@
 		owner.woke(now, gap)
 	}
 	for _, command := range owner.Node.Handle(now, event) {
-		if adopted, fine := command.(contract.Adopted); fine {
+		if adopted, fine := command.(contract.VersionAdopted); fine {
 			owner.repeats.Set(owner.Feed.Manifest().RepeatShare, owner.Feed.Manifest().RepeatAtOnce)
-			command = contract.Say{What: "manifest in force", Detail: []any{"revision", adopted.Version.Place.Revision}}
+			command = contract.Log{Message: "manifest in force", Attributes: []any{"revision", adopted.Version.Position.Revision}}
 		}
 		owner.emit(command)
 	}
@@ -161,7 +161,7 @@
 		owner.recalled(now, event)
 	case Look:
 		owner.look(now, event)
-	case contract.Ask:
+	case contract.OperatorRequest:
 		owner.ask(now, event)
 	}
 	out := owner.out
@@ -171,7 +171,7 @@
 
 // woke follows a freeze: no lease from before it counts, and no call that has not left yet may leave.
 func (owner *Owner) woke(now, gap time.Duration) {
-	owner.emit(contract.Count{Name: "woken", By: 1}, contract.Say{What: "woken from a freeze", Detail: []any{"ms", gap.Milliseconds()}})
+	owner.emit(contract.AddCounter{Name: "woken", Delta: 1}, contract.Log{Message: "woken from a freeze", Attributes: []any{"ms", gap.Milliseconds()}})
 	for _, held := range owner.grants {
 		held.expires = 0
 	}
@@ -242,8 +242,8 @@
 }
 
 // ask passes an operator's question to the authority.
-func (owner *Owner) ask(now time.Duration, ask contract.Ask) {
-	node, there := ask.Authority(owner.Feed.View())
+func (owner *Owner) ask(now time.Duration, ask contract.OperatorRequest) {
+	node, there := ask.AuthoritativeNode(owner.Feed.View())
 	address := node.Address
 	if ask.Verb == contract.VerbWhy || ask.Verb == contract.VerbGone {
 		for _, member := range owner.Neighbours.Members(now) {
@@ -253,16 +253,16 @@
 		}
 	}
 	if !there || ask.Forwarded {
-		owner.emit(contract.Refuse(ask.Token, 503, "no authority is known here yet; nothing was done", owner.Bounds.Round()))
+		owner.emit(contract.ErrorResponse(ask.Token, 503, "no authority is known here yet; nothing was done", owner.Bounds.Round()))
 		return
 	}
 	ask.Forwarded = true
-	owner.emit(contract.Forward{Ask: ask, Address: address})
+	owner.emit(contract.Forward{Request: ask, Address: address})
 }
 
 func (owner *Owner) gauges() {
 	_, lapsed := owner.candidates(owner.nextAsk)
 	for name, value := range map[string]int{"calls_now": len(owner.jobs), "calls_in_line": owner.lines.Total(), "records": owner.table.Size(), "shards_lapsed": len(lapsed)} {
-		owner.emit(contract.Gauge{Name: name, Value: int64(value)})
+		owner.emit(contract.SetGauge{Name: name, Value: int64(value)})
 	}
 }
--- a/data/end.go
+++ b/data/end.go
@@ -54,7 +54,7 @@
 	if job, there := owner.jobs[event.Token]; there {
 		if attempt, there := job.attempts[event.Attempt]; there {
 			attempt.pieces = true
-			owner.emit(contract.Took{What: "first_piece", Class: job.route.Class, Span: now - job.arrived})
+			owner.emit(contract.ObserveDuration{Name: "first_piece", Class: job.route.Class, Duration: now - job.arrived})
 		}
 	}
 }
@@ -96,7 +96,7 @@
 
 func (owner *Owner) succeed(now time.Duration, job *job, attempt *attempt, event Ended) {
 	owner.settleRecord(job, call.Done, event.Pieces)
-	owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Pieces: event.Pieces, Server: attempt.server.Name}})
+	owner.finish(now, job, call.Done, contract.Response{Token: job.token, Status: 200, Body: Reply{Pieces: event.Pieces, Server: attempt.server.Name}})
 }
 
 // again tries another server after a proven not-run, if the allowance and the deadline leave room for it.
--- a/data/find.go
+++ b/data/find.go
@@ -152,7 +152,7 @@
 		case never:
 			status, body["outcome"] = 404, call.Unseen
 		}
-		owner.emit(contract.Answer{Token: event.Token, Status: status, Body: body})
+		owner.emit(contract.Response{Token: event.Token, Status: status, Body: body})
 	}
 	if record, there := owner.table.Find(now, scoped); there && record.Outcome != call.Running {
 		answer(now, &record, false)
--- a/data/handover.go
+++ b/data/handover.go
@@ -73,7 +73,7 @@
 	for _, record := range shared.Records {
 		owner.table.Absorb(now, record)
 	}
-	owner.emit(contract.Count{Name: "records_handed_over", By: int64(len(shared.Records))})
+	owner.emit(contract.AddCounter{Name: "records_handed_over", Delta: int64(len(shared.Records))})
 	if shared.Last {
 		owner.shared[message.From] = message.Boot
 	}
--- a/data/job.go
+++ b/data/job.go
@@ -64,7 +64,7 @@
 	home, fine := read.Home(asked.Caller, asked.Home, owner.Self().Region)
 	asked.Home = home
 	job := &job{token: event.Token, call: asked, arrived: now, tried: map[string]bool{}, attempts: map[int]*attempt{},
-		trace: &Trace{Call: asked.Key, Caller: asked.Caller, Route: asked.Route, Node: owner.Self().Name, Home: home, Revision: owner.Feed.Version().Place.Revision, arrived: now}}
+		trace: &Trace{Call: asked.Key, Caller: asked.Caller, Route: asked.Route, Node: owner.Self().Name, Home: home, Revision: owner.Feed.Version().Position.Revision, arrived: now}}
 	owner.traces.add(job.trace)
 	owner.count("calls")
 	if !owner.Feed.Known() || owner.stopping {
@@ -122,8 +122,8 @@
 func (owner *Owner) trouble(now time.Duration, job *job, status int, outcome call.Outcome, err string, after time.Duration) {
 	job.trace.Error = err
 	owner.count(fmt.Sprintf("answers_%d", status))
-	owner.finish(now, job, outcome, contract.Answer{Token: job.token, Status: status, After: after,
-		Body: contract.Trouble{Outcome: string(outcome), Error: err, RetryAfterMs: after.Milliseconds()}})
+	owner.finish(now, job, outcome, contract.Response{Token: job.token, Status: status, RetryAfter: after,
+		Body: contract.ErrorBody{Outcome: string(outcome), Error: err, RetryAfterMs: after.Milliseconds()}})
 }
 
 // finish takes a call out of every line and record that it must leave, and gives its one answer.
@@ -143,12 +143,12 @@
 
 func (owner *Owner) closeTrace(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
 	job.trace.Outcome, job.trace.TookMs = string(outcome), (now - job.arrived).Milliseconds()
-	if given, fine := answer.(contract.Answer); fine {
+	if given, fine := answer.(contract.Response); fine {
 		job.trace.Status = given.Status
 	}
 	owner.count("outcomes_" + string(outcome))
 	if outcome == call.Done {
-		owner.emit(contract.Took{What: "call", Class: job.route.Class, Span: now - job.arrived})
+		owner.emit(contract.ObserveDuration{Name: "call", Class: job.route.Class, Duration: now - job.arrived})
 	}
 }
 
--- a/data/keep.go
+++ b/data/keep.go
@@ -55,7 +55,7 @@
 
 // votersOf names the data nodes of the home region's roster that say whether a call may go: all of them, or in a large region some.
 func (owner *Owner) votersOf(scoped string) []string {
-	ordered := contract.Ordered("keep/"+scoped, owner.roster(owner.Self().Region))
+	ordered := contract.RendezvousOrder("keep/"+scoped, owner.roster(owner.Self().Region))
 	return ordered[:min(keeperMost, len(ordered))]
 }
 
@@ -213,7 +213,7 @@
 	job.trace.Error = "met the record of " + record.Node + ": " + string(record.Outcome)
 	switch {
 	case record.Outcome == call.Done && record.Kept:
-		owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Pieces: record.Pieces}})
+		owner.finish(now, job, call.Done, contract.Response{Token: job.token, Status: 200, Body: Reply{Pieces: record.Pieces}})
 	case record.Outcome == call.Done:
 		owner.trouble(now, job, 410, call.Done, "the call was done; its reply is no longer kept", 0)
 	case record.Outcome == call.Interrupted:
--- a/data/leases.go
+++ b/data/leases.go
@@ -38,8 +38,8 @@
 		first := shard.First(members, region, index)
 		targets[first] = true
 		ask := contract.LeaseRequest{Node: owner.Self().Name, Address: owner.Self().Address, Region: region, Shard: index,
-			Asked: now, Highest: held.highest, Number: held.lease.Number, Shards: shards}
-		ask.Calls, ask.Lingering = owner.callsOn(index)
+			SentAt: now, HighestEpoch: held.highest, Number: held.lease.Number, ShardCount: shards}
+		ask.Calls, ask.Abandoned = owner.callsOn(index)
 		for _, name := range manifest.SortedKeys(targets) {
 			if member, there := owner.Neighbours.Look(name); there && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
 				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageAsk, Body: ask})
@@ -88,12 +88,12 @@
 	if !there || lease.Region != owner.Self().Region {
 		return
 	}
-	if lease.Epoch.Before(held.highest) || lease.Shards != owner.shards() {
+	if lease.Epoch.Before(held.highest) || lease.ShardCount != owner.shards() {
 		owner.count("leases_refused")
 		return
 	}
 	same := lease.Epoch == held.highest
-	if lease.Asked > now || same && (lease.Number < held.lease.Number || lease.Asked < held.asked) {
+	if lease.RequestSentAt > now || same && (lease.Number < held.lease.Number || lease.RequestSentAt < held.asked) {
 		owner.count("leases_late")
 		return
 	}
@@ -101,13 +101,13 @@
 		owner.turned = map[string]rest{}
 	}
 	former := held.lease.Withdraw
-	held.detour.Answered(message.Via, held.asked == lease.Asked)
-	held.highest, held.lease, held.asked, held.hint = lease.Epoch, lease, lease.Asked, ""
-	held.expires = lease.Asked + lease.Life
+	held.detour.Answered(message.ReturnRoute, held.asked == lease.RequestSentAt)
+	held.highest, held.lease, held.asked, held.hint = lease.Epoch, lease, lease.RequestSentAt, ""
+	held.expires = lease.RequestSentAt + lease.Duration
 	for _, candidate := range lease.Servers {
 		usage := owner.usages[candidate.Name]
-		if usage.Report != candidate.Report {
-			usage.Report, usage.AtReport = candidate.Report, usage.Own
+		if usage.Report != candidate.ReportNumber {
+			usage.Report, usage.AtReport = candidate.ReportNumber, usage.Own
 			owner.usages[candidate.Name] = usage
 		}
 	}
@@ -130,7 +130,7 @@
 func (owner *Owner) candidates(now time.Duration) ([]contract.Candidate, []int) {
 	candidates, lapsed, shards, former := []contract.Candidate{}, []int{}, owner.shards(), false
 	for _, held := range owner.grants {
-		former = former || now < held.expires && held.lease.Shards != shards
+		former = former || now < held.expires && held.lease.ShardCount != shards
 	}
 	for _, index := range owner.shardIndexes() {
 		held := owner.grants[index]
@@ -154,12 +154,12 @@
 func (owner *Owner) grantOf(now time.Duration, server string) *grant {
 	shards := owner.shards()
 	held, there := owner.grants[contract.ShardOf(server, shards)]
-	if there && now < held.expires && held.lease.Shards == shards {
+	if there && now < held.expires && held.lease.ShardCount == shards {
 		return held
 	}
 	for _, index := range owner.shardIndexes() {
 		former := owner.grants[index]
-		if now < former.expires && former.lease.Shards != shards && contract.ShardOf(server, former.lease.Shards) == index {
+		if now < former.expires && former.lease.ShardCount != shards && contract.ShardOf(server, former.lease.ShardCount) == index {
 			return former
 		}
 	}
--- a/data/pass.go
+++ b/data/pass.go
@@ -39,7 +39,7 @@
 		}
 	}
 	nodes := []string{}
-	for _, name := range contract.Ordered(subject, names) {
+	for _, name := range contract.RendezvousOrder(subject, names) {
 		if len(nodes) < most {
 			nodes = append(nodes, addresses[name])
 		}
@@ -61,14 +61,14 @@
 	owner.count("calls_passed_on")
 	job.phase = phasePassed
 	owner.jobs[job.token] = job
-	owner.emit(contract.Answer{Token: job.token, Body: Pass{Home: job.call.Home, Nodes: nodes, Limit: job.deadline - now}})
+	owner.emit(contract.Response{Token: job.token, Body: Pass{Home: job.call.Home, Nodes: nodes, Limit: job.deadline - now}})
 }
 
 func (owner *Owner) away(now time.Duration, job *job, err string) {
 	after := owner.jitter(owner.Bounds.Round())
 	job.trace.Error = err
 	owner.count("answers_503")
-	owner.finish(now, job, call.NotRun, contract.Answer{Token: job.token, Status: 503, After: after, Body: contract.Trouble{Outcome: string(call.NotRun),
+	owner.finish(now, job, call.NotRun, contract.Response{Token: job.token, Status: 503, RetryAfter: after, Body: contract.ErrorBody{Outcome: string(call.NotRun),
 		Error: err, Home: job.call.Home, RetryAfterMs: after.Milliseconds()}})
 }
 
@@ -90,17 +90,17 @@
 // lookAway passes a question about a call on to the call's home; it tells whether it did.
 func (owner *Owner) lookAway(now time.Duration, event Look) bool {
 	home, fine := owner.Feed.Manifest().Home(event.Caller, event.Home, owner.Self().Region)
-	answer := contract.Answer{Token: event.Token, Status: 400, Body: contract.Trouble{Error: "the home is not this caller's, or no region"}}
+	answer := contract.Response{Token: event.Token, Status: 400, Body: contract.ErrorBody{Error: "the home is not this caller's, or no region"}}
 	switch {
 	case fine && home == owner.Self().Region:
 		return false
 	case fine && event.Hop:
-		answer.Body = contract.Trouble{Error: "a question that was passed on arrived outside its home"}
+		answer.Body = contract.ErrorBody{Error: "a question that was passed on arrived outside its home"}
 	case fine:
 		nodes := owner.homeNodes(now, home, event.Key)
-		answer = contract.Refuse(event.Token, 503, "no node of the call's home can be reached", owner.jitter(owner.Bounds.Round()))
+		answer = contract.ErrorResponse(event.Token, 503, "no node of the call's home can be reached", owner.jitter(owner.Bounds.Round()))
 		if len(nodes) > 0 {
-			answer = contract.Answer{Token: event.Token, Body: Pass{Home: home, Nodes: nodes, Limit: owner.Bounds.Deliver()}}
+			answer = contract.Response{Token: event.Token, Body: Pass{Home: home, Nodes: nodes, Limit: owner.Bounds.Deliver()}}
 		}
 	}
 	owner.emit(answer)
--- a/emulator/cache.go
+++ b/emulator/cache.go
@@ -202,13 +202,13 @@
 )
 
 // noticed compares what the owner of the index finds with what the servers truly held.
-func (day *Day) noticed(said contract.Say) {
-	switch said.What {
+func (day *Day) noticed(said contract.Log) {
+	switch said.Message {
 	case "cache mismatch":
 		day.caches.found++
 		for place := range day.caches.mismatches {
 			one := &day.caches.mismatches[place]
-			if !one.noticed && one.server == said.Detail[1] && one.anchor == said.Detail[5] && day.world.Now-one.at < mostWait {
+			if !one.noticed && one.server == said.Attributes[1] && one.anchor == said.Attributes[5] && day.world.Now-one.at < mostWait {
 				one.noticed = true
 				return
 			}
@@ -216,7 +216,7 @@
 		day.caches.falsely++
 	case "cache loss noticed":
 		for place := len(day.caches.losses) - 1; place >= 0; place-- {
-			if loss := day.caches.losses[place]; loss.server == said.Detail[1] {
+			if loss := day.caches.losses[place]; loss.server == said.Attributes[1] {
 				if !loss.suspected {
 					loss.suspected = true
 					day.caches.suspected++
@@ -234,7 +234,7 @@
 func (day *Day) foretold(listed gateway.Listed) gateway.Listed {
 	listed.Servers = slices.Clone(listed.Servers)
 	for index := range listed.Servers {
-		listed.Servers[index].Cache += day.caches.told[listed.Servers[index].Name]
+		listed.Servers[index].CacheResets += day.caches.told[listed.Servers[index].Name]
 	}
 	return listed
 }
@@ -242,13 +242,13 @@
 // told follows the counts of thrown indexes as they come to the nodes.
 func (day *Day) told(machine *machine, listed gateway.Listed) {
 	for _, candidate := range listed.Servers {
-		if candidate.Cache == 0 {
+		if candidate.CacheResets == 0 {
 			continue
 		}
 		known := slices.IndexFunc(day.caches.losses, func(loss *cacheLoss) bool { return loss.server == candidate.Name }) >= 0
-		raised := candidate.Cache > day.caches.counts[candidate.Name]
+		raised := candidate.CacheResets > day.caches.counts[candidate.Name]
 		if raised {
-			day.caches.counts[candidate.Name] = candidate.Cache
+			day.caches.counts[candidate.Name] = candidate.CacheResets
 			if day.caches.thrown++; !known {
 				day.caches.alarms++
 			}
--- a/emulator/checks_test.go
+++ b/emulator/checks_test.go
@@ -110,7 +110,7 @@
 		day.world.RunUntil(30 * time.Second)
 		answers := []any{}
 		for _, number := range []int{0, 5, len(day.machines) - 1} {
-			day.machines[number].control.ask(contract.Ask{Verb: contract.VerbCache}, func(answer contract.Answer) {
+			day.machines[number].control.ask(contract.OperatorRequest{Verb: contract.VerbCache}, func(answer contract.Response) {
 				Expect(answer.Status).To(Equal(200))
 				answers = append(answers, answer.Body)
 			})
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -18,7 +18,7 @@
 type controlShell struct {
 	*process
 	settings env.Env
-	asks     map[int64]func(contract.Answer)
+	asks     map[int64]func(contract.Response)
 	token    int64
 }
 
@@ -31,7 +31,7 @@
 		}
 		recovered = &loaded
 	}
-	shell := &controlShell{settings: settings, asks: map[int64]func(contract.Answer){}}
+	shell := &controlShell{settings: settings, asks: map[int64]func(contract.Response){}}
 	owner := control.New(settings, machine.boot(), recovered, machine.random())
 	if machine.disk != nil {
 		snapshot, damaged := image.LoadIndex(machine.disk)
@@ -68,14 +68,14 @@
 		shell.readReport(command)
 	case shard.Order:
 		shell.event(shard.Ordered{Server: command.Server, Load: command.Load})
-	case contract.Answer:
+	case contract.Response:
 		take := shell.asks[command.Token]
 		delete(shell.asks, command.Token)
 		if take != nil {
 			take(command)
 		}
 	case contract.Forward:
-		forward(shell.process, command, func(answer contract.Answer) { shell.act(answer) })
+		forward(shell.process, command, func(answer contract.Response) { shell.act(answer) })
 	default:
 		return false
 	}
@@ -83,7 +83,7 @@
 }
 
 // ask puts an operator's question to this process.
-func (shell *controlShell) ask(ask contract.Ask, take func(contract.Answer)) {
+func (shell *controlShell) ask(ask contract.OperatorRequest, take func(contract.Response)) {
 	shell.Do(func() {
 		shell.token++
 		ask.Token = shell.token
@@ -93,29 +93,29 @@
 }
 
 // forward carries an ask to the authority; an answer that is lost is unknown.
-func forward(process *process, forward contract.Forward, give func(contract.Answer)) {
+func forward(process *process, forward contract.Forward, give func(contract.Response)) {
 	day, given := process.day, false
-	end := func(answer contract.Answer) {
+	end := func(answer contract.Response) {
 		if !given {
 			given = true
-			answer.Token = forward.Ask.Token
+			answer.Token = forward.Request.Token
 			process.Do(func() { give(answer) })
 		}
 	}
 	process.after(process.machine.settings().Bounds.Deliver()*2, func() {
-		end(contract.Answer{Status: 504, Body: contract.Accepted{Outcome: "unknown", Operation: forward.Ask.Operation}})
+		end(contract.Response{Status: 504, Body: contract.WriteResult{Outcome: "unknown", Operation: forward.Request.Operation}})
 	})
 	target := day.listening(forward.Address)
 	if target == nil {
-		end(contract.Refuse(0, 503, "the authority cannot be reached; nothing was done", 0))
+		end(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0))
 		return
 	}
 	day.world.post(process.machine.place(), target.machine.place(), func() {
 		if !target.Up {
-			day.world.post(target.machine.place(), process.machine.place(), func() { end(contract.Refuse(0, 503, "the authority cannot be reached; nothing was done", 0)) })
+			day.world.post(target.machine.place(), process.machine.place(), func() { end(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0)) })
 			return
 		}
-		target.machine.control.ask(forward.Ask, func(answer contract.Answer) {
+		target.machine.control.ask(forward.Request, func(answer contract.Response) {
 			day.world.post(target.machine.place(), process.machine.place(), func() { end(answer) })
 		})
 	})
@@ -151,7 +151,7 @@
 }
 
 type listPage struct {
-	rows []contract.ServerRow
+	rows []contract.ListedServer
 	more bool
 }
 
@@ -170,7 +170,7 @@
 		}
 		return report, time.Millisecond
 	}, func(answer any) {
-		if report, fine := answer.(contract.Report); fine {
+		if report, fine := answer.(contract.LoadReport); fine {
 			read.Report = report
 		} else {
 			read.Error = "no report"
--- a/emulator/data.go
+++ b/emulator/data.go
@@ -19,7 +19,7 @@
 	traffic   *gateway.Traffic
 	pool      map[string][]*pooled
 	token     int64
-	answers   map[int64]func(contract.Answer)
+	answers   map[int64]func(contract.Response)
 	callers   map[*conn]func()
 	servers   map[*conn]bool
 	exchanges int
@@ -30,7 +30,7 @@
 }
 
 func newDataShell(machine *machine, settings env.Env) *dataShell {
-	shell := &dataShell{settings: settings, traffic: gateway.NewTraffic(settings, machine.random()), pool: map[string][]*pooled{}, answers: map[int64]func(contract.Answer){},
+	shell := &dataShell{settings: settings, traffic: gateway.NewTraffic(settings, machine.random()), pool: map[string][]*pooled{}, answers: map[int64]func(contract.Response){},
 		callers: map[*conn]func(){}, servers: map[*conn]bool{}, listed: map[string]gateway.Listed{}}
 	shell.process = machine.process(contract.KindData, gateway.NewNode(settings, machine.boot(), shell.traffic, machine.random()))
 	shell.perform = shell.act
@@ -50,8 +50,8 @@
 			shell.traffic.Handle(shell.now(), event)
 		}
 	case contract.Forward:
-		forward(shell.process, command, func(answer contract.Answer) { shell.act(answer) })
-	case contract.Answer:
+		forward(shell.process, command, func(answer contract.Response) { shell.act(answer) })
+	case contract.Response:
 		take := shell.answers[command.Token]
 		delete(shell.answers, command.Token)
 		if take != nil {
@@ -78,7 +78,7 @@
 func (shell *dataShell) lookup(region, zone string, take func([]string)) {
 	shell.Do(func() {
 		shell.token++
-		shell.answers[shell.token] = func(answer contract.Answer) {
+		shell.answers[shell.token] = func(answer contract.Response) {
 			found := answer.Body.(gateway.Addresses)
 			take(found.Addresses)
 		}
@@ -96,7 +96,7 @@
 			take(placed)
 		}
 	}
-	shell.answers[token] = func(answer contract.Answer) {
+	shell.answers[token] = func(answer contract.Response) {
 		place, fine := answer.Body.(index.Place)
 		if fine {
 			shell.traffic.Handle(shell.now(), gateway.Relocated{Places: []index.Place{place}})
--- a/emulator/list.go
+++ b/emulator/list.go
@@ -55,7 +55,7 @@
 }
 
 // page gives a part of the list, and whether more follows.
-func (list *list) page(number int) ([]contract.ServerRow, bool, bool) {
+func (list *list) page(number int) ([]contract.ListedServer, bool, bool) {
 	now, site := list.day.world.Now, list.day.site
 	list.asked = slices.DeleteFunc(list.asked, func(at time.Duration) bool { return at <= now-time.Second })
 	if list.down > 0 || float64(len(list.asked)) >= site.List.PerS {
@@ -72,29 +72,29 @@
 	return rows[first:min(last, len(rows))], last < len(rows), true
 }
 
-func (list *list) rows(now time.Duration) []contract.ServerRow {
+func (list *list) rows(now time.Duration) []contract.ListedServer {
 	newest := map[*server]row{}
 	for _, change := range list.shows {
 		if change.from <= now {
 			newest[change.server] = change
 		}
 	}
-	rows := []contract.ServerRow{}
+	rows := []contract.ListedServer{}
 	for server, change := range newest {
 		if change.gone {
 			continue
 		}
-		row := contract.ServerRow{Name: server.name, Incarnation: server.name, Address: server.address, Zone: server.zone, Region: server.region,
-			Pool: server.service.Name, Leaving: change.leaving, Unmeasured: true}
+		row := contract.ListedServer{Name: server.name, Incarnation: server.name, Address: server.address, Zone: server.zone, Region: server.region,
+			Pool: server.service.Name, Leaving: change.leaving, AssumedReady: true}
 		if change.ends > 0 {
 			row.RemainingMs = max(1, (change.ends - now).Milliseconds())
 		}
 		if seen := now - seconds(list.day.site.List.LagMs/1000); server.coldUntil > seen {
-			row.WarmMs = (server.coldUntil - seen).Milliseconds()
+			row.WarmupMs = (server.coldUntil - seen).Milliseconds()
 		}
 		rows = append(rows, row)
 	}
-	slices.SortFunc(rows, func(left, right contract.ServerRow) int { return strings.Compare(left.Name, right.Name) })
+	slices.SortFunc(rows, func(left, right contract.ListedServer) int { return strings.Compare(left.Name, right.Name) })
 	return rows
 }
 
--- a/emulator/machine.go
+++ b/emulator/machine.go
@@ -41,7 +41,7 @@
 	kind    string
 	boot    string
 	began   time.Duration
-	owner   contract.Owner
+	owner   contract.StateMachine
 	perform func(contract.Command) bool
 }
 
@@ -118,7 +118,7 @@
 
 func (machine *machine) up() bool { return machine.data != nil && machine.data.Up }
 
-func (machine *machine) process(kind string, owner contract.Owner) *process {
+func (machine *machine) process(kind string, owner contract.StateMachine) *process {
 	made := &process{day: machine.day, machine: machine, kind: kind, boot: machine.boot(), began: machine.day.world.Now, owner: owner, Process: virtual.Process{Up: true}}
 	return made
 }
@@ -147,12 +147,12 @@
 		switch command := command.(type) {
 		case contract.Send:
 			process.send(command)
-		case contract.Count:
-			process.day.counts[process.kind+" "+command.Name] += command.By
-		case contract.Gauge, contract.Took:
-		case contract.Say:
+		case contract.AddCounter:
+			process.day.counts[process.kind+" "+command.Name] += command.Delta
+		case contract.SetGauge, contract.ObserveDuration:
+		case contract.Log:
 			process.day.noticed(command)
-			process.day.say(process.machine.name+"-"+process.kind, command.What, command.Detail...)
+			process.day.say(process.machine.name+"-"+process.kind, command.Message, command.Attributes...)
 		default:
 			if !process.perform(command) {
 				panic(fmt.Sprintf("a command that nobody carries out: %T", command))
--- a/emulator/operator.go
+++ b/emulator/operator.go
@@ -121,7 +121,7 @@
 }
 
 // version numbers what is sent, on top of the current one.
-func (operator *operator) version(next *stored, verb string, upsert, remove []string) (*stored, contract.Ask) {
+func (operator *operator) version(next *stored, verb string, upsert, remove []string) (*stored, contract.OperatorRequest) {
 	operator.highest += 1 + int64(operator.random.IntN(3))
 	now := operator.day.world.Now
 	next.Version = &rules.Version{Number: operator.highest, Base: operator.current.Number, Sent: now, Routes: map[string]rules.Route{}}
@@ -160,7 +160,7 @@
 	operation := contract.Digest(append(fmt.Appendf(nil, "%s%d", verb, next.Base), body...))[:32]
 	operator.day.record.Versions = append(operator.day.record.Versions, next.Version)
 	operator.sent[next.Number] = next
-	return next, contract.Ask{Verb: verb, Base: next.Base, HasBase: true, Body: body, Operation: operation, Prompt: true}
+	return next, contract.OperatorRequest{Verb: verb, BaseRevision: next.Base, HasBaseRevision: true, Body: body, Operation: operation, ReplyOnCommit: true}
 }
 
 func (operator *operator) late(route string) bool {
@@ -173,7 +173,7 @@
 }
 
 // send asks one node after the other until the answer is clear.
-func (operator *operator) send(next *stored, ask contract.Ask, then ...func()) {
+func (operator *operator) send(next *stored, ask contract.OperatorRequest, then ...func()) {
 	version := next.Version
 	unclear := false
 	operator.order(ask, 0, func(status int, machine *machine) bool {
@@ -208,7 +208,7 @@
 }
 
 // order puts an ask to nodes at random, again after a silence or an unclear answer, with a pause that grows; until, if given, ends it.
-func (operator *operator) order(ask contract.Ask, until time.Duration, take func(status int, machine *machine) bool) {
+func (operator *operator) order(ask contract.OperatorRequest, until time.Duration, take func(status int, machine *machine) bool) {
 	world, over, tries := operator.day.world, false, 0
 	from := place{"operator", operator.day.site.Zones[0].Name, operator.day.site.Zones[0].Region, true}
 	var send func(pause time.Duration)
@@ -223,7 +223,7 @@
 			return
 		}
 		node, given := nodes[operator.random.IntN(len(nodes))], false
-		end := func(answer contract.Answer) {
+		end := func(answer contract.Response) {
 			if given || over {
 				return
 			}
@@ -234,17 +234,17 @@
 			}
 			world.After(pause, func() { send(next) })
 		}
-		world.After(answerTime, func() { end(contract.Answer{}) })
+		world.After(answerTime, func() { end(contract.Response{}) })
 		world.post(from, node.place(), func() {
 			if !node.up() {
-				world.post(node.place(), from, func() { end(contract.Answer{}) })
+				world.post(node.place(), from, func() { end(contract.Response{}) })
 				return
 			}
 			own := ask
 			if ask.Verb == contract.VerbDrain || ask.Verb == contract.VerbUndrain {
 				own.Operation = fmt.Sprintf("%s-%d", ask.Verb, world.random.Uint64())
 			}
-			node.control.ask(own, func(answer contract.Answer) { world.post(node.place(), from, func() { end(answer) }) })
+			node.control.ask(own, func(answer contract.Response) { world.post(node.place(), from, func() { end(answer) }) })
 		})
 	}
 	send(firstPause)
@@ -279,7 +279,7 @@
 	}
 	order := &rules.Evacuation{Zone: zone, Off: off, Sent: world.Now}
 	operator.day.record.Evacuations = append(operator.day.record.Evacuations, order)
-	operator.order(contract.Ask{Verb: verb, Subject: zone, Prompt: true}, world.Now+operator.day.record.Bounds.Ack*2, func(status int, machine *machine) bool {
+	operator.order(contract.OperatorRequest{Verb: verb, Subject: zone, ReplyOnCommit: true}, world.Now+operator.day.record.Bounds.Ack*2, func(status int, machine *machine) bool {
 		if status != 200 && status != 202 {
 			return status/100 == 4
 		}
@@ -313,7 +313,7 @@
 		node := nodes[operator.random.IntN(len(nodes))]
 		world.post(from, node.place(), func() {
 			if node.up() {
-				node.control.ask(contract.Ask{Verb: contract.VerbGet}, func(answer contract.Answer) {
+				node.control.ask(contract.OperatorRequest{Verb: contract.VerbGet}, func(answer contract.Response) {
 					world.post(node.place(), from, func() { operator.took(answer) })
 				})
 			}
@@ -322,7 +322,7 @@
 	read()
 }
 
-func (operator *operator) took(answer contract.Answer) {
+func (operator *operator) took(answer contract.Response) {
 	if answer.Status != 200 {
 		return
 	}
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -273,11 +273,11 @@
 }
 
 // report is what a server tells of itself, late.
-func (server *server) report(name string) (contract.Report, bool) {
+func (server *server) report(name string) (contract.LoadReport, bool) {
 	if !server.up || server.name != name {
-		return contract.Report{}, false
+		return contract.LoadReport{}, false
 	}
 	server.day.reports++
-	return contract.Report{Server: name, Incarnation: name, Number: server.day.reports, Running: int64(len(server.running)), Waiting: int64(len(server.queue)),
+	return contract.LoadReport{Server: name, Incarnation: name, Number: server.day.reports, Running: int64(len(server.running)), Waiting: int64(len(server.queue)),
 		Complete: true, AgeMs: int64(math.Ceil(server.late().Seconds() * 1000))}, true
 }
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -40,7 +40,7 @@
 
 // source gives a stream of chance of its own, so that what draws from it is the same whatever the rest does.
 func (world *World) source(name string) *rand.Rand {
-	return rand.New(rand.NewPCG(world.seed, contract.Weight(name)))
+	return rand.New(rand.NewPCG(world.seed, contract.RendezvousWeight(name)))
 }
 
 func (world *World) delay(from, to place) time.Duration {
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -26,9 +26,9 @@
 )
 
 type News struct {
-	Place contract.Place `json:"place"`
-	View  int64          `json:"view"`
-	From  string         `json:"from"`
+	Place contract.Position `json:"place"`
+	View  int64             `json:"view"`
+	From  string            `json:"from"`
 	// Brief asks for news alone where the answer is large: whoever asks many at once wants it from one of them.
 	Brief bool `json:"brief,omitempty"`
 }
@@ -44,17 +44,17 @@
 type Delivery struct {
 	Records []contract.Record `json:"records,omitempty"`
 	// Packed stands for records that are large: a keeper packs them once for all that ask.
-	Packed   []byte         `json:"packed,omitempty"`
-	PackedOf contract.Place `json:"packedOf,omitzero"`
-	View     *contract.View `json:"view,omitempty"`
+	Packed   []byte            `json:"packed,omitempty"`
+	PackedOf contract.Position `json:"packedOf,omitzero"`
+	View     *contract.View    `json:"view,omitempty"`
 }
 
 // Lack asks for older versions from a revision on; Kept hands them over. Base is a version that the asker holds: the first one comes as
 // the change of that.
 type Lack struct {
-	From    int64          `json:"from"`
-	Address string         `json:"address"`
-	Base    contract.Place `json:"base,omitzero"`
+	From    int64             `json:"from"`
+	Address string            `json:"address"`
+	Base    contract.Position `json:"base,omitzero"`
 }
 
 type Kept struct {
@@ -79,8 +79,8 @@
 	// wantsWhole holds after a version came that could not be put together: the next question is for a whole one.
 	wantsWhole bool
 	// packed is what leads from other versions to the newest one, of the place packedOf, as it was packed for others.
-	packed   map[contract.Place][]byte
-	packedOf contract.Place
+	packed   map[contract.Position][]byte
+	packedOf contract.Position
 }
 
 func New(address string, bounds env.Bounds) *Owner {
@@ -90,10 +90,10 @@
 func (owner *Owner) Version() contract.Version   { return owner.version }
 func (owner *Owner) Manifest() manifest.Manifest { return owner.read }
 func (owner *Owner) View() contract.View         { return owner.view }
-func (owner *Owner) Known() bool                 { return owner.version.Place.Revision > 0 }
+func (owner *Owner) Known() bool                 { return owner.version.Position.Revision > 0 }
 
-func (owner *Owner) behind(place contract.Place, view int64) bool {
-	return place.Revision > owner.version.Place.Revision || view > owner.view.Number
+func (owner *Owner) behind(place contract.Position, view int64) bool {
+	return place.Revision > owner.version.Position.Revision || view > owner.view.Number
 }
 
 // Handle reads messages of the feed; news are told to the neighbours by the caller.
@@ -136,23 +136,23 @@
 
 // receive opens what another node sent. Where that can't be put together here, the newest version is asked for whole.
 func (owner *Owner) receive(message contract.Message, delivery Delivery, neighbours []string) []contract.Command {
-	if len(delivery.Packed) > 0 && delivery.PackedOf.Revision > owner.version.Place.Revision {
+	if len(delivery.Packed) > 0 && delivery.PackedOf.Revision > owner.version.Position.Revision {
 		if records, failure := decompress(delivery.Packed); failure == nil {
 			delivery.Records = append(delivery.Records, records...)
 		}
 	}
-	versions, failure := contract.OpenRecords(delivery.Records, owner.at)
+	versions, failure := contract.DecodeRecords(delivery.Records, owner.at)
 	commands := owner.Take(Change{Versions: versions, View: delivery.View}, neighbours)
 	if failure != nil {
 		owner.wantsWhole = true
-		commands = append(commands, contract.Count{Name: "feed_refused", By: 1}, contract.Say{What: "versions not taken", Detail: []any{"from", message.From, "error", failure}})
+		commands = append(commands, contract.AddCounter{Name: "feed_refused", Delta: 1}, contract.Log{Message: "versions not taken", Attributes: []any{"from", message.From, "error", failure}})
 	}
 	return commands
 }
 
 // at gives a version that is kept, by its place.
-func (owner *Owner) at(place contract.Place) (contract.Version, bool) {
-	if version, there := owner.kept[place.Revision]; there && version.Place == place {
+func (owner *Owner) at(place contract.Position) (contract.Version, bool) {
+	if version, there := owner.kept[place.Revision]; there && version.Position == place {
 		return version, true
 	}
 	return contract.Version{}, false
@@ -168,7 +168,7 @@
 	for _, group := range [][]contract.Member{near, members} {
 		ahead := []string{}
 		for _, member := range group {
-			if owner.behind(member.Place, member.View) {
+			if owner.behind(member.Position, member.View) {
 				ahead = append(ahead, member.Address)
 			}
 		}
@@ -206,7 +206,7 @@
 		return nil
 	}
 	owner.lacked, owner.gained = now, false
-	lack := Lack{From: missing[random.IntN(len(missing))], Address: owner.address, Base: owner.version.Place}
+	lack := Lack{From: missing[random.IntN(len(missing))], Address: owner.address, Base: owner.version.Position}
 	if random.IntN(2) == 0 {
 		lack.From = gaps[random.IntN(len(gaps))]
 	}
@@ -215,7 +215,7 @@
 
 // Missing gives the revisions below the newest one that should be kept here and are not, in order.
 func (owner *Owner) Missing() []int64 {
-	newest, missing := owner.version.Place.Revision, []int64{}
+	newest, missing := owner.version.Position.Revision, []int64{}
 	for revision := max(1, newest-owner.bounds.History+1, owner.keptFrom); revision < newest; revision++ {
 		if _, there := owner.kept[revision]; !there {
 			missing = append(missing, revision)
@@ -225,15 +225,15 @@
 }
 
 func (owner *Owner) regain(records []contract.Record) {
-	versions, _ := contract.OpenRecords(records, owner.at)
+	versions, _ := contract.DecodeRecords(records, owner.at)
 	owner.Restore(versions)
 }
 
 // Restore keeps committed versions that are older than the newest one, for others to ask for. What is kept already stays as it is.
 func (owner *Owner) Restore(versions []contract.Version) {
 	for _, version := range versions {
-		_, there := owner.kept[version.Place.Revision]
-		if !there && version.Place.Revision < owner.version.Place.Revision && version.Place.Revision >= owner.keptFrom {
+		_, there := owner.kept[version.Position.Revision]
+		if !there && version.Position.Revision < owner.version.Position.Revision && version.Position.Revision >= owner.keptFrom {
 			owner.keep(version)
 			owner.gained = true
 		}
@@ -259,13 +259,13 @@
 	news := owner.news()
 	news.Brief = brief
 	if owner.wantsWhole {
-		news.Place, owner.wantsWhole = contract.Place{}, false
+		news.Place, owner.wantsWhole = contract.Position{}, false
 	}
 	return contract.Send{To: address, Kind: MessageAsk, Body: news}
 }
 
 func (owner *Owner) news() News {
-	return News{Place: owner.version.Place, View: owner.view.Number, From: owner.address}
+	return News{Place: owner.version.Position, View: owner.view.Number, From: owner.address}
 }
 
 // readNext reads a newer version; what it has in common with the one in force is not read again.
@@ -274,7 +274,7 @@
 		return manifest.FromDocument(version.Document())
 	}
 	change := version.Change
-	if version.Base != owner.version.Place {
+	if version.Base != owner.version.Position {
 		change = document.Diff(owner.version.Document(), version.Document())
 	}
 	return owner.read.Next(version.Document(), change)
@@ -282,15 +282,15 @@
 
 // keep keeps a version, unless there is one under its revision.
 func (owner *Owner) keep(version contract.Version) {
-	if _, there := owner.kept[version.Place.Revision]; !there {
-		owner.kept[version.Place.Revision] = version
-		owner.keptBytes += version.Weight()
+	if _, there := owner.kept[version.Position.Revision]; !there {
+		owner.kept[version.Position.Revision] = version
+		owner.keptBytes += version.RetainedBytes()
 	}
 }
 
 func (owner *Owner) drop(revision int64) {
 	if version, there := owner.kept[revision]; there {
-		owner.keptBytes -= version.Weight()
+		owner.keptBytes -= version.RetainedBytes()
 		delete(owner.kept, revision)
 	}
 }
@@ -301,11 +301,11 @@
 		return
 	}
 	for _, version := range owner.from(0) {
-		if owner.keptBytes <= owner.bounds.HistoryBytes || version.Place.Revision >= owner.version.Place.Revision {
+		if owner.keptBytes <= owner.bounds.HistoryBytes || version.Position.Revision >= owner.version.Position.Revision {
 			return
 		}
-		owner.drop(version.Place.Revision)
-		owner.keptFrom = max(owner.keptFrom, version.Place.Revision+1)
+		owner.drop(version.Position.Revision)
+		owner.keptFrom = max(owner.keptFrom, version.Position.Revision+1)
 	}
 }
 
@@ -314,28 +314,30 @@
 	commands, moved, fresh := []contract.Command{}, false, []contract.Version{}
 	if change.View != nil && change.View.Number > owner.view.Number {
 		owner.view, moved = *change.View, true
-		commands = append(commands, contract.Say{What: "view adopted", Detail: []any{"view", owner.view.Number}})
+		commands = append(commands, contract.Log{Message: "view adopted", Attributes: []any{"view", owner.view.Number}})
 	}
 	for _, version := range change.Versions {
 		owner.keep(version)
 		fresh = append(fresh, version)
 	}
-	slices.SortFunc(fresh, func(left, right contract.Version) int { return cmp.Compare(right.Place.Revision, left.Place.Revision) })
+	slices.SortFunc(fresh, func(left, right contract.Version) int {
+		return cmp.Compare(right.Position.Revision, left.Position.Revision)
+	})
 	for _, version := range fresh {
-		if version.Place.Revision <= owner.version.Place.Revision {
+		if version.Position.Revision <= owner.version.Position.Revision {
 			break
 		}
 		read, err := owner.readNext(version)
 		if err != nil {
-			commands = append(commands, contract.Count{Name: "feed_refused", By: 1})
+			commands = append(commands, contract.AddCounter{Name: "feed_refused", Delta: 1})
 			continue
 		}
-		for revision := owner.version.Place.Revision; revision < version.Place.Revision; revision++ {
+		for revision := owner.version.Position.Revision; revision < version.Position.Revision; revision++ {
 			owner.drop(revision + 1 - owner.bounds.History)
 		}
 		owner.version, owner.read, moved = version, read, true
 		owner.trim()
-		commands = append(commands, contract.Adopted{Version: version})
+		commands = append(commands, contract.VersionAdopted{Version: version})
 		break
 	}
 	if moved {
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -30,7 +30,7 @@
 	if failure != nil {
 		panic(failure)
 	}
-	return contract.FirstVersion(contract.Place{View: 1, Revision: revision}, "", read)
+	return contract.NewVersion(contract.Position{View: 1, Revision: revision}, "", read)
 }
 
 // whole gives a version as text: equal contents need not share their parts.
@@ -54,7 +54,7 @@
 		keeper.Take(Change{Versions: []contract.Version{version(revision)}}, nil)
 	}
 	restarted.Take(Change{Versions: []contract.Version{version(140)}}, nil)
-	near := []contract.Member{{Name: "keeper", Address: "keeper", Place: contract.Place{View: 1, Revision: 140}}}
+	near := []contract.Member{{Name: "keeper", Address: "keeper", Position: contract.Position{View: 1, Revision: 140}}}
 	for now := time.Second; now < 10*time.Minute; now += bounds.Gossip() {
 		for _, command := range restarted.Catch(now, near, near, random) {
 			asked := command.(contract.Send)
@@ -83,11 +83,11 @@
 	It("given a keeper of forty versions, when a node that has nothing asks, then it gets the newest alone", func() {
 		told := changed(keeper().Handle(time.Second, message(MessageAsk, News{From: "new"}), nil))
 		Expect(told.Records).To(HaveLen(1))
-		Expect(told.Records[0].Place.Revision).To(Equal(int64(40)))
+		Expect(told.Records[0].Position.Revision).To(Equal(int64(40)))
 	})
 
 	It("given a node that lacks three versions, when it asks, then it gets just these", func() {
-		told := changed(keeper().Handle(time.Second, message(MessageAsk, News{Place: contract.Place{View: 1, Revision: 37}, From: "late"}), nil))
+		told := changed(keeper().Handle(time.Second, message(MessageAsk, News{Place: contract.Position{View: 1, Revision: 37}, From: "late"}), nil))
 		Expect(told.Records).To(HaveLen(3))
 	})
 
@@ -97,13 +97,13 @@
 		commands := node.Take(Change{Versions: []contract.Version{version(1), version(2), version(3), broken}}, nil)
 		adopted := ""
 		for _, command := range commands {
-			if taken, fine := command.(contract.Adopted); fine {
+			if taken, fine := command.(contract.VersionAdopted); fine {
 				adopted += whole(taken.Version)
 			}
 		}
 		Expect(adopted).To(Equal(whole(version(3))))
-		Expect(commands).To(ContainElement(contract.Count{Name: "feed_refused", By: 1}))
-		Expect(node.Version().Place.Revision).To(Equal(int64(3)))
+		Expect(commands).To(ContainElement(contract.AddCounter{Name: "feed_refused", Delta: 1}))
+		Expect(node.Version().Position.Revision).To(Equal(int64(3)))
 		Expect(node.Manifest().Regions["r"].Shards).To(Equal(1 + 3%8))
 		Expect(node.kept).To(HaveLen(4))
 	})
@@ -114,13 +114,13 @@
 		made := keeper()
 		made.Take(Change{Versions: []contract.Version{large}}, nil)
 		first := changed(made.Handle(time.Second, message(MessageAsk, News{From: "new"}), nil))
-		second := changed(made.Handle(time.Second, message(MessageAsk, News{Place: contract.Place{View: 9, Revision: 40}, From: "other"}), nil))
+		second := changed(made.Handle(time.Second, message(MessageAsk, News{Place: contract.Position{View: 9, Revision: 40}, From: "other"}), nil))
 		Expect(first.Records).To(BeEmpty())
 		Expect(len(first.Packed)).To(And(BeNumerically(">", 0), BeNumerically("<", len(content)/8)))
 		Expect(&first.Packed[0]).To(BeIdenticalTo(&second.Packed[0]))
 		node := New("node", env.DefaultBounds())
-		node.Handle(time.Second, message(MessageChange, Delivery{Packed: first.Packed[:len(first.Packed)/2], PackedOf: large.Place}), nil)
-		node.Handle(time.Second, message(MessageChange, Delivery{Packed: []byte("no gzip"), PackedOf: large.Place}), nil)
+		node.Handle(time.Second, message(MessageChange, Delivery{Packed: first.Packed[:len(first.Packed)/2], PackedOf: large.Position}), nil)
+		node.Handle(time.Second, message(MessageChange, Delivery{Packed: []byte("no gzip"), PackedOf: large.Position}), nil)
 		Expect(node.Known()).To(BeFalse())
 		node.Handle(time.Second, message(MessageChange, first), nil)
 		Expect(whole(node.Version())).To(Equal(whole(large)))
@@ -130,16 +130,16 @@
 		bounds, random := env.DefaultBounds(), rand.New(rand.NewPCG(1, 2))
 		made, node := keeper(), New("node", bounds)
 		node.Take(Change{Versions: []contract.Version{version(37)}}, nil)
-		told := changed(made.Handle(time.Second, message(MessageAsk, News{Place: contract.Place{View: 1, Revision: 37}, From: "node"}), nil))
+		told := changed(made.Handle(time.Second, message(MessageAsk, News{Place: contract.Position{View: 1, Revision: 37}, From: "node"}), nil))
 		told.Records[0].Change.Set["/regions/r/shards"] = document.Value("5")
 		commands := node.Handle(2*time.Second, message(MessageChange, told), nil)
-		Expect(commands).To(ContainElement(contract.Count{Name: "feed_refused", By: 1}))
-		Expect(node.Version().Place.Revision).To(Equal(int64(37)))
-		near := []contract.Member{{Name: "keeper", Address: "keeper", Place: contract.Place{View: 1, Revision: 40}}}
+		Expect(commands).To(ContainElement(contract.AddCounter{Name: "feed_refused", Delta: 1}))
+		Expect(node.Version().Position.Revision).To(Equal(int64(37)))
+		near := []contract.Member{{Name: "keeper", Address: "keeper", Position: contract.Position{View: 1, Revision: 40}}}
 		asked := node.Catch(3*time.Second, near, near, random)[0].(contract.Send)
 		answer := changed(made.Handle(3*time.Second, message(asked.Kind, asked.Body), nil))
 		Expect(answer.Records).To(HaveLen(1))
-		Expect(answer.Records[0].Whole()).To(BeTrue())
+		Expect(answer.Records[0].IsFull()).To(BeTrue())
 		node.Handle(4*time.Second, message(MessageChange, answer), nil)
 		Expect(whole(node.Version())).To(Equal(whole(made.Version())))
 	})
@@ -177,7 +177,7 @@
 		bounds, random := env.DefaultBounds(), rand.New(rand.NewPCG(1, 2))
 		node := New("node", bounds)
 		node.Take(Change{Versions: []contract.Version{version(40)}}, nil)
-		near := []contract.Member{{Name: "keeper", Address: "keeper", Place: contract.Place{View: 1, Revision: 40}}}
+		near := []contract.Member{{Name: "keeper", Address: "keeper", Position: contract.Position{View: 1, Revision: 40}}}
 		first := time.Duration(0)
 		for now := time.Second; first == 0 && now < time.Minute; now += bounds.Gossip() {
 			if len(node.Catch(now, near, near, random)) > 0 {
--- a/fleet/caller.go
+++ b/fleet/caller.go
@@ -173,7 +173,7 @@
 	}
 }
 
-func (try *try) refused(status int, trouble contract.Trouble, after time.Duration) {
+func (try *try) refused(status int, trouble contract.ErrorBody, after time.Duration) {
 	try.reply.Status, try.reply.After = status, after
 	outcome := trouble.Outcome
 	if outcome == "" {
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -133,10 +133,10 @@
 }
 
 // Roster patches a region's machines to those that stand now.
-func (fleet *Fleet) Roster(region string) contract.Ask {
+func (fleet *Fleet) Roster(region string) contract.OperatorRequest {
 	names := Names(fleet.InRegion(region))
 	body := content(map[string]any{"regions": map[string]any{region: map[string]any{"machines": names}}})
-	return contract.Ask{Verb: contract.VerbPatch, Body: body, Operation: fmt.Sprintf("roster-%d", fleet.World.Now)}
+	return contract.OperatorRequest{Verb: contract.VerbPatch, Body: body, Operation: fmt.Sprintf("roster-%d", fleet.World.Now)}
 }
 
 // WipeAndReturn restarts a core machine with an empty folder at its old address.
@@ -154,7 +154,7 @@
 }
 
 // Patch makes an ask that changes something harmless, so that each one is its own.
-func (fleet *Fleet) Patch(number int) contract.Ask {
+func (fleet *Fleet) Patch(number int) contract.OperatorRequest {
 	body := content(map[string]any{"homes": map[string]any{fmt.Sprintf("guest-%d", number%20): fleet.Site.Regions()[number%2]}})
-	return contract.Ask{Verb: contract.VerbPatch, Body: body, Operation: fmt.Sprintf("patch-%d-%d", number, fleet.World.Now)}
+	return contract.OperatorRequest{Verb: contract.VerbPatch, Body: body, Operation: fmt.Sprintf("patch-%d-%d", number, fleet.World.Now)}
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -84,9 +84,9 @@
 	return machine
 }
 
-func (fleet *Fleet) say(process *Process, said contract.Say) {
+func (fleet *Fleet) say(process *Process, said contract.Log) {
 	if fleet.Tell != nil {
-		fleet.Tell(fmt.Sprintln(fleet.World.Now, process.machine.Name+"-"+process.kind, said.What, said.Detail))
+		fleet.Tell(fmt.Sprintln(fleet.World.Now, process.machine.Name+"-"+process.kind, said.Message, said.Attributes))
 	}
 }
 
--- a/fleet/operate.go
+++ b/fleet/operate.go
@@ -12,27 +12,27 @@
 
 // Written is an operator's write and the answer it got.
 type Written struct {
-	Ask      contract.Ask
+	Ask      contract.OperatorRequest
 	Status   int
-	Accepted contract.Accepted
+	Accepted contract.WriteResult
 	At       time.Duration
 }
 
 // Operate asks a node and waits in virtual time for the answer.
-func (fleet *Fleet) Operate(machine *Machine, ask contract.Ask) contract.Answer {
-	var given *contract.Answer
-	machine.Control.Ask(ask, func(answer contract.Answer) { given = &answer })
+func (fleet *Fleet) Operate(machine *Machine, ask contract.OperatorRequest) contract.Response {
+	var given *contract.Response
+	machine.Control.Ask(ask, func(answer contract.Response) { given = &answer })
 	fleet.Until(10*time.Second, func() bool { return given != nil })
 	if given == nil {
-		return contract.Answer{Status: 0}
+		return contract.Response{Status: 0}
 	}
 	return *given
 }
 
 // Write sends a write and notes its answer when it comes; the ledger judges it from then on.
-func (fleet *Fleet) Write(machine *Machine, ask contract.Ask, then func(Written)) {
+func (fleet *Fleet) Write(machine *Machine, ask contract.OperatorRequest, then func(Written)) {
 	sent := fleet.World.Now
-	machine.Control.Ask(ask, func(answer contract.Answer) {
+	machine.Control.Ask(ask, func(answer contract.Response) {
 		written := Written{Ask: ask, Status: answer.Status, At: fleet.World.Now}
 		_ = json.Unmarshal(content(answer.Body), &written.Accepted)
 		fleet.Writes = append(fleet.Writes, written)
@@ -48,7 +48,7 @@
 	})
 }
 
-func (fleet *Fleet) accepted(ask contract.Ask, written Written) {
+func (fleet *Fleet) accepted(ask contract.OperatorRequest, written Written) {
 	digest := ""
 	for _, machine := range fleet.Machines {
 		if machine.Control == nil || !machine.Control.Up {
@@ -68,7 +68,7 @@
 }
 
 // Do writes and waits for the answer.
-func (fleet *Fleet) Do(machine *Machine, ask contract.Ask) Written {
+func (fleet *Fleet) Do(machine *Machine, ask contract.OperatorRequest) Written {
 	var done *Written
 	if ask.Operation == "" {
 		ask.Operation = fmt.Sprintf("operation-%d", fleet.World.Now)
@@ -87,7 +87,7 @@
 // Adopt writes the site's manifest once the core is founded.
 func (fleet *Fleet) Adopt() bool {
 	for ends := fleet.World.Now + 20*time.Second; fleet.World.Now < ends; {
-		written := fleet.Do(fleet.Machines[len(fleet.Machines)-1], contract.Ask{Verb: contract.VerbPut, HasBase: true, Body: fleet.Site.Manifest, Operation: "first"})
+		written := fleet.Do(fleet.Machines[len(fleet.Machines)-1], contract.OperatorRequest{Verb: contract.VerbPut, HasBaseRevision: true, Body: fleet.Site.Manifest, Operation: "first"})
 		if written.Status == 200 {
 			return true
 		}
@@ -125,10 +125,10 @@
 
 // Manifest is what the newest read through a node gives.
 func (fleet *Fleet) Manifest(machine *Machine) (manifest.Manifest, int64) {
-	answer := fleet.Operate(machine, contract.Ask{Verb: contract.VerbGet})
+	answer := fleet.Operate(machine, contract.OperatorRequest{Verb: contract.VerbGet})
 	version, _ := answer.Body.(contract.Version)
 	read, _ := manifest.FromDocument(version.Document())
-	return read, version.Place.Revision
+	return read, version.Position.Revision
 }
 
 func statuses(body map[string]any) []shard.Status {
--- a/fleet/passage.go
+++ b/fleet/passage.go
@@ -11,7 +11,7 @@
 	process, fleet, asked := session.process, session.process.machine.fleet, session.asked
 	if len(nodes) == 0 {
 		process.handle(data.Passed{Token: session.token, Error: "no node of the home was reached"})
-		refusal := contract.Trouble{Outcome: string(call.NotRun), Error: "no node of the call's home was reached"}
+		refusal := contract.ErrorBody{Outcome: string(call.NotRun), Error: "no node of the call's home was reached"}
 		session.towards(func() { session.try.refused(503, refusal, process.machine.env.Bounds.Round()) })
 		session.close()
 		return
@@ -91,7 +91,7 @@
 	if outer.written > 0 {
 		outer.towards(outer.try.broke)
 	} else {
-		outer.towards(func() { outer.try.refused(502, contract.Trouble{Outcome: string(call.Unknown)}, 0) })
+		outer.towards(func() { outer.try.refused(502, contract.ErrorBody{Outcome: string(call.Unknown)}, 0) })
 	}
 	outer.close()
 }
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -70,31 +70,31 @@
 }
 
 // Arrive puts a call of any shape to a data node and gives its answer.
-func (fleet *Fleet) Arrive(machine *Machine, asked call.Call) contract.Answer {
-	given := contract.Answer{}
+func (fleet *Fleet) Arrive(machine *Machine, asked call.Call) contract.Response {
+	given := contract.Response{}
 	process := machine.Data
 	process.token++
 	token := process.token
-	process.asks[token] = func(answer contract.Answer) { given = answer }
+	process.asks[token] = func(answer contract.Response) { given = answer }
 	process.handle(data.Arrive{Token: token, Call: asked})
 	fleet.Until(5*time.Second, func() bool { return given.Status != 0 || given.Body != nil })
 	return given
 }
 
 // Look asks a data node what became of a call.
-func (fleet *Fleet) Look(machine *Machine, caller, key, home string) contract.Answer {
-	given := contract.Answer{}
+func (fleet *Fleet) Look(machine *Machine, caller, key, home string) contract.Response {
+	given := contract.Response{}
 	process := machine.Data
 	process.token++
 	token := process.token
-	process.asks[token] = func(answer contract.Answer) { given = answer }
+	process.asks[token] = func(answer contract.Response) { given = answer }
 	process.handle(data.Look{Token: token, Caller: caller, Key: key, Home: home})
 	fleet.Until(5*time.Second, func() bool { return given.Status != 0 || given.Body != nil })
 	if pass, away := given.Body.(data.Pass); away {
 		process = fleet.processes[pass.Nodes[0]]
-		given = contract.Answer{}
+		given = contract.Response{}
 		process.token++
-		process.asks[process.token] = func(answer contract.Answer) { given = answer }
+		process.asks[process.token] = func(answer contract.Response) { given = answer }
 		process.handle(data.Look{Token: process.token, Caller: caller, Key: key, Home: pass.Home, Hop: true})
 		fleet.Until(5*time.Second, func() bool { return given.Status != 0 })
 	}
@@ -118,7 +118,7 @@
 
 // Owner gives the machine whose control process owns a shard of a region now, as the region's nodes tell.
 func (fleet *Fleet) Owner(region string, index int) *Machine {
-	answer := fleet.Operate(fleet.anyNode(), contract.Ask{Verb: contract.VerbShards})
+	answer := fleet.Operate(fleet.anyNode(), contract.OperatorRequest{Verb: contract.VerbShards})
 	body, _ := answer.Body.(map[string]any)
 	for _, status := range statuses(body) {
 		if status.Region == region && status.Shard == index {
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -38,11 +38,11 @@
 type Process struct {
 	virtual.Process
 	machine  *Machine
-	owner    contract.Owner
+	owner    contract.StateMachine
 	kind     string
 	boot     string
 	began    time.Duration
-	asks     map[int64]func(contract.Answer)
+	asks     map[int64]func(contract.Response)
 	token    int64
 	sessions map[int64]*session
 	Counts   map[string]int64
@@ -74,7 +74,7 @@
 
 func (machine *Machine) process(kind string) *Process {
 	return &Process{machine: machine, kind: kind, boot: fmt.Sprintf("b%d", machine.boots), began: machine.read(), Process: virtual.Process{Up: true},
-		asks: map[int64]func(contract.Answer){}, sessions: map[int64]*session{}, Counts: map[string]int64{}, Gauges: map[string]int64{}}
+		asks: map[int64]func(contract.Response){}, sessions: map[int64]*session{}, Counts: map[string]int64{}, Gauges: map[string]int64{}}
 }
 
 func (process *Process) address() string {
@@ -110,14 +110,14 @@
 	switch command := command.(type) {
 	case contract.Send:
 		process.send(command)
-	case contract.Count:
-		process.Counts[command.Name] += command.By
-	case contract.Gauge:
+	case contract.AddCounter:
+		process.Counts[command.Name] += command.Delta
+	case contract.SetGauge:
 		process.Gauges[command.Name] = command.Value
-	case contract.Took:
-	case contract.Say:
+	case contract.ObserveDuration:
+	case contract.Log:
 		fleet.say(process, command)
-	case contract.Answer:
+	case contract.Response:
 		process.answer(command)
 	case contract.Forward:
 		process.forward(command)
@@ -153,7 +153,7 @@
 	})
 }
 
-func (process *Process) answer(answer contract.Answer) {
+func (process *Process) answer(answer contract.Response) {
 	if session, there := process.sessions[answer.Token]; there {
 		session.answered(answer)
 		return
@@ -166,7 +166,7 @@
 }
 
 // Ask puts an operator's question to this process.
-func (process *Process) Ask(ask contract.Ask, take func(contract.Answer)) {
+func (process *Process) Ask(ask contract.OperatorRequest, take func(contract.Response)) {
 	process.Do(func() {
 		process.token++
 		ask.Token = process.token
@@ -177,15 +177,15 @@
 
 // forward carries an ask to the authority as the links do; a lost answer is unknown.
 func (process *Process) forward(forward contract.Forward) {
-	fleet, token, given := process.machine.fleet, forward.Ask.Token, false
-	give := func(answer contract.Answer) {
+	fleet, token, given := process.machine.fleet, forward.Request.Token, false
+	give := func(answer contract.Response) {
 		if !given {
 			given = true
 			answer.Token = token
 			process.Do(func() { process.answer(answer) })
 		}
 	}
-	lost := contract.Answer{Status: 504, Body: contract.Accepted{Outcome: "unknown", Operation: forward.Ask.Operation}}
+	lost := contract.Response{Status: 504, Body: contract.WriteResult{Outcome: "unknown", Operation: forward.Request.Operation}}
 	fleet.World.After(process.machine.env.Bounds.Deliver()*2, func() { give(lost) })
 	target, there := fleet.processes[forward.Address]
 	if !there {
@@ -194,11 +194,11 @@
 	fleet.World.travel(process.machine.place(), target.machine.place(), false, func() {
 		if target != fleet.processes[forward.Address] || !target.Up {
 			fleet.World.travel(target.machine.place(), process.machine.place(), false, func() {
-				give(contract.Refuse(0, 503, "the authority cannot be reached; nothing was done", process.machine.env.Bounds.Round()))
+				give(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", process.machine.env.Bounds.Round()))
 			})
 			return
 		}
-		target.Ask(forward.Ask, func(answer contract.Answer) {
+		target.Ask(forward.Request, func(answer contract.Response) {
 			fleet.World.travel(target.machine.place(), process.machine.place(), false, func() { give(answer) })
 		})
 	})
@@ -269,6 +269,6 @@
 }
 
 // Plant puts another owner in the place of this process's, for the stories that test the checker.
-func (process *Process) Plant(change func(contract.Owner) contract.Owner) {
+func (process *Process) Plant(change func(contract.StateMachine) contract.StateMachine) {
 	process.owner = change(process.owner)
 }
--- a/fleet/readback.go
+++ b/fleet/readback.go
@@ -27,7 +27,7 @@
 		if revision <= newest-fleet.Bounds.History {
 			continue
 		}
-		answer := fleet.Operate(live[int(revision)%len(live)], contract.Ask{Verb: contract.VerbGet, Revision: revision})
+		answer := fleet.Operate(live[int(revision)%len(live)], contract.OperatorRequest{Verb: contract.VerbGet, Revision: revision})
 		version, _ := answer.Body.(contract.Version)
 		digest := version.Digest
 		if answer.Status != 200 || version.Document().Digest() != digest {
@@ -63,7 +63,7 @@
 	}
 }
 
-func sentBy(ask contract.Ask) map[string]any {
+func sentBy(ask contract.OperatorRequest) map[string]any {
 	under := func(kind, field string, value any) map[string]any {
 		return map[string]any{kind: map[string]any{ask.Subject: map[string]any{field: value}}}
 	}
--- a/fleet/retirement.go
+++ b/fleet/retirement.go
@@ -139,12 +139,12 @@
 	case "short reclaim":
 		target.Mark(tooShort)
 	case "drain":
-		fleet.Write(fleet.Machines[3], contract.Ask{Verb: contract.VerbDrain, Subject: target.Zone, Operation: "drain"}, nil)
+		fleet.Write(fleet.Machines[3], contract.OperatorRequest{Verb: contract.VerbDrain, Subject: target.Zone, Operation: "drain"}, nil)
 	}
 }
 
 func (fleet *Fleet) retirements() []shard.Retired {
-	answer := fleet.Operate(fleet.anyNode(), contract.Ask{Verb: contract.VerbRetirements})
+	answer := fleet.Operate(fleet.anyNode(), contract.OperatorRequest{Verb: contract.VerbRetirements})
 	body, _ := answer.Body.(map[string]any)
 	rows, _ := body["retirements"].([]shard.Retired)
 	return rows
--- a/fleet/schedule.go
+++ b/fleet/schedule.go
@@ -233,14 +233,14 @@
 	}
 }
 
-func (fleet *Fleet) scale(pool string, count int) contract.Ask {
-	return contract.Ask{Verb: contract.VerbScale, Subject: pool, Body: fmt.Appendf(nil, "%d", count), Operation: fmt.Sprintf("scale-%s-%d", pool, fleet.World.Now)}
+func (fleet *Fleet) scale(pool string, count int) contract.OperatorRequest {
+	return contract.OperatorRequest{Verb: contract.VerbScale, Subject: pool, Body: fmt.Appendf(nil, "%d", count), Operation: fmt.Sprintf("scale-%s-%d", pool, fleet.World.Now)}
 }
 
 // declare is the operator who swapped a machine and says so until a live node has heard it.
 func (fleet *Fleet) declare(old *Machine, tries int) {
 	fleet.World.After(3*time.Second, func() {
-		fleet.anyNode().Control.Ask(contract.Ask{Verb: contract.VerbGone, Subject: old.Name}, func(contract.Answer) {})
+		fleet.anyNode().Control.Ask(contract.OperatorRequest{Verb: contract.VerbGone, Subject: old.Name}, func(contract.Response) {})
 		if tries < 15 {
 			fleet.declare(old, tries+1)
 		}
@@ -253,13 +253,13 @@
 	fleet.World.After(span, func() { fleet.undrain(zone, 0) })
 }
 
-func (fleet *Fleet) drain(zone string) contract.Ask {
-	return contract.Ask{Verb: contract.VerbDrain, Subject: zone, Operation: fmt.Sprintf("drain-%s-%d", zone, fleet.World.Now)}
+func (fleet *Fleet) drain(zone string) contract.OperatorRequest {
+	return contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone, Operation: fmt.Sprintf("drain-%s-%d", zone, fleet.World.Now)}
 }
 
 // undrain is an operator who asks until it is accepted.
 func (fleet *Fleet) undrain(zone string, tries int) {
-	ask := contract.Ask{Verb: contract.VerbUndrain, Subject: zone, Operation: fmt.Sprintf("undrain-%s-%d", zone, fleet.World.Now)}
+	ask := contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone, Operation: fmt.Sprintf("undrain-%s-%d", zone, fleet.World.Now)}
 	fleet.Ledger.Undrained(zone, fleet.World.Now)
 	fleet.Write(fleet.anyNode(), ask, func(written Written) {
 		if written.Status != 200 && written.Status != 202 && tries < 20 {
--- a/fleet/session.go
+++ b/fleet/session.go
@@ -115,7 +115,7 @@
 	session.towards(func() { session.try.piece(text, number) })
 }
 
-func (session *session) answered(answer contract.Answer) {
+func (session *session) answered(answer contract.Response) {
 	if pass, away := answer.Body.(data.Pass); away {
 		session.pass(pass, pass.Nodes)
 		return
@@ -124,12 +124,12 @@
 	defer session.close()
 	defer session.inform(answer.Status)
 	if !whole {
-		trouble, _ := answer.Body.(contract.Trouble)
+		trouble, _ := answer.Body.(contract.ErrorBody)
 		if session.written > 0 {
 			session.towards(func() { session.try.err() })
 			return
 		}
-		session.towards(func() { session.try.refused(answer.Status, trouble, answer.After) })
+		session.towards(func() { session.try.refused(answer.Status, trouble, answer.RetryAfter) })
 		return
 	}
 	for session.written < len(reply.Pieces) && session.try.visit.kind.Class != "lookup" {
--- a/fleet/troubles.go
+++ b/fleet/troubles.go
@@ -64,8 +64,8 @@
 	}
 }
 
-func (fleet *Fleet) patch(name string, body map[string]any) contract.Ask {
-	return contract.Ask{Verb: contract.VerbPatch, Body: content(body), Operation: fmt.Sprintf("%s-%d", name, fleet.World.Now)}
+func (fleet *Fleet) patch(name string, body map[string]any) contract.OperatorRequest {
+	return contract.OperatorRequest{Verb: contract.VerbPatch, Body: content(body), Operation: fmt.Sprintf("%s-%d", name, fleet.World.Now)}
 }
 
 func reshard(fleet *Fleet, span time.Duration) {
@@ -92,13 +92,13 @@
 	for index := range 4 {
 		fleet.World.After(span*time.Duration(index)/4, func() {
 			ask := fleet.Patch(index)
-			fleet.anyNode().Control.Ask(ask, func(contract.Answer) {})
+			fleet.anyNode().Control.Ask(ask, func(contract.Response) {})
 			fleet.World.After(time.Second, func() { fleet.askAgain(ask, 0) })
 		})
 	}
 }
 
-func (fleet *Fleet) askAgain(ask contract.Ask, tries int) {
+func (fleet *Fleet) askAgain(ask contract.OperatorRequest, tries int) {
 	fleet.Write(fleet.anyNode(), ask, func(written Written) {
 		if written.Status != 200 && written.Status != 202 && tries < 20 {
 			fleet.World.After(time.Second, func() { fleet.askAgain(ask, tries+1) })
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -215,7 +215,7 @@
 		bench := twoRegions(12, 12, false)
 		west := bench.servers["w00"]
 		Expect(bench.mixed(bench.now, west)).To(BeFalse())
-		bench.Handle(bench.now, Observed{Region: "west", Observed: contract.Observed{Short: map[string]int64{"s": 400}}})
+		bench.Handle(bench.now, Observed{Region: "west", CallObservations: contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 400}}})
 		Expect(bench.mixed(bench.now, west)).To(BeTrue())
 		Expect(bench.relieved(bench.now, "s")).To(BeFalse())
 		Expect(west.sizes.least()).To(Equal(400 * time.Millisecond))
@@ -227,10 +227,10 @@
 
 	It("given what other nodes send, when this node tells of its own calls, then only those are told, for as long as they are recent", func() {
 		bench := twoRegions(4, 4, false)
-		bench.Handle(bench.now, Observed{Region: "west", Observed: contract.Observed{Short: map[string]int64{"s": 400}}})
-		Expect(bench.Observed(bench.now, "west").Short).To(BeEmpty())
-		Expect(bench.Observed(bench.now, "east").Short).To(Equal(map[string]int64{"s": 1}))
-		Expect(bench.Observed(bench.now+bench.terms.RepeatWindow, "east").Short).To(BeEmpty())
+		bench.Handle(bench.now, Observed{Region: "west", CallObservations: contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 400}}})
+		Expect(bench.Observed(bench.now, "west").ShortPromptGapMs).To(BeEmpty())
+		Expect(bench.Observed(bench.now, "east").ShortPromptGapMs).To(Equal(map[string]int64{"s": 1}))
+		Expect(bench.Observed(bench.now+bench.terms.RepeatWindow, "east").ShortPromptGapMs).To(BeEmpty())
 	})
 
 	It("given the first calls of a service, when nobody can know yet where short ones go, then all regions count as mixed for a moment", func() {
--- a/gateway/cache_test.go
+++ b/gateway/cache_test.go
@@ -127,7 +127,7 @@
 	listed := eastList("a", "b", "c", "d", "e", "f")
 	for place := range listed.Servers {
 		if listed.Servers[place].Name == name {
-			listed.Servers[place].Cache = count
+			listed.Servers[place].CacheResets = count
 		}
 	}
 	return listed
--- a/gateway/condition.go
+++ b/gateway/condition.go
@@ -22,46 +22,46 @@
 // tallies counts calls at a server in this half of the time of contact and in the half before it.
 type tallies struct {
 	slot   time.Duration
-	counts [2]contract.Tally
+	counts [2]contract.CallTally
 }
 
-func (tallies *tallies) at(now, half time.Duration) *contract.Tally {
+func (tallies *tallies) at(now, half time.Duration) *contract.CallTally {
 	slot := now / half
 	switch slot - tallies.slot {
 	case 0:
 	case 1:
-		tallies.counts[1], tallies.counts[0] = tallies.counts[0], contract.Tally{}
+		tallies.counts[1], tallies.counts[0] = tallies.counts[0], contract.CallTally{}
 	default:
-		tallies.counts = [2]contract.Tally{}
+		tallies.counts = [2]contract.CallTally{}
 	}
 	tallies.slot = slot
 	return &tallies.counts[0]
 }
 
-func (traffic *Traffic) tally(now time.Duration, server *server) *contract.Tally {
+func (traffic *Traffic) tally(now time.Duration, server *server) *contract.CallTally {
 	return server.tallies.at(now, traffic.terms.Contact/2)
 }
 
 // recent gives what was counted at a server lately.
-func (traffic *Traffic) recent(now time.Duration, server *server) contract.Tally {
+func (traffic *Traffic) recent(now time.Duration, server *server) contract.CallTally {
 	traffic.tally(now, server)
-	return server.tallies.counts[0].Plus(server.tallies.counts[1])
+	return server.tallies.counts[0].Add(server.tallies.counts[1])
 }
 
 // Tallies tells the owner of a region's servers where calls failed lately, the worst first when there are many, and how those fared
 // that it suspects. A node that lost most of the servers that it called is in trouble itself and accuses none.
-func (traffic *Traffic) Tallies(now time.Duration, region string) map[string]contract.Tally {
-	told, names, called, lost := map[string]contract.Tally{}, []string{}, 0, 0
+func (traffic *Traffic) Tallies(now time.Duration, region string) map[string]contract.CallTally {
+	told, names, called, lost := map[string]contract.CallTally{}, []string{}, 0, 0
 	for name, server := range traffic.servers {
 		tally := traffic.recent(now, server)
-		if tally.Calls() == 0 {
+		if tally.Total() == 0 {
 			continue
 		}
 		called++
-		if tally.Lost > 0 && tally.Well == 0 {
+		if tally.Unconnected > 0 && tally.Succeeded == 0 {
 			lost++
 		}
-		if server.region == region && (server.Watched || tally.Bad() > 0) {
+		if server.region == region && (server.HealthTracked || tally.Failures() > 0) {
 			told[name], names = tally, append(names, name)
 		}
 	}
@@ -70,7 +70,7 @@
 	}
 	if len(names) > mostTallies {
 		sort.Slice(names, func(left, right int) bool {
-			if first, second := told[names[left]].Bad(), told[names[right]].Bad(); first != second {
+			if first, second := told[names[left]].Failures(), told[names[right]].Failures(); first != second {
 				return first > second
 			}
 			return names[left] < names[right]
@@ -100,12 +100,12 @@
 
 // rests tells whether the server is ill for all and this node is none of those that may try it now.
 func (traffic *Traffic) rests(now time.Duration, server *server) bool {
-	if server.Ill == 0 {
+	if server.RecoverySteps == 0 {
 		return false
 	}
 	traffic.sharesFor(server)
 	nodes := trialNodes
-	if server.Ill == 1 {
+	if server.RecoverySteps == 1 {
 		nodes = max(trialNodes, traffic.nodes()/returningNodes)
 	}
 	return server.trial || now < server.nextTrial || server.ramp.rank >= nodes
--- a/gateway/condition_test.go
+++ b/gateway/condition_test.go
@@ -18,13 +18,13 @@
 // told gives the list of servers a and b, with what it says of a.
 func told(suspected bool, ill int64) Listed {
 	one := candidate("a", "east-a")
-	one.Suspected, one.Ill = suspected, ill
+	one.Suspected, one.RecoverySteps = suspected, ill
 	return listOf("east", one, candidate("b", "east-a"))
 }
 
 // ranked names the fleet so that this node has the given place in the order of a server.
 func ranked(server string, count, place int) Fleet {
-	names := contract.Ordered("ramp/"+server, fleetOf(count))
+	names := contract.RendezvousOrder("ramp/"+server, fleetOf(count))
 	return Fleet{Self: names[place], Names: names}
 }
 
@@ -51,12 +51,12 @@
 var _ = Describe("what a node tells of its servers", func() {
 	for _, ended := range []struct {
 		outcome Outcome
-		want    contract.Tally
-	}{{Unsent, contract.Tally{Lost: 1}}, {Broken, contract.Tally{Failed: 1}}} {
+		want    contract.CallTally
+	}{{Unsent, contract.CallTally{Unconnected: 1}}, {Broken, contract.CallTally{Failed: 1}}} {
 		It("given a call that ended as "+string(ended.outcome)+", when the list is asked for, then its server's tally is told", func() {
 			bench := started(nil, eastList("a"))
 			bench.ends(bench.sent("/write/x"), ended.outcome)
-			Expect(bench.Tallies(bench.now, "east")).To(Equal(map[string]contract.Tally{"a": ended.want}))
+			Expect(bench.Tallies(bench.now, "east")).To(Equal(map[string]contract.CallTally{"a": ended.want}))
 			Expect(bench.Tallies(bench.now, "west")).To(BeEmpty())
 		})
 	}
@@ -66,24 +66,24 @@
 		first := bench.sent("/write/x")
 		bench.now += first.Patience
 		bench.one(Silent{Token: first.Token, Attempt: first.Attempt})
-		Expect(bench.Tallies(bench.now, "east")).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
+		Expect(bench.Tallies(bench.now, "east")).To(Equal(map[string]contract.CallTally{"a": {Failed: 1}}))
 	})
 
 	It("given a failure of the server's own, when the list is asked for, then it is told as a failed call", func() {
 		bench := started(nil, eastList("a"))
 		dispatch := bench.sent("/write/x")
 		bench.one(Ended{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: Whole, Failed: true})
-		Expect(bench.Tallies(bench.now, "east")).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
+		Expect(bench.Tallies(bench.now, "east")).To(Equal(map[string]contract.CallTally{"a": {Failed: 1}}))
 	})
 
 	It("given servers that answer well, when the list is asked for, then only the watched one is told", func() {
 		list := told(false, 0)
-		list.Servers[0].Watched = true
+		list.Servers[0].HealthTracked = true
 		bench := started(nil, list)
 		Expect(sentTo(bench, "a", time.Second)).To(BeNumerically(">", 0))
 		tallies := bench.Tallies(bench.now, "east")
 		Expect(tallies).To(HaveLen(1))
-		Expect(tallies["a"].Well).To(BeNumerically(">", 0))
+		Expect(tallies["a"].Succeeded).To(BeNumerically(">", 0))
 	})
 
 	It("given a call that failed, when the time of contact has passed, then it is told no more", func() {
@@ -131,7 +131,7 @@
 		for _, command := range node.take(contract.Tick{}) {
 			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).Region == "east" {
 				asked++
-				Expect(send.Body.(contract.LeaseRequest).Tallies).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
+				Expect(send.Body.(contract.LeaseRequest).Tallies).To(Equal(map[string]contract.CallTally{"a": {Failed: 1}}))
 			}
 		}
 		Expect(asked).To(BeNumerically(">", 0))
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -131,7 +131,7 @@
 // Observed brings what all nodes together see of the calls that they send to a region.
 type Observed struct {
 	Region string
-	contract.Observed
+	contract.CallObservations
 }
 
 // Fleet names the data nodes that share the limits; Self is this node.
--- a/gateway/flow.go
+++ b/gateway/flow.go
@@ -95,7 +95,7 @@
 		chosen.reading += work.unread
 		chosen.queued++
 	}
-	if chosen.until > 0 || chosen.Ill > 0 {
+	if chosen.until > 0 || chosen.RecoverySteps > 0 {
 		chosen.trial, chosen.nextTrial = true, now+traffic.terms.Contact/4
 	}
 	chosen.own++
@@ -234,7 +234,7 @@
 		if event.Failed {
 			traffic.tally(now, server).Failed++
 		} else {
-			traffic.tally(now, server).Well++
+			traffic.tally(now, server).Succeeded++
 		}
 		if work.route.Kind != manifest.KindStreaming {
 			server.paced(now - work.at)
@@ -254,7 +254,7 @@
 		return one(Fail{Token: work.Token, Status: 502, Reason: string(event.Outcome)})
 	case Unsent:
 		traffic.fault(now, server)
-		traffic.tally(now, server).Lost++
+		traffic.tally(now, server).Unconnected++
 		work.sent--
 		work.connects++
 		again = again && work.connects < mostConnects
--- a/gateway/index.go
+++ b/gateway/index.go
@@ -19,7 +19,7 @@
 			controls[member.Name] = member
 		}
 	}
-	for place, name := range contract.Ordered("index", slices.Collect(maps.Keys(controls))) {
+	for place, name := range contract.RendezvousOrder("index", slices.Collect(maps.Keys(controls))) {
 		member := controls[name]
 		if place == 0 {
 			owner = member
@@ -59,11 +59,11 @@
 	}
 	body, failure := json.Marshal(ask.Ask)
 	if keeper.Name == "" || failure != nil {
-		node.emit(contract.Refuse(ask.Token, 503, err, 0))
+		node.emit(contract.ErrorResponse(ask.Token, 503, err, 0))
 		return
 	}
 	if ask.Ask.Known {
-		node.emit(contract.Count{Name: "places_asked_near", By: 1})
+		node.emit(contract.AddCounter{Name: "places_asked_near", Delta: 1})
 	}
-	node.emit(contract.Forward{Ask: contract.Ask{Token: ask.Token, Verb: contract.VerbPlace, Body: body}, Address: keeper.Address})
+	node.emit(contract.Forward{Request: contract.OperatorRequest{Token: ask.Token, Verb: contract.VerbPlace, Body: body}, Address: keeper.Address})
 }
--- a/gateway/index_test.go
+++ b/gateway/index_test.go
@@ -41,7 +41,7 @@
 var _ = Describe("the owner of the index, as a node sees it", func() {
 	controls := []contract.Member{controlNode("c4", "10.0.0.7"), controlNode("c5", "10.0.0.8"), controlNode("c6", "10.0.0.9")}
 	first := func() contract.Member {
-		name := contract.Ordered("index", []string{"c4-control", "c5-control", "c6-control"})[0]
+		name := contract.RendezvousOrder("index", []string{"c4-control", "c5-control", "c6-control"})[0]
 		Expect(name).NotTo(Equal("c4-control"), "the order is not that of names")
 		for _, member := range controls {
 			if member.Name == name {
@@ -60,7 +60,7 @@
 		node := following()
 		node.meets(dataNode("a2", "east-a", "10.0.0.2"))
 		Expect(events[Indexed](beat(node))).To(BeEmpty())
-		Expect(node.take(ask)).To(ContainElement(contract.Refuse(9, 503, "no owner of the index is known", 0)))
+		Expect(node.take(ask)).To(ContainElement(contract.ErrorResponse(9, 503, "no owner of the index is known", 0)))
 	})
 
 	It("given control nodes, when a question comes, then it goes to the first in the agreed order alone, whatever order they were met in", func() {
@@ -79,10 +79,10 @@
 			}
 			Expect(forwards).To(HaveLen(1))
 			Expect(forwards[0].Address).To(Equal(first().Address))
-			Expect(forwards[0].Ask.Token).To(Equal(int64(9)))
-			Expect(forwards[0].Ask.Verb).To(Equal(contract.VerbPlace))
+			Expect(forwards[0].Request.Token).To(Equal(int64(9)))
+			Expect(forwards[0].Request.Verb).To(Equal(contract.VerbPlace))
 			var carried index.Ask
-			Expect(json.Unmarshal(forwards[0].Ask.Body, &carried)).To(Succeed())
+			Expect(json.Unmarshal(forwards[0].Request.Body, &carried)).To(Succeed())
 			Expect(carried).To(Equal(ask.Ask))
 		}
 	})
@@ -99,7 +99,7 @@
 			for number := range count {
 				drawn = append(drawn, fmt.Sprintf("k%d-control", number))
 			}
-			ordered := contract.Ordered("index", drawn)
+			ordered := contract.RendezvousOrder("index", drawn)
 			for place := range ordered {
 				ordered[place] = strings.TrimSuffix(ordered[place], "-control")
 			}
@@ -136,7 +136,7 @@
 				node := following()
 				node.meets(members...)
 				Expect(events[Indexed](beat(node))).To(Equal([]Indexed{{Known: true}}))
-				Expect(node.take(known)).To(ContainElement(contract.Refuse(9, 503, "no replica of the index is near", 0)))
+				Expect(node.take(known)).To(ContainElement(contract.ErrorResponse(9, 503, "no replica of the index is near", 0)))
 				Expect(addresses(node.take(ask))).To(Equal([]string{names[0] + ":8166"}))
 			},
 			Entry("owner in the region, another in the zone", at(names[0], "east-b", "east"), at(names[1], "east-a", "east")),
--- a/gateway/interim_test.go
+++ b/gateway/interim_test.go
@@ -68,7 +68,7 @@
 		for _, told := range both {
 			for _, ask := range told {
 				Expect(ask.Interim).To(BeTrue())
-				Expect(ask.Brief).To(BeFalse())
+				Expect(ask.OmitUnchanged).To(BeFalse())
 			}
 		}
 		give(node, interim(node.now, "a"))
