--- a/gateway/lists.go
+++ b/gateway/lists.go
@@ -76,9 +76,9 @@
 
 func (node *Node) askOne(now time.Duration, members []contract.Member, region string, index, shards int) {
 	held, self := node.lists[region][index], node.Self()
-	ask := contract.LeaseRequest{Node: self.Name, Address: self.Address, Region: region, Shard: index, Asked: now,
-		Highest: held.highest, Number: held.number, Calls: node.known.Calls(region), Stale: node.known.Stale(region),
-		Tallies: node.known.Tallies(now, region), Observed: node.known.Observed(now, region), Shards: shards, Brief: held.held,
+	ask := contract.LeaseRequest{Node: self.Name, Address: self.Address, Region: region, Shard: index, SentAt: now,
+		HighestEpoch: held.highest, Number: held.number, Calls: node.known.Calls(region), StaleIndexes: node.known.Stale(region),
+		Tallies: node.known.Tallies(now, region), CallObservations: node.known.Observed(now, region), ShardCount: shards, OmitUnchanged: held.held,
 		Interim: !held.held && (held.interim == 0 || now-held.interim >= node.askEvery())}
 	owners := node.ownersOf(members, held, region, index)
 	for _, owner := range owners {
@@ -118,7 +118,7 @@
 		others = node.Neighbours.Seeds()
 	}
 	if len(others) > 0 {
-		node.emit(contract.Count{Name: "lists_asked_around", By: 1},
+		node.emit(contract.AddCounter{Name: "lists_asked_around", Delta: 1},
 			contract.Send{To: others[node.Random.IntN(len(others))], Kind: shard.MessageAsk, Body: ask})
 	}
 }
@@ -143,7 +143,7 @@
 	}
 	held.relayed = now
 	if route == "" {
-		node.emit(contract.Say{What: "list asked for by relays", Detail: []any{"region", ask.Region, "shard", ask.Shard, "number", held.number,
+		node.emit(contract.Log{Message: "list asked for by relays", Attributes: []any{"region", ask.Region, "shard", ask.Shard, "number", held.number,
 			"epoch", held.highest, "ageMs", (now - held.asked).Milliseconds(), "tried", tried, "owners", names(owners)}})
 	}
 	for _, owner := range owners {
@@ -167,24 +167,24 @@
 		node.takeInterim(held, message, lease)
 		return
 	}
-	if held == nil || lease.Epoch.Before(held.highest) || lease.Asked > now {
+	if held == nil || lease.Epoch.Before(held.highest) || lease.RequestSentAt > now {
 		node.refused(held, message, lease)
 		return
 	}
-	if lease.Epoch == held.highest && (lease.Number < held.number || lease.Asked < held.asked) {
+	if lease.Epoch == held.highest && (lease.Number < held.number || lease.RequestSentAt < held.asked) {
 		return
 	}
-	if lease.Same && (lease.Epoch != held.epoch || lease.Number != held.number) {
+	if lease.Unchanged && (lease.Epoch != held.epoch || lease.Number != held.number) {
 		return
 	}
-	held.detour.Answered(message.Via, held.asked == lease.Asked)
-	held.highest, held.epoch, held.number, held.asked, held.hint = lease.Epoch, lease.Epoch, lease.Number, lease.Asked, ""
+	held.detour.Answered(message.ReturnRoute, held.asked == lease.RequestSentAt)
+	held.highest, held.epoch, held.number, held.asked, held.hint = lease.Epoch, lease.Epoch, lease.Number, lease.RequestSentAt, ""
 	node.confirmed(now, held, message, lease)
-	if former := node.observed[lease.Region]; !maps.Equal(former.Short, lease.Short) || !maps.Equal(former.Read, lease.Read) {
-		node.observed[lease.Region] = lease.Observed
-		node.emit(Update{Observed{Region: lease.Region, Observed: lease.Observed}})
+	if former := node.observed[lease.Region]; !maps.Equal(former.ShortPromptGapMs, lease.ShortPromptGapMs) || !maps.Equal(former.PrefillUsPerK, lease.PrefillUsPerK) {
+		node.observed[lease.Region] = lease.CallObservations
+		node.emit(Update{Observed{Region: lease.Region, CallObservations: lease.CallObservations}})
 	}
-	if lease.Same {
+	if lease.Unchanged {
 		return
 	}
 	held.held = true
@@ -193,27 +193,27 @@
 
 // refused reports a list that was not accepted: one of a former owner, or of a shard that is not known.
 func (node *Node) refused(held *list, message contract.Message, lease contract.Lease) {
-	detail := []any{"region", lease.Region, "shard", lease.Shard, "from", message.From, "via", message.Via, "epoch", lease.Epoch}
+	detail := []any{"region", lease.Region, "shard", lease.Shard, "from", message.From, "via", message.ReturnRoute, "epoch", lease.Epoch}
 	if held != nil {
 		detail = append(detail, "highest", held.highest)
 	}
-	node.emit(contract.Count{Name: "lists_refused", By: 1}, contract.Say{What: "list refused", Detail: detail})
+	node.emit(contract.AddCounter{Name: "lists_refused", Delta: 1}, contract.Log{Message: "list refused", Attributes: detail})
 }
 
 // takeInterim accepts what stands in for an owner's list, as long as this node has heard of no owner.
 func (node *Node) takeInterim(held *list, message contract.Message, lease contract.Lease) {
-	if held == nil || held.held || held.highest != (contract.Epoch{}) || lease.Asked <= held.interim {
+	if held == nil || held.held || held.highest != (contract.Epoch{}) || lease.RequestSentAt <= held.interim {
 		return
 	}
-	held.interim = lease.Asked
+	held.interim = lease.RequestSentAt
 	node.list(message, lease)
 }
 
 // list puts a list of servers in force and reports by whom and by which relays it came.
 func (node *Node) list(message contract.Message, lease contract.Lease) {
 	count := node.use(lease.Region, lease.Shard, lease.Servers)
-	node.emit(contract.Say{What: "list", Detail: []any{"region", lease.Region, "epoch", lease.Epoch.Number, "shard", lease.Shard, "number", lease.Number,
-		"servers", count, "from", message.From, "via", message.Via}})
+	node.emit(contract.Log{Message: "list", Attributes: []any{"region", lease.Region, "epoch", lease.Epoch.Number, "shard", lease.Shard, "number", lease.Number,
+		"servers", count, "from", message.From, "via", message.ReturnRoute}})
 }
 
 // use puts servers of a shard in force and gives how many there are in its region.
@@ -247,11 +247,11 @@
 			}
 			held.overdue = true
 			owner := shard.First(node.Neighbours.Members(now), region, index)
-			node.emit(contract.Count{Name: "lists_unconfirmed", By: 1}, contract.Say{What: "list is not confirmed", Detail: []any{
+			node.emit(contract.AddCounter{Name: "lists_unconfirmed", Delta: 1}, contract.Log{Message: "list is not confirmed", Attributes: []any{
 				"region", region, "shard", index, "number", held.number, "ageMs", age.Milliseconds(), "owner", owner, "hint", held.hint}})
 		}
 	}
-	node.emit(contract.Gauge{Name: "list_age_ms", Value: oldest.Milliseconds()})
+	node.emit(contract.SetGauge{Name: "list_age_ms", Value: oldest.Milliseconds()})
 }
 
 // confirmed notes that an owner's answer stands for the list, and reports that of a list that was overdue.
@@ -260,6 +260,6 @@
 		return
 	}
 	held.overdue = false
-	node.emit(contract.Say{What: "list is confirmed again", Detail: []any{
-		"region", lease.Region, "shard", lease.Shard, "number", lease.Number, "from", message.From, "via", message.Via, "tookMs", (now - lease.Asked).Milliseconds()}})
+	node.emit(contract.Log{Message: "list is confirmed again", Attributes: []any{
+		"region", lease.Region, "shard", lease.Shard, "number", lease.Number, "from", message.From, "via", message.ReturnRoute, "tookMs", (now - lease.RequestSentAt).Milliseconds()}})
 }
--- a/gateway/lists_test.go
+++ b/gateway/lists_test.go
@@ -11,10 +11,10 @@
 )
 
 // said gives the commands of a node that tell operators something of this kind.
-func said(commands []contract.Command, what string) []contract.Say {
-	found := []contract.Say{}
+func said(commands []contract.Command, what string) []contract.Log {
+	found := []contract.Log{}
 	for _, command := range commands {
-		if say, fine := command.(contract.Say); fine && say.What == what {
+		if say, fine := command.(contract.Log); fine && say.Message == what {
 			found = append(found, say)
 		}
 	}
@@ -35,8 +35,8 @@
 		node.now += node.unconfirmedAfter()
 		told := node.take(contract.Tick{})
 		Expect(said(told, "list is not confirmed")).To(HaveLen(1))
-		Expect(told).To(ContainElement(contract.Gauge{Name: "list_age_ms", Value: node.unconfirmedAfter().Milliseconds()}))
-		Expect(told).To(ContainElement(contract.Count{Name: "lists_unconfirmed", By: 1}))
+		Expect(told).To(ContainElement(contract.SetGauge{Name: "list_age_ms", Value: node.unconfirmedAfter().Milliseconds()}))
+		Expect(told).To(ContainElement(contract.AddCounter{Name: "lists_unconfirmed", Delta: 1}))
 		node.now += time.Second
 		Expect(said(node.take(contract.Tick{}), "list is not confirmed")).To(BeEmpty())
 	})
@@ -46,9 +46,9 @@
 		node.now += node.unconfirmedAfter()
 		node.take(contract.Tick{})
 		same := lease(2, 5, node.now)
-		same.Same = true
+		same.Unchanged = true
 		Expect(said(node.take(message(shard.MessageLease, "owner-control", same)), "list is confirmed again")).To(HaveLen(1))
-		Expect(node.take(contract.Tick{})).To(ContainElement(contract.Gauge{Name: "list_age_ms", Value: 0}))
+		Expect(node.take(contract.Tick{})).To(ContainElement(contract.SetGauge{Name: "list_age_ms", Value: 0}))
 	})
 })
 
@@ -57,16 +57,16 @@
 		node := following()
 		node.take(contract.Tick{})
 		first := lease(2, 5, node.now, "a")
-		first.Short = map[string]int64{"s": 400}
+		first.ShortPromptGapMs = map[string]int64{"s": 400}
 		region := first.Region
-		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", first)))).To(Equal([]Observed{{region, first.Observed}}))
+		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", first)))).To(Equal([]Observed{{region, first.CallObservations}}))
 		same := lease(2, 5, node.now)
-		same.Same, same.Short = true, map[string]int64{"s": 400}
+		same.Unchanged, same.ShortPromptGapMs = true, map[string]int64{"s": 400}
 		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", same)))).To(BeEmpty())
-		same.Short = nil
+		same.ShortPromptGapMs = nil
 		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", same)))).To(Equal([]Observed{{Region: region}}))
-		same.Read = map[string]int64{"s": 30000}
-		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", same)))).To(Equal([]Observed{{region, same.Observed}}))
+		same.PrefillUsPerK = map[string]int64{"s": 30000}
+		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", same)))).To(Equal([]Observed{{region, same.CallObservations}}))
 	})
 })
 
@@ -104,7 +104,7 @@
 	}
 	answer := func(node *follower, via string, names ...string) {
 		given := message(shard.MessageLease, owner.Name, lease(2, 6, node.now, names...))
-		given.Via = via
+		given.ReturnRoute = via
 		node.take(given)
 	}
 
--- a/gateway/node.go
+++ b/gateway/node.go
@@ -46,7 +46,7 @@
 	lists    map[string]map[int]*list
 	servers  map[string]map[int][]contract.Candidate
 	// observed is what all nodes together see of their calls, by region, as its owners tell it.
-	observed map[string]contract.Observed
+	observed map[string]contract.CallObservations
 	nextAsk  time.Duration
 	nextTell time.Duration
 	names    []string
@@ -59,16 +59,16 @@
 type Known interface {
 	Calls(region string) map[string]int64
 	Stale(region string) map[string]int64
-	Tallies(now time.Duration, region string) map[string]contract.Tally
+	Tallies(now time.Duration, region string) map[string]contract.CallTally
 	// Observed gives what this node sees of the calls that it sends to a region.
-	Observed(now time.Duration, region string) contract.Observed
+	Observed(now time.Duration, region string) contract.CallObservations
 	// Uses gives what was sent to places of the index since it was last asked for.
 	Uses() []index.Use
 }
 
 func NewNode(settings env.Env, boot string, known Known, random *rand.Rand) *Node {
 	return &Node{Node: machine.New(settings, contract.KindData, boot, random), settings: settings, known: known,
-		lists: map[string]map[int]*list{}, servers: map[string]map[int][]contract.Candidate{}, observed: map[string]contract.Observed{}}
+		lists: map[string]map[int]*list{}, servers: map[string]map[int][]contract.Candidate{}, observed: map[string]contract.CallObservations{}}
 }
 
 func (node *Node) emit(commands ...contract.Command) { node.out = append(node.out, commands...) }
@@ -83,12 +83,12 @@
 	}
 	node.out = nil
 	if gap := node.Woke(now); gap > 0 {
-		node.emit(contract.Count{Name: "woken", By: 1}, contract.Say{What: "woken from a freeze", Detail: []any{"ms", gap.Milliseconds()}})
+		node.emit(contract.AddCounter{Name: "woken", Delta: 1}, contract.Log{Message: "woken from a freeze", Attributes: []any{"ms", gap.Milliseconds()}})
 	}
 	for _, command := range node.Node.Handle(now, event) {
-		if adopted, fine := command.(contract.Adopted); fine {
+		if adopted, fine := command.(contract.VersionAdopted); fine {
 			node.emit(Update{Configured{Manifest: node.Feed.Manifest()}})
-			command = contract.Say{What: "manifest in force", Detail: []any{"revision", adopted.Version.Place.Revision}}
+			command = contract.Log{Message: "manifest in force", Attributes: []any{"revision", adopted.Version.Position.Revision}}
 		}
 		node.emit(command)
 	}
@@ -101,7 +101,7 @@
 	case contract.Message:
 		node.message(now, event)
 	case Lookup:
-		node.emit(contract.Answer{Token: event.Token, Status: 200, Body: node.lookup(now, event)})
+		node.emit(contract.Response{Token: event.Token, Status: 200, Body: node.lookup(now, event)})
 	case AskPlace:
 		node.askPlace(now, event)
 	case Leave:
@@ -120,7 +120,7 @@
 			node.take(now, message, lease)
 		}
 	case shard.MessageNotices:
-		var told contract.Notices
+		var told contract.DepartureNotice
 		if json.Unmarshal(message.Body, &told) == nil {
 			node.takeNotices(message, told)
 		}
@@ -171,7 +171,7 @@
 	_, port := manifest.SplitAddress(node.settings.Gateway.Traffic)
 	zone, region, all := []string{}, []string{}, []string{}
 	for _, member := range node.Neighbours.Members(now) {
-		if member.Kind != contract.KindData || member.Place.Revision == 0 || member.Name == node.Self().Name && node.Neighbours.Left() {
+		if member.Kind != contract.KindData || member.Position.Revision == 0 || member.Name == node.Self().Name && node.Neighbours.Left() {
 			continue
 		}
 		host, known := manifest.SplitAddress(member.Address)
--- a/gateway/node_test.go
+++ b/gateway/node_test.go
@@ -43,8 +43,8 @@
 	if failure != nil {
 		panic(failure)
 	}
-	version := contract.FirstVersion(contract.Place{View: 1, Revision: 1}, "", content)
-	return message(feed.MessageChange, "", feed.Delivery{Records: []contract.Record{version.WholeRecord()}})
+	version := contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", content)
+	return message(feed.MessageChange, "", feed.Delivery{Records: []contract.Record{version.FullRecord()}})
 }
 
 func (node *follower) take(event contract.Event) []contract.Command {
@@ -66,7 +66,7 @@
 
 func dataNode(name, zone, host string) contract.Member {
 	return contract.Member{Name: name + "-data", Boot: "boot", Kind: contract.KindData, Zone: zone, Region: strings.Split(zone, "-")[0], Address: host + ":7720",
-		Place: contract.Place{View: 1, Revision: 1}}
+		Position: contract.Position{View: 1, Revision: 1}}
 }
 
 // lists gives the names that each list told to the owner of the calls has.
@@ -88,7 +88,7 @@
 }
 
 func lease(epoch, number int64, asked time.Duration, names ...string) contract.Lease {
-	given := contract.Lease{Region: "east", Epoch: contract.Epoch{Number: epoch, Node: "owner"}, Number: number, Asked: asked}
+	given := contract.Lease{Region: "east", Epoch: contract.Epoch{Number: epoch, Node: "owner"}, Number: number, RequestSentAt: asked}
 	for _, name := range names {
 		given.Servers = append(given.Servers, candidate(name, "east-a"))
 	}
@@ -111,7 +111,7 @@
 		node := following()
 		give(node, lease(3, 4, 500, "a"))
 		Expect(give(node, lease(2, 9, 600, "b"))).To(BeEmpty())
-		Expect(node.told).To(ContainElement(contract.Count{Name: "lists_refused", By: 1}))
+		Expect(node.told).To(ContainElement(contract.AddCounter{Name: "lists_refused", Delta: 1}))
 		Expect(give(node, lease(3, 3, 600, "b"))).To(BeEmpty())
 		Expect(give(node, lease(3, 5, 400, "b"))).To(BeEmpty())
 		Expect(give(node, lease(3, 5, 600, "b"))).To(Equal([][]string{{"b"}}))
@@ -140,11 +140,11 @@
 		node := following()
 		give(node, lease(2, 2, 100, "a"))
 		same := lease(2, 2, 300)
-		same.Same = true
+		same.Unchanged = true
 		Expect(give(node, same)).To(BeEmpty())
 		Expect(give(node, lease(2, 2, 200))).To(BeEmpty(), "the answer that it is the same is newer")
 		other := lease(4, 2, 400)
-		other.Same = true
+		other.Unchanged = true
 		Expect(give(node, other)).To(BeEmpty())
 		Expect(give(node, lease(3, 1, 500, "b"))).To(Equal([][]string{{"b"}}), "the epoch of a list that was never taken binds nobody")
 	})
@@ -179,17 +179,17 @@
 			}
 		}
 		Expect(asks).To(HaveLen(3), "two shards of the east, and the west, which has no node of its own")
-		Expect(asks[0].Highest).To(Equal(contract.Epoch{Number: 3, Node: "owner"}))
+		Expect(asks[0].HighestEpoch).To(Equal(contract.Epoch{Number: 3, Node: "owner"}))
 		Expect(asks[0].Number).To(Equal(int64(7)))
-		Expect(asks[0].Brief).To(BeTrue())
-		Expect(asks[1].Brief).To(BeFalse())
+		Expect(asks[0].OmitUnchanged).To(BeTrue())
+		Expect(asks[1].OmitUnchanged).To(BeFalse())
 	})
 })
 
 var _ = Describe("a look-up of nodes", func() {
 	look := func(node *follower, region, zone string) []string {
 		for _, command := range node.take(Lookup{Token: 5, Region: region, Zone: zone}) {
-			if answer, fine := command.(contract.Answer); fine {
+			if answer, fine := command.(contract.Response); fine {
 				Expect(answer.Token).To(Equal(int64(5)))
 				return answer.Body.(Addresses).Addresses
 			}
@@ -199,7 +199,7 @@
 	fleet := func() *follower {
 		node := following()
 		node.meets(dataNode("a2", "east-a", "10.0.0.2"), dataNode("b1", "east-b", "10.0.1.1"), dataNode("w1", "west-a", "10.1.0.1"),
-			contract.Member{Name: "c1-control", Boot: "boot", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: "10.0.0.8:8166", Place: contract.Place{View: 1, Revision: 1}})
+			contract.Member{Name: "c1-control", Boot: "boot", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: "10.0.0.8:8166", Position: contract.Position{View: 1, Revision: 1}})
 		return node
 	}
 
@@ -220,7 +220,7 @@
 		node := fleet()
 		node.take(message(neighbour.MessageBye, "a2-data", neighbour.Bye{Name: "a2-data", Boot: "boot"}))
 		blank := dataNode("a3", "east-a", "10.0.0.3")
-		blank.Place = contract.Place{}
+		blank.Position = contract.Position{}
 		node.meets(blank)
 		Expect(look(node, "east", "east-a")).To(ConsistOf("10.0.0.1:8161", "10.0.1.1:8161"))
 	})
@@ -277,11 +277,11 @@
 		node := following()
 		node.take(contract.Tick{})
 		former := lease(2, 5, node.now, "a", "b")
-		former.Epoch.Life = "first"
+		former.Epoch.Incarnation = "first"
 		Expect(lists(node.take(message(shard.MessageLease, "owner-control", former)))).To(HaveLen(1))
 		node.now += time.Second
 		reborn := lease(2, 1, node.now, "a")
-		reborn.Epoch.Life = "second"
+		reborn.Epoch.Incarnation = "second"
 		Expect(lists(node.take(message(shard.MessageLease, "owner-control", reborn)))).To(Equal([][]string{{"a"}}))
 	})
 })
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -12,7 +12,7 @@
 // askNotices asks control nodes other than a silent owner which servers leave: the one on this machine, which no cut takes away, and one
 // that is drawn.
 func (node *Node) askNotices(members, owners []contract.Member, ask contract.LeaseRequest) {
-	ask.Notices = true
+	ask.DeparturesOnly = true
 	others := []contract.Member{}
 	for _, member := range members {
 		if member.Kind == contract.KindControl && !slices.ContainsFunc(owners, func(owner contract.Member) bool { return owner.Name == member.Name }) {
@@ -32,13 +32,13 @@
 }
 
 // takeNotices takes servers that leave out of a list that is held. The owner's next list replaces what is left.
-func (node *Node) takeNotices(message contract.Message, told contract.Notices) {
+func (node *Node) takeNotices(message contract.Message, told contract.DepartureNotice) {
 	held := node.servers[told.Region][told.Shard]
 	left := slices.DeleteFunc(slices.Clone(held), func(server contract.Candidate) bool { return slices.Contains(told.Leaving, server.Name) })
 	if len(left) == len(held) {
 		return
 	}
 	node.use(told.Region, told.Shard, left)
-	node.emit(contract.Count{Name: "servers_noticed", By: int64(len(held) - len(left))},
-		contract.Say{What: "servers leave by notice", Detail: []any{"region", told.Region, "shard", told.Shard, "servers", strings.Join(told.Leaving, ","), "from", message.From}})
+	node.emit(contract.AddCounter{Name: "servers_noticed", Delta: int64(len(held) - len(left))},
+		contract.Log{Message: "servers leave by notice", Attributes: []any{"region", told.Region, "shard", told.Shard, "servers", strings.Join(told.Leaving, ","), "from", message.From}})
 }
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -14,13 +14,13 @@
 		return contract.Member{Name: name + "-control", Boot: "boot", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: host + ":8166"}
 	}
 	tells := func(node *follower, region string, leaving ...string) []contract.Command {
-		return node.take(message(shard.MessageNotices, "other-control", contract.Notices{Region: region, Leaving: leaving}))
+		return node.take(message(shard.MessageNotices, "other-control", contract.DepartureNotice{Region: region, Leaving: leaving}))
 	}
 	// asked gives the addresses that were asked for notices in one tick, in order.
 	asked := func(node *follower) []string {
 		addresses := []string{}
 		for _, command := range node.take(contract.Tick{}) {
-			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).Notices {
+			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).DeparturesOnly {
 				addresses = append(addresses, send.To)
 			}
 		}
@@ -30,7 +30,7 @@
 	holding := func() *follower {
 		node, sibling := following(), control("node000", "10.0.0.9")
 		// Whoever cannot see the platform owns no shard while others can.
-		sibling.Blind = true
+		sibling.Impaired = true
 		node.meets(control("first", "10.0.0.1"), control("second", "10.0.0.2"), sibling)
 		node.take(contract.Tick{})
 		for _, region := range []string{"east", "west"} {
@@ -60,7 +60,7 @@
 		told := tells(node, "east", "b", "unknown")
 		Expect(lists(told)).To(Equal([][]string{{"a", "c"}}))
 		Expect(said(told, "servers leave by notice")).To(HaveLen(1))
-		Expect(told).To(ContainElement(contract.Count{Name: "servers_noticed", By: 1}))
+		Expect(told).To(ContainElement(contract.AddCounter{Name: "servers_noticed", Delta: 1}))
 		Expect(lists(tells(node, "east", "b"))).To(BeEmpty())
 	})
 
@@ -69,7 +69,7 @@
 		tells(node, "east", "b")
 		node.now += time.Second
 		same := lease(2, 5, node.now-time.Millisecond)
-		same.Same = true
+		same.Unchanged = true
 		Expect(lists(node.take(message(shard.MessageLease, "first-control", same)))).To(BeEmpty())
 		Expect(lists(node.take(message(shard.MessageLease, "first-control", lease(2, 6, node.now, "a", "c", "d"))))).To(Equal([][]string{{"a", "c", "d"}}))
 	})
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -34,17 +34,17 @@
 			reads(bench, 4000, 40*time.Millisecond+4*slow+wait)
 		}
 		Expect(bench.readTime("s", 1000)).To(BeNumerically("~", slow, time.Millisecond))
-		Expect(bench.Observed(bench.now, "east").Read).To(Equal(map[string]int64{"s": slow.Microseconds()}))
+		Expect(bench.Observed(bench.now, "east").PrefillUsPerK).To(Equal(map[string]int64{"s": slow.Microseconds()}))
 	})
 
 	It("given what all nodes saw, when this one saw something else, then that of all holds, within bounds", func() {
 		bench := started(engines, eastList("a", "b"))
 		reads(bench, 4000, 4*slow)
-		bench.Handle(bench.now, Observed{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 30000}}})
+		bench.Handle(bench.now, Observed{Region: "east", CallObservations: contract.CallObservations{PrefillUsPerK: map[string]int64{"s": 30000}}})
 		Expect(bench.readTime("s", 1000)).To(Equal(30 * time.Millisecond))
-		bench.Handle(bench.now, Observed{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 1 << 40}}})
+		bench.Handle(bench.now, Observed{Region: "east", CallObservations: contract.CallObservations{PrefillUsPerK: map[string]int64{"s": 1 << 40}}})
 		Expect(bench.readTime("s", 1000)).To(Equal(usualPace * paceSpread))
-		bench.Handle(bench.now, Observed{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 1}}})
+		bench.Handle(bench.now, Observed{Region: "east", CallObservations: contract.CallObservations{PrefillUsPerK: map[string]int64{"s": 1}}})
 		Expect(bench.readTime("s", 1000)).To(Equal(usualPace / paceSpread))
 	})
 
@@ -54,10 +54,10 @@
 		behind := bench.promptly("/stream/x", engine.Prompt{Model: "m", Input: 4000, Output: 9, Parts: []engine.Part{{ID: "y", Tokens: 4000}}})
 		bench.now += time.Second
 		bench.Handle(bench.now, First{Token: behind.Token, Attempt: behind.Attempt})
-		Expect(bench.Observed(bench.now, "east").Read).To(BeEmpty(), "it came behind another one")
+		Expect(bench.Observed(bench.now, "east").PrefillUsPerK).To(BeEmpty(), "it came behind another one")
 		bench.cold(bench.now, bench.servers["a"], time.Minute)
 		bench.Handle(bench.now, First{Token: sent.Token, Attempt: sent.Attempt})
-		Expect(bench.Observed(bench.now, "east").Read).To(BeEmpty(), "its server is cold")
+		Expect(bench.Observed(bench.now, "east").PrefillUsPerK).To(BeEmpty(), "its server is cold")
 	})
 
 	It("given more calls than are looked at, when the engine has become faster, then the former ones are forgotten", func() {
--- a/gateway/ramp.go
+++ b/gateway/ramp.go
@@ -34,7 +34,7 @@
 
 // share gives this node's part: how many nodes send there, and whether it is one of them.
 func (ramp *ramp) share(server, self string, names []string, rate, overage, allowance float64) {
-	ordered := contract.Ordered("ramp/"+server, names)
+	ordered := contract.RendezvousOrder("ramp/"+server, names)
 	ramp.member, ramp.period, ramp.rank = false, 0, slices.Index(ordered, self)
 	if ramp.rank < 0 {
 		ramp.rank = math.MaxInt
--- a/gateway/sizes.go
+++ b/gateway/sizes.go
@@ -49,16 +49,16 @@
 }
 
 // Observed gives what this node sees of the calls that it sends to a region.
-func (traffic *Traffic) Observed(now time.Duration, region string) contract.Observed {
-	observed := contract.Observed{Short: map[string]int64{}, Read: map[string]int64{}}
+func (traffic *Traffic) Observed(now time.Duration, region string) contract.CallObservations {
+	observed := contract.CallObservations{ShortPromptGapMs: map[string]int64{}, PrefillUsPerK: map[string]int64{}}
 	for scope, seen := range traffic.sizes {
 		if scope.region == region && seen.recent(now, traffic.terms.RepeatWindow) {
-			observed.Short[scope.service] = max(1, seen.pause.Milliseconds())
+			observed.ShortPromptGapMs[scope.service] = max(1, seen.pause.Milliseconds())
 		}
 	}
 	for service, pace := range traffic.paces {
 		if read, there := pace.own(); there {
-			observed.Read[service] = read.Microseconds()
+			observed.PrefillUsPerK[service] = read.Microseconds()
 		}
 	}
 	return observed
@@ -71,10 +71,10 @@
 			seen.shared = 0
 		}
 	}
-	for service, pause := range event.Short {
+	for service, pause := range event.ShortPromptGapMs {
 		traffic.seen(service, event.Region).shared = time.Duration(pause) * time.Millisecond
 	}
-	for service, read := range event.Read {
+	for service, read := range event.PrefillUsPerK {
 		traffic.pace(service).shared = time.Duration(read) * time.Microsecond
 	}
 	traffic.reliefs = map[string]relief{}
@@ -170,7 +170,7 @@
 		}
 		places := map[string]int{}
 		for _, names := range regions {
-			for place, name := range contract.Ordered("long", names) {
+			for place, name := range contract.RendezvousOrder("long", names) {
 				places[name] = place
 			}
 		}
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -195,17 +195,17 @@
 	for _, candidate := range event.Servers {
 		held, there := traffic.servers[candidate.Name]
 		if !there {
-			held = &server{region: event.Region, pace: startingPace, hash: contract.Weight(candidate.Name)}
+			held = &server{region: event.Region, pace: startingPace, hash: contract.RendezvousWeight(candidate.Name)}
 			traffic.servers[candidate.Name] = held
 		}
 		held.Candidate, held.listed = candidate, true
-		traffic.generation(now, held, candidate.Cache)
+		traffic.generation(now, held, candidate.CacheResets)
 		traffic.cleared(now, held)
 		if !there && known {
 			traffic.doubt(now, held, traffic.terms.Contact/4)
 		}
-		if candidate.WarmMs > 0 {
-			traffic.cold(now, held, time.Duration(candidate.WarmMs)*time.Millisecond+traffic.terms.Contact/8)
+		if candidate.WarmupMs > 0 {
+			traffic.cold(now, held, time.Duration(candidate.WarmupMs)*time.Millisecond+traffic.terms.Contact/8)
 		}
 	}
 	for name, server := range traffic.servers {
--- a/gateway/traffic_test.go
+++ b/gateway/traffic_test.go
@@ -155,7 +155,7 @@
 			read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
 		})
 		warming := candidate("a", "east-a")
-		warming.WarmMs = 2000
+		warming.WarmupMs = 2000
 		bench.Handle(bench.now, listOf("east", warming))
 		Expect(pressed(bench, time.Second)).To(BeNumerically("<=", 10*1.5+5))
 	})
--- a/image/image.go
+++ b/image/image.go
@@ -40,7 +40,7 @@
 	Body   json.RawMessage `json:"body"`
 }
 
-func nameOf(place contract.Place) string {
+func nameOf(place contract.Position) string {
 	return fmt.Sprintf("%s%016d-%010d.json", prefix, place.Revision, place.View)
 }
 
@@ -79,7 +79,7 @@
 		return failure
 	}
 	for _, one := range work.Writes {
-		if failure := write(nameOf(one.Version.Place), one.Record()); failure != nil {
+		if failure := write(nameOf(one.Version.Position), one.Record()); failure != nil {
 			return eris.Wrap(failure, "version not written")
 		}
 	}
@@ -108,7 +108,7 @@
 	return eris.Wrap(files.SyncFolder(), "folder not synced")
 }
 
-func drop(files Files, places []contract.Place) error {
+func drop(files Files, places []contract.Position) error {
 	if len(places) == 0 {
 		return nil
 	}
@@ -176,17 +176,17 @@
 	if failure := unwrap(content, &record); failure != nil {
 		return failure
 	}
-	if nameOf(record.Place) != name {
+	if nameOf(record.Position) != name {
 		return eris.New("version does not match its name")
 	}
-	if record.Whole() && contract.Digest(record.Manifest) == record.Digest {
+	if record.IsFull() && contract.Digest(record.Manifest) == record.Digest {
 		record = formerRecord(record)
 	}
-	version, failure := record.Open(recovered.Versions)
+	version, failure := record.Decode(recovered.Versions)
 	if failure != nil {
 		return failure
 	}
-	stored := chain.Stored{Place: record.Place, Size: record.Size()}
+	stored := chain.Stored{Place: record.Position, Size: record.Size()}
 	if record.Base != nil {
 		stored.Base = *record.Base
 	}
--- a/image/image_test.go
+++ b/image/image_test.go
@@ -24,7 +24,7 @@
 	if failure != nil {
 		panic(failure)
 	}
-	return contract.FirstVersion(contract.Place{View: 1, Revision: revision}, "o/1", read)
+	return contract.NewVersion(contract.Position{View: 1, Revision: revision}, "o/1", read)
 }
 
 // writes has versions written whole.
@@ -70,7 +70,7 @@
 	})
 
 	DescribeTable("puts a damaged file aside and never uses half of it", func(damage func([]byte) []byte) {
-		path := filepath.Join(folder.Path, nameOf(contract.Place{View: 1, Revision: 2}))
+		path := filepath.Join(folder.Path, nameOf(contract.Position{View: 1, Revision: 2}))
 		content, failure := os.ReadFile(path)
 		Expect(failure).NotTo(HaveOccurred())
 		Expect(os.WriteFile(path, damage(content), 0o600)).To(Succeed())
@@ -99,15 +99,15 @@
 		first := version(3, `{"a":{"b":{"c":1}}}`)
 		change := document.Change{}
 		change.Put("/a/b/c", "2")
-		next := first.Next(contract.Place{View: 1, Revision: 4}, "o/4", change)
-		past := []contract.PastOperation{{Place: contract.Place{View: 1, Revision: 1}, Operation: "o/1"}}
+		next := first.Next(contract.Position{View: 1, Revision: 4}, "o/4", change)
+		past := []contract.PastOperation{{Position: contract.Position{View: 1, Revision: 1}, Operation: "o/1"}}
 		Expect(Save(folder, chain.Persist{Writes: []chain.Write{{Version: first}, {Version: next, Base: first}}, Past: &past})).To(Succeed())
 		recovered, failure := Load(folder)
 		Expect(failure).NotTo(HaveOccurred())
 		Expect(recovered.Past).To(Equal(past))
 		Expect(recovered.Versions[3].Digest).To(Equal(next.Digest))
-		Expect(recovered.Stored[3].Base).To(Equal(first.Place))
-		Expect(folder.Remove(nameOf(first.Place))).To(Succeed())
+		Expect(recovered.Stored[3].Base).To(Equal(first.Position))
+		Expect(folder.Remove(nameOf(first.Position))).To(Succeed())
 		recovered, failure = Load(folder)
 		Expect(failure).NotTo(HaveOccurred())
 		Expect(recovered.Versions).To(HaveLen(2), "a change without its base is not used")
@@ -116,18 +116,18 @@
 
 	It("reads the whole versions of former releases, whose digest is that of the text", func() {
 		text := `{"a":7}`
-		former := contract.Record{Place: contract.Place{View: 1, Revision: 3}, Operation: "o/1", Digest: contract.Digest([]byte(text)), Manifest: json.RawMessage(text)}
+		former := contract.Record{Position: contract.Position{View: 1, Revision: 3}, Operation: "o/1", Digest: contract.Digest([]byte(text)), Manifest: json.RawMessage(text)}
 		content, failure := wrap(former)
 		Expect(failure).NotTo(HaveOccurred())
-		Expect(folder.WriteAside(nameOf(former.Place), content)).To(Succeed())
+		Expect(folder.WriteAside(nameOf(former.Position), content)).To(Succeed())
 		recovered, failure := Load(folder)
 		Expect(failure).NotTo(HaveOccurred())
 		Expect(texts(recovered.Versions[2:])).To(Equal(texts([]contract.Version{version(3, text)})))
 	})
 
 	It("drops old versions and what was written aside but never renamed", func() {
-		Expect(folder.WriteAside(nameOf(contract.Place{View: 1, Revision: 3})+aside, []byte("half"))).To(Succeed())
-		Expect(Save(folder, chain.Persist{Drop: []contract.Place{{View: 1, Revision: 1}, {View: 9, Revision: 9}}})).To(Succeed())
+		Expect(folder.WriteAside(nameOf(contract.Position{View: 1, Revision: 3})+aside, []byte("half"))).To(Succeed())
+		Expect(Save(folder, chain.Persist{Drop: []contract.Position{{View: 1, Revision: 1}, {View: 9, Revision: 9}}})).To(Succeed())
 		recovered, _ := Load(folder)
 		Expect(texts(recovered.Versions)).To(Equal(texts([]contract.Version{version(2, `{"a":2}`)})))
 		names, _ := folder.List()
--- a/index/checks.go
+++ b/index/checks.go
@@ -244,12 +244,12 @@
 // prompt again and again: then the next call of it is placed elsewhere.
 func (owner *Owner) mismatch(now time.Duration, server string, known *checks, one call) []contract.Command {
 	owner.judged(now, known, false)
-	commands := []contract.Command{contract.Count{Name: "index_checked", By: 1}, contract.Count{Name: "index_mismatches", By: 1},
-		contract.Say{What: "cache mismatch", Detail: []any{"server", server, "scope", one.key.Scope, "anchor", one.key.Anchor, "agoMs", (now - one.ended).Milliseconds()}}}
+	commands := []contract.Command{contract.AddCounter{Name: "index_checked", Delta: 1}, contract.AddCounter{Name: "index_mismatches", Delta: 1},
+		contract.Log{Message: "cache mismatch", Attributes: []any{"server", server, "scope", one.key.Scope, "anchor", one.key.Anchor, "agoMs", (now - one.ended).Milliseconds()}}}
 	if known.suspect.miss(one, owner.halfLife) {
 		known.doubtedSince, known.doubtedUntil = known.suspect.since, now+owner.halfLife
 		known.suspect = suspicion{}
-		commands = append(commands, contract.Count{Name: "index_losses_noticed", By: 1}, contract.Say{What: "cache loss noticed", Detail: []any{"server", server}})
+		commands = append(commands, contract.AddCounter{Name: "index_losses_noticed", Delta: 1}, contract.Log{Message: "cache loss noticed", Attributes: []any{"server", server}})
 	}
 	place, there := owner.places.Peek(one.key)
 	if !there || place.server != server {
@@ -261,7 +261,7 @@
 		place.leaving = true
 		owner.changed.Add(one.key, struct{}{})
 		owner.dirty = true
-		commands = append(commands, contract.Count{Name: "index_places_left", By: 1})
+		commands = append(commands, contract.AddCounter{Name: "index_places_left", Delta: 1})
 	}
 	owner.places.Add(one.key, place)
 	return commands
--- a/index/checks_test.go
+++ b/index/checks_test.go
@@ -12,7 +12,7 @@
 type watch struct {
 	*bench
 	counts map[string]int64
-	said   []contract.Say
+	said   []contract.Log
 	moved  []Place
 }
 
@@ -21,9 +21,9 @@
 func (watch *watch) take(commands []contract.Command) {
 	for _, command := range commands {
 		switch command := command.(type) {
-		case contract.Count:
-			watch.counts[command.Name] += command.By
-		case contract.Say:
+		case contract.AddCounter:
+			watch.counts[command.Name] += command.Delta
+		case contract.Log:
 			watch.said = append(watch.said, command)
 		case contract.Send:
 			if moved, fine := command.Body.(Moved); fine {
@@ -78,7 +78,7 @@
 		watch.passes(settled)
 		Expect(watch.counts).To(Equal(map[string]int64{"index_checked": 1, "index_mismatches": 1}))
 		Expect(watch.said).To(HaveLen(1))
-		Expect(watch.said[0].Detail[:2]).To(Equal([]any{"server", "a"}))
+		Expect(watch.said[0].Attributes[:2]).To(Equal([]any{"server", "a"}))
 		Expect(watch.View(watch.now)).To(Equal([]Cached{{Server: "a", Service: "s", Placed: 1, Checked: 1, Missed: 1, Part: 1}}))
 	})
 
--- a/index/index.go
+++ b/index/index.go
@@ -287,7 +287,7 @@
 	return nil
 }
 
-var broken = []contract.Command{contract.Count{Name: "messages_broken", By: 1}}
+var broken = []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 
 // used confirms places; one that is not known or only hearsay is taken from the node, one that is another is put right there.
 func (owner *Owner) used(now time.Duration, message contract.Message) []contract.Command {
@@ -319,7 +319,7 @@
 	}
 	commands := []contract.Command{}
 	if kept > 0 {
-		commands = append(commands, contract.Count{Name: "index_checked", By: kept})
+		commands = append(commands, contract.AddCounter{Name: "index_checked", Delta: kept})
 	}
 	if len(moved.Places) > 0 {
 		commands = append(commands, contract.Send{To: used.Address, Kind: MessageMoved, Body: moved})
--- a/index/index_test.go
+++ b/index/index_test.go
@@ -312,7 +312,7 @@
 	It("given messages that cannot be read or are of other kinds, when they come, then they are counted or ignored and change nothing", func() {
 		bench := started()
 		for _, kind := range []string{MessageUsed, MessageTold} {
-			Expect(bench.Handle(bench.now, contract.Message{Kind: kind, Body: []byte(`{"uses":7,"places":7}`)})).To(Equal([]contract.Command{contract.Count{Name: "messages_broken", By: 1}}))
+			Expect(bench.Handle(bench.now, contract.Message{Kind: kind, Body: []byte(`{"uses":7,"places":7}`)})).To(Equal([]contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}))
 		}
 		Expect(bench.Handle(bench.now, contract.Message{Kind: "other", Body: []byte(`{`)})).To(BeEmpty())
 		Expect(bench.Handle(bench.now, contract.Tick{})).To(BeEmpty())
--- a/index/replication.go
+++ b/index/replication.go
@@ -132,7 +132,7 @@
 		return nil
 	}
 	owner.dirty = true
-	return []contract.Command{contract.Count{Name: "index_unsaved", By: 1}}
+	return []contract.Command{contract.AddCounter{Name: "index_unsaved", Delta: 1}}
 }
 
 // told takes places of another control node as hearsay; they are not told further. One that just changed does not move again at once.
--- a/index/replication_test.go
+++ b/index/replication_test.go
@@ -86,7 +86,7 @@
 		bench.Restore(Snapshot{})
 		bench.placed(1, "", "a")
 		bench.tick()
-		Expect(bench.Handle(bench.now, Persisted{Error: "full"})).To(Equal([]contract.Command{contract.Count{Name: "index_unsaved", By: 1}}))
+		Expect(bench.Handle(bench.now, Persisted{Error: "full"})).To(Equal([]contract.Command{contract.AddCounter{Name: "index_unsaved", Delta: 1}}))
 		bench.now += beat
 		_, snapshots := bench.tick()
 		Expect(snapshots).To(HaveLen(1))
--- a/link/cost_test.go
+++ b/link/cost_test.go
@@ -84,8 +84,8 @@
 }
 
 func question() contract.LeaseRequest {
-	return contract.LeaseRequest{Node: "machine-of-zone-1-17-data", Address: "10.1.2.3:7500", Region: "east", Asked: 7 * time.Hour,
-		Highest: contract.Epoch{Number: 4, Node: "machine-of-zone-1-02-control", Life: "9b1e7c20dd"}, Number: 17, Shards: 1, Brief: true}
+	return contract.LeaseRequest{Node: "machine-of-zone-1-17-data", Address: "10.1.2.3:7500", Region: "east", SentAt: 7 * time.Hour,
+		HighestEpoch: contract.Epoch{Number: 4, Node: "machine-of-zone-1-02-control", Incarnation: "9b1e7c20dd"}, Number: 17, ShardCount: 1, OmitUnchanged: true}
 }
 
 var _ = Describe("messages on the wire", func() {
--- a/link/loop.go
+++ b/link/loop.go
@@ -12,7 +12,7 @@
 const ringSize = 4096
 
 type Loop struct {
-	owner    contract.Owner
+	owner    contract.StateMachine
 	act      func(contract.Command) bool
 	events   chan contract.Event
 	began    time.Time
@@ -21,14 +21,14 @@
 	lock     sync.Mutex
 	measures *measures
 	token    int64
-	waiting  map[int64]func(contract.Answer)
+	waiting  map[int64]func(contract.Response)
 	sender   *Sender
 }
 
 // NewLoop runs an owner; act carries out the commands that are not messages, counts, lines or answers.
-func NewLoop(owner contract.Owner, period time.Duration, sender *Sender, logger log.Logger) *Loop {
+func NewLoop(owner contract.StateMachine, period time.Duration, sender *Sender, logger log.Logger) *Loop {
 	return &Loop{owner: owner, events: make(chan contract.Event, ringSize), began: time.Now(), period: period,
-		logger: logger, measures: newMeasures(), waiting: map[int64]func(contract.Answer){}, sender: sender}
+		logger: logger, measures: newMeasures(), waiting: map[int64]func(contract.Response){}, sender: sender}
 }
 
 func (loop *Loop) Act(act func(contract.Command) bool) { loop.act = act }
@@ -63,7 +63,7 @@
 }
 
 // Token makes a number for a question and remembers who takes its answer.
-func (loop *Loop) Token(take func(contract.Answer)) int64 {
+func (loop *Loop) Token(take func(contract.Response)) int64 {
 	loop.lock.Lock()
 	defer loop.lock.Unlock()
 	loop.token++
@@ -77,7 +77,7 @@
 	delete(loop.waiting, token)
 }
 
-func (loop *Loop) Answer(answer contract.Answer) {
+func (loop *Loop) Answer(answer contract.Response) {
 	loop.lock.Lock()
 	take := loop.waiting[answer.Token]
 	delete(loop.waiting, answer.Token)
@@ -112,15 +112,15 @@
 	switch command := command.(type) {
 	case contract.Send:
 		loop.sender.Send(command)
-	case contract.Count:
-		loop.Count(command.Name, command.By)
-	case contract.Gauge:
+	case contract.AddCounter:
+		loop.Count(command.Name, command.Delta)
+	case contract.SetGauge:
 		loop.measures.gauge(command.Name, command.Value)
-	case contract.Took:
-		loop.measures.span(command.What, command.Class, command.Span)
-	case contract.Say:
-		_ = loop.logger.Log(append([]any{"what", command.What}, command.Detail...)...)
-	case contract.Answer:
+	case contract.ObserveDuration:
+		loop.measures.span(command.Name, command.Class, command.Duration)
+	case contract.Log:
+		_ = loop.logger.Log(append([]any{"what", command.Message}, command.Attributes...)...)
+	case contract.Response:
 		loop.Answer(command)
 	default:
 		if !loop.act(command) {
--- a/link/operators.go
+++ b/link/operators.go
@@ -80,7 +80,7 @@
 		if err != nil {
 			return nil, err
 		}
-		ask := contract.Ask{Verb: verb, Subject: request.PathValue("subject"), Body: content, Operation: request.Header.Get("Operation-Key")}
+		ask := contract.OperatorRequest{Verb: verb, Subject: request.PathValue("subject"), Body: content, Operation: request.Header.Get("Operation-Key")}
 		if len(ask.Operation) > 128 || strings.Contains(ask.Operation, "/") {
 			return nil, badAsk{400, "Operation-Key: at most 128 characters, no slash"}
 		}
@@ -90,8 +90,8 @@
 				return nil, badAsk{400, "query " + name + ": unknown field"}
 			}
 		}
-		if ask.HasBase = query.Has("base"); ask.HasBase {
-			if ask.Base, err = strconv.ParseInt(query.Get("base"), 10, 64); err != nil || ask.Base < 0 {
+		if ask.HasBaseRevision = query.Has("base"); ask.HasBaseRevision {
+			if ask.BaseRevision, err = strconv.ParseInt(query.Get("base"), 10, 64); err != nil || ask.BaseRevision < 0 {
 				return nil, badAsk{400, "query base: want a revision"}
 			}
 		}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var ask contract.Ask
+	var ask contract.OperatorRequest
 	if json.Unmarshal(content, &ask) != nil {
 		return nil, badAsk{400, "not an ask"}
 	}
@@ -119,9 +119,9 @@
 
 func (operators *Operators) answer() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		ask := request.(contract.Ask)
-		answers := make(chan contract.Answer, 1)
-		ask.Token = operators.loop.Token(func(answer contract.Answer) { answers <- answer })
+		ask := request.(contract.OperatorRequest)
+		answers := make(chan contract.Response, 1)
+		ask.Token = operators.loop.Token(func(answer contract.Response) { answers <- answer })
 		defer operators.loop.Forget(ask.Token)
 		if !operators.loop.Try(ask) {
 			return nil, badAsk{503, "this node is overloaded; nothing was done"}
@@ -132,7 +132,7 @@
 				return passed, nil
 			}
 			body, err := json.Marshal(answer.Body)
-			return given{answer.Status, answer.After, body}, err
+			return given{answer.Status, answer.RetryAfter, body}, err
 		case <-ctx.Done():
 			return nil, badAsk{504, "the asker left"}
 		case <-time.After(operators.patient):
@@ -142,7 +142,7 @@
 }
 
 // Ask puts a question to this node and gives status, time to come back and body of the answer.
-func (operators *Operators) Ask(ctx context.Context, ask contract.Ask) (int, time.Duration, []byte) {
+func (operators *Operators) Ask(ctx context.Context, ask contract.OperatorRequest) (int, time.Duration, []byte) {
 	response, failure := operators.answer()(ctx, ask)
 	if failure != nil {
 		status := http.StatusBadRequest
@@ -161,17 +161,17 @@
 	fail := func(err error) {
 		var dialed *net.OpError
 		if errors.As(err, &dialed) && dialed.Op == "dial" {
-			operators.loop.Answer(contract.Refuse(forward.Ask.Token, 503, "the authority cannot be reached; nothing was done", operators.patient/12))
+			operators.loop.Answer(contract.ErrorResponse(forward.Request.Token, 503, "the authority cannot be reached; nothing was done", operators.patient/12))
 			return
 		}
-		body := contract.Accepted{Outcome: "unknown", Operation: forward.Ask.Operation, Error: "the authority's answer was lost: " + err.Error()}
-		operators.loop.Answer(contract.Answer{Token: forward.Ask.Token, Status: 504, Body: body})
+		body := contract.WriteResult{Outcome: "unknown", Operation: forward.Request.Operation, Error: "the authority's answer was lost: " + err.Error()}
+		operators.loop.Answer(contract.Response{Token: forward.Request.Token, Status: 504, Body: body})
 	}
 	if operators.faults.Cut(forward.Address) {
 		fail(errors.New("link cut"))
 		return
 	}
-	content, err := json.Marshal(forward.Ask)
+	content, err := json.Marshal(forward.Request)
 	if err != nil {
 		fail(err)
 		return
@@ -183,7 +183,7 @@
 	}
 	began := time.Now()
 	defer func() {
-		operators.loop.Do(contract.Took{What: "forward", Class: forward.Ask.Verb, Span: time.Since(began)})
+		operators.loop.Do(contract.ObserveDuration{Name: "forward", Class: forward.Request.Verb, Duration: time.Since(began)})
 	}()
 	response, err := operators.client.Do(request)
 	if err != nil {
@@ -197,11 +197,11 @@
 		return
 	}
 	seconds, _ := strconv.ParseInt(response.Header.Get("Retry-After"), 10, 64)
-	operators.loop.Answer(contract.Answer{Token: forward.Ask.Token, Body: given{response.StatusCode, time.Duration(seconds) * time.Second, bytes.TrimSpace(body)}})
+	operators.loop.Answer(contract.Response{Token: forward.Request.Token, Body: given{response.StatusCode, time.Duration(seconds) * time.Second, bytes.TrimSpace(body)}})
 }
 
 // Given is status and body of another node's answer.
-func Given(answer contract.Answer) (int, []byte) {
+func Given(answer contract.Response) (int, []byte) {
 	if passed, fine := answer.Body.(given); fine {
 		return passed.status, passed.body
 	}
@@ -235,5 +235,5 @@
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(contract.Trouble{Error: err.Error()})
+	_ = json.NewEncoder(writer).Encode(contract.ErrorBody{Error: err.Error()})
 }
--- a/link/sender.go
+++ b/link/sender.go
@@ -36,7 +36,7 @@
 	client *http.Client
 	faults *Faults
 	count  func(name string, by int64)
-	say    func(contract.Say)
+	say    func(contract.Log)
 	lock   sync.Mutex
 	rings  map[string]chan contract.Message
 	stop   <-chan struct{}
@@ -45,13 +45,13 @@
 func NewSender(self contract.Member, timeout time.Duration, faults *Faults, stop <-chan struct{}) *Sender {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, MaxIdleConns: 256, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
 	return &Sender{self: self, client: &http.Client{Transport: transport, Timeout: timeout}, faults: faults,
-		count: func(string, int64) {}, say: func(contract.Say) {}, rings: map[string]chan contract.Message{}, stop: stop}
+		count: func(string, int64) {}, say: func(contract.Log) {}, rings: map[string]chan contract.Message{}, stop: stop}
 }
 
 func (sender *Sender) Counting(count func(name string, by int64)) { sender.count = count }
 
 // Saying has the sender tell of large bundles.
-func (sender *Sender) Saying(say func(contract.Say)) { sender.say = say }
+func (sender *Sender) Saying(say func(contract.Log)) { sender.say = say }
 
 func (sender *Sender) Send(command contract.Send) {
 	body, err := json.Marshal(command.Body)
@@ -100,7 +100,7 @@
 			sender.count("messages_lost", int64(len(bundle.Messages)))
 		}
 		if size >= largeBundle {
-			sender.say(contract.Say{What: "large bundle", Detail: []any{"to", address, "kind", bundle.Messages[0].Kind, "bytes", size, "ms", time.Since(began).Milliseconds(), "error", err}})
+			sender.say(contract.Log{Message: "large bundle", Attributes: []any{"to", address, "kind", bundle.Messages[0].Kind, "bytes", size, "ms", time.Since(began).Milliseconds(), "error", err}})
 		}
 	}
 }
--- a/listing/platform.go
+++ b/listing/platform.go
@@ -34,7 +34,7 @@
 		for _, must := range []string{"name", "address", "zone", "pool", "incarnation"} {
 			reader.Must(must)
 		}
-		server := contract.ServerRow{Name: reader.Text("name", ""), Address: reader.Text("address", ""), Region: region,
+		server := contract.ListedServer{Name: reader.Text("name", ""), Address: reader.Text("address", ""), Region: region,
 			Zone: reader.Text("zone", ""), Pool: reader.Text("pool", ""), Incarnation: reader.Text("incarnation", ""),
 			Leaving: reader.Truth("leaving"), Unloaded: reader.Truth("unloaded"), RemainingMs: reader.Number("remainingMs", 0, 0, 1<<40)}
 		if names[server.Name] || server.Name == "" {
@@ -50,8 +50,8 @@
 }
 
 // ReadReport gives a report only when every figure in it is there; a partial one comes back as not complete.
-func ReadReport(content []byte, server string) (contract.Report, error) {
-	report := contract.Report{Server: server}
+func ReadReport(content []byte, server string) (contract.LoadReport, error) {
+	report := contract.LoadReport{Server: server}
 	tree, err := manifest.Tree(content)
 	if err != nil {
 		return report, eris.Wrap(err, "report")
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -52,9 +52,9 @@
 	if _, tick := event.(contract.Tick); tick {
 		node.lastTick, node.ticked = now, true
 		self := node.Neighbours.Self()
-		node.Neighbours.Hold(node.Feed.Version().Place, node.Feed.View().Number, self.Core)
-		commands = append(commands, contract.Gauge{Name: "manifest_revision", Value: node.Feed.Version().Place.Revision},
-			contract.Gauge{Name: "view", Value: node.Feed.View().Number}, contract.Gauge{Name: "members", Value: int64(len(node.Neighbours.Members(now)))})
+		node.Neighbours.Hold(node.Feed.Version().Position, node.Feed.View().Number, self.Core)
+		commands = append(commands, contract.SetGauge{Name: "manifest_revision", Value: node.Feed.Version().Position.Revision},
+			contract.SetGauge{Name: "view", Value: node.Feed.View().Number}, contract.SetGauge{Name: "members", Value: int64(len(node.Neighbours.Members(now)))})
 		commands = append(commands, node.Feed.Begin(now, node.Neighbours.Seeds())...)
 		commands = append(commands, node.Feed.Catch(now, node.Neighbours.Members(now), node.Neighbours.Near(now), node.Random)...)
 	}
@@ -72,7 +72,7 @@
 	case fine && message.Kind == relay.MessageDeliver:
 		opened, envelope, whole := relay.Open(message)
 		if !whole {
-			return []contract.Command{contract.Count{Name: "messages_broken", By: 1}}
+			return []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 		}
 		return relay.Back(node.Self(), envelope, handle(now, opened))
 	}
@@ -97,7 +97,7 @@
 	default:
 		routes = node.LongRoutes(now, target, relaysAtOnce)
 	}
-	commands := []contract.Command{contract.Count{Name: "relays_asked", By: int64(len(routes))}}
+	commands := []contract.Command{contract.AddCounter{Name: "relays_asked", Delta: int64(len(routes))}}
 	for _, route := range routes {
 		commands = append(commands, relay.By(route, node.Self(), send)...)
 	}
--- a/machine/relays_test.go
+++ b/machine/relays_test.go
@@ -90,13 +90,13 @@
 			handled = append(handled, event)
 			return []contract.Command{contract.Send{To: "asker-data", Kind: "answer", Body: 2}}
 		})
-		Expect(handled).To(Equal([]contract.Event{contract.Message{Kind: "question", From: "asker-data", Body: json.RawMessage("1"), Via: "middle-data"}}))
+		Expect(handled).To(Equal([]contract.Event{contract.Message{Kind: "question", From: "asker-data", Body: json.RawMessage("1"), ReturnRoute: "middle-data"}}))
 		Expect(answered).To(ContainElement(HaveField("To", "middle-data")))
 
 		envelope.To = "nobody"
 		body, failure = json.Marshal(envelope)
 		Expect(failure).NotTo(HaveOccurred())
 		refused := node.Relayed(time.Second, contract.Message{Kind: relay.MessageForward, Body: body}, func(time.Duration, contract.Event) []contract.Command { return nil })
-		Expect(refused).To(Equal([]contract.Command{contract.Count{Name: "relays_refused", By: 1}}))
+		Expect(refused).To(Equal([]contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}))
 	})
 })
--- a/modelcheck/checker.go
+++ b/modelcheck/checker.go
@@ -33,15 +33,15 @@
 
 // committed checks that a revision is one version for ever.
 func (checker *checker) committed(name string, version contract.Version) {
-	former, there := checker.versions[version.Place.Revision]
-	if there && former.Place != version.Place {
-		checker.fail("%s committed revision %d as %v (%s), which was committed as %v (%s)", name, version.Place.Revision, version.Place, version.Operation, former.Place, former.Operation)
+	former, there := checker.versions[version.Position.Revision]
+	if there && former.Position != version.Position {
+		checker.fail("%s committed revision %d as %v (%s), which was committed as %v (%s)", name, version.Position.Revision, version.Position, version.Operation, former.Position, former.Operation)
 		return
 	}
-	checker.versions[version.Place.Revision] = version
+	checker.versions[version.Position.Revision] = version
 	for revision, other := range checker.versions {
-		earlier, later := other.Place, version.Place
-		if revision > version.Place.Revision {
+		earlier, later := other.Position, version.Position
+		if revision > version.Position.Revision {
 			earlier, later = later, earlier
 		}
 		if earlier.View > later.View {
@@ -63,9 +63,9 @@
 func (checker *checker) submitted(operation string, now int64) { checker.began[operation] = now }
 
 func (checker *checker) acknowledged(version contract.Version, now int64) {
-	checker.acked[version.Operation] = version.Place.Revision
-	checker.newest = max(checker.newest, version.Place.Revision)
-	checker.history = append(checker.history, porcupine.Operation{ClientId: 0, Input: input{write: true}, Output: version.Place.Revision, Call: checker.began[version.Operation], Return: now})
+	checker.acked[version.Operation] = version.Position.Revision
+	checker.newest = max(checker.newest, version.Position.Revision)
+	checker.history = append(checker.history, porcupine.Operation{ClientId: 0, Input: input{write: true}, Output: version.Position.Revision, Call: checker.began[version.Operation], Return: now})
 }
 
 // answered checks that a read shows nothing older than what had been acknowledged when it began, and nothing that differs.
@@ -73,8 +73,8 @@
 	if revision < read.floor {
 		checker.fail("%s answered a read with revision %d though %d had been acknowledged before", name, revision, read.floor)
 	}
-	if former, there := checker.versions[revision]; there && version.Place.Revision == revision && former.Place != version.Place {
-		checker.fail("%s answered a read with %v instead of %v", name, version.Place, former.Place)
+	if former, there := checker.versions[revision]; there && version.Position.Revision == revision && former.Position != version.Position {
+		checker.fail("%s answered a read with %v instead of %v", name, version.Position, former.Position)
 	}
 	checker.history = append(checker.history, porcupine.Operation{ClientId: 1, Input: input{}, Output: revision, Call: read.began, Return: now})
 }
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -141,7 +141,7 @@
 			}
 		case chain.Vouched:
 			cluster.vouched(member, command)
-		case contract.Count:
+		case contract.AddCounter:
 			if command.Name == "committed_conflicts" {
 				cluster.checker.fail("%s: a committed version was contradicted", member.name)
 			}
@@ -192,7 +192,7 @@
 
 func (cluster *Cluster) committed(member *member, version contract.Version) {
 	cluster.checker.committed(member.name, version)
-	if cluster.held.Place.Revision < version.Place.Revision {
+	if cluster.held.Position.Revision < version.Position.Revision {
 		cluster.held = version
 	}
 	if member.orders[version.Operation] {
@@ -273,7 +273,7 @@
 		if teller.owner.View().Number > view.Number {
 			view = teller.owner.View()
 		}
-		if version, there := teller.owner.Version(teller.owner.Committed()); there && version.Place.Revision > held.Place.Revision {
+		if version, there := teller.owner.Version(teller.owner.Committed()); there && version.Position.Revision > held.Position.Revision {
 			held = version
 		}
 	}
--- a/modelcheck/directed_test.go
+++ b/modelcheck/directed_test.go
@@ -132,7 +132,7 @@
 func (cluster *Cluster) lacking() bool {
 	for _, node := range cluster.view.Core {
 		member := cluster.member(node.Name)
-		if !member.up() || cluster.view.Rank(member.owner.Self().Identity()) < 0 {
+		if !member.up() || cluster.view.ChainIndex(member.owner.Self().Identity()) < 0 {
 			continue
 		}
 		for operation := range cluster.checker.acked {
--- a/modelcheck/fault.go
+++ b/modelcheck/fault.go
@@ -54,7 +54,7 @@
 		}
 	case chain.Pass:
 		if fault == FaultNoLogMatching || fault == FaultCountedEarly {
-			body.Previous = contract.Place{}
+			body.Previous = contract.Position{}
 			return body
 		}
 	}
@@ -75,8 +75,8 @@
 		if !member.up() {
 			continue
 		}
-		if versions := member.owner.Versions(); len(versions) > 0 && versions[len(versions)-1].Place.Revision > promise.Top {
-			promise.Top, promise.Digest, promise.Lacks = versions[len(versions)-1].Place.Revision, versions[len(versions)-1].Digest, 0
+		if versions := member.owner.Versions(); len(versions) > 0 && versions[len(versions)-1].Position.Revision > promise.Top {
+			promise.Top, promise.Digest, promise.Lacks = versions[len(versions)-1].Position.Revision, versions[len(versions)-1].Digest, 0
 		}
 	}
 	return promise
--- a/neighbour/look.go
+++ b/neighbour/look.go
@@ -66,7 +66,7 @@
 
 // Blind says to the others that this node cannot do the duties that want sight of the platform.
 func (owner *Owner) Blind(blind bool) {
-	if owner.self.Blind != blind {
-		owner.self.Blind, owner.cached = blind, nil
+	if owner.self.Impaired != blind {
+		owner.self.Impaired, owner.cached = blind, nil
 	}
 }
--- a/neighbour/neighbour.go
+++ b/neighbour/neighbour.go
@@ -78,8 +78,8 @@
 
 func (owner *Owner) Self() contract.Member { return owner.self }
 
-func (owner *Owner) Hold(place contract.Place, view int64, core bool) {
-	owner.self.Place, owner.self.View, owner.self.Core = place, view, core
+func (owner *Owner) Hold(place contract.Position, view int64, core bool) {
+	owner.self.Position, owner.self.View, owner.self.Core = place, view, core
 	owner.cached = nil
 }
 
@@ -102,7 +102,7 @@
 		case MessageShuffle:
 			var shuffle Shuffle
 			if json.Unmarshal(event.Body, &shuffle) != nil {
-				return []contract.Command{contract.Count{Name: "messages_broken", By: 1}}
+				return []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 			}
 			return owner.shuffled(now, event.From, shuffle)
 		case MessageBye:
@@ -229,7 +229,7 @@
 	}
 	for place, name := range names {
 		known := owner.table[name]
-		here, lately := known.member.Place == owner.self.Place, owner.bounds.Suspicion()/2
+		here, lately := known.member.Position == owner.self.Position, owner.bounds.Suspicion()/2
 		if newcomer || place < wholeRows || now-known.changed < lately || now-known.moved < lately && !here {
 			shuffle.Members = append(shuffle.Members, known.member)
 			continue
@@ -244,7 +244,7 @@
 }
 
 func (owner *Owner) shuffled(now time.Duration, from string, shuffle Shuffle) []contract.Command {
-	address, boot, newcomer, told := "", "", true, contract.Place{}
+	address, boot, newcomer, told := "", "", true, contract.Position{}
 	if known, there := owner.table[from]; there {
 		newcomer = now-known.changed < owner.bounds.Suspicion()
 	}
@@ -253,7 +253,7 @@
 			break
 		}
 		if member.Name == from {
-			address, boot, told = member.Address, member.Boot, member.Place
+			address, boot, told = member.Address, member.Boot, member.Position
 		}
 		owner.merge(now, member)
 	}
@@ -267,7 +267,7 @@
 		if index > shuffleSize {
 			break
 		}
-		place := contract.Place{}
+		place := contract.Position{}
 		if shuffle.Here>>index&1 == 1 {
 			place = told
 		}
@@ -286,7 +286,7 @@
 
 // beat moves a known member's heartbeat, and its place, which only goes forward within a life; whoever is not known by this incarnation
 // waits for its whole row.
-func (owner *Owner) beat(now time.Duration, text string, place contract.Place) {
+func (owner *Owner) beat(now time.Duration, text string, place contract.Position) {
 	name, counts, _ := strings.Cut(text, " ")
 	first, second, _ := strings.Cut(counts, " ")
 	incarnation, err := strconv.ParseInt(first, 10, 64)
@@ -295,8 +295,8 @@
 	if err != nil || other != nil || !there || known.member.Incarnation != incarnation {
 		return
 	}
-	if known.member.Place.Revision < place.Revision {
-		known.member.Place, known.moved, owner.cached = place, now, nil
+	if known.member.Position.Revision < place.Revision {
+		known.member.Position, known.moved, owner.cached = place, now, nil
 	}
 	if heartbeat <= known.member.Heartbeat {
 		return
@@ -331,13 +331,13 @@
 		member.Heartbeat = known.member.Heartbeat
 	}
 	former := known.member
-	if same && member.Boot == former.Boot && member.Place.Revision < former.Place.Revision {
-		member.Place = former.Place
+	if same && member.Boot == former.Boot && member.Position.Revision < former.Position.Revision {
+		member.Position = former.Position
 	}
-	if former.Place != member.Place {
+	if former.Position != member.Position {
 		known.moved = now
 	}
-	former.Heartbeat, former.Place = member.Heartbeat, member.Place
+	former.Heartbeat, former.Position = member.Heartbeat, member.Position
 	if former != member {
 		known.changed = now
 	}
--- a/neighbour/place_test.go
+++ b/neighbour/place_test.go
@@ -25,17 +25,17 @@
 	for _, name := range owner.names() {
 		if known := owner.table[name]; !left[name] {
 			member := known.member
-			member.Heartbeat, member.Place = member.Heartbeat+1, contract.Place{View: 1, Revision: revision}
+			member.Heartbeat, member.Position = member.Heartbeat+1, contract.Position{View: 1, Revision: revision}
 			owner.merge(now, member)
 		}
 	}
-	owner.Hold(contract.Place{View: 1, Revision: revision}, 1, false)
+	owner.Hold(contract.Position{View: 1, Revision: revision}, 1, false)
 }
 
 func revisions(owner *Owner) map[string]int64 {
 	revisions := map[string]int64{}
 	for name, known := range owner.table {
-		revisions[name] = known.member.Place.Revision
+		revisions[name] = known.member.Position.Revision
 	}
 	return revisions
 }
@@ -49,7 +49,7 @@
 		reader, _ = fleet(20, 4)
 		reader.self.Name, reader.self.Address = "reader-data", "reader"
 		sender.self.Heartbeat = 1
-		sender.Hold(contract.Place{}, 1, false)
+		sender.Hold(contract.Position{}, 1, false)
 	})
 
 	It("given a change that is in force everywhere, when a shuffle is drawn, then it tells so by beats, and the reader knows it of all", func() {
@@ -69,7 +69,7 @@
 
 	It("given members that are ahead of the sender, when a shuffle is drawn, then their rows go whole, as in a storm of changes", func() {
 		moves(sender, now, 7)
-		sender.Hold(contract.Place{View: 1, Revision: 6}, 1, false)
+		sender.Hold(contract.Position{View: 1, Revision: 6}, 1, false)
 		shuffle := sender.sample(now, false)
 		Expect(shuffle.Members).To(HaveLen(1 + 24))
 		hears(reader, now, "self-data", shuffle)
--- a/nodecheck/fault.go
+++ b/nodecheck/fault.go
@@ -81,7 +81,7 @@
 		if record.Base != nil && len(record.Change.Set) > 1 {
 			if base, there := world.judge.versions[*record.Base]; there {
 				change := without(*record.Change)
-				record.Change, record.Digest = &change, base.Next(record.Place, record.Operation, change).Digest
+				record.Change, record.Digest = &change, base.Next(record.Position, record.Operation, change).Digest
 			}
 		}
 		changed = append(changed, record)
@@ -123,7 +123,7 @@
 	if len(pass.Records) == 0 {
 		return
 	}
-	body, failure := json.Marshal(chain.Done{View: pass.View, Place: pass.Records[len(pass.Records)-1].Place})
+	body, failure := json.Marshal(chain.Done{View: pass.View, Place: pass.Records[len(pass.Records)-1].Position})
 	if failure != nil {
 		panic(failure)
 	}
--- a/nodecheck/judge.go
+++ b/nodecheck/judge.go
@@ -32,15 +32,15 @@
 	// unclear is when a zone last had an order of which a try may still be under way.
 	unclear map[string]time.Duration
 	// digests are those of the versions that were in force at some node, by place.
-	digests map[contract.Place]string
+	digests map[contract.Position]string
 	// versions are those themselves, for faults that are made of them.
-	versions map[contract.Place]contract.Version
+	versions map[contract.Position]contract.Version
 	history  []porcupine.Operation
 }
 
 func newJudge(world *world) *judge {
 	return &judge{world: world, orders: map[string]*order{}, contents: map[int64]string{}, acked: map[int64]*order{}, refused: map[string]*order{}, ended: map[string]bool{},
-		drained: map[string]bool{}, settled: map[string]time.Duration{}, open: map[string]int{}, overlap: map[string]bool{}, unclear: map[string]time.Duration{}, digests: map[contract.Place]string{}, versions: map[contract.Place]contract.Version{}}
+		drained: map[string]bool{}, settled: map[string]time.Duration{}, open: map[string]int{}, overlap: map[string]bool{}, unclear: map[string]time.Duration{}, digests: map[contract.Position]string{}, versions: map[contract.Position]contract.Version{}}
 }
 
 func (judge *judge) fail(format string, details ...any) {
@@ -149,15 +149,15 @@
 
 // inForce checks that a place is one version for ever, at every node.
 func (judge *judge) inForce(node string, version contract.Version) {
-	if former, there := judge.digests[version.Place]; there && former != version.Digest || version.Content.Digest() != version.Digest {
-		judge.fail("%s has %v in force as another version than others", node, version.Place)
+	if former, there := judge.digests[version.Position]; there && former != version.Digest || version.Content.Digest() != version.Digest {
+		judge.fail("%s has %v in force as another version than others", node, version.Position)
 	}
-	judge.digests[version.Place], judge.versions[version.Place] = version.Digest, version
+	judge.digests[version.Position], judge.versions[version.Position] = version.Digest, version
 }
 
 // kept checks that what was in force anywhere is what the core keeps under its revision, as far back as it keeps versions.
 func (judge *judge) kept(node *node) {
-	newest := node.owner.Feed.Version().Place.Revision
+	newest := node.owner.Feed.Version().Position.Revision
 	oldest := newest
 	for revision := newest; revision > newest-historyKept; revision-- {
 		if _, there := node.owner.Kept(revision); there {
@@ -166,8 +166,8 @@
 	}
 	for place, digest := range judge.digests {
 		version, _ := node.owner.Kept(place.Revision)
-		if place.Revision >= oldest && place.Revision <= newest && (version.Place != place || version.Digest != digest) {
-			judge.fail("%v was in force at some node and %s keeps %v under that revision", place, node.name, version.Place)
+		if place.Revision >= oldest && place.Revision <= newest && (version.Position != place || version.Digest != digest) {
+			judge.fail("%v was in force at some node and %s keeps %v under that revision", place, node.name, version.Position)
 		}
 	}
 }
--- a/nodecheck/node.go
+++ b/nodecheck/node.go
@@ -35,12 +35,12 @@
 	started time.Duration
 	// frozen is until when the process stands still; what comes meanwhile waits.
 	frozen  time.Duration
-	asks    map[int64]func(contract.Answer)
+	asks    map[int64]func(contract.Response)
 	token   int64
-	inForce contract.Place
+	inForce contract.Position
 	founded bool
 	// lastRead is an answer that a planted fault hands out again.
-	lastRead   *contract.Answer
+	lastRead   *contract.Response
 	lastReadAt time.Duration
 }
 
@@ -78,7 +78,7 @@
 		recovered = &loaded
 	}
 	node.life++
-	node.started, node.frozen, node.asks, node.inForce = node.world.now, 0, map[int64]func(contract.Answer){}, contract.Place{}
+	node.started, node.frozen, node.asks, node.inForce = node.world.now, 0, map[int64]func(contract.Response){}, contract.Position{}
 	random := rand.New(rand.NewPCG(node.world.random.Uint64(), uint64(node.life)))
 	node.owner = control.New(node.world.settings(node, place), fmt.Sprintf("%s-life%d", node.name, node.life), recovered, random)
 	node.founded = true
@@ -110,8 +110,8 @@
 	for _, command := range node.owner.Handle(node.world.now-node.started, event) {
 		node.act(life, command)
 	}
-	if version := node.owner.Feed.Version(); version.Place != node.inForce {
-		node.inForce = version.Place
+	if version := node.owner.Feed.Version(); version.Position != node.inForce {
+		node.inForce = version.Position
 		node.world.judge.inForce(node.name, version)
 	}
 	node.world.counts.Views = max(node.world.counts.Views, node.owner.Feed.View().Number)
@@ -138,7 +138,7 @@
 	case shard.ReadPlatform:
 		read := shard.ListingRead{Began: world.now - node.started}
 		world.after(time.Millisecond, func() { node.handle(life, read) })
-	case contract.Answer:
+	case contract.Response:
 		take := node.asks[command.Token]
 		delete(node.asks, command.Token)
 		if take != nil {
@@ -164,7 +164,7 @@
 }
 
 // ask puts an operator's question to this node; without an answer, take is not called.
-func (node *node) ask(ask contract.Ask, take func(contract.Answer)) {
+func (node *node) ask(ask contract.OperatorRequest, take func(contract.Response)) {
 	if !node.up() {
 		return
 	}
@@ -174,7 +174,7 @@
 	}
 	node.token++
 	ask.Token = node.token
-	node.asks[ask.Token] = func(answer contract.Answer) {
+	node.asks[ask.Token] = func(answer contract.Response) {
 		if ask.Verb == contract.VerbGet && answer.Status == statusDone {
 			node.lastRead, node.lastReadAt = &answer, node.world.now
 		}
@@ -184,9 +184,9 @@
 }
 
 // answerAgain gives an answer to a former read, where that fault is planted.
-func (node *node) answerAgain(ask contract.Ask) (contract.Answer, bool) {
+func (node *node) answerAgain(ask contract.OperatorRequest) (contract.Response, bool) {
 	if node.world.fault != FaultFormerAnswer || ask.Verb != contract.VerbGet || node.lastRead == nil || node.world.now-node.lastReadAt > time.Second {
-		return contract.Answer{}, false
+		return contract.Response{}, false
 	}
 	return *node.lastRead, true
 }
@@ -194,24 +194,24 @@
 // forward carries a question to the authority; an answer that is lost is unknown.
 func (node *node) forward(life int, forward contract.Forward) {
 	world, target, given := node.world, node.world.at(forward.Address), false
-	end := func(answer contract.Answer) {
+	end := func(answer contract.Response) {
 		if given || !node.alive(life) {
 			return
 		}
 		given = true
-		answer.Token = forward.Ask.Token
+		answer.Token = forward.Request.Token
 		node.act(life, answer)
 	}
-	world.after(world.settings(node, 0).Bounds.Deliver(), func() { end(contract.Answer{Status: 504}) })
+	world.after(world.settings(node, 0).Bounds.Deliver(), func() { end(contract.Response{Status: 504}) })
 	if target == nil {
 		return
 	}
 	world.carry(node.address, forward.Address, func() {
 		if !target.up() {
-			end(contract.Refuse(0, 503, "the authority cannot be reached; nothing was done", 0))
+			end(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0))
 			return
 		}
-		target.ask(forward.Ask, func(answer contract.Answer) {
+		target.ask(forward.Request, func(answer contract.Response) {
 			world.carry(target.address, node.address, func() { end(answer) })
 		})
 	})
--- a/nodecheck/operator.go
+++ b/nodecheck/operator.go
@@ -28,7 +28,7 @@
 
 // order is one change that an operator wants.
 type order struct {
-	ask  contract.Ask
+	ask  contract.OperatorRequest
 	base int64
 	// revision is that of the gateway's configuration, or 0 for a drain or undrain.
 	revision int64
@@ -57,7 +57,7 @@
 				operator.next()
 			}
 		})
-		world.anyNode().ask(contract.Ask{Verb: contract.VerbGet}, func(answer contract.Answer) {
+		world.anyNode().ask(contract.OperatorRequest{Verb: contract.VerbGet}, func(answer contract.Response) {
 			version, fine := answer.Body.(contract.Version)
 			if answered {
 				return
@@ -77,14 +77,14 @@
 	operator.orders++
 	world, base := operator.world, manifest.GatewayRevision(content)
 	made := &order{base: base, sent: world.now}
-	made.ask = contract.Ask{Operation: fmt.Sprintf("%s-%d", operator.name, operator.orders), Prompt: true}
+	made.ask = contract.OperatorRequest{Operation: fmt.Sprintf("%s-%d", operator.name, operator.orders), ReplyOnCommit: true}
 	if world.random.IntN(6) == 0 {
 		made.zone = zoneOf(world.random.IntN(coreSize))
 		made.ask.Subject, made.ask.Verb = made.zone, []string{contract.VerbDrain, contract.VerbUndrain}[world.random.IntN(2)]
 		return made
 	}
 	made.revision = base + 1 + world.random.Int64N(3)
-	made.ask.Verb, made.ask.Base, made.ask.HasBase = contract.VerbUpdate, base, true
+	made.ask.Verb, made.ask.BaseRevision, made.ask.HasBaseRevision = contract.VerbUpdate, base, true
 	upsert, count := map[string]any{}, 1
 	if world.random.IntN(4) == 0 {
 		count = routesMany
@@ -153,7 +153,7 @@
 			retry()
 		}
 	})
-	world.anyNode().ask(order.ask, func(answer contract.Answer) {
+	world.anyNode().ask(order.ask, func(answer contract.Response) {
 		if answered || world.random.IntN(lostAnswerOdds) == 0 {
 			return
 		}
@@ -197,7 +197,7 @@
 				world.read()
 			}
 		})
-		world.anyNode().ask(contract.Ask{Verb: contract.VerbGet}, func(answer contract.Answer) {
+		world.anyNode().ask(contract.OperatorRequest{Verb: contract.VerbGet}, func(answer contract.Response) {
 			if answered {
 				return
 			}
--- a/nodecheck/walk.go
+++ b/nodecheck/walk.go
@@ -92,7 +92,7 @@
 	if failure != nil {
 		panic(failure)
 	}
-	world.nodes[0].ask(contract.Ask{Verb: contract.VerbReplace, HasBase: true, Operation: "first", Body: body, Prompt: true}, func(answer contract.Answer) {
+	world.nodes[0].ask(contract.OperatorRequest{Verb: contract.VerbReplace, HasBaseRevision: true, Operation: "first", Body: body, ReplyOnCommit: true}, func(answer contract.Response) {
 		if answer.Status != statusDone {
 			world.judge.fail("the first configuration got %d", answer.Status)
 		}
@@ -120,7 +120,7 @@
 			return false
 		}
 		view := node.owner.Feed.View()
-		if view.Number != int64(world.counts.Views) || len(view.Chain) < coreSize || view.Rank(node.owner.Identity()) < 0 {
+		if view.Number != int64(world.counts.Views) || len(view.Chain) < coreSize || view.ChainIndex(node.owner.Identity()) < 0 {
 			return false
 		}
 	}
--- a/pick/pick.go
+++ b/pick/pick.go
@@ -132,7 +132,7 @@
 	for _, candidate := range open {
 		names = append(names, candidate.Name)
 	}
-	chosen, _ := byName(open, contract.Ordered("session/"+session, names)[0])
+	chosen, _ := byName(open, contract.RendezvousOrder("session/"+session, names)[0])
 	return chosen
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -50,7 +50,7 @@
 func By(route string, self contract.Member, send contract.Send) []contract.Command {
 	body, failure := json.Marshal(send.Body)
 	if failure != nil || isRelayed(send.Kind) {
-		return []contract.Command{contract.Count{Name: "relays_refused", By: 1}}
+		return []contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}
 	}
 	relays := strings.Split(route, hopMark)
 	envelope := Envelope{To: send.To, Ahead: relays[1:], From: self.Name, Boot: self.Boot, Address: self.Address, Kind: send.Kind, Body: body}
@@ -62,7 +62,7 @@
 func Forward(self contract.Member, message contract.Message, knows func(address string) bool) []contract.Command {
 	envelope, fine := read(message)
 	if !fine || len(envelope.Passed)+1+len(envelope.Ahead) > hopsMost {
-		return []contract.Command{contract.Count{Name: "relays_refused", By: 1}}
+		return []contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}
 	}
 	next, kind := envelope.To, MessageDeliver
 	if len(envelope.Ahead) > 0 {
@@ -71,9 +71,9 @@
 	}
 	envelope.Passed = append(envelope.Passed, self.Address)
 	if !knows(next) {
-		return []contract.Command{contract.Count{Name: "relays_refused", By: 1}}
+		return []contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}
 	}
-	return []contract.Command{contract.Count{Name: "relays_forwarded", By: 1}, contract.Send{To: next, Kind: kind, Body: envelope}}
+	return []contract.Command{contract.AddCounter{Name: "relays_forwarded", Delta: 1}, contract.Send{To: next, Kind: kind, Body: envelope}}
 }
 
 // Open gives the message in a delivered envelope, and the envelope for the way back.
@@ -82,7 +82,7 @@
 	if !fine {
 		return contract.Message{}, Envelope{}, false
 	}
-	return contract.Message{Kind: envelope.Kind, From: envelope.From, Boot: envelope.Boot, Body: envelope.Body, Via: back(envelope.Passed)}, envelope, true
+	return contract.Message{Kind: envelope.Kind, From: envelope.From, Boot: envelope.Boot, Body: envelope.Body, ReturnRoute: back(envelope.Passed)}, envelope, true
 }
 
 // Back sends those of the commands that answer an envelope's sender by way of its relays.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -46,19 +46,19 @@
 		Expect(to).To(Equal(owner.Address))
 		opened, envelope, fine := relay.Open(second)
 		Expect(fine).To(BeTrue())
-		Expect(opened).To(Equal(contract.Message{Kind: "question", From: asker.Name, Boot: asker.Boot, Body: json.RawMessage(`{"number":7}`), Via: middle.Address}))
+		Expect(opened).To(Equal(contract.Message{Kind: "question", From: asker.Name, Boot: asker.Boot, Body: json.RawMessage(`{"number":7}`), ReturnRoute: middle.Address}))
 
 		answer, other := contract.Send{To: asker.Address, Kind: "answer", Body: 8}, contract.Send{To: "10.0.0.9:1", Kind: "news", Body: 9}
-		routed := relay.Back(owner, envelope, []contract.Command{contract.Count{Name: "answers", By: 1}, other, answer})
+		routed := relay.Back(owner, envelope, []contract.Command{contract.AddCounter{Name: "answers", Delta: 1}, other, answer})
 		Expect(routed).To(HaveLen(3))
-		Expect(routed[:2]).To(Equal([]contract.Command{contract.Count{Name: "answers", By: 1}, other}), "what is for others goes directly")
+		Expect(routed[:2]).To(Equal([]contract.Command{contract.AddCounter{Name: "answers", Delta: 1}, other}), "what is for others goes directly")
 		to, third := sent(owner, routed[2:])
 		Expect(to).To(Equal(middle.Address))
 		to, fourth := sent(middle, relay.Forward(middle, third, anybody))
 		Expect(to).To(Equal(asker.Address))
 		back, _, fine := relay.Open(fourth)
 		Expect(fine).To(BeTrue())
-		Expect(back).To(Equal(contract.Message{Kind: "answer", From: owner.Name, Boot: owner.Boot, Body: json.RawMessage("8"), Via: middle.Address}))
+		Expect(back).To(Equal(contract.Message{Kind: "answer", From: owner.Name, Boot: owner.Boot, Body: json.RawMessage("8"), ReturnRoute: middle.Address}))
 	})
 
 	It("given two relays, when a question is sent by them, then it comes as its sender's, and the answer goes back over both", func() {
@@ -70,7 +70,7 @@
 		Expect(to).To(Equal(owner.Address))
 		opened, envelope, fine := relay.Open(last)
 		Expect(fine).To(BeTrue())
-		Expect(opened.Via).To(Equal(relay.Route(second.Address, middle.Address)))
+		Expect(opened.ReturnRoute).To(Equal(relay.Route(second.Address, middle.Address)))
 		to, returned := sent(owner, relay.Back(owner, envelope, []contract.Command{contract.Send{To: asker.Address, Kind: "answer", Body: 8}}))
 		Expect(to).To(Equal(second.Address))
 		to, returned = sent(second, relay.Forward(second, returned, anybody))
@@ -79,33 +79,33 @@
 		Expect(to).To(Equal(asker.Address))
 		answer, _, fine := relay.Open(returned)
 		Expect(fine).To(BeTrue())
-		Expect(answer.Via).To(Equal(relay.Route(middle.Address, second.Address)), "the way that the next question takes")
+		Expect(answer.ReturnRoute).To(Equal(relay.Route(middle.Address, second.Address)), "the way that the next question takes")
 	})
 
 	DescribeTable("given more relays than two, when one of them is asked to forward, then it refuses", func(ahead, passed []string) {
 		body, failure := json.Marshal(relay.Envelope{To: owner.Address, Ahead: ahead, Passed: passed, Address: asker.Address, Kind: "question", Body: json.RawMessage("1")})
 		Expect(failure).NotTo(HaveOccurred())
-		Expect(relay.Forward(middle, contract.Message{Kind: relay.MessageForward, Body: body}, anybody)).To(Equal([]contract.Command{contract.Count{Name: "relays_refused", By: 1}}))
+		Expect(relay.Forward(middle, contract.Message{Kind: relay.MessageForward, Body: body}, anybody)).To(Equal([]contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}))
 	}, Entry("ahead", []string{"x", "y"}, nil), Entry("passed", nil, []string{"x", "y"}), Entry("both", []string{"x"}, []string{"y"}))
 
 	It("given a target that the relay does not know, when it is asked to forward, then it refuses", func() {
 		_, first := sent(asker, relay.By(middle.Address, asker, question))
-		Expect(relay.Forward(middle, first, func(string) bool { return false })).To(Equal([]contract.Command{contract.Count{Name: "relays_refused", By: 1}}))
+		Expect(relay.Forward(middle, first, func(string) bool { return false })).To(Equal([]contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}))
 	})
 
 	It("given a relay's own message, when it is to be carried, then it is refused: nothing travels in circles", func() {
 		_, first := sent(asker, relay.By(middle.Address, asker, question))
 		again := contract.Send{To: owner.Address, Kind: first.Kind, Body: first.Body}
-		Expect(relay.By(middle.Address, asker, again)).To(Equal([]contract.Command{contract.Count{Name: "relays_refused", By: 1}}))
+		Expect(relay.By(middle.Address, asker, again)).To(Equal([]contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}))
 		body, failure := json.Marshal(relay.Envelope{To: owner.Address, Address: asker.Address, Kind: relay.MessageForward, Body: first.Body})
 		Expect(failure).NotTo(HaveOccurred())
 		nested := contract.Message{Kind: relay.MessageForward, Body: body}
-		Expect(relay.Forward(middle, nested, anybody)).To(Equal([]contract.Command{contract.Count{Name: "relays_refused", By: 1}}))
+		Expect(relay.Forward(middle, nested, anybody)).To(Equal([]contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}))
 	})
 
 	DescribeTable("given an envelope that cannot be read, when it comes, then it is refused and opened by nobody", func(body string) {
 		broken := contract.Message{Kind: relay.MessageForward, Body: json.RawMessage(body)}
-		Expect(relay.Forward(middle, broken, anybody)).To(Equal([]contract.Command{contract.Count{Name: "relays_refused", By: 1}}))
+		Expect(relay.Forward(middle, broken, anybody)).To(Equal([]contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}))
 		_, _, fine := relay.Open(broken)
 		Expect(fine).To(BeFalse())
 	},
--- a/retire/retire.go
+++ b/retire/retire.go
@@ -41,7 +41,7 @@
 // Outcome is one try to read a server's report; a failed one has a Error.
 type Outcome struct {
 	Began  time.Duration
-	Report contract.Report
+	Report contract.LoadReport
 	Error  string
 }
 
--- a/retire/retire_test.go
+++ b/retire/retire_test.go
@@ -44,7 +44,7 @@
 
 func (story *played) idle(at time.Duration) Outcome {
 	story.number++
-	return Outcome{Began: at, Report: contract.Report{Server: "server", Incarnation: "1", Number: story.number, Complete: true}}
+	return Outcome{Began: at, Report: contract.LoadReport{Server: "server", Incarnation: "1", Number: story.number, Complete: true}}
 }
 
 func (story *played) busy(at time.Duration) Outcome {
--- a/rig/operate.go
+++ b/rig/operate.go
@@ -30,8 +30,8 @@
 }
 
 // Write carries a write through any node and notes it if it was accepted.
-func (rig *Rig) Write(node *Node, method, path, operation string, body []byte) (int, contract.Accepted, error) {
-	accepted := contract.Accepted{}
+func (rig *Rig) Write(node *Node, method, path, operation string, body []byte) (int, contract.WriteResult, error) {
+	accepted := contract.WriteResult{}
 	status, content, err := rig.Operate(node.Settings.Control, method, path, operation, body)
 	if err != nil {
 		return 0, accepted, err
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -162,8 +162,8 @@
 func (shell *dataShell) look() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		look := request.(data.Look)
-		answers := make(chan contract.Answer, 1)
-		look.Token = shell.Loop.Token(func(answer contract.Answer) { answers <- answer })
+		answers := make(chan contract.Response, 1)
+		look.Token = shell.Loop.Token(func(answer contract.Response) { answers <- answer })
 		defer shell.Loop.Forget(look.Token)
 		if !shell.Loop.Try(look) {
 			return nil, badCall{status: 503, text: "this node is overloaded", after: shell.Settings.Bounds.Round()}
@@ -188,9 +188,9 @@
 		}
 		return nil
 	}
-	answer := response.(contract.Answer)
+	answer := response.(contract.Response)
 	writer.Header().Set("Content-Type", "application/json")
-	link.RetryAfter(writer, answer.After)
+	link.RetryAfter(writer, answer.RetryAfter)
 	writer.WriteHeader(answer.Status)
 	return json.NewEncoder(writer).Encode(answer.Body)
 }
@@ -201,5 +201,5 @@
 	writer.Header().Set("Content-Type", "application/json")
 	link.RetryAfter(writer, bad.after)
 	writer.WriteHeader(bad.status)
-	_ = json.NewEncoder(writer).Encode(contract.Trouble{Outcome: string(call.NotRun), Error: bad.text, RetryAfterMs: bad.after.Milliseconds()})
+	_ = json.NewEncoder(writer).Encode(contract.ErrorBody{Outcome: string(call.NotRun), Error: bad.text, RetryAfterMs: bad.after.Milliseconds()})
 }
--- a/serve/export_test.go
+++ b/serve/export_test.go
@@ -40,7 +40,7 @@
 	if failure != nil {
 		panic(failure)
 	}
-	return []contract.Command{contract.Forward{Ask: contract.Ask{Token: asked.Token, Verb: contract.VerbPlace, Body: body}, Address: owner.address}}
+	return []contract.Command{contract.Forward{Request: contract.OperatorRequest{Token: asked.Token, Verb: contract.VerbPlace, Body: body}, Address: owner.address}}
 }
 
 // AskAt has questions for places go to a control node on a real socket until stop is closed.
--- a/serve/face.go
+++ b/serve/face.go
@@ -25,7 +25,7 @@
 	// Listing reads the whole list of servers, page by page.
 	Listing(settings env.Env, get func(address string) ([]byte, error)) (contract.Listing, error)
 	// Report reads one server's report.
-	Report(content []byte, server string) (contract.Report, error)
+	Report(content []byte, server string) (contract.LoadReport, error)
 	// Lookup reads where a caller is, and Addresses writes where it should go.
 	Lookup(request *http.Request) gateway.Lookup
 	Addresses(found gateway.Addresses, life time.Duration) any
@@ -47,6 +47,6 @@
 // Order is one call of an operator.
 type Order struct {
 	Pattern string
-	Read    func(settings env.Env, request *http.Request, body []byte) (contract.Ask, error)
+	Read    func(settings env.Env, request *http.Request, body []byte) (contract.OperatorRequest, error)
 	Write   func(status int, body []byte) (int, any)
 }
--- a/serve/gateway.go
+++ b/serve/gateway.go
@@ -111,13 +111,13 @@
 	return shell.traffic.Stale(region)
 }
 
-func (shell *gatewayShell) Tallies(now time.Duration, region string) map[string]contract.Tally {
+func (shell *gatewayShell) Tallies(now time.Duration, region string) map[string]contract.CallTally {
 	shell.lock.Lock()
 	defer shell.lock.Unlock()
 	return shell.traffic.Tallies(now, region)
 }
 
-func (shell *gatewayShell) Observed(now time.Duration, region string) contract.Observed {
+func (shell *gatewayShell) Observed(now time.Duration, region string) contract.CallObservations {
 	shell.lock.Lock()
 	defer shell.lock.Unlock()
 	return shell.traffic.Observed(now, region)
@@ -199,8 +199,8 @@
 
 func (shell *gatewayShell) lookup(writer http.ResponseWriter, request *http.Request) {
 	ask := shell.face.Lookup(request)
-	answers := make(chan contract.Answer, 1)
-	ask.Token = shell.Loop.Token(func(answer contract.Answer) { answers <- answer })
+	answers := make(chan contract.Response, 1)
+	ask.Token = shell.Loop.Token(func(answer contract.Response) { answers <- answer })
 	defer shell.Loop.Forget(ask.Token)
 	if !shell.Loop.Try(ask) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
--- a/serve/operate.go
+++ b/serve/operate.go
@@ -19,12 +19,12 @@
 			if errors.As(failure, &large) {
 				status = http.StatusRequestEntityTooLarge
 			}
-			writeJSON(writer, status, contract.Trouble{Error: "the body could not be read"})
+			writeJSON(writer, status, contract.ErrorBody{Error: "the body could not be read"})
 			return
 		}
 		ask, failure := order.Read(shell.Settings, request, content)
 		if failure != nil {
-			writeJSON(writer, http.StatusBadRequest, contract.Trouble{Error: failure.Error()})
+			writeJSON(writer, http.StatusBadRequest, contract.ErrorBody{Error: failure.Error()})
 			return
 		}
 		began := time.Now()
@@ -41,7 +41,7 @@
 
 // noteSlow says how long an operator's call took where that was longer than a round: waiting for the core's answer, and turning it into
 // the face's manner and sending it.
-func (shell *controlShell) noteSlow(ask contract.Ask, status, size int, waited, wrote time.Duration) {
+func (shell *controlShell) noteSlow(ask contract.OperatorRequest, status, size int, waited, wrote time.Duration) {
 	if waited+wrote <= shell.Settings.Bounds.Round() {
 		return
 	}
--- a/serve/pass.go
+++ b/serve/pass.go
@@ -94,13 +94,13 @@
 	defer cancel()
 	response, err := passage.ask(limited)
 	if !passage.sent {
-		trouble := contract.Trouble{Outcome: string(call.NotRun), Error: "no node of the call's home can be reached; it did not run", Home: passage.pass.Home,
+		trouble := contract.ErrorBody{Outcome: string(call.NotRun), Error: "no node of the call's home can be reached; it did not run", Home: passage.pass.Home,
 			RetryAfterMs: bounds.Round().Milliseconds()}
 		passage.tell(writer, http.StatusServiceUnavailable, bounds.Round(), trouble)
 		return 0, trouble.Error
 	}
 	if err != nil {
-		passage.tell(writer, http.StatusBadGateway, 0, contract.Trouble{Outcome: string(call.Unknown), Home: passage.pass.Home,
+		passage.tell(writer, http.StatusBadGateway, 0, contract.ErrorBody{Outcome: string(call.Unknown), Home: passage.pass.Home,
 			Error: "passed on to its home, and no answer came"})
 		return http.StatusBadGateway, err.Error()
 	}
@@ -117,7 +117,7 @@
 	return response.StatusCode, ""
 }
 
-func (passage *passage) tell(writer http.ResponseWriter, status int, after time.Duration, trouble contract.Trouble) {
+func (passage *passage) tell(writer http.ResponseWriter, status int, after time.Duration, trouble contract.ErrorBody) {
 	writer.Header().Set("Content-Type", "application/json")
 	link.RetryAfter(writer, after)
 	writer.WriteHeader(status)
--- a/serve/place.go
+++ b/serve/place.go
@@ -14,7 +14,7 @@
 // place asks where a call's prompt belongs and goes on after its patience with or without an answer; a late one serves later calls.
 func (shell *gatewayShell) place(caller context.Context, asked gateway.Place) contract.Command {
 	placed, answers := gateway.Placed{Token: asked.Token, Late: true}, make(chan gateway.Placed, 1)
-	token := shell.Loop.Token(func(answer contract.Answer) {
+	token := shell.Loop.Token(func(answer contract.Response) {
 		var place index.Place
 		status, body := link.Given(answer)
 		if status == 200 && json.Unmarshal(body, &place) == nil && place.Server != "" {
--- a/serve/place_test.go
+++ b/serve/place_test.go
@@ -34,7 +34,7 @@
 
 func (keeper *keeper) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	defer GinkgoRecover()
-	var forwarded contract.Ask
+	var forwarded contract.OperatorRequest
 	var ask index.Ask
 	content, _ := io.ReadAll(request.Body)
 	Expect(json.Unmarshal(content, &forwarded)).To(Succeed())
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -52,14 +52,14 @@
 	return random.New(random.NewChaCha8(content))
 }
 
-func newProcess(settings env.Env, self contract.Member, owner contract.Owner, faultsPath string) *Process {
+func newProcess(settings env.Env, self contract.Member, owner contract.StateMachine, faultsPath string) *Process {
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "node", self.Name, "time", log.DefaultTimestampUTC)
 	process := &Process{Settings: settings, Logger: logger, stop: make(chan struct{}), Mux: http.NewServeMux()}
 	process.Faults = link.NewFaults(faultsPath, process.stop)
 	sender := link.NewSender(self, settings.Bounds.Round(), process.Faults, process.stop)
 	process.Loop = link.NewLoop(owner, settings.Bounds.Tick(), sender, logger)
 	sender.Counting(process.Loop.Count)
-	sender.Saying(func(line contract.Say) { process.Loop.Do(line) })
+	sender.Saying(func(line contract.Log) { process.Loop.Do(line) })
 	process.forward = link.NewOperators(process.Loop, settings.Bounds.BodyBytes, settings.Bounds.Deliver()*2, process.Faults)
 	process.forward.Register(process.Mux)
 	process.Mux.Handle("POST "+link.Path, link.Receive(process.Loop))
--- a/serve/session.go
+++ b/serve/session.go
@@ -24,7 +24,7 @@
 	caller caller
 	token  int64
 	box    *outbox
-	answer chan contract.Answer
+	answer chan contract.Response
 	gone   <-chan struct{}
 	until  time.Duration
 }
@@ -32,13 +32,13 @@
 func (shell *dataShell) serve() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		session := &session{shell: shell, caller: request.(caller), box: newOutbox(&shell.held, shell.Settings.Bounds.ReplyBytes*heldReplies),
-			answer: make(chan contract.Answer, 1), gone: ctx.Done()}
+			answer: make(chan contract.Response, 1), gone: ctx.Done()}
 		bounds := shell.Settings.Bounds
 		session.until = shell.Loop.Now() + bounds.Deadline() + bounds.Round()
 		if deadline := session.caller.call.Deadline; deadline > 0 {
 			session.until = shell.Loop.Now() + deadline + bounds.Round()
 		}
-		session.token = shell.Loop.Token(func(answer contract.Answer) { session.answer <- answer })
+		session.token = shell.Loop.Token(func(answer contract.Response) { session.answer <- answer })
 		shell.lock.Lock()
 		shell.sessions[session.token] = session
 		shell.lock.Unlock()
@@ -162,11 +162,11 @@
 }
 
 func (out *writerOf) err(text string) {
-	_ = out.event("error", contract.Trouble{Outcome: string(call.Interrupted), Error: text})
+	_ = out.event("error", contract.ErrorBody{Outcome: string(call.Interrupted), Error: text})
 	panic(http.ErrAbortHandler)
 }
 
-func (out *writerOf) end(answer contract.Answer) error {
+func (out *writerOf) end(answer contract.Response) error {
 	_ = out.control.SetWriteDeadline(nowPlus(out.patience()))
 	reply, whole := answer.Body.(data.Reply)
 	if !whole {
@@ -196,7 +196,7 @@
 	return out.raw("data: [DONE]\n\n")
 }
 
-func (out *writerOf) unary(answer contract.Answer, reply data.Reply) error {
+func (out *writerOf) unary(answer contract.Response, reply data.Reply) error {
 	text := ""
 	for _, piece := range reply.Pieces {
 		text += piece
--- a/shard/condition.go
+++ b/shard/condition.go
@@ -43,20 +43,22 @@
 
 // witness is what all nodes together say of one server.
 type witness struct {
-	all    contract.Tally
-	zones  map[string]contract.Tally
+	all    contract.CallTally
+	zones  map[string]contract.CallTally
 	lost   int
 	failed int
 }
 
 // bad tells whether the part of a server's calls that fail is that of an ill one.
-func bad(tally contract.Tally) bool { return tally.Bad() > 0 && tally.Bad()*badPart >= tally.Calls() }
+func bad(tally contract.CallTally) bool {
+	return tally.Failures() > 0 && tally.Failures()*badPart >= tally.Total()
+}
 
 func (witness *witness) share() float64 {
-	if witness == nil || witness.all.Calls() == 0 {
+	if witness == nil || witness.all.Total() == 0 {
 		return 0
 	}
-	return float64(witness.all.Bad()) / float64(witness.all.Calls())
+	return float64(witness.all.Failures()) / float64(witness.all.Total())
 }
 
 // agreed tells whether more than one node, and most of the zones that called the server lately, more than one, find it bad.
@@ -67,7 +69,7 @@
 			found++
 		}
 	}
-	return witness.all.Bad() >= leastBad && bad(witness.all) && witness.lost+witness.failed >= leastWitnesses &&
+	return witness.all.Failures() >= leastBad && bad(witness.all) && witness.lost+witness.failed >= leastWitnesses &&
 		found >= min(leastWitnesses, zones) && 2*found > len(witness.zones)
 }
 
@@ -89,12 +91,12 @@
 		for name, tally := range tallies {
 			one := joined[name]
 			if one == nil {
-				one = &witness{zones: map[string]contract.Tally{}}
+				one = &witness{zones: map[string]contract.CallTally{}}
 				joined[name] = one
 			}
-			one.all, one.zones[zone] = one.all.Plus(tally), one.zones[zone].Plus(tally)
+			one.all, one.zones[zone] = one.all.Add(tally), one.zones[zone].Add(tally)
 			switch {
-			case tally.Lost > 0:
+			case tally.Unconnected > 0:
 				one.lost++
 			case tally.Failed > 0:
 				one.failed++
@@ -112,7 +114,7 @@
 	}
 	held.nextJudge = now + owner.bounds.Ask()
 	joined, nodes, zones := owner.witnesses(now, held)
-	pools, present := map[string][]contract.ServerRow{}, map[string]bool{}
+	pools, present := map[string][]contract.ListedServer{}, map[string]bool{}
 	for _, row := range owner.eligible(now, held) {
 		pools[row.Pool], present[row.Name] = append(pools[row.Pool], row), true
 		one, known := joined[row.Name], held.conditions[row.Name]
@@ -164,7 +166,7 @@
 	default:
 		known.ill, known.stepped, known.healed = known.ill-1, now, now
 		if known.ill == 0 {
-			owner.emit(contract.Say{What: "server serves again", Detail: []any{"server", name}})
+			owner.emit(contract.Log{Message: "server serves again", Attributes: []any{"server", name}})
 		}
 	}
 }
@@ -179,7 +181,7 @@
 	return now < known.until || known.ill > 0, now < known.lostUntil, known.ill
 }
 
-func (owner *Owner) judgePool(now time.Duration, held *duty, rows []contract.ServerRow, joined map[string]*witness, nodes, zones int) {
+func (owner *Owner) judgePool(now time.Duration, held *duty, rows []contract.ListedServer, joined map[string]*witness, nodes, zones int) {
 	mean, ill := 0.0, 0
 	for _, row := range rows {
 		mean += joined[row.Name].share() / float64(len(rows))
@@ -200,8 +202,8 @@
 				known.relapses++
 			}
 			known.ill, known.stepped = illSteps, now
-			owner.emit(contract.Count{Name: "servers_rested", By: 1},
-				contract.Say{What: "server rests for all", Detail: []any{"server", row.Name, "bad", one.all.Bad(), "well", one.all.Well, "zones", len(one.zones)}})
+			owner.emit(contract.AddCounter{Name: "servers_rested", Delta: 1},
+				contract.Log{Message: "server rests for all", Attributes: []any{"server", row.Name, "bad", one.all.Failures(), "well", one.all.Succeeded, "zones", len(one.zones)}})
 		}
 	}
 }
--- a/shard/condition_test.go
+++ b/shard/condition_test.go
@@ -18,14 +18,14 @@
 	now     time.Duration
 	nodes   []contract.Member
 	listing contract.Listing
-	told    map[string]map[string]contract.Tally
+	told    map[string]map[string]contract.CallTally
 	held    map[string]contract.Lease
 	lists   int
 }
 
 func warded(servers, nodes, zones int) *ward {
 	self := contract.Member{Name: "east-control", Kind: contract.KindControl, Region: "east", Zone: "zone0", Address: "owner:1"}
-	made := &ward{Owner: New(self, env.DefaultBounds()), now: time.Second, told: map[string]map[string]contract.Tally{}, held: map[string]contract.Lease{}}
+	made := &ward{Owner: New(self, env.DefaultBounds()), now: time.Second, told: map[string]map[string]contract.CallTally{}, held: map[string]contract.Lease{}}
 	made.Prompt(true)
 	made.nodes = append(made.nodes, self)
 	for node := range nodes {
@@ -33,7 +33,7 @@
 	}
 	for server := range servers {
 		name := fmt.Sprintf("s%d", server)
-		made.listing.Servers = append(made.listing.Servers, contract.ServerRow{Name: name, Incarnation: name, Pool: "s", Unmeasured: true})
+		made.listing.Servers = append(made.listing.Servers, contract.ListedServer{Name: name, Incarnation: name, Pool: "s", AssumedReady: true})
 	}
 	made.passes(3*time.Second, nil)
 	return made
@@ -63,10 +63,10 @@
 		}
 		for _, node := range ward.nodes[1:] {
 			last := ward.held[node.Name]
-			ask := contract.LeaseRequest{Node: node.Name, Region: "east", Address: node.Name, Shards: 1, Highest: last.Epoch, Number: last.Number, Brief: true, Tallies: ward.told[node.Name]}
+			ask := contract.LeaseRequest{Node: node.Name, Region: "east", Address: node.Name, ShardCount: 1, HighestEpoch: last.Epoch, Number: last.Number, OmitUnchanged: true, Tallies: ward.told[node.Name]}
 			body, _ := json.Marshal(ask)
 			for _, command := range ward.Handle(ward.now, contract.Message{Kind: MessageAsk, Body: body}) {
-				if lease, fine := ward.lease(command); fine && !lease.Same {
+				if lease, fine := ward.lease(command); fine && !lease.Unchanged {
 					ward.held[node.Name] = lease
 					ward.lists++
 				}
@@ -76,13 +76,13 @@
 }
 
 // all lets the nodes that are chosen tell a tally of a server; nil chooses all.
-func (ward *ward) all(server string, tally contract.Tally, chosen func(contract.Member) bool) {
+func (ward *ward) all(server string, tally contract.CallTally, chosen func(contract.Member) bool) {
 	for _, node := range ward.nodes[1:] {
 		if ward.told[node.Name] == nil {
-			ward.told[node.Name] = map[string]contract.Tally{}
+			ward.told[node.Name] = map[string]contract.CallTally{}
 		}
 		delete(ward.told[node.Name], server)
-		if (chosen == nil || chosen(node)) && tally.Calls() > 0 {
+		if (chosen == nil || chosen(node)) && tally.Total() > 0 {
 			ward.told[node.Name][server] = tally
 		}
 	}
@@ -102,7 +102,7 @@
 func (ward *ward) ill() int {
 	count := 0
 	for _, one := range ward.held[ward.nodes[len(ward.nodes)-1].Name].Servers {
-		if one.Ill > 0 {
+		if one.RecoverySteps > 0 {
 			count++
 		}
 	}
@@ -125,11 +125,11 @@
 }
 
 var (
-	lost   = contract.Tally{Lost: 1}
-	failed = contract.Tally{Failed: 1}
-	grey   = contract.Tally{Failed: 1, Well: 2}
-	well   = contract.Tally{Well: 3}
-	none   = contract.Tally{}
+	lost   = contract.CallTally{Unconnected: 1}
+	failed = contract.CallTally{Failed: 1}
+	grey   = contract.CallTally{Failed: 1, Succeeded: 2}
+	well   = contract.CallTally{Succeeded: 3}
+	none   = contract.CallTally{}
 )
 
 var _ = ginkgo.Describe("the condition of a server at its shard's owner", func() {
@@ -141,7 +141,7 @@
 		Expect(ward.sees("s0").Suspected).To(BeFalse())
 		ward.passes(10*time.Second, nil)
 		Expect(ward.sees("s1").Suspected).To(BeTrue())
-		Expect(ward.sees("s1").Ill).To(BeZero())
+		Expect(ward.sees("s1").RecoverySteps).To(BeZero())
 		ward.all("s1", none, nil)
 		ward.passes(3*time.Second, nil)
 		Expect(ward.sees("s1").Suspected).To(BeFalse())
@@ -174,11 +174,11 @@
 		ward := warded(6, 24, 3)
 		ward.all("s1", grey, nil)
 		ward.passes(1100*time.Millisecond, nil)
-		Expect(ward.sees("s1").Watched).To(BeTrue())
+		Expect(ward.sees("s1").HealthTracked).To(BeTrue())
 		Expect(ward.sees("s1").Suspected).To(BeFalse(), "none lost it")
-		Expect(ward.sees("s1").Ill).To(BeZero())
+		Expect(ward.sees("s1").RecoverySteps).To(BeZero())
 		ward.passes(2*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(Equal(int64(illSteps)))
+		Expect(ward.sees("s1").RecoverySteps).To(Equal(int64(illSteps)))
 		Expect(ward.ill()).To(Equal(1))
 	})
 
@@ -200,7 +200,7 @@
 			ward.passes(time.Second, nil)
 			for _, node := range ward.nodes[1:] {
 				if trouble.chosen(node) {
-					ward.told[node.Name]["s1"] = contract.Tally{Lost: 3}
+					ward.told[node.Name]["s1"] = contract.CallTally{Unconnected: 3}
 				}
 			}
 			ward.passes(20*time.Second, nil)
@@ -211,14 +211,14 @@
 
 	ginkgo.It("given nodes of one zone alone that call a server, when it fails them all, then it rests for nobody", func() {
 		ward := warded(6, 24, 4)
-		ward.all("s1", contract.Tally{Lost: 3}, zoned("zone1"))
+		ward.all("s1", contract.CallTally{Unconnected: 3}, zoned("zone1"))
 		ward.passes(20*time.Second, nil)
 		Expect(ward.ill()).To(BeZero())
 	})
 
 	ginkgo.It("given one server where calls fail rarely, when nodes of all zones tell it, then it does not rest", func() {
 		ward := warded(6, 24, 3)
-		ward.all("s1", contract.Tally{Lost: 1, Well: 9}, nil)
+		ward.all("s1", contract.CallTally{Unconnected: 1, Succeeded: 9}, nil)
 		ward.passes(20*time.Second, nil)
 		Expect(ward.sees("s1").Suspected).To(BeTrue())
 		Expect(ward.ill()).To(BeZero())
@@ -227,7 +227,7 @@
 	ginkgo.It("given calls that fail rarely everywhere, when nodes tell it, then no server rests", func() {
 		ward := warded(6, 24, 3)
 		for server := range 6 {
-			ward.all(fmt.Sprintf("s%d", server), contract.Tally{Lost: 1, Well: 9}, nil)
+			ward.all(fmt.Sprintf("s%d", server), contract.CallTally{Unconnected: 1, Succeeded: 9}, nil)
 		}
 		ward.passes(20*time.Second, nil)
 		Expect(ward.ill()).To(BeZero())
@@ -278,15 +278,15 @@
 		ward := warded(6, 24, 3)
 		ward.all("s1", grey, nil)
 		ward.passes(3*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(Equal(int64(illSteps)))
+		Expect(ward.sees("s1").RecoverySteps).To(Equal(int64(illSteps)))
 		return ward
 	}
 
 	ginkgo.It("given a server that rests, when trial calls are answered well, then it comes back by steps", func() {
 		ward, steps := rested(), []int64{}
-		ward.all("s1", contract.Tally{Well: 1}, named("node03"))
+		ward.all("s1", contract.CallTally{Succeeded: 1}, named("node03"))
 		ward.passes(20*time.Second, func() {
-			if ill := ward.sees("s1").Ill; len(steps) == 0 || steps[len(steps)-1] != ill {
+			if ill := ward.sees("s1").RecoverySteps; len(steps) == 0 || steps[len(steps)-1] != ill {
 				steps = append(steps, ill)
 			}
 		})
@@ -297,27 +297,27 @@
 		ward := rested()
 		ward.all("s1", grey, named("node03"))
 		ward.passes(60*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(Equal(int64(illSteps)))
+		Expect(ward.sees("s1").RecoverySteps).To(Equal(int64(illSteps)))
 	})
 
 	ginkgo.It("given a server that rests, when nobody tries it, then it comes back, but later", func() {
 		ward := rested()
 		ward.all("s1", none, nil)
 		ward.passes(20*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(Equal(int64(illSteps)))
+		Expect(ward.sees("s1").RecoverySteps).To(Equal(int64(illSteps)))
 		ward.passes(40*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(BeZero())
+		Expect(ward.sees("s1").RecoverySteps).To(BeZero())
 	})
 
 	ginkgo.It("given a server that falls ill whenever it serves, when minutes pass, then it rests longer each time", func() {
 		ward, healthy := warded(6, 24, 3), []time.Duration{}
 		former := int64(0)
 		ward.passes(3*time.Minute, func() {
-			ill := ward.sees("s1").Ill
+			ill := ward.sees("s1").RecoverySteps
 			if ill == 0 {
 				ward.all("s1", grey, nil)
 			} else {
-				ward.all("s1", contract.Tally{Well: 1}, named("node03"))
+				ward.all("s1", contract.CallTally{Succeeded: 1}, named("node03"))
 			}
 			if former > 0 && ill == 0 {
 				healthy = append(healthy, ward.now)
--- a/shard/duty.go
+++ b/shard/duty.go
@@ -37,7 +37,7 @@
 // surplus names the loaded servers that the manifest's scale does not want, and the unloaded ones that it does.
 func (owner *Owner) surplus() (map[string]retire.Cause, map[string]bool) {
 	causes, wanted := map[string]retire.Cause{}, map[string]bool{}
-	pools := map[string][]contract.ServerRow{}
+	pools := map[string][]contract.ListedServer{}
 	for _, row := range owner.listing.Servers {
 		if !row.Leaving && !owner.drained(row.Zone) {
 			pools[row.Pool] = append(pools[row.Pool], row)
@@ -93,7 +93,7 @@
 	}
 }
 
-func (owner *Owner) retireOne(now time.Duration, held *duty, row contract.ServerRow, cause retire.Cause, leaving bool) {
+func (owner *Owner) retireOne(now time.Duration, held *duty, row contract.ListedServer, cause retire.Cause, leaving bool) {
 	known := owner.servers[row.Name]
 	retirement, running := held.retirements[row.Name]
 	if !leaving || row.Unloaded {
@@ -128,7 +128,7 @@
 	}
 	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), Link: owner.bounds.Ask(), Remaining: remaining}
 	held.retirements[row.Name] = retire.New(now, row.Name, row.Incarnation, cause, held.number+1, terms)
-	owner.emit(contract.Count{Name: "retirements", By: 1}, contract.Say{What: "withdrawn", Detail: []any{"server", row.Name, "cause", cause}})
+	owner.emit(contract.AddCounter{Name: "retirements", Delta: 1}, contract.Log{Message: "withdrawn", Attributes: []any{"server", row.Name, "cause", cause}})
 	owner.renumber(now, held)
 	held.retirements[row.Name].Number = held.number
 }
@@ -155,7 +155,7 @@
 			}
 		}
 		held.aborted[retirement.Server] = owner.seen.Manifest.Pools[pool].Scale
-		owner.emit(contract.Count{Name: "retirements_aborted", By: 1})
+		owner.emit(contract.AddCounter{Name: "retirements_aborted", Delta: 1})
 		owner.end(now, held, retirement, retirement.Reason)
 		return
 	}
@@ -166,7 +166,7 @@
 
 func (owner *Owner) release(now time.Duration, held *duty, retirement *retire.Retirement) {
 	held.released[retirement.Server] = retirement.Incarnation
-	owner.emit(contract.Count{Name: "retirements_released", By: 1})
+	owner.emit(contract.AddCounter{Name: "retirements_released", Delta: 1})
 	owner.end(now, held, retirement, retirement.Reason)
 	owner.orderOnce(now, held, retirement.Server, false)
 }
@@ -179,7 +179,7 @@
 	if len(held.past) > pastSize {
 		held.past = held.past[1:]
 	}
-	owner.emit(contract.Say{What: "retirement over", Detail: []any{"server", retirement.Server, "state", retirement.State, "why", why}})
+	owner.emit(contract.Log{Message: "retirement over", Attributes: []any{"server", retirement.Server, "state", retirement.State, "why", why}})
 }
 
 func (owner *Owner) orderOnce(now time.Duration, held *duty, server string, load bool) {
--- a/shard/idle_test.go
+++ b/shard/idle_test.go
@@ -23,7 +23,7 @@
 	member := func(name string) contract.Member {
 		return contract.Member{Name: name, Kind: contract.KindControl, Region: "east", Zone: "zone", Address: name}
 	}
-	both := contract.Ordered(Subject("east", 0), []string{"left", "right"})
+	both := contract.RendezvousOrder(Subject("east", 0), []string{"left", "right"})
 	made := &reader{Owner: New(member(both[1]), env.DefaultBounds()), now: time.Second, members: []contract.Member{member(both[0]), member(both[1])}}
 	made.Prompt(prompt)
 	return made
--- a/shard/list.go
+++ b/shard/list.go
@@ -11,8 +11,8 @@
 )
 
 // eligible gives the servers of a shard that may take new work now.
-func (owner *Owner) eligible(now time.Duration, held *duty) []contract.ServerRow {
-	rows := []contract.ServerRow{}
+func (owner *Owner) eligible(now time.Duration, held *duty) []contract.ListedServer {
+	rows := []contract.ListedServer{}
 	for _, row := range owner.mine(held) {
 		known := owner.servers[row.Name]
 		_, retiring := held.retirements[row.Name]
@@ -22,7 +22,7 @@
 		if row.Leaving || row.Unloaded || retiring || released || !pooled && !serves || owner.drained(row.Zone) {
 			continue
 		}
-		if !row.Unmeasured && (!known.good || known.failures >= darkAfter) {
+		if !row.AssumedReady && (!known.good || known.failures >= darkAfter) {
 			continue
 		}
 		rows = append(rows, row)
@@ -69,21 +69,21 @@
 		}
 		known.cache, known.cacheAt = max(known.cache, count)+1, now
 		owner.changes++
-		owner.emit(contract.Count{Name: "cache_indexes_thrown", By: 1}, contract.Say{What: "cache index thrown away", Detail: []any{"server", name, "count", known.cache}})
+		owner.emit(contract.AddCounter{Name: "cache_indexes_thrown", Delta: 1}, contract.Log{Message: "cache index thrown away", Attributes: []any{"server", name, "count", known.cache}})
 	}
 }
 
 func (owner *Owner) ask(now time.Duration, ask contract.LeaseRequest) {
 	held, there := owner.duties[ask.Shard]
-	if !there || ask.Shards != owner.shards {
+	if !there || ask.ShardCount != owner.shards {
 		owner.emit(contract.Send{To: ask.Address, Kind: MessageNotOwner, Body: contract.NotOwner{Region: ask.Region, Shard: ask.Shard}})
 		return
 	}
-	if held.highest.Before(ask.Highest) {
-		held.highest = ask.Highest
+	if held.highest.Before(ask.HighestEpoch) {
+		held.highest = ask.HighestEpoch
 		if held.owning {
 			held.owning, held.firstSince = false, now
-			owner.emit(contract.Count{Name: "superseded", By: 1})
+			owner.emit(contract.AddCounter{Name: "superseded", Delta: 1})
 		}
 	}
 	if !held.owning || !owner.fresh(now) || owner.first(held.index) != owner.self.Name {
@@ -93,22 +93,22 @@
 		owner.notices(now, held, ask)
 		return
 	}
-	owner.throwIndex(now, ask.Stale)
+	owner.throwIndex(now, ask.StaleIndexes)
 	if held.numbered != owner.changes {
 		owner.renumber(now, held)
 	}
 	word := retire.Word{Told: now, Granted: now}
-	if ask.Highest == held.epoch {
+	if ask.HighestEpoch == held.epoch {
 		word.Number = ask.Number
 	}
 	held.tallies[ask.Node] = ask.Tallies
-	held.observations.tell(ask.Node, ask.Observed)
-	held.words[ask.Node], held.calls[ask.Node], held.lingering[ask.Node] = word, ask.Calls, ask.Lingering
-	lease := contract.Lease{Region: ask.Region, Shard: ask.Shard, Asked: ask.Asked, Epoch: held.epoch, Number: held.number,
-		Life: owner.bounds.Lease(), Revision: owner.seen.Revision, Shards: owner.shards, Observed: owner.observed(now, held)}
-	lease.Same = ask.Brief && ask.Highest == held.epoch && ask.Number == held.number
+	held.observations.tell(ask.Node, ask.CallObservations)
+	held.words[ask.Node], held.calls[ask.Node], held.lingering[ask.Node] = word, ask.Calls, ask.Abandoned
+	lease := contract.Lease{Region: ask.Region, Shard: ask.Shard, RequestSentAt: ask.SentAt, Epoch: held.epoch, Number: held.number,
+		Duration: owner.bounds.Lease(), Revision: owner.seen.Revision, ShardCount: owner.shards, CallObservations: owner.observed(now, held)}
+	lease.Unchanged = ask.OmitUnchanged && ask.HighestEpoch == held.epoch && ask.Number == held.number
 	for _, row := range held.rows {
-		if lease.Same {
+		if lease.Unchanged {
 			break
 		}
 		lease.Servers = append(lease.Servers, owner.candidate(now, held, row, owner.share(now, held, row, ask.Node)))
@@ -122,13 +122,13 @@
 	owner.emit(contract.Send{To: ask.Address, Kind: MessageLease, Body: lease})
 }
 
-func (owner *Owner) candidate(now time.Duration, held *duty, row contract.ServerRow, share int64) contract.Candidate {
+func (owner *Owner) candidate(now time.Duration, held *duty, row contract.ListedServer, share int64) contract.Candidate {
 	known := owner.servers[row.Name]
 	watched, suspected, ill := held.conditionOf(now, row.Name)
 	return contract.Candidate{Name: row.Name, Address: row.Address, Zone: row.Zone, Pool: row.Pool,
 		Incarnation: row.Incarnation, Slots: owner.seen.Manifest.Pools[row.Pool].Slots, Share: share,
-		Running: known.report.Running, Waiting: known.report.Waiting, Report: known.report.Number, Prefixes: known.report.Prefixes,
-		Cache: known.cache, Watched: watched, Suspected: suspected, Ill: ill, WarmMs: max(0, (known.warmUntil - now).Milliseconds())}
+		Running: known.report.Running, Waiting: known.report.Waiting, ReportNumber: known.report.Number, Prefixes: known.report.Prefixes,
+		CacheResets: known.cache, HealthTracked: watched, Suspected: suspected, RecoverySteps: ill, WarmupMs: max(0, (known.warmUntil - now).Milliseconds())}
 }
 
 // interim gives a node that has no list yet what the platform lists here, while the owner is not found: without an epoch, so that any
@@ -137,34 +137,34 @@
 	if !owner.prompt || !ask.Interim || !owner.fresh(now) {
 		return
 	}
-	lease := contract.Lease{Region: ask.Region, Shard: ask.Shard, Asked: ask.Asked, Shards: owner.shards, Interim: true}
+	lease := contract.Lease{Region: ask.Region, Shard: ask.Shard, RequestSentAt: ask.SentAt, ShardCount: owner.shards, Interim: true}
 	for _, row := range owner.eligible(now, held) {
 		lease.Servers = append(lease.Servers, owner.candidate(now, held, row, -1))
 	}
-	owner.emit(contract.Count{Name: "lists_interim", By: 1}, contract.Send{To: ask.Address, Kind: MessageLease, Body: lease})
+	owner.emit(contract.AddCounter{Name: "lists_interim", Delta: 1}, contract.Send{To: ask.Address, Kind: MessageLease, Body: lease})
 }
 
 // notices tells a node whose list nobody confirms which servers leave, by this node's own listing: a second way beside the owner, so that
 // a cut or a relay that fails keeps no node sending to them.
 func (owner *Owner) notices(now time.Duration, held *duty, ask contract.LeaseRequest) {
-	if !owner.prompt || !ask.Notices || !owner.fresh(now) {
+	if !owner.prompt || !ask.DeparturesOnly || !owner.fresh(now) {
 		return
 	}
-	told := contract.Notices{Region: ask.Region, Shard: ask.Shard}
+	told := contract.DepartureNotice{Region: ask.Region, Shard: ask.Shard}
 	for _, row := range owner.mine(held) {
 		if row.Leaving {
 			told.Leaving = append(told.Leaving, row.Name)
 		}
 	}
 	if len(told.Leaving) > 0 {
-		owner.emit(contract.Count{Name: "notices_told", By: 1}, contract.Send{To: ask.Address, Kind: MessageNotices, Body: told})
+		owner.emit(contract.AddCounter{Name: "notices_told", Delta: 1}, contract.Send{To: ask.Address, Kind: MessageNotices, Body: told})
 	}
 }
 
 // share is this node's part of a cold server's ramp. What others were given and still hold, or still run, is taken off first,
 // so the parts never add up to more than the ramp. Below zero means no bound. Right after a take-over nothing is given: leases
 // of the former owner may still stand.
-func (owner *Owner) share(now time.Duration, held *duty, row contract.ServerRow, node string) int64 {
+func (owner *Owner) share(now time.Duration, held *duty, row contract.ListedServer, node string) int64 {
 	known := owner.servers[row.Name]
 	ramp := owner.seen.Manifest.Retirement.Ramp
 	if !known.ramping || now-known.rampFrom >= ramp {
@@ -180,7 +180,7 @@
 	open := owner.part(max(1, slots*int64(now-known.rampFrom)/int64(ramp)), len(names))
 	count := int64(len(names))
 	part := int64(0)
-	for place, name := range contract.Ordered("ramp/"+row.Name, names) {
+	for place, name := range contract.RendezvousOrder("ramp/"+row.Name, names) {
 		if name == node {
 			part = open / count
 			if int64(place) < open%count {
--- a/shard/observed.go
+++ b/shard/observed.go
@@ -18,25 +18,25 @@
 
 // observations are what data nodes tell of the calls that they send, and what of it holds for all.
 type observations struct {
-	byNode map[string]contract.Observed
-	merged contract.Observed
+	byNode map[string]contract.CallObservations
+	merged contract.CallObservations
 	next   time.Duration
 }
 
 // tell takes what a node says of its own calls.
-func (all *observations) tell(node string, observed contract.Observed) {
-	if len(observed.Short)+len(observed.Read) == 0 {
+func (all *observations) tell(node string, observed contract.CallObservations) {
+	if len(observed.ShortPromptGapMs)+len(observed.PrefillUsPerK) == 0 {
 		delete(all.byNode, node)
 		return
 	}
 	if all.byNode == nil {
-		all.byNode = map[string]contract.Observed{}
+		all.byNode = map[string]contract.CallObservations{}
 	}
 	all.byNode[node] = observed
 }
 
 // observed merges what the nodes tell that asked within a lease's time.
-func (owner *Owner) observed(now time.Duration, held *duty) contract.Observed {
+func (owner *Owner) observed(now time.Duration, held *duty) contract.CallObservations {
 	all := &held.observations
 	if now < all.next {
 		return all.merged
@@ -47,7 +47,7 @@
 			delete(all.byNode, node)
 		}
 	}
-	all.merged = contract.Observed{Short: all.leastPauses(), Read: all.readTimes()}
+	all.merged = contract.CallObservations{ShortPromptGapMs: all.leastPauses(), PrefillUsPerK: all.readTimes()}
 	return all.merged
 }
 
@@ -55,7 +55,7 @@
 func (all *observations) leastPauses() map[string]int64 {
 	least := map[string]int64{}
 	for _, observed := range all.byNode {
-		for service, pause := range observed.Short {
+		for service, pause := range observed.ShortPromptGapMs {
 			if known, there := least[service]; pause > 0 && (!there || pause < known) {
 				least[service] = pause
 			}
@@ -68,7 +68,7 @@
 func (all *observations) readTimes() map[string]int64 {
 	times, low := map[string][]int64{}, map[string]int64{}
 	for _, observed := range all.byNode {
-		for service, read := range observed.Read {
+		for service, read := range observed.PrefillUsPerK {
 			if read > 0 {
 				times[service] = append(times[service], read)
 			}
--- a/shard/observed_test.go
+++ b/shard/observed_test.go
@@ -15,14 +15,14 @@
 		ask := func(node string, short map[string]int64) map[string]int64 {
 			ginkgo.GinkgoHelper()
 			ward.now += ward.bounds.Withdraw() / 8
-			request := contract.LeaseRequest{Node: node, Address: node + ":1", Region: "east", Asked: ward.now, Shards: 1, Observed: contract.Observed{Short: short}}
+			request := contract.LeaseRequest{Node: node, Address: node + ":1", Region: "east", SentAt: ward.now, ShardCount: 1, CallObservations: contract.CallObservations{ShortPromptGapMs: short}}
 			ward.Handle(ward.now, ListingRead{Began: ward.now, Listing: ward.listing})
 			body, failure := json.Marshal(request)
 			Expect(failure).NotTo(HaveOccurred())
 			ward.Handle(ward.now, Seen{Members: ward.nodes, Manifest: ward.seen.Manifest})
 			for _, command := range ward.Handle(ward.now, contract.Message{Kind: MessageAsk, Body: body}) {
 				if lease, there := ward.lease(command); there {
-					return lease.Short
+					return lease.ShortPromptGapMs
 				}
 			}
 			ginkgo.Fail("no list")
@@ -40,23 +40,23 @@
 
 	ginkgo.It("given many questions within a moment, when they are answered, then what nodes tell is merged once", func() {
 		held, owner := &duty{words: map[string]retire.Word{}}, warded(1, 1, 1)
-		held.observations.tell("node00", contract.Observed{Short: map[string]int64{"s": 5}})
+		held.observations.tell("node00", contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 5}})
 		held.words["node00"] = retire.Word{Told: owner.now}
-		Expect(owner.observed(owner.now, held).Short).To(Equal(map[string]int64{"s": 5}))
+		Expect(owner.observed(owner.now, held).ShortPromptGapMs).To(Equal(map[string]int64{"s": 5}))
 		next := held.observations.next
 		Expect(next).To(BeNumerically(">", owner.now))
-		held.observations.tell("node00", contract.Observed{Short: map[string]int64{"s": 4}})
-		Expect(owner.observed(next-1, held).Short).To(Equal(map[string]int64{"s": 5}))
-		Expect(owner.observed(next, held).Short).To(Equal(map[string]int64{"s": 4}))
+		held.observations.tell("node00", contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 4}})
+		Expect(owner.observed(next-1, held).ShortPromptGapMs).To(Equal(map[string]int64{"s": 5}))
+		Expect(owner.observed(next, held).ShortPromptGapMs).To(Equal(map[string]int64{"s": 4}))
 	})
 
 	ginkgo.It("given nodes that saw prompts being read, some behind others and one that errs, when it is merged, then a low one of their times holds", func() {
 		all := &observations{}
 		for place, read := range []int64{90000, 31000, 30000, 1, 32000, 200000, 0} {
-			all.tell(string(rune('a'+place)), contract.Observed{Read: map[string]int64{"s": read}, Short: map[string]int64{"s": 1}})
+			all.tell(string(rune('a'+place)), contract.CallObservations{PrefillUsPerK: map[string]int64{"s": read}, ShortPromptGapMs: map[string]int64{"s": 1}})
 		}
 		Expect(all.readTimes()).To(Equal(map[string]int64{"s": 31000}))
-		all.tell("a", contract.Observed{})
+		all.tell("a", contract.CallObservations{})
 		Expect(all.byNode).To(HaveLen(6))
 	})
 })
--- a/shard/reports.go
+++ b/shard/reports.go
@@ -17,11 +17,11 @@
 	}
 	known.reading = false
 	if event.Error == "" && !event.Report.Complete {
-		owner.emit(contract.Count{Name: "reports_partial", By: 1})
+		owner.emit(contract.AddCounter{Name: "reports_partial", Delta: 1})
 	}
 	if event.Error != "" {
 		known.failures++
-		owner.emit(contract.Count{Name: "reports_broken", By: 1})
+		owner.emit(contract.AddCounter{Name: "reports_broken", Delta: 1})
 	} else if event.Report.Incarnation == known.incarnation {
 		if !known.good {
 			known.good = true
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -81,7 +81,7 @@
 }
 
 type knowledge struct {
-	report      contract.Report
+	report      contract.LoadReport
 	good        bool
 	sampled     time.Duration
 	reading     bool
@@ -106,7 +106,7 @@
 	taken        time.Duration
 	number       int64
 	list         string
-	rows         []contract.ServerRow
+	rows         []contract.ListedServer
 	numbered     int64
 	words        map[string]retire.Word
 	calls        map[string]map[string]int64
@@ -115,7 +115,7 @@
 	retirements  map[string]*retire.Retirement
 	released     map[string]string
 	aborted      map[string]int64
-	tallies      map[string]map[string]contract.Tally
+	tallies      map[string]map[string]contract.CallTally
 	conditions   map[string]*condition
 	observations observations
 	nextJudge    time.Duration
@@ -173,7 +173,7 @@
 		owner.reportRead(now, event)
 	case Ordered:
 		if event.Error != "" {
-			owner.emit(contract.Count{Name: "orders_refused", By: 1})
+			owner.emit(contract.AddCounter{Name: "orders_refused", Delta: 1})
 		}
 	case contract.Message:
 		owner.message(now, event)
@@ -227,7 +227,7 @@
 		if _, there := owner.duties[index]; !there {
 			owner.duties[index] = &duty{index: index, firstSince: -1, words: map[string]retire.Word{}, calls: map[string]map[string]int64{}, lingering: map[string]map[string]int64{},
 				retirements: map[string]*retire.Retirement{}, released: map[string]string{}, aborted: map[string]int64{},
-				tallies: map[string]map[string]contract.Tally{}, conditions: map[string]*condition{}}
+				tallies: map[string]map[string]contract.CallTally{}, conditions: map[string]*condition{}}
 		}
 	}
 	if owner.shards != shards {
@@ -248,7 +248,7 @@
 			owned++
 		}
 	}
-	owner.emit(contract.Gauge{Name: "shards_owned", Value: owned})
+	owner.emit(contract.SetGauge{Name: "shards_owned", Value: owned})
 }
 
 func (owner *Owner) poll(now time.Duration) {
@@ -266,7 +266,7 @@
 	owner.polling = false
 	if event.Error != "" {
 		owner.nextPoll = min(owner.nextPoll, now+owner.bounds.PlatformPoll())
-		owner.emit(contract.Count{Name: "listings_broken", By: 1})
+		owner.emit(contract.AddCounter{Name: "listings_broken", Delta: 1})
 		return
 	}
 	if owner.listed && event.Began < owner.listedAt {
@@ -293,7 +293,7 @@
 			known.incarnation, known.good, known.ramping, known.failures = row.Incarnation, false, false, 0
 			known.listedFrom = now
 		}
-		known.warmUntil = event.Began + time.Duration(row.WarmMs)*time.Millisecond
+		known.warmUntil = event.Began + time.Duration(row.WarmupMs)*time.Millisecond
 		owner.grow(now, row.Name)
 	}
 	for name := range owner.servers {
@@ -310,7 +310,7 @@
 func (owner *Owner) tickDuty(now time.Duration, held *duty) {
 	if owner.first(held.index) != owner.self.Name {
 		if held.owning {
-			owner.emit(contract.Say{What: "shard given up", Detail: []any{"shard", held.index}})
+			owner.emit(contract.Log{Message: "shard given up", Attributes: []any{"shard", held.index}})
 		}
 		held.owning, held.firstSince = false, -1
 		return
@@ -347,17 +347,17 @@
 
 func (owner *Owner) takeOver(now time.Duration, held *duty) {
 	held.owning, held.taken = true, now
-	held.epoch = contract.Epoch{Number: held.highest.Number + 1, Node: owner.self.Name, Life: owner.self.Boot}
+	held.epoch = contract.Epoch{Number: held.highest.Number + 1, Node: owner.self.Name, Incarnation: owner.self.Boot}
 	held.highest, held.number, held.list = held.epoch, 0, ""
 	held.words, held.calls, held.lingering = map[string]retire.Word{}, map[string]map[string]int64{}, map[string]map[string]int64{}
-	held.tallies, held.conditions = map[string]map[string]contract.Tally{}, map[string]*condition{}
+	held.tallies, held.conditions = map[string]map[string]contract.CallTally{}, map[string]*condition{}
 	held.shares = map[string]map[string]int64{}
 	held.retirements, held.released = map[string]*retire.Retirement{}, map[string]string{}
-	owner.emit(contract.Count{Name: "take_overs", By: 1}, contract.Say{What: "shard taken", Detail: []any{"shard", held.index, "epoch", held.epoch.Number}})
+	owner.emit(contract.AddCounter{Name: "take_overs", Delta: 1}, contract.Log{Message: "shard taken", Attributes: []any{"shard", held.index, "epoch", held.epoch.Number}})
 }
 
-func (owner *Owner) mine(held *duty) []contract.ServerRow {
-	rows := []contract.ServerRow{}
+func (owner *Owner) mine(held *duty) []contract.ListedServer {
+	rows := []contract.ListedServer{}
 	for _, row := range owner.listing.Servers {
 		if contract.ShardOf(row.Name, owner.shards) == held.index {
 			rows = append(rows, row)
@@ -370,7 +370,7 @@
 	for _, row := range owner.mine(held) {
 		known := owner.servers[row.Name]
 		_, retiring := held.retirements[row.Name]
-		if row.Unloaded || row.Unmeasured && !retiring || now < known.nextRead || known.reading && now < known.nextRead+owner.bounds.Lease() {
+		if row.Unloaded || row.AssumedReady && !retiring || now < known.nextRead || known.reading && now < known.nextRead+owner.bounds.Lease() {
 			continue
 		}
 		known.reading, known.nextRead = true, now+owner.bounds.PlatformPoll()
--- a/shard/sight.go
+++ b/shard/sight.go
@@ -15,7 +15,7 @@
 	for _, member := range members {
 		if member.Kind == contract.KindControl && member.Region == region {
 			all = append(all, member.Name)
-			if !member.Blind {
+			if !member.Impaired {
 				seeing = append(seeing, member.Name)
 			}
 		}
@@ -31,7 +31,7 @@
 	if len(all) == 0 {
 		return ""
 	}
-	return contract.Ordered(Subject(region, index), all)[0]
+	return contract.RendezvousOrder(Subject(region, index), all)[0]
 }
 
 // nearest gives the region that stands in for one without control nodes: the first in the agreed order.
@@ -42,7 +42,7 @@
 			regions = append(regions, member.Region)
 		}
 	}
-	return contract.Ordered("stand-in/"+region, regions)[0]
+	return contract.RendezvousOrder("stand-in/"+region, regions)[0]
 }
 
 // idleTimes is how much more seldom than an owner of shards a prompt node without any reads the platform: each reading has its price, and
@@ -74,10 +74,10 @@
 	switch {
 	case !owner.blind && late > owner.bounds.Lease()+owner.pollEvery()-owner.bounds.PlatformPoll():
 		owner.blind, owner.sighted = true, now
-		owner.emit(contract.Count{Name: "blind", By: 1}, contract.Say{What: "the platform cannot be read here"})
+		owner.emit(contract.AddCounter{Name: "blind", Delta: 1}, contract.Log{Message: "the platform cannot be read here"})
 	case owner.blind && owner.fresh(now) && now-owner.sighted > owner.bounds.Refound():
 		owner.blind = false
-		owner.emit(contract.Say{What: "the platform can be read here again"})
+		owner.emit(contract.Log{Message: "the platform can be read here again"})
 	}
 }
 
@@ -102,10 +102,10 @@
 
 // ReadTold is what a peer read for an owner that could not.
 type ReadTold struct {
-	Server string          `json:"server"`
-	Asked  time.Duration   `json:"asked"`
-	Report contract.Report `json:"report"`
-	Error  string          `json:"error,omitempty"`
+	Server string              `json:"server"`
+	Asked  time.Duration       `json:"asked"`
+	Report contract.LoadReport `json:"report"`
+	Error  string              `json:"error,omitempty"`
 }
 
 // readAround asks a peer of the region to read a report that this node could not read, in turn; it tells whether it could ask.
@@ -128,7 +128,7 @@
 	known := owner.servers[server]
 	known.failures++
 	owner.turn++
-	owner.emit(contract.Count{Name: "reports_asked_around", By: 1}, contract.Send{To: peers[owner.turn%len(peers)].Address, Kind: MessageReadAsk,
+	owner.emit(contract.AddCounter{Name: "reports_asked_around", Delta: 1}, contract.Send{To: peers[owner.turn%len(peers)].Address, Kind: MessageReadAsk,
 		Body: ReadReport{Server: server, Address: address, Back: owner.self.Address, Asked: now}})
 	return true
 }
--- a/stories/calls/calls_test.go
+++ b/stories/calls/calls_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-func trouble(answer contract.Answer) contract.Trouble {
-	told, _ := answer.Body.(contract.Trouble)
+func trouble(answer contract.Response) contract.ErrorBody {
+	told, _ := answer.Body.(contract.ErrorBody)
 	return told
 }
 
@@ -174,14 +174,14 @@
 		probe := played.Probe("short", harness.Home(played)).Send(played.InRegion(harness.Home(played))[0])
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
 		for _, machine := range played.Machines {
-			answer := played.Operate(machine, contract.Ask{Verb: contract.VerbWhy, Subject: probe.Key()})
+			answer := played.Operate(machine, contract.OperatorRequest{Verb: contract.VerbWhy, Subject: probe.Key()})
 			Expect(answer.Status).To(Equal(200))
 			told := string(harness.Text(answer.Body))
 			for _, word := range []string{"chosen: ", "epoch", "number", `"revision":1`, `"outcome":"done"`, `"proof":"whole"`} {
 				Expect(told).To(ContainSubstring(word))
 			}
 		}
-		Expect(played.Operate(played.Machines[0], contract.Ask{Verb: contract.VerbWhy, Subject: "never"}).Status).To(Equal(404))
+		Expect(played.Operate(played.Machines[0], contract.OperatorRequest{Verb: contract.VerbWhy, Subject: "never"}).Status).To(Equal(404))
 	})
 })
 
--- a/stories/core/links_test.go
+++ b/stories/core/links_test.go
@@ -42,7 +42,7 @@
 				})).To(BeTrue(), "a write is acknowledged during the cut")
 				Expect(played.World.Now - began).To(BeNumerically("<", 12*time.Second))
 				Expect(played.Until(4*time.Second, func() bool {
-					return played.Operate(asker, contract.Ask{Verb: contract.VerbGet}).Status == 200
+					return played.Operate(asker, contract.OperatorRequest{Verb: contract.VerbGet}).Status == 200
 				})).To(BeTrue(), "a read is answered during the cut")
 				number := harness.ChainView(played, asker).Number
 				played.Run(4 * time.Second)
--- a/stories/core/recovery_test.go
+++ b/stories/core/recovery_test.go
@@ -27,7 +27,7 @@
 		played.Run(50 * time.Millisecond)
 		asker := played.Pick(func(machine *fleet.Machine) bool { return machine.Up() && !machine.Core })[0]
 		Expect(played.Until(30*time.Second, func() bool {
-			return played.Operate(asker, contract.Ask{Verb: contract.VerbGet}).Status == 200
+			return played.Operate(asker, contract.OperatorRequest{Verb: contract.VerbGet}).Status == 200
 		})).To(BeTrue(), "%s: read, seed %d", name, seed)
 		reads = append(reads, played.World.Now-began)
 		Expect(played.Until(30*time.Second, func() bool {
--- a/stories/core/worst_test.go
+++ b/stories/core/worst_test.go
@@ -12,9 +12,9 @@
 )
 
 // based gives a patch that builds on a revision.
-func based(played *fleet.Fleet, number int, revision int64) contract.Ask {
+func based(played *fleet.Fleet, number int, revision int64) contract.OperatorRequest {
 	ask := played.Patch(number)
-	ask.Base, ask.HasBase = revision, true
+	ask.BaseRevision, ask.HasBaseRevision = revision, true
 	return ask
 }
 
@@ -47,7 +47,7 @@
 		It(fmt.Sprintf("does not hand out the configuration that it had, and says so at once (cut both ways: %v)", bothWays), func() {
 			played, head, _ := apart(302, bothWays)
 			asked := played.World.Now
-			Expect(played.Operate(head, contract.Ask{Verb: contract.VerbGet}).Status).To(BeElementOf(503, 504))
+			Expect(played.Operate(head, contract.OperatorRequest{Verb: contract.VerbGet}).Status).To(BeElementOf(503, 504))
 			Expect(played.World.Now - asked).To(BeNumerically("<", 8*time.Second))
 			played.Run(20 * time.Second)
 			harness.NothingWrong(played)
@@ -56,13 +56,13 @@
 		It(fmt.Sprintf("does not confirm a drain that it believes to stand (cut both ways: %v)", bothWays), func() {
 			played := harness.Given("brazos", 303)
 			zone := played.Site.Machines[0].Zone
-			Expect(played.Do(played.Machines[1], contract.Ask{Verb: contract.VerbDrain, Subject: zone}).Status).To(BeElementOf(200, 202))
+			Expect(played.Do(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone}).Status).To(BeElementOf(200, 202))
 			head := played.Machine(harness.ChainView(played, played.Machines[1]).Chain[0][:3])
 			played.CutFor([]string{head.Name}, 20*time.Second, bothWays)
 			played.Run(5 * time.Second)
 			others := played.Pick(func(machine *fleet.Machine) bool { return machine != head })
-			Expect(played.Do(others[0], contract.Ask{Verb: contract.VerbUndrain, Subject: zone}).Status).To(BeElementOf(200, 202))
-			drain := contract.Ask{Verb: contract.VerbDrain, Subject: zone, Operation: "again", Prompt: true}
+			Expect(played.Do(others[0], contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone}).Status).To(BeElementOf(200, 202))
+			drain := contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone, Operation: "again", ReplyOnCommit: true}
 			Expect(played.Operate(head, drain).Status).To(BeElementOf(503, 504))
 			played.Run(20 * time.Second)
 			harness.NothingWrong(played)
@@ -72,7 +72,7 @@
 
 var _ = Describe("a head that wakes from a freeze", func() {
 	// woken freezes the head while the others change the configuration, and gives it the moment that it wakes.
-	woken := func(seed uint64, meanwhile func(*fleet.Fleet, *fleet.Machine) contract.Ask) contract.Answer {
+	woken := func(seed uint64, meanwhile func(*fleet.Fleet, *fleet.Machine) contract.OperatorRequest) contract.Response {
 		GinkgoHelper()
 		played := harness.Given("brazos", seed)
 		head := played.Machine(harness.ChainView(played, played.Machines[1]).Chain[0][:3])
@@ -90,11 +90,11 @@
 
 	It("does not refuse an order that builds on what it has missed", func() {
 		for seed := uint64(310); seed < 314; seed++ {
-			answer := woken(seed, func(played *fleet.Fleet, other *fleet.Machine) contract.Ask {
+			answer := woken(seed, func(played *fleet.Fleet, other *fleet.Machine) contract.OperatorRequest {
 				written := harness.Patched(played, other, 1)
 				Expect(written.Status).To(BeElementOf(200, 202))
 				ask := based(played, 2, written.Accepted.Revision)
-				ask.Prompt = true
+				ask.ReplyOnCommit = true
 				return ask
 			})
 			Expect(answer.Status).To(BeElementOf(200, 503, 504), "seed %d: %v", seed, answer.Body)
@@ -102,11 +102,11 @@
 	})
 
 	It("does not confirm a drain that was withdrawn meanwhile", func() {
-		answer := woken(315, func(played *fleet.Fleet, other *fleet.Machine) contract.Ask {
+		answer := woken(315, func(played *fleet.Fleet, other *fleet.Machine) contract.OperatorRequest {
 			zone := played.Site.Machines[0].Zone
-			Expect(played.Do(other, contract.Ask{Verb: contract.VerbDrain, Subject: zone}).Status).To(BeElementOf(200, 202))
-			Expect(played.Do(other, contract.Ask{Verb: contract.VerbUndrain, Subject: zone}).Status).To(BeElementOf(200, 202))
-			return contract.Ask{Verb: contract.VerbUndrain, Subject: zone, Operation: "again", Prompt: true}
+			Expect(played.Do(other, contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone}).Status).To(BeElementOf(200, 202))
+			Expect(played.Do(other, contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone}).Status).To(BeElementOf(200, 202))
+			return contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone, Operation: "again", ReplyOnCommit: true}
 		})
 		Expect(answer.Status).To(BeElementOf(200, 503, 504))
 	})
@@ -149,7 +149,7 @@
 		member.Start()
 		Expect(played.Until(10*time.Second, func() bool {
 			view := harness.ChainView(played, played.Machines[1])
-			return len(view.Chain) == 3 && view.Rank(identity) >= 0
+			return len(view.Chain) == 3 && view.ChainIndex(identity) >= 0
 		})).To(BeTrue(), "the same member is back in the chain")
 		newest := int64(0)
 		Expect(played.Until(4*time.Second, func() bool {
@@ -182,7 +182,7 @@
 		played.KillFor(cores[:1], 20*time.Second)
 		played.KillFor(cores[1:], time.Second)
 		Expect(played.Until(8*time.Second, func() bool {
-			return played.Operate(played.Machines[5], contract.Ask{Verb: contract.VerbGet}).Status == 200
+			return played.Operate(played.Machines[5], contract.OperatorRequest{Verb: contract.VerbGet}).Status == 200
 		})).To(BeTrue(), "two of three serve the configuration")
 		Expect(harness.Patched(played, played.Machines[5], 2).Status).To(BeElementOf(200, 202))
 		played.Run(20 * time.Second)
@@ -194,7 +194,7 @@
 	It("sees one of them confirmed, however often both send again, in a later view too", func() {
 		played := harness.Given("seri", 360)
 		_, revision := played.Manifest(played.Machines[1])
-		orders := []contract.Ask{based(played, 1, revision), based(played, 2, revision)}
+		orders := []contract.OperatorRequest{based(played, 1, revision), based(played, 2, revision)}
 		orders[1].Operation += "-other"
 		accepted := map[string]map[int64]bool{}
 		for round := range 12 {
--- a/stories/days/planted_test.go
+++ b/stories/days/planted_test.go
@@ -15,7 +15,7 @@
 
 // faulty is an owner with a fault planted in it: what it hears and what it says goes through a sieve.
 type faulty struct {
-	contract.Owner
+	contract.StateMachine
 	hears func(contract.Event) bool
 	says  func(contract.Command) bool
 }
@@ -25,7 +25,7 @@
 		return nil
 	}
 	said := []contract.Command{}
-	for _, command := range faulty.Owner.Handle(now, event) {
+	for _, command := range faulty.StateMachine.Handle(now, event) {
 		if faulty.says == nil || faulty.says(command) {
 			said = append(said, command)
 		}
@@ -51,9 +51,9 @@
 var _ = Describe("an excuse for ill nodes cannot hide a breach by one that is well", func() {
 	It("when it gives no answer", func() {
 		played := troubled(131)
-		played.Machine("m02").Data.Plant(func(owner contract.Owner) contract.Owner {
-			return faulty{Owner: owner, says: func(command contract.Command) bool {
-				_, answer := command.(contract.Answer)
+		played.Machine("m02").Data.Plant(func(owner contract.StateMachine) contract.StateMachine {
+			return faulty{StateMachine: owner, says: func(command contract.Command) bool {
+				_, answer := command.(contract.Response)
 				return !answer
 			}}
 		})
@@ -64,8 +64,8 @@
 
 	It("when it stays behind, with links of its own cut", func() {
 		played := troubled(132)
-		played.Machine("m02").Data.Plant(func(owner contract.Owner) contract.Owner {
-			return faulty{Owner: owner, hears: func(event contract.Event) bool {
+		played.Machine("m02").Data.Plant(func(owner contract.StateMachine) contract.StateMachine {
+			return faulty{StateMachine: owner, hears: func(event contract.Event) bool {
 				message, fine := event.(contract.Message)
 				return !fine || message.Kind != feed.MessageChange
 			}}
--- a/stories/harness/harness.go
+++ b/stories/harness/harness.go
@@ -76,9 +76,9 @@
 // ChainView asks the authority for the core's view, as long as it takes for one to answer.
 func ChainView(played *fleet.Fleet, machine *fleet.Machine) contract.View {
 	GinkgoHelper()
-	var answer contract.Answer
+	var answer contract.Response
 	Expect(played.Until(30*time.Second, func() bool {
-		answer = played.Operate(machine, contract.Ask{Verb: contract.VerbChain})
+		answer = played.Operate(machine, contract.OperatorRequest{Verb: contract.VerbChain})
 		return answer.Status == 200
 	})).To(BeTrue(), "an authority answers")
 	return answer.Body.(map[string]any)["view"].(contract.View)
--- a/stories/sight/sight_test.go
+++ b/stories/sight/sight_test.go
@@ -142,12 +142,12 @@
 			pool, region := harness.ModelPool(played), harness.Home(played)
 			played.Traffic(50*time.Second, 1)
 			played.Run(10 * time.Second)
-			scale := contract.Ask{Verb: contract.VerbScale, Subject: pool[0].Pool, Body: fmt.Appendf(nil, "%d", len(pool)-2)}
+			scale := contract.OperatorRequest{Verb: contract.VerbScale, Subject: pool[0].Pool, Body: fmt.Appendf(nil, "%d", len(pool)-2)}
 			Expect(played.Do(played.Machines[5], scale).Status).To(Equal(200))
 			played.Run(4 * time.Second)
 			for _, shards := range []int{3, 1, 4} {
 				body := fmt.Appendf(nil, `{"regions":{%q:{"shards":%d}}}`, region, shards)
-				Expect(played.Do(played.Machines[4], contract.Ask{Verb: contract.VerbPatch, Body: body}).Status).To(Equal(200))
+				Expect(played.Do(played.Machines[4], contract.OperatorRequest{Verb: contract.VerbPatch, Body: body}).Status).To(Equal(200))
 				Expect(gap(played, 4*time.Second)).To(BeNumerically("<=", 500*time.Millisecond), "%d shards", shards)
 				Expect(harness.Unloaded(pool)).To(BeZero(), "each division starts the window again")
 			}
--- a/stories/zones/drain_test.go
+++ b/stories/zones/drain_test.go
@@ -21,7 +21,7 @@
 }
 
 func drain(played *fleet.Fleet, machine *fleet.Machine, verb, zone string) fleet.Written {
-	return played.Do(machine, contract.Ask{Verb: verb, Subject: zone})
+	return played.Do(machine, contract.OperatorRequest{Verb: verb, Subject: zone})
 }
 
 func taken(played *fleet.Fleet, zone string) int {
@@ -58,7 +58,7 @@
 			played.Traffic(20*time.Second, 0.5)
 			statuses := map[string]int{}
 			for index, zone := range zones[:2] {
-				ask := contract.Ask{Verb: contract.VerbDrain, Subject: zone, Operation: "drain-" + zone}
+				ask := contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone, Operation: "drain-" + zone}
 				played.Write(played.Machines[index*5], ask, func(written fleet.Written) { statuses[zone] = written.Status })
 			}
 			played.Run(5 * time.Second)
@@ -103,7 +103,7 @@
 			played.Traffic(20*time.Second, 0.5)
 			words := map[int64]string{}
 			for index, verb := range []string{contract.VerbDrain, contract.VerbUndrain, contract.VerbDrain, contract.VerbUndrain} {
-				ask := contract.Ask{Verb: verb, Subject: "prairie-b", Operation: verb + string(rune('a'+index))}
+				ask := contract.OperatorRequest{Verb: verb, Subject: "prairie-b", Operation: verb + string(rune('a'+index))}
 				played.World.After(time.Duration(played.World.Random.IntN(60))*time.Millisecond, func() {
 					played.Write(played.Machines[index*3], ask, func(written fleet.Written) { words[written.Accepted.Revision] = verb })
 				})
@@ -120,7 +120,7 @@
 		played := harness.Given("brazos", 91)
 		_, base := played.Manifest(played.Machines[0])
 		Expect(drain(played, played.Machines[1], contract.VerbDrain, "prairie-a").Status).To(Equal(200))
-		whole := contract.Ask{Verb: contract.VerbPut, HasBase: true, Base: base, Body: played.Site.Manifest}
+		whole := contract.OperatorRequest{Verb: contract.VerbPut, HasBaseRevision: true, BaseRevision: base, Body: played.Site.Manifest}
 		Expect(played.Do(played.Machines[2], whole).Status).To(Equal(409))
 		harness.NothingWrong(played)
 	})
@@ -131,7 +131,7 @@
 	played.Traffic(30*time.Second, 0.5)
 	played.CutFor([]string{"m12"}, 25*time.Second, true)
 	played.Run(4 * time.Second)
-	ask := contract.Ask{Verb: contract.VerbDrain, Subject: "klang-b", Operation: "late"}
+	ask := contract.OperatorRequest{Verb: contract.VerbDrain, Subject: "klang-b", Operation: "late"}
 	played.Write(played.Machines[1], ask, nil)
 	played.Run(time.Second)
 	Expect(drain(played, played.Machines[2], contract.VerbUndrain, "klang-b").Status).To(Equal(202))
--- a/stories/zones/retire_test.go
+++ b/stories/zones/retire_test.go
@@ -16,7 +16,7 @@
 )
 
 func retirements(played *fleet.Fleet) []shard.Retired {
-	answer := played.Operate(played.Machines[2], contract.Ask{Verb: contract.VerbRetirements})
+	answer := played.Operate(played.Machines[2], contract.OperatorRequest{Verb: contract.VerbRetirements})
 	body, _ := answer.Body.(map[string]any)
 	rows, _ := body["retirements"].([]shard.Retired)
 	return rows
@@ -27,7 +27,7 @@
 }
 
 func scaled(played *fleet.Fleet, count string) fleet.Written {
-	return played.Do(played.Machines[5], contract.Ask{Verb: contract.VerbScale, Subject: played.Servers[0].Pool, Body: []byte(count)})
+	return played.Do(played.Machines[5], contract.OperatorRequest{Verb: contract.VerbScale, Subject: played.Servers[0].Pool, Body: []byte(count)})
 }
 
 func longRuns(kind *site.Caller) { kind.Pieces = 600 }
@@ -132,7 +132,7 @@
 })
 
 func listed(played *fleet.Fleet, server string) bool {
-	answer := played.Operate(played.Machines[3], contract.Ask{Verb: contract.VerbShards})
+	answer := played.Operate(played.Machines[3], contract.OperatorRequest{Verb: contract.VerbShards})
 	return strings.Contains(strings.ReplaceAll(string(harness.Text(answer.Body)), `"server":"`+server, ""), `"`+server+`"`)
 }
 
--- a/virtual/disk_test.go
+++ b/virtual/disk_test.go
@@ -121,7 +121,7 @@
 			})
 
 			It("cuts the last file in half when it is torn, once, and the image is put aside", func() {
-				disk, version := given(options), contract.FirstVersion(contract.Place{View: 1, Revision: 1}, "", document.Empty())
+				disk, version := given(options), contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty())
 				Expect(image.Save(disk, chain.Persist{Writes: []chain.Write{{Version: version}}})).To(Succeed())
 				disk.LosePower()
 				recovered, failure := image.Load(disk)
