--- a/contract/epoch_test.go
+++ b/contract/epoch_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "contract")
 }
 
-var _ = Describe("questions for lists and their answers", func() {
+var _ = Describe("lease requests and leases", func() {
 	epoch := contract.Epoch{Number: 4, Node: "b-control", Incarnation: "b2"}
 	written := func(body any) string {
 		GinkgoHelper()
@@ -25,17 +25,17 @@
 		return string(content)
 	}
 
-	It("given a node that holds nothing, when it asks, then it writes only what it knows", func() {
+	It("given a node without a list, when it encodes its request, then zero fields are omitted", func() {
 		request := contract.LeaseRequest{Node: "a-data", Address: "a:1", Region: "east", SentAt: time.Second, ShardCount: 1}
 		Expect(written(request)).To(Equal(`{"node":"a-data","address":"a:1","region":"east","asked":1000000000,"shards":1}`))
 	})
 
-	It("given a list that the asker holds already, when it is answered, then nothing is written of servers, nor the number of the first shard", func() {
+	It("given an unchanged list, when the lease is encoded, then the servers and the zero shard number are omitted", func() {
 		lease := contract.Lease{Region: "east", RequestSentAt: time.Second, Epoch: epoch, Number: 17, Duration: time.Second, Revision: 3, Unchanged: true, ShardCount: 1}
 		Expect(written(lease)).To(Equal(`{"region":"east","asked":1000000000,"epoch":{"number":4,"node":"b-control","life":"b2"},"number":17,"life":1000000000,"revision":3,"same":true,"shards":1}`))
 	})
 
-	DescribeTable("given an older sender, which writes every field, when its message is read, then it says the same as one of this version",
+	DescribeTable("given a message of an older version, which has zero fields too, when it is decoded, then it equals one of this version",
 		func(older string, same, read any) {
 			Expect(json.Unmarshal([]byte(older), read)).To(Succeed())
 			Expect(read).To(Equal(same))
@@ -43,9 +43,9 @@
 			Expect(json.Unmarshal([]byte(written(same)), fresh)).To(Succeed())
 			Expect(fresh).To(Equal(same))
 		},
-		Entry("a question", `{"node":"a-data","boot":"b1","address":"a:1","region":"east","shard":0,"asked":1,"highest":{"number":0,"node":""},"number":0,"shards":1}`,
+		Entry("a lease request", `{"node":"a-data","boot":"b1","address":"a:1","region":"east","shard":0,"asked":1,"highest":{"number":0,"node":""},"number":0,"shards":1}`,
 			&contract.LeaseRequest{Node: "a-data", Address: "a:1", Region: "east", SentAt: 1, ShardCount: 1}, &contract.LeaseRequest{}),
-		Entry("a list", `{"region":"east","shard":0,"asked":1,"epoch":{"number":4,"node":"b-control","life":"b2"},"number":0,"life":2,"servers":null,"revision":0,"shards":1}`,
+		Entry("a lease", `{"region":"east","shard":0,"asked":1,"epoch":{"number":4,"node":"b-control","life":"b2"},"number":0,"life":2,"servers":null,"revision":0,"shards":1}`,
 			&contract.Lease{Region: "east", RequestSentAt: 1, Epoch: epoch, Duration: 2, ShardCount: 1}, &contract.Lease{}),
 		Entry("a server", `{"name":"s","address":"s:1","zone":"h","pool":"p","incarnation":"1","slots":8,"share":0,"running":0,"waiting":0,"report":0}`,
 			&contract.Candidate{Name: "s", Address: "s:1", Zone: "h", Pool: "p", Incarnation: "1", Slots: 8}, &contract.Candidate{}),
--- a/contract/order.go
+++ b/contract/order.go
@@ -5,6 +5,7 @@
 	"sort"
 )
 
+// RendezvousWeight hashes the parts for rendezvous hashing. The final mixing spreads short inputs that differ in a few bits.
 func RendezvousWeight(parts ...string) uint64 {
 	hash := fnv.New64a()
 	for _, part := range parts {
@@ -18,7 +19,8 @@
 	return mixed
 }
 
-// Ordered gives names in the agreed order for a subject: every node computes the same one.
+// RendezvousOrder sorts names by their rendezvous weight for a subject. Every node computes the same order, and removing a name leaves the
+// order of the others unchanged.
 func RendezvousOrder(subject string, names []string) []string {
 	ordered := append([]string{}, names...)
 	sort.Slice(ordered, func(left, right int) bool {
@@ -31,6 +33,7 @@
 	return ordered
 }
 
+// ShardOf returns the shard that a server belongs to, of a number of shards. With fewer than one shard, it is shard 0.
 func ShardOf(server string, shards int) int {
 	if shards < 1 {
 		return 0
--- a/contract/stream.go
+++ b/contract/stream.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// WriteRecords writes records one after the other.
+// WriteRecords writes records as a stream of JSON objects.
 func WriteRecords(writer io.Writer, records []Record) error {
 	encoder := json.NewEncoder(writer)
 	for _, record := range records {
@@ -20,7 +20,8 @@
 	return nil
 }
 
-// ReadRecords reads what WriteRecords wrote, without holding the text of the parts twice.
+// ReadRecords reads what WriteRecords wrote until the end of the stream. It parses documents while reading, so that their text is never
+// held in memory beside the parsed form.
 func ReadRecords(reader io.Reader) ([]Record, error) {
 	decoder, records := jsontext.NewDecoder(reader), []Record{}
 	for {
--- a/contract/stream_test.go
+++ b/contract/stream_test.go
@@ -14,7 +14,7 @@
 	return text.Bytes()
 }
 
-func TestStreamedRecordsAreOpenedAsTheyWereWritten(t *testing.T) {
+func TestStreamRoundTrip(t *testing.T) {
 	versions := series(t, 12)
 	records, err := ReadRecords(bytes.NewReader(streamed(t, EncodeRecords(Version{}, versions, MaxRecordBytes))))
 	if err != nil {
@@ -26,12 +26,12 @@
 	}
 	for index, version := range decoded {
 		if version.Digest != versions[index].Digest || version.Position != versions[index].Position || version.Operation != versions[index].Operation {
-			t.Fatal("another version was opened")
+			t.Fatal("decoded a different version")
 		}
 	}
 }
 
-func TestAStreamThatEndsEarlyGivesNothing(t *testing.T) {
+func TestTruncatedStreamIsRefused(t *testing.T) {
 	text := streamed(t, EncodeRecords(Version{}, series(t, 3), MaxRecordBytes))
 	for _, length := range []int{1, len(text) / 3, len(text) - 2} {
 		if records, err := ReadRecords(bytes.NewReader(text[:length])); err == nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// FuzzReadRecords wants whatever comes to be refused, or to open only as what has its digest.
+// FuzzReadRecords checks that arbitrary input is either refused or decoded to versions that match their digests.
 func FuzzReadRecords(f *testing.F) {
 	versions := series(&testing.T{}, 3)
 	f.Add(streamed(f, EncodeRecords(Version{}, versions, MaxRecordBytes)))
@@ -55,7 +55,7 @@
 		decoded, _ := DecodeRecords(records, func(Position) (Version, bool) { return versions[0], true })
 		for _, version := range decoded {
 			if version.Document().Digest() != version.Digest {
-				t.Fatal("a version was opened that does not have its digest")
+				t.Fatal("decoded a version that does not match its digest")
 			}
 		}
 	})
--- a/contract/version.go
+++ b/contract/version.go
@@ -7,31 +7,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// Version is one configuration of all regions: numbered, immutable, and made by one operation. Versions share the parts that they have in
-// common.
+// Version is an entry of the replicated log: a manifest, which configures all regions. It is immutable and was created by one operation.
+// Versions share the parts of their content that are equal.
 type Version struct {
 	Position  Position
 	Operation string
-	// Digest is that of the content.
+	// Digest is the hash of the content.
 	Digest  string
 	Content *document.Document
-	// Base is the version that Change made this one out of; it is zero where that is not known.
+	// Base is the position of the version that Change was applied to. It is zero where that is not known.
 	Base   Position
 	Change document.Change
 }
 
-// FirstVersion is a version whose content was not made out of another one's.
+// NewVersion returns a version with the given content and no base.
 func NewVersion(position Position, operation string, content *document.Document) Version {
 	return Version{Position: position, Operation: operation, Digest: content.Digest(), Content: content}
 }
 
-// Next is the version that a change makes of this one.
+// Next returns the version that results from applying a change to this one.
 func (version Version) Next(position Position, operation string, change document.Change) Version {
 	content := version.Document().Apply(change)
 	return Version{Position: position, Operation: operation, Digest: content.Digest(), Content: content, Base: version.Position, Change: change}
 }
 
-// Weight is what a version adds to those that it shares its parts with, in bytes.
+// RetainedBytes estimates the memory that the version takes beyond the parts that it shares with its base.
 func (version Version) RetainedBytes() int64 {
 	if version.Base.Revision > 0 {
 		return int64(version.Change.Size())
@@ -39,7 +39,7 @@
 	return int64(version.Document().Size())
 }
 
-// Document gives the content, which is empty where there is no version.
+// Document returns the content. The zero version has an empty one.
 func (version Version) Document() *document.Document {
 	if version.Content == nil {
 		return document.Empty()
@@ -47,13 +47,14 @@
 	return version.Content
 }
 
-// PastOperation is a committed operation whose version is no longer kept.
+// PastOperation is a committed operation whose version has been removed from the log. It keeps retries of the operation idempotent.
 type PastOperation struct {
 	Position  Position `json:"place"`
 	Operation string   `json:"operation"`
 }
 
-// Record is a version as it travels between nodes and lies on disk: whole, or as the change of a version that the reader must hold.
+// Record is the encoded form of a version in messages and on disk: either full, with the whole Manifest, or a delta, with the Change to a
+// Base version that the reader must hold.
 type Record struct {
 	Position  Position         `json:"place"`
 	Operation string           `json:"operation"`
@@ -61,14 +62,14 @@
 	Base      *Position        `json:"base,omitempty"`
 	Change    *document.Change `json:"change,omitempty"`
 	Manifest  json.RawMessage  `json:"manifest,omitempty"`
-	// content stands for the manifest where it was read from a stream.
+	// content replaces Manifest in a record that was read from a stream.
 	content *document.Document
 }
 
-// Whole tells whether a record can be opened by itself.
+// IsFull reports whether the record can be decoded without a base version.
 func (record Record) IsFull() bool { return record.Base == nil }
 
-// Size is about how many bytes a record takes.
+// Size is the approximate encoded size of the record in bytes.
 func (record Record) Size() int {
 	if record.Change == nil {
 		return len(record.Manifest)
@@ -76,12 +77,13 @@
 	return record.Change.Size()
 }
 
-// WholeRecord gives the record of a version with all of its content.
+// FullRecord returns the record that holds the whole content of the version.
 func (version Version) FullRecord() Record {
 	return Record{Position: version.Position, Operation: version.Operation, Digest: version.Digest, Manifest: version.Document().JSON()}
 }
 
-// RecordFrom gives the record of a version as the change of a base, or whole where there is no base or that is no larger.
+// RecordRelativeTo returns the record of the version as a delta to a base. The record is full if the base is the zero version or if the
+// delta would not be smaller.
 func (version Version) RecordRelativeTo(base Version) Record {
 	if base.Position.Revision <= 0 {
 		return version.FullRecord()
@@ -97,8 +99,8 @@
 	return Record{Position: version.Position, Operation: version.Operation, Digest: version.Digest, Base: &position, Change: &change}
 }
 
-// Records gives the records of versions in order, the first one as the change of a base and each other one as that of the one before it,
-// as many as fit into so many bytes, but at least one.
+// EncodeRecords returns the records of versions in order: the first one relative to base, each other one relative to its predecessor. It
+// stops before the records exceed maxBytes, but always returns the first one.
 func EncodeRecords(base Version, versions []Version, maxBytes int) []Record {
 	records, size := []Record{}, 0
 	for _, version := range versions {
@@ -111,11 +113,12 @@
 	return records
 }
 
-// Held finds a version that the reader of records holds.
+// VersionLookup finds a version that the reader of records holds.
 type VersionLookup func(Position) (Version, bool)
 
-// OpenRecords reads versions in order; each record may be the change of one before it or of one that is held. It ends with an error at the
-// first one that can't be put together or does not have its digest; the versions before that are given all the same.
+// DecodeRecords decodes records in order. The base of a record is looked up among the versions decoded before it and then by lookup, which
+// may be nil. It fails at the first record whose base is missing or whose content does not have its digest, and returns the versions decoded
+// until then beside the error.
 func DecodeRecords(records []Record, lookup VersionLookup) ([]Version, error) {
 	versions := []Version{}
 	for _, record := range records {
@@ -128,7 +131,7 @@
 	return versions, nil
 }
 
-// Open reads a version; the record may be the change of one of some others.
+// Decode decodes the record, whose base may be one of the given versions.
 func (record Record) Decode(before []Version) (Version, error) { return record.decode(before, nil) }
 
 func (record Record) decode(before []Version, lookup VersionLookup) (Version, error) {
@@ -174,10 +177,10 @@
 	return lookup(position)
 }
 
-// MarshalJSON writes a version whole.
+// MarshalJSON encodes the version as a full record.
 func (version Version) MarshalJSON() ([]byte, error) { return json.Marshal(version.FullRecord()) }
 
-// UnmarshalJSON reads a version that was written whole.
+// UnmarshalJSON decodes a version from a full record. It fails on a delta.
 func (version *Version) UnmarshalJSON(content []byte) error {
 	var record Record
 	if err := json.Unmarshal(content, &record); err != nil {
--- a/contract/version_test.go
+++ b/contract/version_test.go
@@ -9,7 +9,7 @@
 	"github.com/cedarreel/cedarreel/document"
 )
 
-// series gives versions of which each is a small change of the one before it.
+// series returns versions each of which makes a small change to its predecessor.
 func series(t *testing.T, count int) []Version {
 	t.Helper()
 	parts := []string{}
@@ -30,7 +30,7 @@
 	return versions
 }
 
-// sent gives records as they arrive.
+// sent returns records after a round trip through JSON.
 func sent(t *testing.T, records []Record) []Record {
 	t.Helper()
 	content, err := json.Marshal(records)
@@ -44,7 +44,7 @@
 	return arrived
 }
 
-func TestRecordsAreOpenedAsTheyWereSent(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	versions := series(t, 20)
 	for base := range versions {
 		records := sent(t, EncodeRecords(versions[base], versions[base+1:], MaxRecordBytes))
@@ -54,57 +54,57 @@
 		}
 		for index, version := range decoded {
 			if want := versions[base+1+index]; version.Digest != want.Digest || version.Operation != want.Operation || string(version.Document().JSON()) != string(want.Document().JSON()) {
-				t.Fatal("another version was opened")
+				t.Fatal("decoded a different version")
 			}
 		}
 	}
 }
 
-func TestARecordIsTheChangeOfAnyBaseOrWhole(t *testing.T) {
+func TestRecordIsDeltaToAnyBaseOrFull(t *testing.T) {
 	versions := series(t, 6)
 	back := versions[1].RecordRelativeTo(versions[5])
 	if back.IsFull() || back.Size() > 100 {
-		t.Fatal("an older version is no small change of a newer one")
+		t.Fatal("want a small delta from a newer version to an older one")
 	}
 	decoded, err := DecodeRecords(sent(t, []Record{back}), func(Position) (Version, bool) { return versions[5], true })
 	if err != nil || decoded[0].Digest != versions[1].Digest {
 		t.Fatal(err)
 	}
 	if !versions[3].RecordRelativeTo(Version{}).IsFull() {
-		t.Fatal("without a base a record is whole")
+		t.Fatal("want a full record without a base")
 	}
 }
 
-func TestWhatCannotBePutTogetherIsRefused(t *testing.T) {
+func TestRecordsWithoutMatchingBaseAreRefused(t *testing.T) {
 	versions := series(t, 4)
 	none := func(Position) (Version, bool) { return Version{}, false }
 	records := EncodeRecords(versions[0], versions[1:], MaxRecordBytes)
 	if decoded, err := DecodeRecords(records, none); err == nil || len(decoded) > 0 {
-		t.Fatal("a change was opened without its base")
+		t.Fatal("decoded a delta without its base")
 	}
 	wrongBase := func(Position) (Version, bool) { return NewVersion(versions[0].Position, "", document.Empty()), true }
 	if decoded, err := DecodeRecords(records, wrongBase); err == nil || len(decoded) > 0 {
-		t.Fatal("a change of another content was opened")
+		t.Fatal("decoded a delta to different content")
 	}
 	lookup := func(Position) (Version, bool) { return versions[0], true }
 	broken := sent(t, records)
 	broken[1].Change.Set["/items/all/p8"] = document.Value("0")
 	if decoded, err := DecodeRecords(broken, lookup); err == nil || len(decoded) != 1 {
-		t.Fatal("a change that was altered was opened, or the one before it was not:", err, len(decoded))
+		t.Fatal("want the record before the altered one only:", err, len(decoded))
 	}
 	if _, err := DecodeRecords([]Record{{Position: versions[1].Position, Digest: versions[1].Digest, Base: &versions[0].Position}}, lookup); err == nil {
-		t.Fatal("a record without a change was opened")
+		t.Fatal("decoded a record without a change")
 	}
 	var version Version
 	if content, _ := json.Marshal(records[0]); json.Unmarshal(content, &version) == nil {
-		t.Fatal("a change was read as a whole version")
+		t.Fatal("decoded a delta as a full version")
 	}
 }
 
-func TestRecordsFitIntoAMessage(t *testing.T) {
+func TestRecordsStayWithinByteLimit(t *testing.T) {
 	versions := series(t, 20)
 	if records := EncodeRecords(Version{}, versions, 0); len(records) != 1 {
-		t.Fatal("at least one record is sent:", len(records))
+		t.Fatal("want at least one record:", len(records))
 	}
 	if records := EncodeRecords(versions[0], versions[1:], 100); len(records) == 0 || len(records) > 10 {
 		t.Fatal(len(records))
