--- a/control/control.go
+++ b/control/control.go
@@ -84,12 +84,12 @@
 }
 
 func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
-	return owner.Relayed(now, event, owner.handle)
+	return owner.HandleRelayed(now, event, owner.handle)
 }
 
 func (owner *Owner) handle(now time.Duration, event contract.Event) []contract.Command {
 	commands := []contract.Command{}
-	if gap := owner.Woke(now); gap > 0 {
+	if gap := owner.DetectFreeze(now); gap > 0 {
 		owner.shardsWoke(now)
 		commands = append(commands, contract.Count{Name: "woken", By: 1}, contract.Say{What: "woken from a freeze", Detail: []any{"ms", gap.Milliseconds()}})
 	}
--- a/control/gather.go
+++ b/control/gather.go
@@ -105,7 +105,7 @@
 		if !pending.waiting.Contains(member.Name) {
 			continue
 		}
-		commands = append(commands, owner.ByRelay(now, member, contract.Send{To: member.Address, Kind: pending.kind, Body: pending.body}, "", pending.tried)...)
+		commands = append(commands, owner.SendByRelay(now, member, contract.Send{To: member.Address, Kind: pending.kind, Body: pending.body}, "", pending.tried)...)
 	}
 	pending.tried++
 	return commands
--- a/data/data.go
+++ b/data/data.go
@@ -125,12 +125,12 @@
 func (owner *Owner) count(name string) { owner.emit(contract.Count{Name: name, By: 1}) }
 
 func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
-	return owner.Relayed(now, event, owner.handle)
+	return owner.HandleRelayed(now, event, owner.handle)
 }
 
 func (owner *Owner) handle(now time.Duration, event contract.Event) []contract.Command {
 	owner.out = nil
-	if gap := owner.Woke(now); gap > 0 {
+	if gap := owner.DetectFreeze(now); gap > 0 {
 		owner.woke(now, gap)
 	}
 	for _, command := range owner.Node.Handle(now, event) {
--- a/data/leases.go
+++ b/data/leases.go
@@ -18,7 +18,7 @@
 	asked   time.Duration
 	expires time.Duration
 	hint    string
-	detour  machine.Detour
+	detour  machine.RelayPath
 }
 
 func (owner *Owner) askLeases(now time.Duration) {
@@ -58,7 +58,7 @@
 		return
 	}
 	if route, tried, needed := held.detour.Next(silent); needed {
-		owner.emit(owner.ByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageAsk, Body: ask}, route, tried)...)
+		owner.emit(owner.SendByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageAsk, Body: ask}, route, tried)...)
 	}
 }
 
@@ -101,7 +101,7 @@
 		owner.turned = map[string]rest{}
 	}
 	former := held.lease.Withdraw
-	held.detour.Answered(message.Via, held.asked == lease.Asked)
+	held.detour.RecordAnswer(message.Via, held.asked == lease.Asked)
 	held.highest, held.lease, held.asked, held.hint = lease.Epoch, lease, lease.Asked, ""
 	held.expires = lease.Asked + lease.Life
 	for _, candidate := range lease.Servers {
--- a/gateway/lists.go
+++ b/gateway/lists.go
@@ -23,7 +23,7 @@
 	held  bool
 	// interim is when the list was asked for that stands in until an owner's comes, 0 without one.
 	interim time.Duration
-	detour  machine.Detour
+	detour  machine.RelayPath
 	// relayed is when relays were asked last.
 	relayed time.Duration
 	// overdue tells that the list was said to be unconfirmed for too long.
@@ -147,7 +147,7 @@
 			"epoch", held.highest, "ageMs", (now - held.asked).Milliseconds(), "tried", tried, "owners", names(owners)}})
 	}
 	for _, owner := range owners {
-		node.emit(node.ByRelay(now, owner, contract.Send{To: owner.Address, Kind: shard.MessageAsk, Body: ask}, route, tried)...)
+		node.emit(node.SendByRelay(now, owner, contract.Send{To: owner.Address, Kind: shard.MessageAsk, Body: ask}, route, tried)...)
 	}
 }
 
@@ -177,7 +177,7 @@
 	if lease.Same && (lease.Epoch != held.epoch || lease.Number != held.number) {
 		return
 	}
-	held.detour.Answered(message.Via, held.asked == lease.Asked)
+	held.detour.RecordAnswer(message.Via, held.asked == lease.Asked)
 	held.highest, held.epoch, held.number, held.asked, held.hint = lease.Epoch, lease.Epoch, lease.Number, lease.Asked, ""
 	node.confirmed(now, held, message, lease)
 	if former := node.observed[lease.Region]; !maps.Equal(former.Short, lease.Short) || !maps.Equal(former.Read, lease.Read) {
--- a/gateway/node.go
+++ b/gateway/node.go
@@ -74,7 +74,7 @@
 func (node *Node) emit(commands ...contract.Command) { node.out = append(node.out, commands...) }
 
 func (node *Node) Handle(now time.Duration, event contract.Event) []contract.Command {
-	return node.Relayed(now, event, node.handle)
+	return node.HandleRelayed(now, event, node.handle)
 }
 
 func (node *Node) handle(now time.Duration, event contract.Event) []contract.Command {
@@ -82,7 +82,7 @@
 		node.begun, node.started = true, now
 	}
 	node.out = nil
-	if gap := node.Woke(now); gap > 0 {
+	if gap := node.DetectFreeze(now); gap > 0 {
 		node.emit(contract.Count{Name: "woken", By: 1}, contract.Say{What: "woken from a freeze", Detail: []any{"ms", gap.Milliseconds()}})
 	}
 	for _, command := range node.Node.Handle(now, event) {
--- a/machine/detour.go
+++ b/machine/detour.go
@@ -1,29 +1,30 @@
 package machine
 
-// Detour is the way by relays to a member whose direct link may be cut. A route that worked is used alone until the member answers directly,
-// or falls silent on that way too. The zero value is the direct way.
-type Detour struct {
-	// route is the one that the last answer came by, empty when it came directly.
+// RelayPath remembers how to reach a member whose direct link may be cut: directly, or through relays. Once a relay route has worked, only that
+// route is used until the member answers directly or stops answering on that route too. The zero value stands for the direct link.
+type RelayPath struct {
+	// route is the relay route of the last answer, empty when the answer came directly.
 	route string
-	// tried is how often relays were asked in vain since then.
-	tried int
+	// failures counts the attempts through relays without an answer since then.
+	failures int
 }
 
-// Next gives the route to ask by and how often relays were tried in vain before, as ByRelay takes them; an empty route has relays drawn. It
-// is false while the member answers directly. Silent tells that the answer to a question is missing.
-func (detour *Detour) Next(silent bool) (route string, tried int, needed bool) {
-	if !silent {
-		detour.tried = 0
-		return detour.route, 0, detour.route != ""
+// Next returns the route and the number of failed attempts to pass to Node.SendByRelay for the next request; with an empty route, new relays are
+// chosen. Needed is false while the member answers directly. The caller sets unanswered when the answer to an earlier request is overdue.
+func (path *RelayPath) Next(unanswered bool) (route string, failures int, needed bool) {
+	if !unanswered {
+		path.failures = 0
+		return path.route, 0, path.route != ""
 	}
-	tried = detour.tried
-	detour.tried++
-	return "", tried, true
+	failures = path.failures
+	path.failures++
+	return "", failures, true
 }
 
-// Answered notes by which route an answer came. Of answers to one question that was asked both ways, a direct one that was first stays.
-func (detour *Detour) Answered(route string, repeated bool) {
-	if detour.route != "" || !repeated {
-		detour.route = route
+// RecordAnswer stores the route by which an answer came, empty for a direct one. AskedBothWays says that the request went directly and through
+// relays and was answered before: a relayed answer then does not replace a direct one.
+func (path *RelayPath) RecordAnswer(route string, askedBothWays bool) {
+	if path.route != "" || !askedBothWays {
+		path.route = route
 	}
 }
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -1,4 +1,5 @@
-// Package machine is what every node of cedarreel is: a member among neighbours that follows the feed.
+// Package machine implements what control nodes and data nodes have in common: membership by gossip, replication of the manifest feed, detection
+// of process freezes, and messages through relays.
 package machine
 
 import (
@@ -13,31 +14,40 @@
 	"github.com/cedarreel/cedarreel/relay"
 )
 
+// Node is the common part of a control node and a data node, which embed it. It is a state machine without I/O: Handle takes an event and returns
+// the commands to carry out. It is not safe for concurrent use.
 type Node struct {
-	Bounds     env.Bounds
+	// Bounds are the time limits from the settings.
+	Bounds env.Bounds
+	// Neighbours holds the membership of the fleet.
 	Neighbours *neighbour.Owner
-	Feed       *feed.Owner
-	Random     *rand.Rand
-	lastTick   time.Duration
-	ticked     bool
+	// Feed follows the versions of the manifest and the view of the chain.
+	Feed *feed.Owner
+	// Random is the source of all random choices; tests and the emulator seed it.
+	Random   *rand.Rand
+	lastTick time.Duration
+	ticked   bool
 }
 
+// New returns a node of a kind (contract.KindControl or contract.KindData). Boot identifies this start of the process. The other process of the
+// same machine, if the settings name one, is used as an additional seed.
 func New(settings env.Env, kind, boot string, random *rand.Rand) *Node {
 	address, sibling := settings.Data, settings.Control
 	if kind == contract.KindControl {
 		address, sibling = sibling, address
 	}
-	self := contract.Member{Name: settings.Name + "-" + kind, Boot: boot, Kind: kind, Zone: settings.Zone, Region: settings.Region, Address: address}
+	member := contract.Member{Name: settings.Name + "-" + kind, Boot: boot, Kind: kind, Zone: settings.Zone, Region: settings.Region, Address: address}
 	seeds := slices.Clone(settings.Seeds)
 	if sibling != "" {
 		seeds = append(seeds, sibling)
 	}
-	return &Node{Bounds: settings.Bounds, Neighbours: neighbour.New(self, seeds, settings.Bounds, random),
+	return &Node{Bounds: settings.Bounds, Neighbours: neighbour.New(member, seeds, settings.Bounds, random),
 		Feed: feed.New(address, settings.Bounds), Random: random}
 }
 
-// Woke tells the length of a freeze that ended with this event, or nothing.
-func (node *Node) Woke(now time.Duration) time.Duration {
+// DetectFreeze returns how long the process was frozen before this event, or 0. A freeze is a gap since the last tick that exceeds Bounds.Freeze;
+// membership is told of it, so that silence during the freeze is not held against other members.
+func (node *Node) DetectFreeze(now time.Duration) time.Duration {
 	gap := now - node.lastTick
 	if !node.ticked || gap <= node.Bounds.Freeze() {
 		return 0
@@ -47,6 +57,7 @@
 	return gap
 }
 
+// Handle processes an event for membership and the feed. A tick also publishes gauges and asks other members for versions that are missing here.
 func (node *Node) Handle(now time.Duration, event contract.Event) []contract.Command {
 	commands := []contract.Command{}
 	if _, tick := event.(contract.Tick); tick {
@@ -62,40 +73,40 @@
 	return append(commands, node.Feed.Handle(now, event, node.Neighbours.Active())...)
 }
 
-// Relayed brings an event to a handler, out of its envelope if a relay brought it; answers to it go back the same way. What this node is
-// to carry for others is passed on.
-func (node *Node) Relayed(now time.Duration, event contract.Event, handle func(time.Duration, contract.Event) []contract.Command) []contract.Command {
-	message, fine := event.(contract.Message)
+// HandleRelayed passes an event to a handler. A message that came through relays is taken out of its envelope first, and the handler's answers to
+// its sender return by the same relays. A message that this node only relays is forwarded without the handler.
+func (node *Node) HandleRelayed(now time.Duration, event contract.Event, handle func(time.Duration, contract.Event) []contract.Command) []contract.Command {
+	message, isMessage := event.(contract.Message)
 	switch {
-	case fine && message.Kind == relay.MessageForward:
-		return relay.Forward(node.Self(), message, func(address string) bool { return node.knows(now, address) })
-	case fine && message.Kind == relay.MessageDeliver:
-		opened, envelope, whole := relay.Open(message)
-		if !whole {
+	case isMessage && message.Kind == relay.MessageForward:
+		return relay.Forward(node.Self(), message, func(address string) bool { return node.isMember(now, address) })
+	case isMessage && message.Kind == relay.MessageDeliver:
+		inner, envelope, valid := relay.Open(message)
+		if !valid {
 			return []contract.Command{contract.Count{Name: "messages_broken", By: 1}}
 		}
-		return relay.Back(node.Self(), envelope, handle(now, opened))
+		return relay.Back(node.Self(), envelope, handle(now, inner))
 	}
 	return handle(now, event)
 }
 
-func (node *Node) knows(now time.Duration, address string) bool {
+func (node *Node) isMember(now time.Duration, address string) bool {
 	return slices.ContainsFunc(node.Neighbours.Members(now), func(member contract.Member) bool { return member.Address == address })
 }
 
-// relaysAtOnce is how many members are asked at once to carry a message to one that does not answer.
-const relaysAtOnce = 3
+// maxParallelRelays is the number of routes by which one message is sent to a member that does not answer.
+const maxParallelRelays = 3
 
-// ByRelay has other members carry a message to a target that does not answer: by the route that worked last, or by several that are drawn when
-// none did or it fell silent too, which an empty route says. As long as relays are tried in vain, single ones and pairs are drawn by turns.
-func (node *Node) ByRelay(now time.Duration, target contract.Member, send contract.Send, route string, tried int) []contract.Command {
+// SendByRelay sends a message to a target that does not answer directly through other members: by the given route, or, if that is empty, by
+// several random routes. Without a route, an even number of failures selects routes of one relay and an odd number routes of two.
+func (node *Node) SendByRelay(now time.Duration, target contract.Member, send contract.Send, route string, failures int) []contract.Command {
 	routes := []string{route}
 	switch {
 	case route != "":
-	case tried%2 == 0:
-		routes = node.Relays(now, target, relaysAtOnce)
+	case failures%2 == 0:
+		routes = node.ChooseRelays(now, target, maxParallelRelays)
 	default:
-		routes = node.LongRoutes(now, target, relaysAtOnce)
+		routes = node.ChooseTwoHopRoutes(now, target, maxParallelRelays)
 	}
 	commands := []contract.Command{contract.Count{Name: "relays_asked", By: int64(len(routes))}}
 	for _, route := range routes {
@@ -104,45 +115,46 @@
 	return commands
 }
 
-// LongRoutes draws routes of two members: the first one over a member of this node's zone, which it likely reaches, and one of the target's
-// zone, which likely reaches that; the others over any.
-func (node *Node) LongRoutes(now time.Duration, target contract.Member, most int) []string {
+// ChooseTwoHopRoutes returns random routes over two relays. The first route goes over a member of this node's zone, which this node likely reaches,
+// and a member of the target's zone, which likely reaches the target; the other routes go over any members.
+func (node *Node) ChooseTwoHopRoutes(now time.Duration, target contract.Member, limit int) []string {
 	routes := []string{}
-	begins := slices.DeleteFunc(node.Relays(now, node.Self(), most+1), func(address string) bool { return address == target.Address })
-	ends := node.Relays(now, target, most)
-	for place := range min(most, len(begins), len(ends)) {
-		if begins[place] != ends[place] {
-			routes = append(routes, relay.Route(begins[place], ends[place]))
+	firstHops := slices.DeleteFunc(node.ChooseRelays(now, node.Self(), limit+1), func(address string) bool { return address == target.Address })
+	secondHops := node.ChooseRelays(now, target, limit)
+	for index := range min(limit, len(firstHops), len(secondHops)) {
+		if firstHops[index] != secondHops[index] {
+			routes = append(routes, relay.Route(firstHops[index], secondHops[index]))
 		}
 	}
 	return routes
 }
 
-// Relays draws the addresses of members that may reach a target which this node does not reach: one of the target's zone, where most
-// links to it are, and others of any zone. Those on the machine of either share its links and are left out.
-func (node *Node) Relays(now time.Duration, target contract.Member, most int) []string {
-	own, theirs := contract.MachineOf(node.Self().Name), contract.MachineOf(target.Name)
-	near, others := []string{}, []string{}
+// ChooseRelays returns the addresses of random members that may reach a target which this node does not reach: first one in the target's zone, where
+// most links to the target are, then others of any zone. Members on this machine or on the target's share its links and are left out.
+func (node *Node) ChooseRelays(now time.Duration, target contract.Member, limit int) []string {
+	ownMachine, targetMachine := contract.MachineOf(node.Self().Name), contract.MachineOf(target.Name)
+	inTargetZone, others := []string{}, []string{}
 	for _, member := range node.Neighbours.Members(now) {
-		switch on := contract.MachineOf(member.Name); {
-		case on == own || on == theirs:
+		switch memberMachine := contract.MachineOf(member.Name); {
+		case memberMachine == ownMachine || memberMachine == targetMachine:
 		case member.Zone == target.Zone:
-			near = append(near, member.Address)
+			inTargetZone = append(inTargetZone, member.Address)
 		default:
 			others = append(others, member.Address)
 		}
 	}
-	for _, group := range [][]string{near, others} {
+	for _, group := range [][]string{inTargetZone, others} {
 		node.Random.Shuffle(len(group), func(left, right int) { group[left], group[right] = group[right], group[left] })
 	}
-	chosen := near[:min(1, len(near))]
-	rest := slices.Concat(others, near[len(chosen):])
-	return slices.Concat(chosen, rest[:min(max(0, most-len(chosen)), len(rest))])
+	chosen := inTargetZone[:min(1, len(inTargetZone))]
+	rest := slices.Concat(others, inTargetZone[len(chosen):])
+	return slices.Concat(chosen, rest[:min(max(0, limit-len(chosen)), len(rest))])
 }
 
+// Self returns this node's own membership entry.
 func (node *Node) Self() contract.Member { return node.Neighbours.Self() }
 
-// Name of the machine that a member runs on.
+// Name returns the name of the machine that a member runs on.
 func Name(member contract.Member) string {
 	return member.Name[:len(member.Name)-len("-"+member.Kind)]
 }
--- a/machine/relays_test.go
+++ b/machine/relays_test.go
@@ -20,8 +20,8 @@
 	RunSpecs(t, "machine")
 }
 
-// met gives a data node that has heard of the named members, given as name and zone; a member's address is its name.
-func met(members ...[2]string) *Node {
+// nodeWithMembers returns a data node that knows the given members (name and zone); a member's address is its name.
+func nodeWithMembers(members ...[2]string) *Node {
 	settings := env.New(env.WithName("self"), env.WithZone("a"), env.WithRegion("east"), env.WithData("self-data"))
 	node := New(settings, contract.KindData, "boot", rand.New(rand.NewPCG(1, 1)))
 	shuffle := neighbour.Shuffle{Answer: true}
@@ -34,43 +34,43 @@
 	return node
 }
 
-var _ = Describe("who carries a message to a member out of reach", func() {
+var _ = Describe("relays to an unreachable member", func() {
 	target := contract.Member{Name: "owner-control", Zone: "b"}
 
-	It("given members of the target's zone, when relays are drawn, then one of them is first and others follow, each once", func() {
-		node := met([2]string{"near-data", "b"}, [2]string{"far-data", "a"}, [2]string{"third-data", "c"}, [2]string{"owner-control", "b"})
+	It("given members of the target's zone, when relays are drawn, then one of them comes first and the others follow, each once", func() {
+		node := nodeWithMembers([2]string{"near-data", "b"}, [2]string{"far-data", "a"}, [2]string{"third-data", "c"}, [2]string{"owner-control", "b"})
 		for range 20 {
-			drawn := node.Relays(time.Second, target, 3)
-			Expect(drawn).To(HaveLen(3))
-			Expect(drawn[0]).To(Equal("near-data"))
-			Expect(drawn[1:]).To(ConsistOf("far-data", "third-data"))
+			chosen := node.ChooseRelays(time.Second, target, 3)
+			Expect(chosen).To(HaveLen(3))
+			Expect(chosen[0]).To(Equal("near-data"))
+			Expect(chosen[1:]).To(ConsistOf("far-data", "third-data"))
 		}
 	})
 
-	It("given processes on the machines of either, when relays are drawn, then they are left out: they share the links that are cut", func() {
-		node := met([2]string{"self-control", "a"}, [2]string{"owner-data", "b"}, [2]string{"owner-control", "b"})
-		Expect(node.Relays(time.Second, target, 3)).To(BeEmpty())
+	It("given processes on this node's or the target's machine, when relays are drawn, then they are left out, as they share the cut links", func() {
+		node := nodeWithMembers([2]string{"self-control", "a"}, [2]string{"owner-data", "b"}, [2]string{"owner-control", "b"})
+		Expect(node.ChooseRelays(time.Second, target, 3)).To(BeEmpty())
 	})
 
-	It("given members that fell silent, when relays are drawn, then they are left out", func() {
-		node := met([2]string{"near-data", "b"}, [2]string{"owner-control", "b"})
-		Expect(node.Relays(time.Second+node.Bounds.Suspicion(), target, 3)).To(BeEmpty())
+	It("given suspected members, when relays are drawn, then they are left out", func() {
+		node := nodeWithMembers([2]string{"near-data", "b"}, [2]string{"owner-control", "b"})
+		Expect(node.ChooseRelays(time.Second+node.Bounds.Suspicion(), target, 3)).To(BeEmpty())
 	})
 
-	It("given members of both zones, when relays were tried in vain, then routes over two of them are drawn: one of the own zone, then one of the target's", func() {
-		node := met([2]string{"mate-data", "a"}, [2]string{"second-data", "a"}, [2]string{"near-data", "b"}, [2]string{"owner-control", "b"})
+	It("given members of both zones, when single relays failed, then routes over two are drawn: one of the own zone, then one of the target's", func() {
+		node := nodeWithMembers([2]string{"peer-data", "a"}, [2]string{"second-data", "a"}, [2]string{"near-data", "b"}, [2]string{"owner-control", "b"})
 		for range 20 {
-			drawn := node.LongRoutes(time.Second, target, 2)
-			Expect(drawn).NotTo(BeEmpty())
-			for _, route := range drawn {
+			chosen := node.ChooseTwoHopRoutes(time.Second, target, 2)
+			Expect(chosen).NotTo(BeEmpty())
+			for _, route := range chosen {
 				Expect(strings.Split(route, ",")).To(HaveLen(2))
 			}
-			Expect(drawn[0]).To(Or(Equal("mate-data,near-data"), Equal("second-data,near-data")))
+			Expect(chosen[0]).To(Or(Equal("peer-data,near-data"), Equal("second-data,near-data")))
 		}
-		routes := func(tried int) []string {
+		routes := func(failures int) []string {
 			asked := []string{}
-			for _, command := range node.ByRelay(time.Second, target, contract.Send{To: "owner-control", Kind: "question", Body: 1}, "", tried) {
-				if send, fine := command.(contract.Send); fine {
+			for _, command := range node.SendByRelay(time.Second, target, contract.Send{To: "owner-control", Kind: "question", Body: 1}, "", failures) {
+				if send, isSend := command.(contract.Send); isSend {
 					asked = append(asked, relay.Route(append([]string{send.To}, send.Body.(relay.Envelope).Ahead...)...))
 				}
 			}
@@ -80,13 +80,13 @@
 		Expect(routes(1)).To(ContainElement(ContainSubstring(",")))
 	})
 
-	It("given an envelope, when it comes, then its message is handled as its sender's, and one for an unknown target is refused", func() {
-		node := met([2]string{"asker-data", "b"}, [2]string{"middle-data", "b"})
+	It("given an envelope, when it arrives, then its message is handled as coming from its sender, and one for an unknown target is refused", func() {
+		node := nodeWithMembers([2]string{"asker-data", "b"}, [2]string{"middle-data", "b"})
 		envelope := relay.Envelope{To: "self-data", Passed: []string{"middle-data"}, From: "asker-data", Address: "asker-data", Kind: "question", Body: json.RawMessage("1")}
 		body, failure := json.Marshal(envelope)
 		Expect(failure).NotTo(HaveOccurred())
 		handled := []contract.Event{}
-		answered := node.Relayed(time.Second, contract.Message{Kind: relay.MessageDeliver, Body: body}, func(_ time.Duration, event contract.Event) []contract.Command {
+		answered := node.HandleRelayed(time.Second, contract.Message{Kind: relay.MessageDeliver, Body: body}, func(_ time.Duration, event contract.Event) []contract.Command {
 			handled = append(handled, event)
 			return []contract.Command{contract.Send{To: "asker-data", Kind: "answer", Body: 2}}
 		})
@@ -96,7 +96,7 @@
 		envelope.To = "nobody"
 		body, failure = json.Marshal(envelope)
 		Expect(failure).NotTo(HaveOccurred())
-		refused := node.Relayed(time.Second, contract.Message{Kind: relay.MessageForward, Body: body}, func(time.Duration, contract.Event) []contract.Command { return nil })
+		refused := node.HandleRelayed(time.Second, contract.Message{Kind: relay.MessageForward, Body: body}, func(time.Duration, contract.Event) []contract.Command { return nil })
 		Expect(refused).To(Equal([]contract.Command{contract.Count{Name: "relays_refused", By: 1}}))
 	})
 })
