--- a/cmd/cedarrig/main.go
+++ b/cmd/cedarrig/main.go
@@ -18,6 +18,7 @@
 type arguments struct {
 	Site     string  `long:"site" description:"folder of a deployment, or its file with --play" default:"deploy/brazos"`
 	Bin      string  `long:"bin" description:"folder of the programs; beside cedarrig when not given"`
+	OtherBin string  `long:"other-bin" description:"folder of another build; machines and their restarts alternate between the two"`
 	Folder   string  `long:"folder" description:"folder for settings, logs and data; a new temporary one when not given"`
 	Seconds  int     `long:"seconds" description:"how long traffic runs" default:"20"`
 	Rate     float64 `long:"rate" description:"traffic as a part of the site's" default:"1"`
@@ -131,6 +132,6 @@
 	if described, err = described.Grown(given.Machines); err != nil {
 		return false, err
 	}
-	return rig.Play(rig.Plan{Site: described, Bin: given.Bin, Folder: given.Folder, Span: time.Duration(given.Seconds) * time.Second,
+	return rig.Play(rig.Plan{Site: described, Bin: given.Bin, OtherBin: given.OtherBin, Folder: given.Folder, Span: time.Duration(given.Seconds) * time.Second,
 		Rate: given.Rate, Seed: given.Seed, Story: given.Story, Stay: given.Stay, Say: func(text string) { fmt.Println(text) }})
 }
--- a/rig/play.go
+++ b/rig/play.go
@@ -15,15 +15,17 @@
 
 // Plan is one run of the rig.
 type Plan struct {
-	Site   site.Site
-	Bin    string
-	Folder string
-	Span   time.Duration
-	Rate   float64
-	Seed   uint64
-	Story  string
-	Stay   bool
-	Say    func(string)
+	Site site.Site
+	Bin  string
+	// OtherBin is the folder of a second build, for a fleet of mixed versions; empty for one build.
+	OtherBin string
+	Folder   string
+	Span     time.Duration
+	Rate     float64
+	Seed     uint64
+	Story    string
+	Stay     bool
+	Say      func(string)
 }
 
 type story func(rig *Rig, plan Plan) error
@@ -57,6 +59,7 @@
 		return false, err
 	}
 	defer rig.Close()
+	rig.mixBuilds(plan.OtherBin)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	ended := make(chan end, 1)
--- a/rig/program.go
+++ b/rig/program.go
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	defer output.Close()
-	command := exec.Command(filepath.Join(node.bin, name), "--env", path, "--faults", node.faultsPath())
+	command := exec.Command(filepath.Join(node.folderOfBuild(name), name), "--env", path, "--faults", node.faultsPath())
 	command.Stdout, command.Stderr = output, output
 	if err = command.Start(); err != nil {
 		return nil, err
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -29,6 +29,7 @@
 	Nodes    []*Node
 	folder   string
 	bin      string
+	otherBin string
 	servers  []*Server
 	began    time.Time
 	bounds   env.Bounds
@@ -50,6 +51,7 @@
 	Settings env.Env
 	folder   string
 	bin      string
+	builds   *alternation
 	lock     sync.Mutex
 	programs []*program
 	cut      map[string]bool
@@ -147,6 +149,7 @@
 		return nil, first
 	}
 	node := &Node{Machine: machine, folder: filepath.Join(rig.folder, machine.Name), bin: rig.bin, cut: map[string]bool{}}
+	node.builds = rig.alternation(len(rig.Nodes))
 	node.Settings = env.New(env.WithName(machine.Name), env.WithZone(machine.Zone), env.WithRegion(machine.Region),
 		env.WithControl(control), env.WithData(data), env.WithPlatform(rig.Platform.Address))
 	if machine.Core {
