--- a/data/data.go
+++ b/data/data.go
@@ -43,8 +43,8 @@
 type Ended struct {
 	Token   int64
 	Attempt int
-	Proof   call.Proof
-	Pieces  []string
+	Result  call.Result
+	Chunks  []string
 	Error   string
 }
 
@@ -55,11 +55,11 @@
 }
 
 type Look struct {
-	Token  int64
-	Caller string
-	Key    string
-	Home   string
-	Hop    bool
+	Token     int64
+	Caller    string
+	Key       string
+	Home      string
+	Forwarded bool
 }
 
 // Dispatch sends a call to a server; no byte of it may leave after Until, when the lease that allowed it has lapsed.
@@ -86,7 +86,7 @@
 
 // Reply is the body of a successful answer.
 type Reply struct {
-	Pieces []string
+	Chunks []string
 	Server string
 }
 
@@ -97,7 +97,7 @@
 	jobs      map[int64]*job
 	table     *call.Table
 	lines     *line.Lines
-	repeats   call.Repeats
+	repeats   call.RetryBudget
 	usages    map[string]pick.Usage
 	lingers   []linger
 	sessions  *affinity
@@ -135,7 +135,7 @@
 	}
 	for _, command := range owner.Node.Handle(now, event) {
 		if adopted, fine := command.(contract.Adopted); fine {
-			owner.repeats.Set(owner.Feed.Manifest().RepeatShare, owner.Feed.Manifest().RepeatAtOnce)
+			owner.repeats.Configure(owner.Feed.Manifest().RepeatShare, owner.Feed.Manifest().RepeatAtOnce)
 			command = contract.Say{What: "manifest in force", Detail: []any{"revision", adopted.Version.Place.Revision}}
 		}
 		owner.emit(command)
@@ -192,7 +192,7 @@
 }
 
 func (owner *Owner) tick(now time.Duration) {
-	owner.table.Tick(now)
+	owner.table.Expire(now)
 	owner.tickLingers(now)
 	owner.askLeases(now)
 	owner.askShares(now)
@@ -208,22 +208,22 @@
 		readMessage(owner, message, func(lease contract.Lease) { owner.lease(now, message, lease) })
 	case shard.MessageNotOwner:
 		readMessage(owner, message, func(hint contract.NotOwner) { owner.notOwner(hint) })
-	case MessageHold:
-		readMessage(owner, message, func(hold Hold) { owner.hold(now, hold) })
-	case MessageHeld:
-		readMessage(owner, message, func(held Held) { owner.held(now, message.From, held) })
+	case MessageClaim:
+		readMessage(owner, message, func(hold Claim) { owner.hold(now, hold) })
+	case MessageClaimed:
+		readMessage(owner, message, func(held Claimed) { owner.held(now, message.From, held) })
 	case MessageFinish:
 		readMessage(owner, message, func(record call.Record) { owner.table.Finish(record) })
-	case MessageFree:
-		readMessage(owner, message, func(record call.Record) { owner.table.Free(record) })
+	case MessageRelease:
+		readMessage(owner, message, func(record call.Record) { owner.table.Release(record) })
 	case MessageFind:
 		readMessage(owner, message, func(ask Find) { owner.find(now, ask) })
 	case MessageFound:
 		readMessage(owner, message, func(found Found) { owner.found(now, message.From, found) })
-	case MessageShare:
-		readMessage(owner, message, func(ask Share) { owner.share(now, ask) })
-	case MessageShared:
-		readMessage(owner, message, func(shared Shared) { owner.takeShare(now, message, shared) })
+	case MessageExport:
+		readMessage(owner, message, func(ask Export) { owner.share(now, ask) })
+	case MessageExported:
+		readMessage(owner, message, func(shared Exported) { owner.takeShare(now, message, shared) })
 	case control.MessageWhyAsk:
 		readMessage(owner, message, func(ask control.StatusAsk) {
 			body, _ := json.Marshal(owner.traces.find(ask.Call))
@@ -262,7 +262,7 @@
 
 func (owner *Owner) gauges() {
 	_, lapsed := owner.candidates(owner.nextAsk)
-	for name, value := range map[string]int{"calls_now": len(owner.jobs), "calls_in_line": owner.lines.Total(), "records": owner.table.Size(), "shards_lapsed": len(lapsed)} {
+	for name, value := range map[string]int{"calls_now": len(owner.jobs), "calls_in_line": owner.lines.Total(), "records": owner.table.Len(), "shards_lapsed": len(lapsed)} {
 		owner.emit(contract.Gauge{Name: name, Value: int64(value)})
 	}
 }
--- a/data/end.go
+++ b/data/end.go
@@ -69,24 +69,24 @@
 	if !there {
 		return
 	}
-	owner.dropAttempt(now, job, event.Attempt, event.Proof == call.Whole || event.Proof.NeverRan())
+	owner.dropAttempt(now, job, event.Attempt, event.Result == call.CompleteReply || event.Result.NeverRan())
 	if place := event.Attempt - 1; place < len(job.trace.Attempts) {
-		job.trace.Attempts[place].Proof, job.trace.Attempts[place].Error = string(event.Proof), event.Error
+		job.trace.Attempts[place].Result, job.trace.Attempts[place].Error = string(event.Result), event.Error
 	}
-	owner.count("attempts_" + string(event.Proof))
-	if event.Proof == call.NotSent || event.Proof == call.Refused || event.Proof == call.Silent || event.Proof == call.Broken {
+	owner.count("attempts_" + string(event.Result))
+	if event.Result == call.NotSent || event.Result == call.Refused || event.Result == call.NoReply || event.Result == call.BrokenReply {
 		owner.turnedAway(now, attempt.server.Name)
 	}
 	switch {
-	case event.Proof == call.Whole:
+	case event.Result == call.CompleteReply:
 		delete(owner.turned, attempt.server.Name)
 		owner.lines.Served(job.call.Route, now-attempt.began)
 		owner.succeed(now, job, attempt, event)
-	case event.Proof.NeverRan() || job.call.Lookup && event.Proof == call.Silent:
+	case event.Result.NeverRan() || job.call.IsLookup && event.Result == call.NoReply:
 		owner.again(now, job, event)
-	case event.Proof == call.Broken:
+	case event.Result == call.BrokenReply:
 		owner.finish(now, job, call.Interrupted, nil)
-	case event.Proof == call.Left:
+	case event.Result == call.CallerLeft:
 		owner.finish(now, job, call.Interrupted, nil)
 	default:
 		owner.trouble(now, job, 502, call.Unknown, "sent to a server, and no whole answer came: "+event.Error, 0)
@@ -95,8 +95,8 @@
 }
 
 func (owner *Owner) succeed(now time.Duration, job *job, attempt *attempt, event Ended) {
-	owner.settleRecord(job, call.Done, event.Pieces)
-	owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Pieces: event.Pieces, Server: attempt.server.Name}})
+	owner.settleRecord(job, call.Done, event.Chunks)
+	owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Chunks: event.Chunks, Server: attempt.server.Name}})
 }
 
 // again tries another server after a proven not-run, if the allowance and the deadline leave room for it.
@@ -104,8 +104,8 @@
 	if len(job.attempts) > 0 {
 		return
 	}
-	if job.tries >= mostAttempts || now >= job.deadline || !owner.repeats.Take() {
-		if job.call.Lookup && event.Proof == call.Silent {
+	if job.tries >= mostAttempts || now >= job.deadline || !owner.repeats.TryWithdraw() {
+		if job.call.IsLookup && event.Result == call.NoReply {
 			owner.trouble(now, job, 502, call.Unknown, "no server answered the lookup: "+event.Error, owner.jitter(owner.Bounds.Round()))
 			return
 		}
@@ -138,7 +138,7 @@
 	}
 	for _, token := range owner.tokens() {
 		job := owner.jobs[token]
-		if job.call.Lookup {
+		if job.call.IsLookup {
 			continue
 		}
 		for _, number := range sortedAttempts(job.attempts) {
@@ -159,6 +159,6 @@
 	}
 	if attempt, there := job.attempts[event.Attempt]; there && !attempt.pieces {
 		owner.emit(Cancel{Token: event.Token, Attempt: event.Attempt})
-		owner.ended(now, Ended{Token: event.Token, Attempt: event.Attempt, Proof: call.Withdrawn, Error: "recalled before it started"})
+		owner.ended(now, Ended{Token: event.Token, Attempt: event.Attempt, Result: call.RecalledBeforeStart, Error: "recalled before it started"})
 	}
 }
--- a/data/find.go
+++ b/data/find.go
@@ -30,10 +30,10 @@
 	search := &find{token: owner.token, scoped: scoped, until: now + owner.Bounds.Keep(), voters: voters, complete: complete,
 		waiting: mapset.NewThreadUnsafeSet[string](), firm: mapset.NewThreadUnsafeSet[string](), outer: mapset.NewThreadUnsafeSet[string]()}
 	owner.finds[owner.token] = search
-	ask := Find{Token: owner.token, Scoped: scoped, Age: age, Address: owner.Self().Address}
+	ask := Find{Token: owner.token, ScopedKey: scoped, Age: age, Address: owner.Self().Address}
 	for _, name := range voters {
 		if name == owner.Self().Name {
-			if owner.table.Firm(now, age) {
+			if owner.table.CoversAge(now, age) {
 				search.firm.Add(name)
 			}
 			continue
@@ -52,8 +52,8 @@
 }
 
 func (owner *Owner) find(now time.Duration, ask Find) {
-	found := Found{Token: ask.Token, Firm: owner.table.Firm(now, ask.Age)}
-	if record, there := owner.table.Find(now, ask.Scoped); there {
+	found := Found{Token: ask.Token, CoversAge: owner.table.CoversAge(now, ask.Age)}
+	if record, there := owner.table.Find(now, ask.ScopedKey); there {
 		found.Record = &record
 	}
 	owner.emit(contract.Send{To: ask.Address, Kind: MessageFound, Body: found})
@@ -67,13 +67,13 @@
 	}
 	search.waiting.Remove(from)
 	search.outer.Remove(from)
-	if found.Record != nil && found.Record.Scoped == search.scoped {
+	if found.Record != nil && found.Record.ScopedKey == search.scoped {
 		if search.record == nil || search.record.Outcome == call.Running {
 			search.record = found.Record
 		}
-	} else if found.Firm && outer {
+	} else if found.CoversAge && outer {
 		search.vouched++
-	} else if found.Firm {
+	} else if found.CoversAge {
 		search.firm.Add(from)
 	}
 	owner.concludeFind(now, search)
@@ -116,7 +116,7 @@
 
 func (owner *Owner) startFind(now time.Duration, job *job) {
 	job.phase, job.searched = phaseFinding, true
-	owner.findAll(now, job.call.Scoped(), job.call.Age, func(now time.Duration, record *call.Record, never bool) {
+	owner.findAll(now, job.call.ScopedKey(), job.call.Age, func(now time.Duration, record *call.Record, never bool) {
 		if owner.jobs[job.token] != job {
 			return
 		}
@@ -136,18 +136,18 @@
 	if owner.lookAway(now, event) {
 		return
 	}
-	scoped := call.Call{Caller: event.Caller, Key: event.Key}.Scoped()
+	scoped := call.Call{Caller: event.Caller, Key: event.Key}.ScopedKey()
 	answer := func(now time.Duration, record *call.Record, never bool) {
 		body := map[string]any{"outcome": call.Unknown}
 		status := 200
 		switch {
 		case record != nil:
-			body["outcome"], body["kept"] = record.Outcome, record.Kept
-			if record.Outcome == call.Running && (record.Left <= 0 || !owner.stillRuns(now, *record)) {
+			body["outcome"], body["kept"] = record.Outcome, record.ReplyKept
+			if record.Outcome == call.Running && (record.Remaining <= 0 || !owner.stillRuns(now, *record)) {
 				body["outcome"] = call.Unknown
 			}
-			if record.Kept {
-				body["pieces"] = record.Pieces
+			if record.ReplyKept {
+				body["pieces"] = record.Chunks
 			}
 		case never:
 			status, body["outcome"] = 404, call.Unseen
--- a/data/handover.go
+++ b/data/handover.go
@@ -15,13 +15,13 @@
 
 // Share asks for the records that a node that just started should have had: those of its region, and of a peer all, since both
 // keep calls of other regions too.
-type Share struct {
+type Export struct {
 	Address string `json:"address"`
 	Region  string `json:"region"`
 	All     bool   `json:"all"`
 }
 
-type Shared struct {
+type Exported struct {
 	Records []call.Record `json:"records"`
 	Last    bool          `json:"last"`
 }
@@ -34,8 +34,8 @@
 	owner.nextShare = now + owner.Bounds.Round()
 	for _, member := range owner.Neighbours.Members(now) {
 		if owner.owes(member) {
-			ask := Share{Address: owner.Self().Address, Region: owner.Self().Region, All: member.Region == owner.Self().Region}
-			owner.emit(contract.Send{To: member.Address, Kind: MessageShare, Body: ask})
+			ask := Export{Address: owner.Self().Address, Region: owner.Self().Region, All: member.Region == owner.Self().Region}
+			owner.emit(contract.Send{To: member.Address, Kind: MessageExport, Body: ask})
 		}
 	}
 }
@@ -60,18 +60,18 @@
 	return owner.dataNodes(now, "back/"+scoped, backersMost, func(region string) bool { return region != owner.Self().Region })
 }
 
-func (owner *Owner) share(now time.Duration, ask Share) {
-	records := owner.table.Share(now, ask.Region, ask.All, shareMost)
+func (owner *Owner) share(now time.Duration, ask Export) {
+	records := owner.table.Export(now, ask.Region, ask.All, shareMost)
 	for first := true; first || len(records) > 0; first = false {
 		count := min(shareBatch, len(records))
-		owner.emit(contract.Send{To: ask.Address, Kind: MessageShared, Body: Shared{Records: records[:count], Last: count == len(records)}})
+		owner.emit(contract.Send{To: ask.Address, Kind: MessageExported, Body: Exported{Records: records[:count], Last: count == len(records)}})
 		records = records[count:]
 	}
 }
 
-func (owner *Owner) takeShare(now time.Duration, message contract.Message, shared Shared) {
+func (owner *Owner) takeShare(now time.Duration, message contract.Message, shared Exported) {
 	for _, record := range shared.Records {
-		owner.table.Absorb(now, record)
+		owner.table.Import(now, record)
 	}
 	owner.emit(contract.Count{Name: "records_handed_over", By: int64(len(shared.Records))})
 	if shared.Last {
--- a/data/job.go
+++ b/data/job.go
@@ -74,7 +74,7 @@
 	route, there := read.Routes[asked.Route]
 	job.route = route
 	switch {
-	case !there || asked.Lookup != (route.Class == manifest.ClassLookup):
+	case !there || asked.IsLookup != (route.Class == manifest.ClassLookup):
 		owner.refuse(now, job, 404, "no such route", 0)
 		return
 	case !fine:
@@ -99,15 +99,15 @@
 		job.call.Tokens = route.Tokens
 	}
 	owner.jobs[job.token] = job
-	if asked.Lookup {
+	if asked.IsLookup {
 		owner.enter(now, job)
 		return
 	}
-	if record, known := owner.table.Find(now, asked.Scoped()); known {
+	if record, known := owner.table.Find(now, asked.ScopedKey()); known {
 		owner.meet(now, job, record)
 		return
 	}
-	if asked.Repeat {
+	if asked.IsRetry {
 		owner.startFind(now, job)
 		return
 	}
@@ -219,7 +219,7 @@
 		return false
 	}
 	if job.tries == 0 {
-		owner.repeats.Real()
+		owner.repeats.Deposit()
 	}
 	job.phase = phaseRunning
 	job.tries++
@@ -274,7 +274,7 @@
 			owner.checkHold(now, job)
 		case job.phase == phaseLined && now+owner.lines.Service(job.call.Route)/2 >= job.deadline:
 			owner.refuse(now, job, 503, "no server was free in time; the call did not run", owner.jitter(owner.Bounds.Round()))
-		case job.phase == phaseRunning && job.call.Lookup && !job.hedged:
+		case job.phase == phaseRunning && job.call.IsLookup && !job.hedged:
 			owner.hedge(now, job)
 		}
 	}
@@ -290,7 +290,7 @@
 		return
 	}
 	job.hedged = true
-	if !owner.repeats.Take() {
+	if !owner.repeats.TryWithdraw() {
 		return
 	}
 	candidates, lapsed := owner.candidates(now)
--- a/data/keep.go
+++ b/data/keep.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	MessageHold   = "keep-hold"
-	MessageHeld   = "keep-held"
-	MessageFinish = "keep-finish"
-	MessageFree   = "keep-free"
-	MessageFind   = "keep-find"
-	MessageFound  = "keep-found"
-	MessageShare  = "keep-share"
-	MessageShared = "keep-shared"
-	keeperMost    = 8
-	backersMost   = 2
+	MessageClaim    = "keep-hold"
+	MessageClaimed  = "keep-held"
+	MessageFinish   = "keep-finish"
+	MessageRelease  = "keep-free"
+	MessageFind     = "keep-find"
+	MessageFound    = "keep-found"
+	MessageExport   = "keep-share"
+	MessageExported = "keep-shared"
+	keeperMost      = 8
+	backersMost     = 2
 )
 
-type Hold struct {
+type Claim struct {
 	Record  call.Record `json:"record"`
 	Address string      `json:"address"`
 }
 
-type Held struct {
-	Token   int64       `json:"token"`
-	Scoped  string      `json:"scoped"`
-	Fine    bool        `json:"fine"`
-	Full    bool        `json:"full"`
-	Settled bool        `json:"settled"`
-	Record  call.Record `json:"record"`
+type Claimed struct {
+	Token     int64       `json:"token"`
+	ScopedKey string      `json:"scoped"`
+	Fine      bool        `json:"fine"`
+	Full      bool        `json:"full"`
+	Settled   bool        `json:"settled"`
+	Record    call.Record `json:"record"`
 }
 
 type Find struct {
-	Token   int64         `json:"token"`
-	Scoped  string        `json:"scoped"`
-	Age     time.Duration `json:"age"`
-	Address string        `json:"address"`
+	Token     int64         `json:"token"`
+	ScopedKey string        `json:"scoped"`
+	Age       time.Duration `json:"age"`
+	Address   string        `json:"address"`
 }
 
 type Found struct {
-	Token  int64        `json:"token"`
-	Firm   bool         `json:"firm"`
-	Record *call.Record `json:"record,omitempty"`
+	Token     int64        `json:"token"`
+	CoversAge bool         `json:"firm"`
+	Record    *call.Record `json:"record,omitempty"`
 }
 
 func (owner *Owner) record(job *job) call.Record {
 	self := owner.Self()
-	return call.Record{Scoped: job.call.Scoped(), Digest: job.call.Digest, Node: self.Name, Region: self.Region, Boot: self.Boot, Token: job.token, Outcome: call.Running, Left: job.deadline - job.arrived}
+	return call.Record{ScopedKey: job.call.ScopedKey(), Digest: job.call.Digest, Node: self.Name, Region: self.Region, Boot: self.Boot, Token: job.token, Outcome: call.Running, Remaining: job.deadline - job.arrived}
 }
 
 // votersOf names the data nodes of the home region's roster that say whether a call may go: all of them, or in a large region some.
@@ -80,11 +80,11 @@
 
 func (owner *Owner) startHold(now time.Duration, job *job) {
 	job.phase, job.asked = phaseHolding, now
-	job.granted, job.refused, job.voters = map[string]bool{}, 0, owner.votersOf(job.call.Scoped())
+	job.granted, job.refused, job.voters = map[string]bool{}, 0, owner.votersOf(job.call.ScopedKey())
 	job.outer, job.vouched = nil, map[string]bool{}
-	job.keepers, job.backers = owner.keepersOf(now, job.voters), owner.backersOf(now, job.call.Scoped())
+	job.keepers, job.backers = owner.keepersOf(now, job.voters), owner.backersOf(now, job.call.ScopedKey())
 	record := owner.record(job)
-	if _, fine, full := owner.table.Hold(now, record); !fine {
+	if _, fine, full := owner.table.Claim(now, record); !fine {
 		err := "the call is held by another"
 		if full {
 			err = "the records are full"
@@ -95,17 +95,17 @@
 	if _, self := job.keepers[owner.Self().Name]; self && owner.settled(now) {
 		job.granted[owner.Self().Name] = true
 	}
-	owner.tellKeepers(job, MessageHold, Hold{Record: record, Address: owner.Self().Address})
+	owner.tellKeepers(job, MessageClaim, Claim{Record: record, Address: owner.Self().Address})
 	owner.checkHold(now, job)
 }
 
 // holdAgain asks the keepers once more that another call stood in the way at.
 func (owner *Owner) holdAgain(job *job) {
 	job.contested = false
-	hold := Hold{Record: owner.record(job), Address: owner.Self().Address}
+	hold := Claim{Record: owner.record(job), Address: owner.Self().Address}
 	for _, name := range manifest.SortedKeys(job.keepers) {
 		if !job.granted[name] {
-			owner.emit(contract.Send{To: job.keepers[name].Address, Kind: MessageHold, Body: hold})
+			owner.emit(contract.Send{To: job.keepers[name].Address, Kind: MessageClaim, Body: hold})
 		}
 	}
 }
@@ -124,14 +124,14 @@
 	}
 }
 
-func (owner *Owner) hold(now time.Duration, hold Hold) {
-	known, fine, full := owner.table.Hold(now, hold.Record)
-	owner.emit(contract.Send{To: hold.Address, Kind: MessageHeld, Body: Held{Token: hold.Record.Token, Scoped: hold.Record.Scoped, Fine: fine, Full: full, Settled: owner.settled(now), Record: known}})
+func (owner *Owner) hold(now time.Duration, hold Claim) {
+	known, fine, full := owner.table.Claim(now, hold.Record)
+	owner.emit(contract.Send{To: hold.Address, Kind: MessageClaimed, Body: Claimed{Token: hold.Record.Token, ScopedKey: hold.Record.ScopedKey, Fine: fine, Full: full, Settled: owner.settled(now), Record: known}})
 }
 
-func (owner *Owner) held(now time.Duration, from string, held Held) {
+func (owner *Owner) held(now time.Duration, from string, held Claimed) {
 	job, there := owner.jobs[held.Token]
-	if !there || job.phase != phaseHolding || job.call.Scoped() != held.Scoped {
+	if !there || job.phase != phaseHolding || job.call.ScopedKey() != held.ScopedKey {
 		return
 	}
 	if _, keeper := job.keepers[from]; !keeper && (held.Fine || held.Full) {
@@ -212,14 +212,14 @@
 	owner.count("repeats_met")
 	job.trace.Error = "met the record of " + record.Node + ": " + string(record.Outcome)
 	switch {
-	case record.Outcome == call.Done && record.Kept:
-		owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Pieces: record.Pieces}})
+	case record.Outcome == call.Done && record.ReplyKept:
+		owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Chunks: record.Chunks}})
 	case record.Outcome == call.Done:
 		owner.trouble(now, job, 410, call.Done, "the call was done; its reply is no longer kept", 0)
 	case record.Outcome == call.Interrupted:
 		owner.trouble(now, job, 502, call.Interrupted, "the call was interrupted", 0)
-	case record.Outcome == call.Running && record.Left > 0 && owner.stillRuns(now, record):
-		after := min(max(owner.lines.Service(job.call.Route)/2, owner.Bounds.Round()), record.Left+owner.Bounds.Round())
+	case record.Outcome == call.Running && record.Remaining > 0 && owner.stillRuns(now, record):
+		after := min(max(owner.lines.Service(job.call.Route)/2, owner.Bounds.Round()), record.Remaining+owner.Bounds.Round())
 		owner.trouble(now, job, 409, call.Running, "the call is still running", owner.jitter(after))
 	default:
 		owner.trouble(now, job, 502, call.Unknown, "the call was taken and its end is not known", 0)
@@ -233,14 +233,14 @@
 
 func (owner *Owner) free(job *job) {
 	record := owner.record(job)
-	owner.table.Free(record)
-	owner.tellKeepers(job, MessageFree, record)
+	owner.table.Release(record)
+	owner.tellKeepers(job, MessageRelease, record)
 	job.keepers = nil
 }
 
 // settleRecord tells the keepers how a call ended; a call that did not run is forgotten, so that a repeat may run.
 func (owner *Owner) settleRecord(job *job, outcome call.Outcome, pieces []string) {
-	if job.call.Lookup || job.keepers == nil {
+	if job.call.IsLookup || job.keepers == nil {
 		return
 	}
 	if outcome == call.NotRun {
@@ -248,7 +248,7 @@
 		return
 	}
 	record := owner.record(job)
-	record.Outcome, record.Pieces = outcome, pieces
+	record.Outcome, record.Chunks = outcome, pieces
 	owner.table.Finish(record)
 	owner.tellKeepers(job, MessageFinish, record)
 	job.keepers = nil
--- a/data/outer.go
+++ b/data/outer.go
@@ -41,14 +41,14 @@
 	}
 	owner.count("calls_widened")
 	job.outer = owner.outerNodes()
-	hold := Hold{Record: owner.record(job), Address: owner.Self().Address}
+	hold := Claim{Record: owner.record(job), Address: owner.Self().Address}
 	for _, name := range manifest.SortedKeys(job.outer) {
-		owner.emit(contract.Send{To: job.outer[name].Address, Kind: MessageHold, Body: hold})
+		owner.emit(contract.Send{To: job.outer[name].Address, Kind: MessageClaim, Body: hold})
 	}
 }
 
 // vouched takes the word of a node of the outer region; one that may have forgotten vouches for nothing.
-func (owner *Owner) vouched(now time.Duration, job *job, from string, held Held) {
+func (owner *Owner) vouched(now time.Duration, job *job, from string, held Claimed) {
 	if _, asked := job.outer[from]; asked && held.Fine && held.Settled {
 		job.vouched[from] = true
 		owner.checkHold(now, job)
--- a/data/pass.go
+++ b/data/pass.go
@@ -49,11 +49,11 @@
 
 // passOn gives a call to its home: no server outside it is ever a candidate here. A home that cannot be reached is a refusal.
 func (owner *Owner) passOn(now time.Duration, job *job) {
-	if job.call.Hop {
+	if job.call.Forwarded {
 		owner.refuse(now, job, 400, "a call that was passed on arrived outside its home", 0)
 		return
 	}
-	nodes := owner.homeNodes(now, job.call.Home, job.call.Scoped())
+	nodes := owner.homeNodes(now, job.call.Home, job.call.ScopedKey())
 	if len(nodes) == 0 {
 		owner.away(now, job, "no node of the call's home can be reached; it did not run")
 		return
@@ -82,7 +82,7 @@
 		proof, outcome = string(call.NotSent), call.NotRun
 	}
 	owner.count("passed_on_" + map[bool]string{true: "answered", false: "unreached"}[event.Status > 0])
-	job.trace.Attempts = append(job.trace.Attempts, TraceAttempt{Server: "node " + event.Node, Proof: proof, Error: event.Error})
+	job.trace.Attempts = append(job.trace.Attempts, TraceAttempt{Server: "node " + event.Node, Result: proof, Error: event.Error})
 	job.trace.Status = event.Status
 	owner.finish(now, job, outcome, nil)
 }
@@ -94,7 +94,7 @@
 	switch {
 	case fine && home == owner.Self().Region:
 		return false
-	case fine && event.Hop:
+	case fine && event.Forwarded:
 		answer.Body = contract.Trouble{Error: "a question that was passed on arrived outside its home"}
 	case fine:
 		nodes := owner.homeNodes(now, home, event.Key)
--- a/data/traces.go
+++ b/data/traces.go
@@ -33,7 +33,7 @@
 type TraceAttempt struct {
 	Server   string `json:"server"`
 	Verdicts any    `json:"candidates"`
-	Proof    string `json:"proof"`
+	Result   string `json:"proof"`
 	Error    string `json:"error,omitempty"`
 }
 
--- a/fleet/caller.go
+++ b/fleet/caller.go
@@ -82,7 +82,7 @@
 	model := visit.kind.Class != "lookup"
 	next.index = fleet.Ledger.Sent(visit.scoped, visit.kind.Class, visit.home, model, machine.Name, machine.Region != visit.home, fleet.World.Now, deadline)
 	asked := call.Call{Key: visit.scoped, Caller: visit.desk, Route: visit.kind.Route, Home: visit.home, Tokens: visit.kind.Tokens,
-		Repeat: visit.repeat, Deadline: deadline, Digest: contract.Digest([]byte(visit.scoped)), Lookup: !model,
+		IsRetry: visit.repeat, Deadline: deadline, Digest: contract.Digest([]byte(visit.scoped)), IsLookup: !model,
 		Session: visit.session}
 	if visit.repeat {
 		asked.Age = fleet.World.Now - visit.first + 1
--- a/fleet/passage.go
+++ b/fleet/passage.go
@@ -16,7 +16,7 @@
 		session.close()
 		return
 	}
-	asked.Hop, asked.Deadline = true, pass.Limit
+	asked.Forwarded, asked.Deadline = true, pass.Limit
 	reached, given := false, false
 	next := func() {
 		process.Do(func() {
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -95,7 +95,7 @@
 		given = contract.Answer{}
 		process.token++
 		process.asks[process.token] = func(answer contract.Answer) { given = answer }
-		process.handle(data.Look{Token: process.token, Caller: caller, Key: key, Home: pass.Home, Hop: true})
+		process.handle(data.Look{Token: process.token, Caller: caller, Key: key, Home: pass.Home, Forwarded: true})
 		fleet.Until(5*time.Second, func() bool { return given.Status != 0 })
 	}
 	return given
--- a/fleet/session.go
+++ b/fleet/session.go
@@ -132,8 +132,8 @@
 		session.towards(func() { session.try.refused(answer.Status, trouble, answer.After) })
 		return
 	}
-	for session.written < len(reply.Pieces) && session.try.visit.kind.Class != "lookup" {
-		session.piece(reply.Pieces[session.written])
+	for session.written < len(reply.Chunks) && session.try.visit.kind.Class != "lookup" {
+		session.piece(reply.Chunks[session.written])
 	}
 	session.towards(func() { session.try.finished() })
 }
@@ -149,7 +149,7 @@
 	process.after(command.Limit, func() {
 		proof := call.NotSent
 		if connected {
-			proof = call.Silent
+			proof = call.NoReply
 		}
 		process.Do(func() { next.end(proof, "cut at its deadline") })
 	})
@@ -170,17 +170,17 @@
 func (attempt *attempt) close() { attempt.closed = true }
 
 // end is the last word of an attempt; once a piece has come it can only be whole or broken.
-func (attempt *attempt) end(proof call.Proof, err string) {
+func (attempt *attempt) end(proof call.Result, err string) {
 	if attempt.closed {
 		return
 	}
 	attempt.close()
-	if proof != call.Whole && len(attempt.pieces) > 0 {
-		proof = call.Broken
+	if proof != call.CompleteReply && len(attempt.pieces) > 0 {
+		proof = call.BrokenReply
 	}
 	process, open := attempt.session.process, attempt.session
-	process.handle(data.Ended{Token: open.token, Attempt: attempt.command.Attempt, Proof: proof, Pieces: attempt.pieces, Error: err})
-	if proof == call.Broken {
+	process.handle(data.Ended{Token: open.token, Attempt: attempt.command.Attempt, Result: proof, Chunks: attempt.pieces, Error: err})
+	if proof == call.BrokenReply {
 		open.towards(func() { open.try.err() })
 		open.inform(502)
 		open.close()
@@ -210,7 +210,7 @@
 }
 
 func (attempt *attempt) linkBroke() {
-	attempt.back(func() { attempt.end(call.Silent, "the link broke") })
+	attempt.back(func() { attempt.end(call.NoReply, "the link broke") })
 }
 
 func (attempt *attempt) bytes(content string) {
@@ -226,9 +226,9 @@
 			attempt.session.piece(piece)
 		}
 		if attempt.relay.Finished() {
-			attempt.end(call.Whole, "")
+			attempt.end(call.CompleteReply, "")
 		} else if attempt.relay.Err() != nil {
-			attempt.end(call.Silent, attempt.relay.Err().Error())
+			attempt.end(call.NoReply, attempt.relay.Err().Error())
 		}
 	})
 }
@@ -241,20 +241,20 @@
 		if attempt.session.try.visit.kind.Class == "lookup" {
 			var read struct{ ID, Key string }
 			if json.Unmarshal(content, &read) != nil || read.ID != attempt.command.Identity || read.Key != attempt.session.try.visit.scoped {
-				attempt.end(call.Silent, "another lookup's reply")
+				attempt.end(call.NoReply, "another lookup's reply")
 				return
 			}
 			attempt.pieces = []string{string(content)}
-			attempt.end(call.Whole, "")
+			attempt.end(call.CompleteReply, "")
 			return
 		}
-		pieces, err := stream.Whole(content, attempt.command.Identity)
+		pieces, err := stream.CompleteReply(content, attempt.command.Identity)
 		if err != nil {
-			attempt.end(call.Silent, err.Error())
+			attempt.end(call.NoReply, err.Error())
 			return
 		}
 		attempt.pieces = pieces
-		attempt.end(call.Whole, "")
+		attempt.end(call.CompleteReply, "")
 	})
 }
 
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -66,13 +66,13 @@
 	asked.Home, errs[2] = name(request, "Cedar-Home", false)
 	asked.Deadline, errs[3] = milliseconds(request, "Cedar-Deadline-Ms")
 	asked.Age, errs[4] = milliseconds(request, "Cedar-Age-Ms")
-	asked.Hop, errs[6] = hop(request)
+	asked.Forwarded, errs[6] = hop(request)
 	if tries := request.Header.Get("Cedar-Attempt"); tries != "" {
 		number, err := strconv.Atoi(tries)
 		if err != nil || number < 1 {
 			errs[5] = badCall{status: 400, text: fmt.Sprintf("Cedar-Attempt: %q is not a number from 1 on", tries)}
 		}
-		asked.Repeat = number > 1
+		asked.IsRetry = number > 1
 	}
 	for _, err := range errs {
 		if err != nil {
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	asked.Route, asked.Key, asked.Lookup = request.PathValue("route"), request.PathValue("key"), true
+	asked.Route, asked.Key, asked.IsLookup = request.PathValue("route"), request.PathValue("key"), true
 	if len(asked.Key) > longestName {
 		return nil, badCall{status: 400, text: "key: too long"}
 	}
@@ -156,7 +156,7 @@
 
 func decodeLook(_ context.Context, request *http.Request) (any, error) {
 	asked, err := common(request)
-	return data.Look{Caller: asked.Caller, Key: request.PathValue("key"), Home: asked.Home, Hop: asked.Hop}, err
+	return data.Look{Caller: asked.Caller, Key: request.PathValue("key"), Home: asked.Home, Forwarded: asked.Forwarded}, err
 }
 
 func (shell *dataShell) look() endpoint.Endpoint {
--- a/serve/dispatch.go
+++ b/serve/dispatch.go
@@ -75,7 +75,7 @@
 	shell.keep(key, cancel)
 	go func() {
 		defer shell.cancel(key)
-		ended := data.Ended{Token: command.Token, Attempt: command.Attempt, Proof: call.Left}
+		ended := data.Ended{Token: command.Token, Attempt: command.Attempt, Result: call.CallerLeft}
 		if session != nil {
 			ended = shell.attempt(ctx, session, command)
 		}
@@ -84,7 +84,7 @@
 }
 
 func (shell *dataShell) attempt(ctx context.Context, session *session, command data.Dispatch) data.Ended {
-	ended := data.Ended{Token: command.Token, Attempt: command.Attempt, Proof: call.NotSent}
+	ended := data.Ended{Token: command.Token, Attempt: command.Attempt, Result: call.NotSent}
 	sending := &sending{shell: shell, until: command.Until}
 	request, err := session.request(context.WithValue(ctx, sendingKey{}, sending), command)
 	if err != nil {
@@ -95,15 +95,15 @@
 	if err != nil {
 		ended.Error = err.Error()
 		if sending.sent.Load() {
-			ended.Proof = call.Silent
+			ended.Result = call.NoReply
 		}
 		return ended
 	}
 	defer response.Body.Close()
-	ended.Proof = call.Silent
+	ended.Result = call.NoReply
 	switch {
 	case response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Cedar-Not-Run") == command.Identity:
-		ended.Proof, ended.Error = call.Refused, "the server refused the call"
+		ended.Result, ended.Error = call.Refused, "the server refused the call"
 	case response.StatusCode != http.StatusOK:
 		ended.Error = "the server answered " + response.Status
 	case session.caller.stream:
@@ -118,14 +118,14 @@
 func (session *session) request(ctx context.Context, command data.Dispatch) (*http.Request, error) {
 	address := "http://" + command.Server.Address + session.caller.path
 	method, body := http.MethodGet, io.Reader(nil)
-	if !session.caller.call.Lookup {
+	if !session.caller.call.IsLookup {
 		method, body = http.MethodPost, io.NopCloser(bytes.NewReader(session.caller.body))
 	}
 	request, err := http.NewRequestWithContext(ctx, method, address, body)
 	if err != nil {
 		return nil, eris.Wrap(err, "no request for the server")
 	}
-	if !session.caller.call.Lookup {
+	if !session.caller.call.IsLookup {
 		request.ContentLength = int64(len(session.caller.body))
 		request.Header.Set("Content-Type", "application/json")
 	}
@@ -145,10 +145,10 @@
 	for !relay.Finished() && relay.Err() == nil {
 		count, err := response.Body.Read(buffer)
 		for _, piece := range relay.Feed(buffer[:count]) {
-			if len(ended.Pieces) == 0 {
+			if len(ended.Chunks) == 0 {
 				shell.Loop.Post(data.Begun{Token: command.Token, Attempt: command.Attempt})
 			}
-			ended.Pieces = append(ended.Pieces, piece)
+			ended.Chunks = append(ended.Chunks, piece)
 			if !session.box.put(item{piece: piece}) {
 				ended.Error = "the caller reads too slowly, and too much waits for callers"
 				shell.Loop.Count("readers_cut", 1)
@@ -158,7 +158,7 @@
 		case <-ctx.Done():
 			ended.Error = "cut at its deadline"
 		case <-session.gone:
-			ended.Proof = call.Left
+			ended.Result = call.CallerLeft
 			return
 		default:
 		}
@@ -175,14 +175,14 @@
 		}
 	}
 	if relay.Finished() && ended.Error == "" {
-		ended.Proof = call.Whole
+		ended.Result = call.CompleteReply
 		return
 	}
 	if relay.Err() != nil {
 		ended.Error = relay.Err().Error()
 	}
-	if len(ended.Pieces) > 0 {
-		ended.Proof = call.Broken
+	if len(ended.Chunks) > 0 {
+		ended.Result = call.BrokenReply
 		session.box.put(item{broken: ended.Error})
 	}
 }
@@ -193,17 +193,17 @@
 	if err == nil && int64(len(content)) > bound {
 		err = eris.New("the reply is larger than its bound")
 	}
-	if err == nil && session.caller.call.Lookup {
+	if err == nil && session.caller.call.IsLookup {
 		err = wholeLookup(content, command.Identity, session.caller.call.Key)
-		ended.Pieces = []string{string(content)}
+		ended.Chunks = []string{string(content)}
 	} else if err == nil {
-		ended.Pieces, err = stream.Whole(content, command.Identity)
+		ended.Chunks, err = stream.CompleteReply(content, command.Identity)
 	}
 	if err != nil {
-		ended.Pieces, ended.Error = nil, err.Error()
+		ended.Chunks, ended.Error = nil, err.Error()
 		return
 	}
-	ended.Proof = call.Whole
+	ended.Result = call.CompleteReply
 }
 
 func wholeLookup(content []byte, identity, key string) error {
--- a/serve/pass.go
+++ b/serve/pass.go
@@ -36,11 +36,11 @@
 	asked := session.caller.call
 	made := &passage{shell: session.shell, pass: pass, method: http.MethodPost, path: "/v1/chat/completions", body: session.caller.body, headers: map[string]string{
 		"Content-Type": "application/json", "Cedar-Caller": asked.Caller, "Cedar-Route": asked.Route, "Cedar-Session": asked.Session, "Idempotency-Key": asked.Key}}
-	if asked.Lookup {
+	if asked.IsLookup {
 		made.method, made.body = http.MethodGet, nil
 		made.path = "/v1/lookups/" + url.PathEscape(asked.Route) + "/" + url.PathEscape(asked.Key)
 	}
-	if asked.Repeat {
+	if asked.IsRetry {
 		made.headers["Cedar-Attempt"] = "2"
 	}
 	if asked.Age > 0 {
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -53,16 +53,16 @@
 
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-var _ = DescribeTable("an attempt at a server", func(handler http.HandlerFunc, until time.Duration, proof call.Proof, sent int64) {
+var _ = DescribeTable("an attempt at a server", func(handler http.HandlerFunc, until time.Duration, proof call.Result, sent int64) {
 	ended, seen := attempted(handler, until)
-	Expect(ended.Proof).To(Equal(proof), ended.Error)
+	Expect(ended.Result).To(Equal(proof), ended.Error)
 	Expect(seen).To(Equal(sent))
 },
 	Entry("after its lease lapsed sends nothing", http.HandlerFunc(abort), time.Duration(0), call.NotSent, int64(0)),
-	Entry("whose link breaks is sent once and its end is not known", http.HandlerFunc(abort), time.Hour, call.Silent, int64(1)),
+	Entry("whose link breaks is sent once and its end is not known", http.HandlerFunc(abort), time.Hour, call.NoReply, int64(1)),
 	Entry("that is redirected goes nowhere else", http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		http.Redirect(writer, request, "/elsewhere", http.StatusTemporaryRedirect)
-	}), time.Hour, call.Silent, int64(1)),
+	}), time.Hour, call.NoReply, int64(1)),
 	Entry("that is refused for this very call did not run", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Cedar-Not-Run", "identity")
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -70,17 +70,17 @@
 	Entry("that is refused for another call is not known", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Cedar-Not-Run", "another")
 		writer.WriteHeader(http.StatusServiceUnavailable)
-	}), time.Hour, call.Silent, int64(1)),
+	}), time.Hour, call.NoReply, int64(1)),
 	Entry("whose reply is shorter than it said is not whole", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Length", "500")
 		_, _ = io.WriteString(writer, `{"id":"identity","choices":[{"message":{"content":"yes"},"finish_reason":"stop"}]}`)
-	}), time.Hour, call.Silent, int64(1)),
+	}), time.Hour, call.NoReply, int64(1)),
 	Entry("whose reply is larger than its bound is not whole", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, strings.Repeat(" ", 2<<20))
-	}), time.Hour, call.Silent, int64(1)),
+	}), time.Hour, call.NoReply, int64(1)),
 	Entry("that answers whole is whole", http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(writer, `{"id":"identity","choices":[{"message":{"content":"yes"},"finish_reason":"stop"}]}`)
-	}), time.Hour, call.Whole, int64(1)),
+	}), time.Hour, call.CompleteReply, int64(1)),
 )
 
 var _ = It("a link that was made in time sends nothing when its first byte comes late", func() {
@@ -122,8 +122,8 @@
 		return shell.attempt(context.Background(), open, data.Dispatch{Token: 1, Attempt: 1, Identity: "identity", Until: time.Hour, Limit: time.Minute,
 			Server: contract.Candidate{Address: strings.TrimPrefix(server.URL, "http://")}})
 	}
-	Expect(unread(1<<20).Proof).To(Equal(call.Whole), "the server's end does not wait for the reader")
+	Expect(unread(1<<20).Result).To(Equal(call.CompleteReply), "the server's end does not wait for the reader")
 	Expect(shell.held.Load()).To(Equal(int64(500000)))
-	Expect(unread(600000).Proof).To(Equal(call.Broken), "what waits for all callers together is bounded")
+	Expect(unread(600000).Result).To(Equal(call.BrokenReply), "what waits for all callers together is bounded")
 	Expect(shell.Loop.Counts()).To(HaveKeyWithValue("readers_cut", BeNumerically(">", 0)))
 })
--- a/serve/session.go
+++ b/serve/session.go
@@ -175,16 +175,16 @@
 		}
 		return encodeAnswer(context.Background(), out.writer, answer)
 	}
-	if out.session.caller.call.Lookup {
+	if out.session.caller.call.IsLookup {
 		out.writer.Header().Set("Content-Type", "application/json")
-		_, err := out.writer.Write([]byte(reply.Pieces[0]))
+		_, err := out.writer.Write([]byte(reply.Chunks[0]))
 		return err
 	}
 	if !out.session.caller.stream {
 		return out.unary(answer, reply)
 	}
-	for out.pieces < int64(len(reply.Pieces)) {
-		if err := out.piece(reply.Pieces[out.pieces]); err != nil {
+	for out.pieces < int64(len(reply.Chunks)) {
+		if err := out.piece(reply.Chunks[out.pieces]); err != nil {
 			return err
 		}
 	}
@@ -198,7 +198,7 @@
 
 func (out *writerOf) unary(answer contract.Answer, reply data.Reply) error {
 	text := ""
-	for _, piece := range reply.Pieces {
+	for _, piece := range reply.Chunks {
 		text += piece
 	}
 	answer.Body = map[string]any{"id": out.session.caller.call.Key, "object": "chat.completion", "choices": []any{
--- a/stories/calls/calls_test.go
+++ b/stories/calls/calls_test.go
@@ -153,7 +153,7 @@
 		Entry("unknown route", 404, func(asked *call.Call) { asked.Route = "nowhere" }),
 		Entry("a lookup's route", 404, func(asked *call.Call) { asked.Route = "pings" }),
 		Entry("a home that is no region", 400, func(asked *call.Call) { asked.Home = "moon" }),
-		Entry("a hop that loops", 400, func(asked *call.Call) { asked.Home, asked.Hop = "coast", true }),
+		Entry("a hop that loops", 400, func(asked *call.Call) { asked.Home, asked.Forwarded = "coast", true }),
 	)
 
 	It("is a refusal when a key is used with another body", func() {
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -130,7 +130,7 @@
 func (relay *Relay) Err() error { return relay.err }
 
 // Whole gives the pieces of a unary reply if it is the whole answer to this call.
-func Whole(content []byte, call string) ([]string, error) {
+func CompleteReply(content []byte, call string) ([]string, error) {
 	var read struct {
 		ID      string `json:"id"`
 		Choices []struct {
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -59,7 +59,7 @@
 )
 
 var _ = DescribeTable("a unary reply that is not whole is no reply", func(content string) {
-	_, err := Whole([]byte(content), "c")
+	_, err := CompleteReply([]byte(content), "c")
 	Expect(err).To(HaveOccurred())
 },
 	Entry("another's", `{"id":"d","choices":[{"message":{"content":"yes"},"finish_reason":"stop"}]}`),
