--- a/chain/agree.go
+++ b/chain/agree.go
@@ -28,23 +28,23 @@
 }
 
 type Prepare struct {
-	Ballot Ballot            `json:"ballot"`
-	Node   contract.CoreNode `json:"node"`
-	Base   contract.View     `json:"base"`
-	Suffix []contract.Record `json:"suffix"`
-	Known  int64             `json:"known"`
+	Ballot    Ballot            `json:"ballot"`
+	Node      contract.CoreNode `json:"node"`
+	Base      contract.View     `json:"base"`
+	Suffix    []contract.Record `json:"suffix"`
+	Committed int64             `json:"known"`
 }
 
 type Promise struct {
-	Ballot   Ballot            `json:"ballot"`
-	Node     contract.CoreNode `json:"node"`
-	Vote     bool              `json:"vote"`
-	Refused  Ballot            `json:"refused"`
-	Accepted *Proposal         `json:"accepted,omitempty"`
-	Top      int64             `json:"top"`
-	Digest   string            `json:"digest"`
-	Lacks    int64             `json:"lacks"`
-	Fit      bool              `json:"fit"`
+	Ballot      Ballot            `json:"ballot"`
+	Node        contract.CoreNode `json:"node"`
+	Granted     bool              `json:"vote"`
+	RejectedBy  Ballot            `json:"refused"`
+	Accepted    *Proposal         `json:"accepted,omitempty"`
+	LastSynced  int64             `json:"top"`
+	Digest      string            `json:"digest"`
+	Missing     int64             `json:"lacks"`
+	DiskHealthy bool              `json:"fit"`
 }
 
 type Accept struct {
@@ -60,28 +60,28 @@
 }
 
 type campaign struct {
-	ballot   Ballot
-	started  time.Duration
-	asked    int
-	promises map[string]Promise
-	proposal *Proposal
-	votes    map[string]bool
+	ballot      Ballot
+	started     time.Duration
+	targetCount int
+	promises    map[string]Promise
+	proposal    *Proposal
+	votes       map[string]bool
 }
 
-const suffixSize = 8
+const joinSuffixSize = 8
 
-func (owner *Owner) tickAgree(now time.Duration) {
+func (owner *Replica) tickViewChange(now time.Duration) {
 	if owner.campaign != nil {
-		owner.driveCampaign(now)
+		owner.advanceCampaign(now)
 	}
 	takers := owner.view.Proposers()
 	place := slices.Index(takers, owner.self.Identity())
-	if place < 0 || !owner.wantsView(now) {
-		owner.needed = -1
+	if place < 0 || !owner.needsViewChange(now) {
+		owner.viewChangeNeededSince = -1
 		return
 	}
-	if owner.needed < 0 {
-		owner.needed = now
+	if owner.viewChangeNeededSince < 0 {
+		owner.viewChangeNeededSince = now
 	}
 	turn := time.Duration(0)
 	for _, identity := range takers[:place] {
@@ -89,23 +89,23 @@
 			turn++
 		}
 	}
-	if now-owner.needed < owner.bounds.Round()/2*(1+2*turn) || now < owner.retry || owner.campaign != nil {
+	if now-owner.viewChangeNeededSince < owner.bounds.Round()/2*(1+2*turn) || now < owner.retryAt || owner.campaign != nil {
 		return
 	}
 	owner.startCampaign(now)
 }
 
-func (owner *Owner) wantsView(now time.Duration) bool {
+func (owner *Replica) needsViewChange(now time.Duration) bool {
 	if owner.sealed && owner.campaign == nil {
 		return true
 	}
-	owner.doubtSuccessor(now)
+	owner.excludeStalledSuccessor(now)
 	living, present := 0, 0
 	for _, node := range owner.view.Core {
 		if owner.reaches(node) {
 			living++
 		}
-		if owner.aliveCore(node) {
+		if owner.isAlive(node) {
 			present++
 		}
 	}
@@ -116,27 +116,27 @@
 		return true
 	}
 	for _, node := range owner.view.Core {
-		rank, fit := owner.view.ChainIndex(node.Identity()), owner.fitCore(node) && owner.reaches(node)
-		_, doubted := owner.doubts[node.Identity()]
+		rank, fit := owner.view.ChainIndex(node.Identity()), owner.hasHealthyDisk(node) && owner.reaches(node)
+		_, doubted := owner.excludedUntil[node.Identity()]
 		if rank >= 0 && (!fit || doubted) && living > 1 {
 			return len(owner.view.Chain) > 1 || fit
 		}
-		if rank < 0 && fit && !doubted && owner.linked(owner.view.Chain, node.Identity()) {
+		if rank < 0 && fit && !doubted && owner.connectedToAll(owner.view.Chain, node.Identity()) {
 			return true
 		}
 	}
-	return (present < len(owner.view.Core) || owner.small()) && len(owner.strangers()) > 0
+	return (present < len(owner.view.Core) || owner.belowTargetSize()) && len(owner.spares()) > 0
 }
 
 // small holds while the core has fewer machines than it should: those that stand by then join one view after the other.
-func (owner *Owner) small() bool {
+func (owner *Replica) belowTargetSize() bool {
 	return len(owner.founders) > 0 && len(owner.view.Core) < owner.coreSize
 }
 
 // doubtSuccessor has the head leave its successor out when versions are held up and no other reason shows. A member that is silent or has a
 // disk in trouble shows by itself within a suspicion; until then the successor is not to blame.
-func (owner *Owner) doubtSuccessor(now time.Duration) {
-	if owner.stuck < 0 || now-owner.stuck < owner.bounds.Suspicion()+owner.bounds.Round() || len(owner.view.Chain) < 2 {
+func (owner *Replica) excludeStalledSuccessor(now time.Duration) {
+	if owner.stalledSince < 0 || now-owner.stalledSince < owner.bounds.Suspicion()+owner.bounds.Round() || len(owner.view.Chain) < 2 {
 		return
 	}
 	for _, identity := range owner.view.Chain {
@@ -144,25 +144,25 @@
 			return
 		}
 	}
-	owner.doubts[owner.view.Chain[1]] = now + owner.bounds.Return()/2
-	owner.stuck = -1
+	owner.excludedUntil[owner.view.Chain[1]] = now + owner.bounds.Return()/2
+	owner.stalledSince = -1
 }
 
-func (owner *Owner) proposer() string { return owner.self.Identity() + "/" + owner.start }
+func (owner *Replica) proposer() string { return owner.self.Identity() + "/" + owner.startID }
 
-func (owner *Owner) startCampaign(now time.Duration) {
+func (owner *Replica) startCampaign(now time.Duration) {
 	round := owner.promised.Round + 1
 	ballot := Ballot{Number: owner.view.Number + 1, Round: round, Proposer: owner.proposer()}
 	owner.campaign = &campaign{ballot: ballot, started: now, promises: map[string]Promise{}, votes: map[string]bool{}}
 	suffix := []contract.Version{}
-	for revision := max(1, owner.top-suffixSize+1); revision <= owner.top; revision++ {
+	for revision := max(1, owner.lastSynced-joinSuffixSize+1); revision <= owner.lastSynced; revision++ {
 		if version, there := owner.versions[revision]; there {
 			suffix = append(suffix, version)
 		}
 	}
-	prepare := Prepare{Ballot: ballot, Node: owner.self, Base: owner.view, Suffix: owner.suffixRecords(suffix), Known: owner.committed}
-	targets := append(append([]contract.CoreNode{}, owner.view.Core...), owner.strangers()...)
-	owner.campaign.asked = len(targets)
+	prepare := Prepare{Ballot: ballot, Node: owner.self, Base: owner.view, Suffix: owner.suffixRecords(suffix), Committed: owner.committed}
+	targets := append(append([]contract.CoreNode{}, owner.view.Core...), owner.spares()...)
+	owner.campaign.targetCount = len(targets)
 	for _, node := range targets {
 		owner.send(node, MessagePrepare, prepare)
 	}
@@ -170,9 +170,9 @@
 }
 
 // suffixRecords gives the end of the log for members outside of the chain, in one message.
-func (owner *Owner) suffixRecords(suffix []contract.Version) []contract.Record {
+func (owner *Replica) suffixRecords(suffix []contract.Version) []contract.Record {
 	for ; len(suffix) > 0; suffix = suffix[1:] {
-		base := owner.versions[owner.before(suffix[0].Position.Revision)]
+		base := owner.versions[owner.previousRevision(suffix[0].Position.Revision)]
 		if records := contract.EncodeRecords(base, suffix, contract.MaxRecordBytes); len(records) == len(suffix) {
 			return records
 		}
@@ -180,44 +180,44 @@
 	return nil
 }
 
-func (owner *Owner) prepare(now time.Duration, prepare Prepare) {
-	owner.adopt(now, prepare.Base)
+func (owner *Replica) handlePrepare(now time.Duration, prepare Prepare) {
+	owner.installView(now, prepare.Base)
 	if prepare.Base.Number < owner.view.Number {
-		owner.send(prepare.Node, MessageNews, owner.view)
+		owner.send(prepare.Node, MessageNewView, owner.view)
 		return
 	}
 	_, vote := owner.view.Node(owner.self.Identity())
-	answer := Promise{Ballot: prepare.Ballot, Node: owner.self, Vote: vote, Fit: owner.fit}
+	answer := Promise{Ballot: prepare.Ballot, Node: owner.self, Granted: vote, DiskHealthy: owner.diskHealthy}
 	if vote {
 		if prepare.Ballot.Before(owner.promised) {
-			answer.Vote, answer.Refused = false, owner.promised
+			answer.Granted, answer.RejectedBy = false, owner.promised
 			owner.send(prepare.Node, MessagePromise, answer)
 			return
 		}
 		owner.promised, owner.sealed, answer.Accepted = prepare.Ballot, true, owner.accepted
 	}
-	number, suffix := owner.view.Number, owner.joinLog(prepare)
-	owner.persist(now, job{record: vote, versions: suffix, after: func(now time.Duration) {
-		owner.takeJoinLog(now, number, suffix, prepare.Known)
-		answer.Top, answer.Fit = owner.top, owner.fit
-		answer.Digest = owner.versions[owner.top].Digest
-		answer.Lacks, _ = owner.lacks()
+	number, suffix := owner.view.Number, owner.joinSuffix(prepare)
+	owner.persist(now, persistJob{record: vote, versions: suffix, onSynced: func(now time.Duration) {
+		owner.installJoinSuffix(now, number, suffix, prepare.Committed)
+		answer.LastSynced, answer.DiskHealthy = owner.lastSynced, owner.diskHealthy
+		answer.Digest = owner.versions[owner.lastSynced].Digest
+		answer.Missing, _ = owner.missing()
 		owner.send(prepare.Node, MessagePromise, answer)
 	}})
 }
 
 // joinLog gives the end of the proposer's log that a member outside of the chain takes up, so that it may join at the tail. Within one
 // view the logs of its chain never disagree, so nothing has to give way.
-func (owner *Owner) joinLog(prepare Prepare) []contract.Version {
-	if owner.holder() || len(prepare.Suffix) == 0 || prepare.Suffix[0].Position.Revision > owner.top+1 {
+func (owner *Replica) joinSuffix(prepare Prepare) []contract.Version {
+	if owner.isHolder() || len(prepare.Suffix) == 0 || prepare.Suffix[0].Position.Revision > owner.lastSynced+1 {
 		return nil
 	}
-	versions, _ := contract.DecodeRecords(prepare.Suffix, owner.at)
+	versions, _ := contract.DecodeRecords(prepare.Suffix, owner.lookup)
 	return versions
 }
 
-func (owner *Owner) takeJoinLog(now time.Duration, number int64, suffix []contract.Version, known int64) {
-	if owner.view.Number != number || owner.holder() {
+func (owner *Replica) installJoinSuffix(now time.Duration, number int64, suffix []contract.Version, known int64) {
+	if owner.view.Number != number || owner.isHolder() {
 		owner.discard(now, suffix)
 		return
 	}
@@ -225,32 +225,32 @@
 		owner.install(version)
 	}
 	if len(suffix) > 0 {
-		owner.settle(min(known, owner.top))
+		owner.commitUpTo(min(known, owner.lastSynced))
 	}
 }
 
-func (owner *Owner) promise(now time.Duration, promise Promise) {
+func (owner *Replica) handlePromise(now time.Duration, promise Promise) {
 	campaign := owner.campaign
 	if campaign == nil || promise.Ballot != campaign.ballot || campaign.proposal != nil {
 		return
 	}
-	if campaign.ballot.Before(promise.Refused) {
-		owner.promised.Round = max(owner.promised.Round, promise.Refused.Round)
+	if campaign.ballot.Before(promise.RejectedBy) {
+		owner.promised.Round = max(owner.promised.Round, promise.RejectedBy.Round)
 		owner.endCampaign(now)
 		return
 	}
 	campaign.promises[promise.Node.Identity()] = promise
-	if len(campaign.promises) == campaign.asked {
+	if len(campaign.promises) == campaign.targetCount {
 		owner.propose(now)
 	}
 }
 
-func (owner *Owner) endCampaign(now time.Duration) {
+func (owner *Replica) endCampaign(now time.Duration) {
 	owner.campaign = nil
-	owner.retry = now + owner.bounds.Round() + time.Duration(owner.random.Int64N(int64(owner.bounds.Round())))
+	owner.retryAt = now + owner.bounds.Round() + time.Duration(owner.random.Int64N(int64(owner.bounds.Round())))
 }
 
-func (owner *Owner) driveCampaign(now time.Duration) {
+func (owner *Replica) advanceCampaign(now time.Duration) {
 	age := now - owner.campaign.started
 	if owner.campaign.proposal == nil && age > owner.bounds.Round()*2/3 {
 		owner.propose(now)
@@ -260,12 +260,12 @@
 	}
 }
 
-func (owner *Owner) propose(now time.Duration) {
+func (owner *Replica) propose(now time.Duration) {
 	campaign := owner.campaign
 	votes := 0
 	var earlier *Proposal
 	for _, promise := range campaign.promises {
-		if !promise.Vote {
+		if !promise.Granted {
 			continue
 		}
 		votes++
@@ -276,7 +276,7 @@
 	if votes < owner.view.Majority() {
 		return
 	}
-	view, fine := owner.compose()
+	view, fine := owner.composeView()
 	if earlier != nil {
 		view, fine = earlier.View, true
 	}
@@ -290,19 +290,19 @@
 	}
 }
 
-func (owner *Owner) accept(now time.Duration, accept Accept) {
-	owner.adopt(now, accept.Base)
-	if accept.Base.Number != owner.view.Number || !owner.Member() || accept.Proposal.Ballot.Before(owner.promised) {
+func (owner *Replica) handleAccept(now time.Duration, accept Accept) {
+	owner.installView(now, accept.Base)
+	if accept.Base.Number != owner.view.Number || !owner.IsMember() || accept.Proposal.Ballot.Before(owner.promised) {
 		return
 	}
 	proposal := accept.Proposal
 	owner.promised, owner.sealed, owner.accepted = proposal.Ballot, true, &proposal
-	owner.persist(now, job{record: true, after: func(time.Duration) {
+	owner.persist(now, persistJob{record: true, onSynced: func(time.Duration) {
 		owner.send(accept.Node, MessageAccepted, Accepted{Ballot: proposal.Ballot, Node: owner.self})
 	}})
 }
 
-func (owner *Owner) acceptedBy(now time.Duration, accepted Accepted) {
+func (owner *Replica) handleAccepted(now time.Duration, accepted Accepted) {
 	campaign := owner.campaign
 	if campaign == nil || campaign.proposal == nil || campaign.ballot != accepted.Ballot {
 		return
@@ -316,29 +316,29 @@
 	}
 	old, view := owner.view, campaign.proposal.View
 	owner.endCampaign(now)
-	owner.adopt(now, view)
-	owner.sendOthers(old.Core, MessageNews, view)
-	owner.sendOthers(view.Core, MessageNews, view)
+	owner.installView(now, view)
+	owner.sendOthers(old.Core, MessageNewView, view)
+	owner.sendOthers(view.Core, MessageNewView, view)
 }
 
 // adopt takes a committed view; numbers only rise, and the old view's promises end with it. The record of the view is queued ahead of
 // anything that is done in it, and what leaves the log is removed from the folder before that record is written.
-func (owner *Owner) adopt(now time.Duration, view contract.View) {
+func (owner *Replica) installView(now time.Duration, view contract.View) {
 	if view.Number <= owner.view.Number {
 		return
 	}
-	if accepted := owner.foundAccepted; accepted != nil && accepted.View.Number == view.Number && sameCore(accepted.View, view) {
-		owner.begin(now, *accepted)
+	if accepted := owner.bootstrapAccepted; accepted != nil && accepted.View.Number == view.Number && sameCore(accepted.View, view) {
+		owner.installBootstrap(now, *accepted)
 		return
 	}
 	owner.view = view
 	owner.promised, owner.accepted, owner.sealed, owner.campaign = Ballot{}, nil, false, nil
-	owner.needed, owner.stuck, owner.resend = -1, -1, now-owner.bounds.Round()
-	owner.forsake()
-	owner.assigned, owner.verified, owner.settled = owner.top, 0, len(view.Chain) == 1 && owner.committed >= owner.top
-	owner.persist(now, job{record: true})
-	owner.emit(Viewed{View: view}, contract.Log{Message: "view", Attributes: []any{"number", view.Number, "chain", len(view.Chain)}})
+	owner.viewChangeNeededSince, owner.stalledSince, owner.lastResend = -1, -1, now-owner.bounds.Round()
+	owner.dropAbandoned()
+	owner.lastAssigned, owner.matched, owner.synchronized = owner.lastSynced, 0, len(view.Chain) == 1 && owner.committed >= owner.lastSynced
+	owner.persist(now, persistJob{record: true})
+	owner.emit(ViewInstalled{View: view}, contract.Log{Message: "view", Attributes: []any{"number", view.Number, "chain", len(view.Chain)}})
 }
 
 // Viewed tells the rest of the node that a view was committed.
-type Viewed struct{ View contract.View }
+type ViewInstalled struct{ View contract.View }
--- a/chain/catchup.go
+++ b/chain/catchup.go
@@ -8,49 +8,49 @@
 )
 
 // Resume is sent by a tail that doesn't know whether it has all of its head's log, as after a restart: the head passes its state again.
-type Resume struct {
+type ResendRequest struct {
 	View int64 `json:"view"`
 }
 
-func (owner *Owner) askResume(now time.Duration) {
-	if !owner.IsTail() || owner.IsHead() || owner.settled || owner.sealed || now-owner.resumed < owner.bounds.Round()/2 {
+func (owner *Replica) requestResend(now time.Duration) {
+	if !owner.IsTail() || owner.IsHead() || owner.synchronized || owner.sealed || now-owner.lastResendRequest < owner.bounds.Round()/2 {
 		return
 	}
-	owner.resumed = now
+	owner.lastResendRequest = now
 	if head, there := owner.view.Head(); there {
-		owner.send(head, MessageResume, Resume{View: owner.view.Number})
+		owner.send(head, MessageResendRequest, ResendRequest{View: owner.view.Number})
 	}
 }
 
-func (owner *Owner) resume(resume Resume) {
+func (owner *Replica) handleResendRequest(resume ResendRequest) {
 	if resume.View == owner.view.Number && owner.IsHead() {
-		owner.settled = false
+		owner.synchronized = false
 	}
 }
 
 // Fetch asks a member for committed versions from a revision on. Base is a version that the asker holds, if any: the first version comes
 // as the change of that.
-type Fetch struct {
+type CatchUpRequest struct {
 	Node contract.CoreNode `json:"node"`
 	From int64             `json:"from"`
 	Base contract.Position `json:"base"`
 }
 
 // History answers a Fetch.
-type History struct {
+type CatchUpResponse struct {
 	Records []contract.Record `json:"records"`
 	// Past are the operations from the revision on whose versions are no longer kept.
-	Past      []contract.PastOperation `json:"past,omitempty"`
-	Committed int64                    `json:"committed"`
+	PastOperations []contract.PastOperation `json:"past,omitempty"`
+	Committed      int64                    `json:"committed"`
 }
 
-func (owner *Owner) lacks() (int64, int64) {
+func (owner *Replica) missing() (int64, int64) {
 	count, first := int64(0), int64(0)
-	known := max(owner.committed, owner.seen.Held.Position.Revision)
+	known := max(owner.committed, owner.membership.NewestVersion.Position.Revision)
 	for revision := max(1, known-owner.bounds.History+1); revision <= known; revision++ {
 		if !owner.knows(revision) || revision > owner.committed {
 			count++
-			if first == 0 && revision > owner.cursor {
+			if first == 0 && revision > owner.catchUpCursor {
 				first = revision
 			}
 		}
@@ -59,63 +59,63 @@
 }
 
 // scrubHistory asks another core machine for the committed versions that are missing here.
-func (owner *Owner) scrubHistory(now time.Duration) {
-	if now < owner.scrub {
+func (owner *Replica) requestMissing(now time.Duration) {
+	if now < owner.nextCatchUp {
 		return
 	}
-	owner.scrub = now + owner.bounds.Round()/2
-	count, first := owner.lacks()
-	owner.tellCatchUp(now, count)
+	owner.nextCatchUp = now + owner.bounds.Round()/2
+	count, first := owner.missing()
+	owner.logCatchUp(now, count)
 	if first == 0 {
-		owner.cursor = 0
+		owner.catchUpCursor = 0
 	}
 	if count == 0 || first == 0 || len(owner.view.Chain) == 0 {
 		return
 	}
 	target, there := owner.view.Node(owner.view.Chain[owner.random.IntN(len(owner.view.Chain))])
 	if there && target.Identity() != owner.self.Identity() {
-		owner.send(target, MessageFetch, Fetch{Node: owner.self, From: first, Base: owner.baseFor(first)})
+		owner.send(target, MessageCatchUpRequest, CatchUpRequest{Node: owner.self, From: first, Base: owner.baseFor(first)})
 	}
 }
 
 // baseFor gives the newest committed version that is held before a revision, or else the newest of all.
-func (owner *Owner) baseFor(revision int64) contract.Position {
-	if version, there := owner.versions[owner.before(revision)]; there && version.Position.Revision <= owner.committed {
+func (owner *Replica) baseFor(revision int64) contract.Position {
+	if version, there := owner.versions[owner.previousRevision(revision)]; there && version.Position.Revision <= owner.committed {
 		return version.Position
 	}
 	return owner.versions[owner.committed].Position
 }
 
 // tellCatchUp says when this member begins to lack versions and when it lacks none any more.
-func (owner *Owner) tellCatchUp(now time.Duration, lacks int64) {
+func (owner *Replica) logCatchUp(now time.Duration, lacks int64) {
 	behind := lacks > 0
-	if behind == owner.behind {
+	if behind == owner.catchingUp {
 		return
 	}
-	owner.behind = behind
+	owner.catchingUp = behind
 	if behind {
-		owner.behindSince = now
+		owner.catchUpStarted = now
 		owner.emit(contract.Log{Message: "catching up", Attributes: []any{"versions", lacks}})
 		return
 	}
-	owner.emit(contract.Log{Message: "caught up", Attributes: []any{"ms", (now - owner.behindSince).Milliseconds()}})
+	owner.emit(contract.Log{Message: "caught up", Attributes: []any{"ms", (now - owner.catchUpStarted).Milliseconds()}})
 }
 
-func (owner *Owner) fetch(fetch Fetch) {
+func (owner *Replica) handleCatchUpRequest(fetch CatchUpRequest) {
 	versions := []contract.Version{}
-	for revision := fetch.From; revision <= owner.committed && len(versions) < fetchSize; revision++ {
+	for revision := fetch.From; revision <= owner.committed && len(versions) < catchUpBatchSize; revision++ {
 		if version, there := owner.versions[revision]; there {
 			versions = append(versions, version)
 		}
 	}
-	base, _ := owner.at(fetch.Base)
-	past := slices.DeleteFunc(owner.pastOperations(), func(one contract.PastOperation) bool { return one.Position.Revision < fetch.From })
-	owner.send(fetch.Node, MessageHistory, History{Records: contract.EncodeRecords(base, versions, contract.MaxRecordBytes), Past: past, Committed: owner.committed})
+	base, _ := owner.lookup(fetch.Base)
+	past := slices.DeleteFunc(owner.sortedPastOperations(), func(one contract.PastOperation) bool { return one.Position.Revision < fetch.From })
+	owner.send(fetch.Node, MessageCatchUpResponse, CatchUpResponse{Records: contract.EncodeRecords(base, versions, contract.MaxRecordBytes), PastOperations: past, Committed: owner.committed})
 }
 
 // history takes committed versions. What can't be put together here is asked for whole the next time.
-func (owner *Owner) history(now time.Duration, history History) {
-	versions, failure := contract.DecodeRecords(history.Records, owner.at)
+func (owner *Replica) handleCatchUpResponse(now time.Duration, history CatchUpResponse) {
+	versions, failure := contract.DecodeRecords(history.Records, owner.lookup)
 	if failure != nil {
 		owner.emit(contract.AddCounter{Name: "versions_unreadable", Delta: 1})
 	}
@@ -126,10 +126,10 @@
 		if !contradicts {
 			fresh = append(fresh, version)
 		}
-		owner.cursor = version.Position.Revision
+		owner.catchUpCursor = version.Position.Revision
 	}
 	if len(versions) == 0 {
-		owner.cursor = 0
+		owner.catchUpCursor = 0
 	}
 	arrived := func(now time.Duration) {
 		for _, version := range fresh {
@@ -138,40 +138,40 @@
 			}
 			owner.committed = max(owner.committed, version.Position.Revision)
 		}
-		owner.remember(history.Past)
-		owner.queuePast()
-		if count, _ := owner.lacks(); count > 0 && len(fresh) > 0 {
-			owner.scrub = now
+		owner.addPastOperations(history.PastOperations)
+		owner.queuePastOperations()
+		if count, _ := owner.missing(); count > 0 && len(fresh) > 0 {
+			owner.nextCatchUp = now
 		}
 	}
-	if len(fresh) > 0 || len(history.Past) > 0 {
-		owner.persist(now, job{versions: fresh, drop: owner.conflicts(fresh), after: arrived})
+	if len(fresh) > 0 || len(history.PastOperations) > 0 {
+		owner.persist(now, persistJob{versions: fresh, remove: owner.conflictingPositions(fresh), onSynced: arrived})
 	}
 }
 
 // Base gives a version that is held, for whoever sends others to be read here as the changes of that.
-func (owner *Owner) Base() contract.Position { return owner.versions[owner.committed].Position }
+func (owner *Replica) DeltaBase() contract.Position { return owner.versions[owner.committed].Position }
 
 // Lacking gives the first committed revision that is missing here, or nothing.
-func (owner *Owner) Lacking() int64 {
-	cursor := owner.cursor
-	owner.cursor = 0
-	count, first := owner.lacks()
+func (owner *Replica) FirstMissing() int64 {
+	cursor := owner.catchUpCursor
+	owner.catchUpCursor = 0
+	count, first := owner.missing()
 	if count > 0 {
 		for skip := owner.random.Int64N(count); skip > 0 && first > 0; skip-- {
-			owner.cursor = first
-			_, first = owner.lacks()
+			owner.catchUpCursor = first
+			_, first = owner.missing()
 		}
 	}
-	owner.cursor = cursor
-	if !owner.Member() {
+	owner.catchUpCursor = cursor
+	if !owner.IsMember() {
 		return 0
 	}
 	return first
 }
 
 // CommittedOf gives the committed versions of some revisions, as far as the log has them.
-func (owner *Owner) CommittedOf(revisions []int64) []contract.Version {
+func (owner *Replica) CommittedVersions(revisions []int64) []contract.Version {
 	versions := []contract.Version{}
 	for _, revision := range revisions {
 		if version, there := owner.versions[revision]; there && revision <= owner.committed {
@@ -182,12 +182,12 @@
 }
 
 // Refill takes committed versions that other nodes kept.
-func (owner *Owner) Refill(now time.Duration, records []contract.Record) []contract.Command {
-	owner.out = nil
-	cursor := owner.cursor
-	owner.history(now, History{Records: records})
-	owner.cursor = cursor
-	out := owner.out
-	owner.out = nil
+func (owner *Replica) Restore(now time.Duration, records []contract.Record) []contract.Command {
+	owner.commands = nil
+	cursor := owner.catchUpCursor
+	owner.handleCatchUpResponse(now, CatchUpResponse{Records: records})
+	owner.catchUpCursor = cursor
+	out := owner.commands
+	owner.commands = nil
 	return out
 }
--- a/chain/chain.go
+++ b/chain/chain.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	MessagePass        = "chain-pass"
-	MessageDone        = "chain-done"
-	MessageFetch       = "chain-fetch"
-	MessageHistory     = "chain-history"
-	MessageNews        = "view-news"
-	MessagePrepare     = "view-prepare"
-	MessagePromise     = "view-promise"
-	MessageAccept      = "view-accept"
-	MessageAccepted    = "view-accepted"
-	MessageCheck       = "view-check"
-	MessageChecked     = "view-checked"
-	MessageFoundAsk    = "found-ask"
-	MessageFoundTell   = "found-tell"
-	MessageFoundAccept = "found-accept"
-	MessageFounded     = "found-accepted"
-	MessageFoundBegin  = "found-begin"
-	MessageResume      = "chain-resume"
-	MessageFoundedAsk  = "founded-ask"
-	MessageFoundedHeld = "founded-held"
-	MessageHeartbeat   = "chain-heartbeat"
-	MessageProbe       = "chain-probe"
-	MessageProbed      = "chain-probed"
-	batchSize          = 32
+	MessageReplicate          = "chain-pass"
+	MessageCommitNotice       = "chain-done"
+	MessageCatchUpRequest     = "chain-fetch"
+	MessageCatchUpResponse    = "chain-history"
+	MessageNewView            = "view-news"
+	MessagePrepare            = "view-prepare"
+	MessagePromise            = "view-promise"
+	MessageAccept             = "view-accept"
+	MessageAccepted           = "view-accepted"
+	MessageViewCheck          = "view-check"
+	MessageViewCheckReply     = "view-checked"
+	MessageBootstrapPrepare   = "found-ask"
+	MessageBootstrapPromise   = "found-tell"
+	MessageBootstrapAccept    = "found-accept"
+	MessageBootstrapAccepted  = "found-accepted"
+	MessageBootstrapCommit    = "found-begin"
+	MessageResendRequest      = "chain-resume"
+	MessageBootstrapVoteQuery = "founded-ask"
+	MessageBootstrapVote      = "founded-held"
+	MessageHeartbeat          = "chain-heartbeat"
+	MessageProbe              = "chain-probe"
+	MessageProbeReply         = "chain-probed"
+	batchSize                 = 32
 	// fetchSize is how many versions answer one Fetch.
-	fetchSize = 256
+	catchUpBatchSize = 256
 )
 
 // Persist asks for a write to the data folder. Its parts are synced in this order: dropped versions are removed, then versions, the
@@ -44,9 +44,9 @@
 	Token  int64
 	Writes []Write
 	Member *MemberRecord
-	Drop   []contract.Position
+	Remove []contract.Position
 	// Past are all operations whose versions are no longer kept, if they changed.
-	Past *[]contract.PastOperation
+	PastOperations *[]contract.PastOperation
 	// Committed is the newest version that is known to be committed.
 	Committed *contract.Position
 }
@@ -63,19 +63,19 @@
 
 // Persisted ends a Persist; Failure tells why nothing of it may be relied on.
 type Persisted struct {
-	Token   int64
-	Failure string
+	Token int64
+	Error string
 }
 
 // Recovered is what a core member found in its data folder when it started.
 type Recovered struct {
 	Versions []contract.Version
 	// Stored tells how each version lies in the folder.
-	Stored []Stored
+	Stored []StoredVersion
 	// Member is the member's durable state; it has no ID when the folder is empty or its record was damaged.
 	Member MemberRecord
 	// Past are the committed operations whose versions are no longer kept.
-	Past []contract.PastOperation
+	PastOperations []contract.PastOperation
 	// Damaged names the files that were put aside, each with the reason.
 	Damaged []string
 	// Committed is the newest version that this folder knows to be committed.
@@ -83,14 +83,14 @@
 }
 
 // Stored is one version in the data folder. Base is the version that it is written as a change of, and has no revision where it is whole.
-type Stored struct {
-	Place contract.Position
-	Base  contract.Position
-	Size  int
+type StoredVersion struct {
+	Position contract.Position
+	Base     contract.Position
+	Size     int
 }
 
 // Newest gives the newest version known to be committed, if the folder still has it.
-func (recovered Recovered) Newest() (contract.Version, bool) {
+func (recovered Recovered) NewestCommitted() (contract.Version, bool) {
 	for _, version := range recovered.Versions {
 		if version.Position == recovered.Committed && version.Position.Revision > 0 {
 			return version, true
@@ -103,149 +103,151 @@
 type Committed struct{ Version contract.Version }
 
 // Seen is the fleet as the neighbours tell it, taken with each tick.
-type Seen struct {
-	Members []contract.Member
-	Held    contract.Version
-	View    contract.View
+type Membership struct {
+	Members       []contract.Member
+	NewestVersion contract.Version
+	View          contract.View
 }
 
-type Owner struct {
+type Replica struct {
 	bounds   env.Bounds
 	coreSize int
 	self     contract.CoreNode
-	start    string
+	startID  string
 	random   *rand.Rand
 	view     contract.View
 	log
 	// verified is how far this log is known to be that of the head of this view.
-	verified int64
+	matched  int64
 	salvaged map[int64]contract.Version
 	// folder is what the data folder holds.
-	folder folder
+	stored storedVersions
 
-	promised Ballot
-	accepted *Proposal
-	sealed   bool
-	settled  bool
-	campaign *campaign
+	promised     Ballot
+	accepted     *Proposal
+	sealed       bool
+	synchronized bool
+	campaign     *campaign
 
-	foundPromised Ballot
-	foundAccepted *Foundation
+	bootstrapPromised Ballot
+	bootstrapAccepted *BootstrapProposal
 	// foundSynced is the ballot of the first view that this member's folder agrees to; foundHeld are those that said the same since foundAsked.
-	foundSynced Ballot
-	foundHeld   map[string]bool
-	foundAsked  time.Duration
+	bootstrapSynced       Ballot
+	bootstrapVotes        map[string]bool
+	bootstrapVotesQueried time.Duration
 
 	// contacts are the direct links to the other members; ticked and beaten are the last tick and the last heartbeat.
-	contacts    map[string]contact
-	ticked      time.Duration
-	beaten      time.Duration
-	probes      probes
-	founding    *founding
-	unfoundable time.Duration
-
-	fit          bool
-	jobs         []job
-	writing      *job
+	peers         map[string]peerState
+	lastTick      time.Duration
+	lastHeartbeat time.Duration
+	probes        probes
+	bootstrapping *bootstrapAttempt
+	coreLostSince time.Duration
+
+	diskHealthy  bool
+	writeQueue   []persistJob
+	writing      *persistJob
 	writingSince time.Duration
 	token        int64
 
-	needed  time.Duration
-	retry   time.Duration
-	resend  time.Duration
-	resumed time.Duration
-	scrub   time.Duration
+	viewChangeNeededSince time.Duration
+	retryAt               time.Duration
+	lastResend            time.Duration
+	lastResendRequest     time.Duration
+	nextCatchUp           time.Duration
 	// behind tells that versions are missing here, since behindSince.
-	behind      bool
-	behindSince time.Duration
-	cursor      int64
-	doubts      map[string]time.Duration
-	declared    map[string]bool
-	stuck       time.Duration
-	checks      map[int64]*check
-	seen        Seen
-	started     time.Duration
-	begun       bool
-	presented   bool
-	out         []contract.Command
-	loop        []contract.Message
-	bootstrap   bool
+	catchingUp     bool
+	catchUpStarted time.Duration
+	catchUpCursor  int64
+	excludedUntil  map[string]time.Duration
+	declaredGone   map[string]bool
+	stalledSince   time.Duration
+	confirmations  map[int64]*pendingConfirmation
+	membership     Membership
+	startedAt      time.Duration
+	initialized    bool
+	announced      bool
+	commands       []contract.Command
+	selfMessages   []contract.Message
+	mayBootstrap   bool
 	// mayBootstrap is what the folder remembers of the first start.
-	mayBootstrap bool
-	founders     []string
-	marked       contract.Position
+	recordedMayBootstrap bool
+	founders             []string
+	markedCommit         contract.Position
 }
 
 // New makes the owner of a member. Its identity is that of its data folder, or self's where the folder has none. start names this start
 // of the process and differs from that of any other start.
-func New(self contract.CoreNode, start string, coreSize int, bounds env.Bounds, recovered Recovered, random *rand.Rand) *Owner {
-	owner := &Owner{bounds: bounds, coreSize: coreSize, self: self, start: start, random: random, fit: true, bootstrap: true,
-		log: newLog(bounds.History, bounds.HistoryBytes), folder: newFolder(recovered.Stored), salvaged: map[int64]contract.Version{}, doubts: map[string]time.Duration{},
-		declared: map[string]bool{}, checks: map[int64]*check{}, foundHeld: map[string]bool{}, contacts: map[string]contact{}, needed: -1, unfoundable: -1, stuck: -1}
-	owner.recover(recovered)
+func New(self contract.CoreNode, start string, coreSize int, bounds env.Bounds, recovered Recovered, random *rand.Rand) *Replica {
+	owner := &Replica{bounds: bounds, coreSize: coreSize, self: self, startID: start, random: random, diskHealthy: true, mayBootstrap: true,
+		log: newLog(bounds.History, bounds.HistoryBytes), stored: newStoredVersions(recovered.Stored), salvaged: map[int64]contract.Version{}, excludedUntil: map[string]time.Duration{},
+		declaredGone: map[string]bool{}, confirmations: map[int64]*pendingConfirmation{}, bootstrapVotes: map[string]bool{}, peers: map[string]peerState{}, viewChangeNeededSince: -1, coreLostSince: -1, stalledSince: -1}
+	owner.restoreState(recovered)
 	return owner
 }
 
 // Founders names the addresses of the core machines that found a blank fleet; others join the view that these agreed on, until it
 // has the size that was asked for.
-func (owner *Owner) Founders(addresses []string) { owner.founders = addresses }
+func (owner *Replica) SetFounders(addresses []string) { owner.founders = addresses }
 
 // Bootstraps tells whether this start may bootstrap a blank fleet. A member that was allowed to at its first start stays allowed until
 // it has a view; one that replaces another, or has lost its disk, only joins.
-func (owner *Owner) Bootstraps(may bool) {
-	owner.bootstrap = may || owner.mayBootstrap
+func (owner *Replica) AllowBootstrap(may bool) {
+	owner.mayBootstrap = may || owner.recordedMayBootstrap
 }
 
 // Self gives this member with the identity of its data folder.
-func (owner *Owner) Self() contract.CoreNode { return owner.self }
+func (owner *Replica) Self() contract.CoreNode { return owner.self }
 
-func (owner *Owner) View() contract.View { return owner.view }
-func (owner *Owner) Fit() bool           { return owner.fit }
-func (owner *Owner) Committed() int64    { return owner.committed }
-func (owner *Owner) Sealed() bool        { return owner.sealed }
+func (owner *Replica) View() contract.View { return owner.view }
+func (owner *Replica) DiskHealthy() bool   { return owner.diskHealthy }
+func (owner *Replica) Committed() int64    { return owner.committed }
+func (owner *Replica) Sealed() bool        { return owner.sealed }
 
-func (owner *Owner) Member() bool {
+func (owner *Replica) IsMember() bool {
 	_, there := owner.view.Node(owner.self.Identity())
 	return there
 }
 
-func (owner *Owner) rank() int { return owner.view.ChainIndex(owner.self.Identity()) }
+func (owner *Replica) chainIndex() int { return owner.view.ChainIndex(owner.self.Identity()) }
 
-func (owner *Owner) IsHead() bool { return owner.rank() == 0 }
+func (owner *Replica) IsHead() bool { return owner.chainIndex() == 0 }
 
-func (owner *Owner) IsTail() bool {
-	return len(owner.view.Chain) > 0 && owner.rank() == len(owner.view.Chain)-1
+func (owner *Replica) IsTail() bool {
+	return len(owner.view.Chain) > 0 && owner.chainIndex() == len(owner.view.Chain)-1
 }
 
-func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
-	if !owner.begun {
-		owner.begun, owner.started = true, now
+func (owner *Replica) Handle(now time.Duration, event contract.Event) []contract.Command {
+	if !owner.initialized {
+		owner.initialized, owner.startedAt = true, now
 	}
-	owner.out = nil
+	owner.commands = nil
 	switch event := event.(type) {
-	case Seen:
-		if !owner.presented {
-			owner.present(now)
+	case Membership:
+		if !owner.announced {
+			owner.announceRecovered(now)
 		}
 		owner.tick(now, event)
 	case Persisted:
-		owner.persisted(now, event)
+		owner.handlePersisted(now, event)
 	case contract.Message:
-		owner.message(now, event)
+		owner.handleMessage(now, event)
 	}
-	for len(owner.loop) > 0 {
-		message := owner.loop[0]
-		owner.loop = owner.loop[1:]
-		owner.message(now, message)
+	for len(owner.selfMessages) > 0 {
+		message := owner.selfMessages[0]
+		owner.selfMessages = owner.selfMessages[1:]
+		owner.handleMessage(now, message)
 	}
-	out := owner.out
-	owner.out = nil
+	out := owner.commands
+	owner.commands = nil
 	return out
 }
 
-func (owner *Owner) emit(commands ...contract.Command) { owner.out = append(owner.out, commands...) }
+func (owner *Replica) emit(commands ...contract.Command) {
+	owner.commands = append(owner.commands, commands...)
+}
 
-func (owner *Owner) send(node contract.CoreNode, kind string, body any) {
+func (owner *Replica) send(node contract.CoreNode, kind string, body any) {
 	if node.Identity() != owner.self.Identity() {
 		owner.emit(contract.Send{To: node.Address, Kind: kind, Body: body})
 		return
@@ -254,11 +256,11 @@
 	if failure != nil {
 		panic(failure)
 	}
-	owner.loop = append(owner.loop, contract.Message{Kind: kind, From: owner.self.Name, Body: content})
+	owner.selfMessages = append(owner.selfMessages, contract.Message{Kind: kind, From: owner.self.Name, Body: content})
 }
 
 // sendOthers sends to all nodes but this one.
-func (owner *Owner) sendOthers(nodes []contract.CoreNode, kind string, body any) {
+func (owner *Replica) sendOthers(nodes []contract.CoreNode, kind string, body any) {
 	for _, node := range nodes {
 		if node.Identity() != owner.self.Identity() {
 			owner.send(node, kind, body)
@@ -266,58 +268,58 @@
 	}
 }
 
-func (owner *Owner) message(now time.Duration, message contract.Message) {
+func (owner *Replica) handleMessage(now time.Duration, message contract.Message) {
 	switch message.Kind {
-	case MessagePass:
-		read(owner, message, func(pass Pass) { owner.pass(now, pass) })
-	case MessageDone:
-		read(owner, message, func(done Done) { owner.done(now, done) })
-	case MessageFetch:
-		read(owner, message, func(fetch Fetch) { owner.fetch(fetch) })
-	case MessageHistory:
-		read(owner, message, func(history History) { owner.history(now, history) })
-	case MessageNews:
-		read(owner, message, func(view contract.View) { owner.adopt(now, view) })
+	case MessageReplicate:
+		decodeMessage(owner, message, func(pass Replicate) { owner.handleReplicate(now, pass) })
+	case MessageCommitNotice:
+		decodeMessage(owner, message, func(done CommitNotice) { owner.handleCommitNotice(now, done) })
+	case MessageCatchUpRequest:
+		decodeMessage(owner, message, func(fetch CatchUpRequest) { owner.handleCatchUpRequest(fetch) })
+	case MessageCatchUpResponse:
+		decodeMessage(owner, message, func(history CatchUpResponse) { owner.handleCatchUpResponse(now, history) })
+	case MessageNewView:
+		decodeMessage(owner, message, func(view contract.View) { owner.installView(now, view) })
 	case MessagePrepare:
-		read(owner, message, func(prepare Prepare) { owner.prepare(now, prepare) })
+		decodeMessage(owner, message, func(prepare Prepare) { owner.handlePrepare(now, prepare) })
 	case MessagePromise:
-		read(owner, message, func(promise Promise) { owner.promise(now, promise) })
+		decodeMessage(owner, message, func(promise Promise) { owner.handlePromise(now, promise) })
 	case MessageAccept:
-		read(owner, message, func(accept Accept) { owner.accept(now, accept) })
+		decodeMessage(owner, message, func(accept Accept) { owner.handleAccept(now, accept) })
 	case MessageAccepted:
-		read(owner, message, func(accepted Accepted) { owner.acceptedBy(now, accepted) })
-	case MessageCheck:
-		read(owner, message, func(ask Check) { owner.check(ask) })
-	case MessageChecked:
-		read(owner, message, func(answer Check) { owner.checked(answer) })
-	case MessageFoundAsk:
-		read(owner, message, func(ask FoundAsk) { owner.foundAsk(ask) })
-	case MessageFoundTell:
-		read(owner, message, func(tell FoundTell) { owner.foundTell(now, tell) })
-	case MessageFoundAccept:
-		read(owner, message, func(foundation Foundation) { owner.foundAccept(now, foundation) })
-	case MessageFoundBegin:
-		read(owner, message, func(foundation Foundation) { owner.begin(now, foundation) })
-	case MessageFounded:
-		read(owner, message, func(accepted Accepted) { owner.founded(now, accepted) })
-	case MessageFoundedAsk:
-		read(owner, message, func(ask FoundedAsk) { owner.foundedAsk(ask) })
-	case MessageFoundedHeld:
-		read(owner, message, func(held FoundedHeld) { owner.foundedHeld(now, held) })
+		decodeMessage(owner, message, func(accepted Accepted) { owner.handleAccepted(now, accepted) })
+	case MessageViewCheck:
+		decodeMessage(owner, message, func(ask ViewCheck) { owner.handleViewCheck(ask) })
+	case MessageViewCheckReply:
+		decodeMessage(owner, message, func(answer ViewCheck) { owner.handleViewCheckReply(answer) })
+	case MessageBootstrapPrepare:
+		decodeMessage(owner, message, func(ask BootstrapPrepare) { owner.handleBootstrapPrepare(ask) })
+	case MessageBootstrapPromise:
+		decodeMessage(owner, message, func(tell BootstrapPromise) { owner.handleBootstrapPromise(now, tell) })
+	case MessageBootstrapAccept:
+		decodeMessage(owner, message, func(foundation BootstrapProposal) { owner.handleBootstrapAccept(now, foundation) })
+	case MessageBootstrapCommit:
+		decodeMessage(owner, message, func(foundation BootstrapProposal) { owner.installBootstrap(now, foundation) })
+	case MessageBootstrapAccepted:
+		decodeMessage(owner, message, func(accepted Accepted) { owner.handleBootstrapAccepted(now, accepted) })
+	case MessageBootstrapVoteQuery:
+		decodeMessage(owner, message, func(ask BootstrapVoteQuery) { owner.handleBootstrapVoteQuery(ask) })
+	case MessageBootstrapVote:
+		decodeMessage(owner, message, func(held BootstrapVote) { owner.handleBootstrapVote(now, held) })
 	case MessageHeartbeat:
-		read(owner, message, func(beat Heartbeat) { owner.heartbeat(now, beat) })
+		decodeMessage(owner, message, func(beat Heartbeat) { owner.handleHeartbeat(now, beat) })
 	case MessageProbe:
-		read(owner, message, func(ask Probe) {
-			owner.send(ask.Node, MessageProbed, Probed{Nonce: ask.Nonce, Start: ask.Start, By: owner.self})
+		decodeMessage(owner, message, func(ask Probe) {
+			owner.send(ask.Node, MessageProbeReply, ProbeReply{Nonce: ask.Nonce, StartID: ask.StartID, Responder: owner.self})
 		})
-	case MessageProbed:
-		read(owner, message, owner.probed)
-	case MessageResume:
-		read(owner, message, func(resume Resume) { owner.resume(resume) })
+	case MessageProbeReply:
+		decodeMessage(owner, message, owner.handleProbeReply)
+	case MessageResendRequest:
+		decodeMessage(owner, message, func(resume ResendRequest) { owner.handleResendRequest(resume) })
 	}
 }
 
-func read[Body any](owner *Owner, message contract.Message, then func(Body)) {
+func decodeMessage[Body any](owner *Replica, message contract.Message, then func(Body)) {
 	var body Body
 	if json.Unmarshal(message.Body, &body) != nil {
 		owner.emit(contract.AddCounter{Name: "messages_broken", Delta: 1})
@@ -326,27 +328,27 @@
 	then(body)
 }
 
-func (owner *Owner) tick(now time.Duration, seen Seen) {
-	owner.seen = seen
+func (owner *Replica) tick(now time.Duration, seen Membership) {
+	owner.membership = seen
 	if seen.View.Number > owner.view.Number {
-		owner.adopt(now, seen.View)
+		owner.installView(now, seen.View)
 	}
 	owner.tickHeartbeat(now)
 	owner.watchDisk(now)
 	owner.startWrite(now)
-	for name, until := range owner.doubts {
+	for name, until := range owner.excludedUntil {
 		if now > until {
-			delete(owner.doubts, name)
+			delete(owner.excludedUntil, name)
 		}
 	}
 	owner.retransmit(now)
-	owner.askResume(now)
-	owner.scrubHistory(now)
-	owner.expireChecks(now)
-	if owner.lostCore() {
-		owner.tickFounding(now)
+	owner.requestResend(now)
+	owner.requestMissing(now)
+	owner.expireConfirmations(now)
+	if owner.coreLost() {
+		owner.tickBootstrap(now)
 		return
 	}
-	owner.unfoundable, owner.founding = -1, nil
-	owner.tickAgree(now)
+	owner.coreLostSince, owner.bootstrapping = -1, nil
+	owner.tickViewChange(now)
 }
--- a/chain/check.go
+++ b/chain/check.go
@@ -8,86 +8,86 @@
 )
 
 // Check asks the core whether a view still is the newest, so that a woken old tail cannot answer.
-type Check struct {
+type ViewCheck struct {
 	Nonce int64 `json:"nonce"`
 	// Start is the asker's start, so that an answer to its former start is not taken for one to this.
-	Start string            `json:"start"`
-	View  int64             `json:"view"`
-	Node  contract.CoreNode `json:"node"`
-	Holds bool              `json:"holds"`
+	StartID string            `json:"start"`
+	View    int64             `json:"view"`
+	Node    contract.CoreNode `json:"node"`
+	Current bool              `json:"holds"`
 	// By answers.
-	By contract.CoreNode `json:"by"`
+	Responder contract.CoreNode `json:"by"`
 }
 
-type check struct {
+type pendingConfirmation struct {
 	view int64
 	// fits tells whether this member still has the place in the chain that asked.
-	fits  func() bool
-	until time.Duration
-	votes map[string]bool
+	inRole   func() bool
+	deadline time.Duration
+	votes    map[string]bool
 }
 
 // Vouched ends a check: the tail's answer may or may not be given.
-type Vouched struct {
-	Token int64
-	Fine  bool
+type Confirmed struct {
+	Token   int64
+	Granted bool
 }
 
 // Vouch asks the core whether the tail's answer to a read may be given.
-func (owner *Owner) Vouch(now time.Duration, token int64) []contract.Command {
-	if !owner.settled || owner.outrun(owner.committed) {
-		return []contract.Command{Vouched{Token: token}}
+func (owner *Replica) ConfirmTail(now time.Duration, token int64) []contract.Command {
+	if !owner.synchronized || owner.isOutdated(owner.committed) {
+		return []contract.Command{Confirmed{Token: token}}
 	}
 	return owner.confirm(now, token, owner.IsTail)
 }
 
 // VouchHead asks the core whether what the head says of its state may be given, as when it refuses an order.
-func (owner *Owner) VouchHead(now time.Duration, token int64) []contract.Command {
-	if owner.outrun(owner.assigned) {
-		return []contract.Command{Vouched{Token: token}}
+func (owner *Replica) ConfirmHead(now time.Duration, token int64) []contract.Command {
+	if owner.isOutdated(owner.lastAssigned) {
+		return []contract.Command{Confirmed{Token: token}}
 	}
 	return owner.confirm(now, token, owner.IsHead)
 }
 
-func (owner *Owner) confirm(now time.Duration, token int64, fits func() bool) []contract.Command {
+func (owner *Replica) confirm(now time.Duration, token int64, fits func() bool) []contract.Command {
 	if !fits() || owner.sealed {
-		return []contract.Command{Vouched{Token: token}}
+		return []contract.Command{Confirmed{Token: token}}
 	}
-	owner.out = nil
-	owner.checks[token] = &check{view: owner.view.Number, fits: fits, until: now + owner.bounds.Round(), votes: map[string]bool{owner.self.Identity(): true}}
-	owner.sendOthers(owner.view.Core, MessageCheck, Check{Nonce: token, Start: owner.start, View: owner.view.Number, Node: owner.self})
-	out := owner.out
-	owner.out = nil
+	owner.commands = nil
+	owner.confirmations[token] = &pendingConfirmation{view: owner.view.Number, inRole: fits, deadline: now + owner.bounds.Round(), votes: map[string]bool{owner.self.Identity(): true}}
+	owner.sendOthers(owner.view.Core, MessageViewCheck, ViewCheck{Nonce: token, StartID: owner.startID, View: owner.view.Number, Node: owner.self})
+	out := owner.commands
+	owner.commands = nil
 	return out
 }
 
-func (owner *Owner) check(ask Check) {
-	holds := owner.Member() && !owner.sealed && owner.view.Number == ask.View
-	owner.send(ask.Node, MessageChecked, Check{Nonce: ask.Nonce, Start: ask.Start, View: ask.View, Holds: holds, By: owner.self})
+func (owner *Replica) handleViewCheck(ask ViewCheck) {
+	holds := owner.IsMember() && !owner.sealed && owner.view.Number == ask.View
+	owner.send(ask.Node, MessageViewCheckReply, ViewCheck{Nonce: ask.Nonce, StartID: ask.StartID, View: ask.View, Current: holds, Responder: owner.self})
 }
 
-func (owner *Owner) checked(answer Check) {
-	pending, there := owner.checks[answer.Nonce]
-	if !there || !answer.Holds || pending.view != answer.View || answer.Start != owner.start {
+func (owner *Replica) handleViewCheckReply(answer ViewCheck) {
+	pending, there := owner.confirmations[answer.Nonce]
+	if !there || !answer.Current || pending.view != answer.View || answer.StartID != owner.startID {
 		return
 	}
-	pending.votes[answer.By.Identity()] = true
+	pending.votes[answer.Responder.Identity()] = true
 	if len(pending.votes) >= owner.view.Majority() {
-		delete(owner.checks, answer.Nonce)
-		owner.emit(Vouched{Token: answer.Nonce, Fine: pending.view == owner.view.Number && !owner.sealed && pending.fits()})
+		delete(owner.confirmations, answer.Nonce)
+		owner.emit(Confirmed{Token: answer.Nonce, Granted: pending.view == owner.view.Number && !owner.sealed && pending.inRole()})
 	}
 }
 
-func (owner *Owner) expireChecks(now time.Duration) {
+func (owner *Replica) expireConfirmations(now time.Duration) {
 	late := []int64{}
-	for token, pending := range owner.checks {
-		if now > pending.until {
+	for token, pending := range owner.confirmations {
+		if now > pending.deadline {
 			late = append(late, token)
 		}
 	}
 	slices.Sort(late)
 	for _, token := range late {
-		delete(owner.checks, token)
-		owner.emit(Vouched{Token: token})
+		delete(owner.confirmations, token)
+		owner.emit(Confirmed{Token: token})
 	}
 }
--- a/chain/folder.go
+++ b/chain/folder.go
@@ -8,37 +8,37 @@
 
 const (
 	// changesMost is how many changes in a row lie in the data folder before a version is written whole again.
-	changesMost = 256
+	maxDeltaChain = 256
 	// changesLeast is how many bytes of changes in a row are always written before a version is written whole again; else they may be as
 	// large as the version.
-	changesLeast = 64 << 10
+	minDeltaChainBytes = 64 << 10
 )
 
 // folder knows how the versions lie in the data folder: whole, or as the change of an earlier one, which then has to stay as long as they
 // do. What it knows is what was synced.
-type folder struct {
-	files map[contract.Position]file
+type storedVersions struct {
+	files map[contract.Position]storedFile
 	// released are the files that nobody wants but others are changes of.
 	released map[contract.Position]bool
 }
 
 // file is one version in the data folder.
-type file struct {
+type storedFile struct {
 	// base is the version that it is a change of, without a revision where it is whole.
 	base contract.Position
 	size int
 }
 
-func newFolder(stored []Stored) folder {
-	made := folder{files: map[contract.Position]file{}, released: map[contract.Position]bool{}}
+func newStoredVersions(stored []StoredVersion) storedVersions {
+	made := storedVersions{files: map[contract.Position]storedFile{}, released: map[contract.Position]bool{}}
 	for _, one := range stored {
-		made.files[one.Place] = file{base: one.Base, size: one.Size}
+		made.files[one.Position] = storedFile{base: one.Base, size: one.Size}
 	}
 	return made
 }
 
 // plan says how versions are written and which files are removed, so that all that stays can be put together again.
-func (folder folder) plan(versions []contract.Version, drop []contract.Position) ([]Write, []contract.Position) {
+func (folder storedVersions) plan(versions []contract.Version, drop []contract.Position) ([]Write, []contract.Position) {
 	next := folder.copy()
 	for _, place := range drop {
 		next.released[place] = true
@@ -49,17 +49,17 @@
 	writes := []Write{}
 	for _, version := range versions {
 		write := Write{Version: version}
-		if next.fitsChange(version) {
+		if next.canWriteDelta(version) {
 			write.Base = contract.Version{Position: version.Base}
 		}
-		next.files[version.Position] = file{base: write.Base.Position, size: sizeOf(write)}
+		next.files[version.Position] = storedFile{base: write.Base.Position, size: writeSize(write)}
 		writes = append(writes, write)
 	}
-	return writes, next.unneeded()
+	return writes, next.removable()
 }
 
-func (folder folder) copy() folder {
-	copied := newFolder(nil)
+func (folder storedVersions) copy() storedVersions {
+	copied := newStoredVersions(nil)
 	for place, one := range folder.files {
 		copied.files[place] = one
 	}
@@ -69,7 +69,7 @@
 	return copied
 }
 
-func sizeOf(write Write) int {
+func writeSize(write Write) int {
 	if write.Base.Position.Revision > 0 {
 		return write.Version.Change.Size()
 	}
@@ -77,7 +77,7 @@
 }
 
 // fitsChange tells whether a version is written as the change of its base.
-func (folder folder) fitsChange(version contract.Version) bool {
+func (folder storedVersions) canWriteDelta(version contract.Version) bool {
 	_, there := folder.files[version.Base]
 	if !there || folder.released[version.Base] || version.Base.Revision >= version.Position.Revision {
 		return false
@@ -91,11 +91,11 @@
 		size += folder.files[place].size
 		count++
 	}
-	return count < changesMost && size <= max(changesLeast, version.Document().Size())
+	return count < maxDeltaChain && size <= max(minDeltaChainBytes, version.Document().Size())
 }
 
 // unneeded gives the released files that no other one is a change of, those included that the folder never had.
-func (folder folder) unneeded() []contract.Position {
+func (folder storedVersions) removable() []contract.Position {
 	needed := map[contract.Position]bool{}
 	for place := range folder.files {
 		if folder.released[place] {
@@ -116,12 +116,12 @@
 }
 
 // done takes up that a write was synced.
-func (folder folder) done(writes []Write, drop, removed []contract.Position) {
+func (folder storedVersions) apply(writes []Write, drop, removed []contract.Position) {
 	for _, place := range drop {
 		folder.released[place] = true
 	}
 	for _, write := range writes {
-		folder.files[write.Version.Position] = file{base: write.Base.Position, size: sizeOf(write)}
+		folder.files[write.Version.Position] = storedFile{base: write.Base.Position, size: writeSize(write)}
 		delete(folder.released, write.Version.Position)
 	}
 	for _, place := range removed {
--- a/chain/folder_test.go
+++ b/chain/folder_test.go
@@ -32,19 +32,19 @@
 }
 
 // open reads all files as a start does, and gives them as they lie there.
-func (held files) open() ([]contract.Version, []Stored) {
+func (held files) open() ([]contract.Version, []StoredVersion) {
 	places := []contract.Position{}
 	for place := range held {
 		places = append(places, place)
 	}
 	slices.SortFunc(places, contract.Position.Compare)
-	versions, stored := []contract.Version{}, []Stored{}
+	versions, stored := []contract.Version{}, []StoredVersion{}
 	for _, place := range places {
 		record := contract.Record{}
 		Expect(json.Unmarshal(held[place], &record)).To(Succeed())
 		version, failure := record.Decode(versions)
 		Expect(failure).NotTo(HaveOccurred())
-		one := Stored{Place: place, Size: record.Size()}
+		one := StoredVersion{Position: place, Size: record.Size()}
 		if record.Base != nil {
 			one.Base = *record.Base
 		}
@@ -57,10 +57,10 @@
 	It("given writes, views that leave versions behind, trims, failed writes and restarts, then all that is wanted can always be put together", func() {
 		for seed := range uint64(foldersTried) {
 			random := rand.New(rand.NewPCG(seed, 6))
-			known, held, log := newFolder(nil), files{}, []contract.Version{contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(40)))}
+			known, held, log := newStoredVersions(nil), files{}, []contract.Version{contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(40)))}
 			writes, removed := known.plan(log, nil)
 			held.save(writes, removed)
-			known.done(writes, nil, removed)
+			known.apply(writes, nil, removed)
 			view := int64(1)
 			for step := range foldersSteps {
 				fresh, drop := []contract.Version{}, []contract.Position{}
@@ -89,7 +89,7 @@
 					writes, removed = known.plan(fresh, drop)
 				}
 				held.save(writes, removed)
-				known.done(writes, drop, removed)
+				known.apply(writes, drop, removed)
 				versions, stored := held.open()
 				for _, version := range log {
 					place := slices.IndexFunc(versions, func(other contract.Version) bool { return other.Position == version.Position })
@@ -97,7 +97,7 @@
 					Expect(versions[place].Digest).To(Equal(version.Digest))
 				}
 				if random.IntN(20) == 0 {
-					known = newFolder(stored)
+					known = newStoredVersions(stored)
 					for _, version := range versions {
 						if !slices.ContainsFunc(log, func(other contract.Version) bool { return other.Position == version.Position }) {
 							known.released[version.Position] = true
@@ -109,11 +109,11 @@
 	})
 
 	It("writes a version whole when the changes in a row are many or as large as the version", func() {
-		known, last := newFolder(nil), contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(400)))
+		known, last := newStoredVersions(nil), contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(400)))
 		whole := 0
-		for revision := int64(1); revision <= 4*changesMost; revision++ {
+		for revision := int64(1); revision <= 4*maxDeltaChain; revision++ {
 			writes, removed := known.plan([]contract.Version{last}, nil)
-			known.done(writes, nil, removed)
+			known.apply(writes, nil, removed)
 			if writes[0].Base.Position.Revision == 0 {
 				whole++
 			}
--- a/chain/forsaken_test.go
+++ b/chain/forsaken_test.go
@@ -26,14 +26,14 @@
 		Expect(failure).NotTo(HaveOccurred())
 		return contract.Message{Kind: kind, From: "middle", Boot: "boot", Body: text}
 	}
-	head := func() *Owner {
+	head := func() *Replica {
 		owner := New(nodes[0], "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(1, 1)))
-		owner.Handle(0, message(MessageNews, view(1)))
+		owner.Handle(0, message(MessageNewView, view(1)))
 		owner.Handle(time.Millisecond, Persisted{Token: owner.token})
 		return owner
 	}
-	next := func(owner *Owner, former contract.Version) {
-		owner.Handle(5*time.Millisecond, message(MessageNews, view(2)))
+	next := func(owner *Replica, former contract.Version) {
+		owner.Handle(5*time.Millisecond, message(MessageNewView, view(2)))
 		for range 2 {
 			owner.Handle(6*time.Millisecond, Persisted{Token: owner.token})
 		}
@@ -61,7 +61,7 @@
 		owner := head()
 		version, _ := owner.Submit(2*time.Millisecond, "kept", document.Change{})
 		owner.Handle(3*time.Millisecond, Persisted{Token: owner.token})
-		owner.Handle(5*time.Millisecond, message(MessageNews, view(2)))
+		owner.Handle(5*time.Millisecond, message(MessageNewView, view(2)))
 		Expect(owner.Versions()).To(ContainElement(version))
 		later, _ := owner.Submit(7*time.Millisecond, "later", document.Change{})
 		Expect(later.Position.Revision).To(Equal(version.Position.Revision + 1))
--- a/chain/found_test.go
+++ b/chain/found_test.go
@@ -25,12 +25,12 @@
 }
 
 // core runs three core machines that see each other, for a while, and gives them and what was counted.
-func core(founds []bool, shelves []Recovered, span time.Duration) ([]*Owner, map[string]int64) {
-	bounds, owners, members, counts := env.DefaultBounds(), []*Owner{}, []contract.Member{}, map[string]int64{}
+func core(founds []bool, shelves []Recovered, span time.Duration) ([]*Replica, map[string]int64) {
+	bounds, owners, members, counts := env.DefaultBounds(), []*Replica{}, []contract.Member{}, map[string]int64{}
 	for place := range founds {
 		self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", place), ID: "boot", Address: fmt.Sprint("address", place)}
 		owner := New(self, "start", len(founds), bounds, shelves[place], rand.New(rand.NewPCG(uint64(place), 1)))
-		owner.Bootstraps(founds[place])
+		owner.AllowBootstrap(founds[place])
 		owners = append(owners, owner)
 		members = append(members, contract.Member{Name: self.Name, Boot: self.ID, CoreID: self.ID, Kind: contract.KindControl, Core: true, Address: self.Address})
 	}
@@ -39,7 +39,7 @@
 		events := waiting
 		waiting = make([][]contract.Event, len(owners))
 		for place, owner := range owners {
-			for _, event := range append(events[place], Seen{Members: members}) {
+			for _, event := range append(events[place], Membership{Members: members}) {
 				for _, command := range owner.Handle(now, event) {
 					switch command := command.(type) {
 					case contract.Send:
--- a/chain/founded.go
+++ b/chain/founded.go
@@ -10,49 +10,49 @@
 //
 // Members that restart before any of them has written the view down that all agreed to would wait for ever otherwise. A majority that
 // still holds the same yes is enough: another first view would need the yes of each of these members to that one instead.
-type FoundedAsk struct {
+type BootstrapVoteQuery struct {
 	Node contract.CoreNode `json:"node"`
 }
 
-type FoundedHeld struct {
+type BootstrapVote struct {
 	Node contract.CoreNode `json:"node"`
 	View contract.View     `json:"view"`
 }
 
-func (owner *Owner) askFounded(now time.Duration) {
-	accepted := owner.syncedFoundation()
-	if accepted == nil || now-owner.foundAsked < owner.bounds.Round() || now-owner.started < owner.bounds.Lease() {
+func (owner *Replica) queryBootstrapVotes(now time.Duration) {
+	accepted := owner.syncedBootstrap()
+	if accepted == nil || now-owner.bootstrapVotesQueried < owner.bounds.Round() || now-owner.startedAt < owner.bounds.Lease() {
 		return
 	}
-	owner.foundAsked, owner.foundHeld = now, map[string]bool{owner.self.Identity(): true}
-	owner.sendOthers(accepted.View.Core, MessageFoundedAsk, FoundedAsk{Node: owner.self})
+	owner.bootstrapVotesQueried, owner.bootstrapVotes = now, map[string]bool{owner.self.Identity(): true}
+	owner.sendOthers(accepted.View.Core, MessageBootstrapVoteQuery, BootstrapVoteQuery{Node: owner.self})
 }
 
 // syncedFoundation gives the first view that this member's folder agrees to, or nothing.
-func (owner *Owner) syncedFoundation() *Foundation {
-	if accepted := owner.foundAccepted; accepted != nil && owner.foundSynced == accepted.Ballot {
+func (owner *Replica) syncedBootstrap() *BootstrapProposal {
+	if accepted := owner.bootstrapAccepted; accepted != nil && owner.bootstrapSynced == accepted.Ballot {
 		return accepted
 	}
 	return nil
 }
 
-func (owner *Owner) foundedAsk(ask FoundedAsk) {
+func (owner *Replica) handleBootstrapVoteQuery(ask BootstrapVoteQuery) {
 	if owner.view.Number > 0 {
-		owner.send(ask.Node, MessageNews, owner.view)
+		owner.send(ask.Node, MessageNewView, owner.view)
 		return
 	}
-	if accepted := owner.syncedFoundation(); accepted != nil {
-		owner.send(ask.Node, MessageFoundedHeld, FoundedHeld{Node: owner.self, View: accepted.View})
+	if accepted := owner.syncedBootstrap(); accepted != nil {
+		owner.send(ask.Node, MessageBootstrapVote, BootstrapVote{Node: owner.self, View: accepted.View})
 	}
 }
 
-func (owner *Owner) foundedHeld(now time.Duration, held FoundedHeld) {
-	accepted := owner.syncedFoundation()
+func (owner *Replica) handleBootstrapVote(now time.Duration, held BootstrapVote) {
+	accepted := owner.syncedBootstrap()
 	if accepted == nil || held.View.Number != accepted.View.Number || !sameCore(held.View, accepted.View) {
 		return
 	}
-	owner.foundHeld[held.Node.Identity()] = true
-	if len(owner.foundHeld) >= accepted.View.Majority() {
-		owner.begin(now, *accepted)
+	owner.bootstrapVotes[held.Node.Identity()] = true
+	if len(owner.bootstrapVotes) >= accepted.View.Majority() {
+		owner.installBootstrap(now, *accepted)
 	}
 }
--- a/chain/log_test.go
+++ b/chain/log_test.go
@@ -21,8 +21,8 @@
 		for revision := int64(1); revision <= count; revision++ {
 			version = version.Next(contract.Position{View: 1, Revision: revision}, contract.OperationID(fmt.Sprint("o", revision), "f"),
 				item(fmt.Sprintf("%q", fmt.Sprintf("%0*d", changeSize-len("/item")-2, revision))))
-			made.keep(version)
-			made.top, made.committed = revision, revision
+			made.put(version)
+			made.lastSynced, made.committed = revision, revision
 			dropped = append(dropped, made.trim()...)
 		}
 		return &made, dropped
@@ -39,7 +39,7 @@
 			Expect(version.Position.Revision).To(Equal(revision))
 			Expect(version.Operation).To(Equal(contract.OperationID(fmt.Sprint("o", revision), "f")))
 		}
-		Expect(made.RemembersAll()).To(BeTrue())
+		Expect(made.RemembersAllOperations()).To(BeTrue())
 	})
 
 	It("forgets operations that are older than the window", func() {
@@ -49,17 +49,17 @@
 		_, there = made.Operation("o61")
 		Expect(there).To(BeTrue())
 		Expect(made.operations).To(HaveLen(window))
-		Expect(made.RemembersAll()).To(BeFalse())
+		Expect(made.RemembersAllOperations()).To(BeFalse())
 	})
 
 	It("takes up operations of versions that it never had, and none that contradict what it has", func() {
 		made, _ := grown(30)
 		other := newLog(window, bytesMost)
 		newest := made.versions[30]
-		other.keep(newest)
-		other.top, other.committed = 30, 30
+		other.put(newest)
+		other.lastSynced, other.committed = 30, 30
 		Expect(other.knows(3)).To(BeFalse())
-		other.remember(append(made.pastOperations(), contract.PastOperation{Position: contract.Position{View: 9, Revision: 30}, Operation: "wrong/f"}))
+		other.addPastOperations(append(made.sortedPastOperations(), contract.PastOperation{Position: contract.Position{View: 9, Revision: 30}, Operation: "wrong/f"}))
 		Expect(other.knows(3)).To(BeTrue())
 		_, there := other.Operation("o3")
 		Expect(there).To(BeTrue())
@@ -74,25 +74,25 @@
 		const changes = 60
 		core := newTrio()
 		for _, owner := range core.owners {
-			owner.bytesMost = 200 << 10
+			owner.maxBytes = 200 << 10
 		}
 		for number := range changes {
 			core.write(number, item(fmt.Sprintf("%q", fmt.Sprintf("%020000d", number))))
 		}
 		Expect(len(core.owners[0].versions)).To(BeNumerically("<", 12))
 		core.replace(2)
-		core.owners[2].bytesMost = 200 << 10
+		core.owners[2].maxBytes = 200 << 10
 		core.until(func() bool { return len(core.owners[2].view.Chain) == 3 && core.owners[2].Committed() == changes })
 		core.until(func() bool { return len(core.owners[2].operations) == changes })
-		count, _ := core.owners[2].lacks()
+		count, _ := core.owners[2].missing()
 		Expect(count).To(BeZero())
 	})
 })
 
 var _ = It("gives no version for a place of another view under the same revision", func() {
 	made := newLog(10, 1000)
-	made.keep(contract.NewVersion(contract.Position{View: 2, Revision: 4}, "o/f", document.Empty()))
-	version, there := made.at(contract.Position{View: 1, Revision: 4})
+	made.put(contract.NewVersion(contract.Position{View: 2, Revision: 4}, "o/f", document.Empty()))
+	version, there := made.lookup(contract.Position{View: 1, Revision: 4})
 	Expect(there).To(BeFalse())
 	Expect(version.Position).To(BeZero(), "else what follows would be told as its change")
 })
--- a/chain/past_test.go
+++ b/chain/past_test.go
@@ -14,7 +14,7 @@
 
 // trio is a core of three members whose disks and links take no time; a member that is away gets nothing.
 type trio struct {
-	owners  []*Owner
+	owners  []*Replica
 	away    map[int]bool
 	now     time.Duration
 	pending []delivery
@@ -43,13 +43,13 @@
 func (trio *trio) replace(place int) {
 	self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", place), ID: "another disk", Address: fmt.Sprint(place)}
 	trio.owners[place] = New(self, "another start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(uint64(place), 2)))
-	trio.owners[place].Bootstraps(false)
+	trio.owners[place].AllowBootstrap(false)
 	trio.bytes[place] = 0
 }
 
-func (trio *trio) head() *Owner {
+func (trio *trio) head() *Replica {
 	for place, owner := range trio.owners {
-		if !trio.away[place] && owner.Open() {
+		if !trio.away[place] && owner.AcceptsWrites() {
 			return owner
 		}
 	}
@@ -89,7 +89,7 @@
 
 func (trio *trio) tick() {
 	trio.now += env.DefaultBounds().Tick()
-	seen := Seen{Held: trio.held}
+	seen := Membership{NewestVersion: trio.held}
 	for place, owner := range trio.owners {
 		if !trio.away[place] {
 			seen.Members = append(seen.Members, contract.Member{Name: owner.self.Name, CoreID: owner.self.ID, Core: true, Address: owner.self.Address, View: owner.view.Number})
--- a/chain/reach.go
+++ b/chain/reach.go
@@ -19,31 +19,31 @@
 }
 
 // contact is what is known of the direct links to a member.
-type contact struct {
-	at    time.Duration
-	heard []string
+type peerState struct {
+	lastHeartbeat time.Duration
+	hears         []string
 	// fresh holds until the first heartbeat: nothing is known of what the other hears.
-	fresh bool
+	awaitingFirst bool
 }
 
 // tickHeartbeat sends heartbeats, and begins anew with all members after a pause of this process.
-func (owner *Owner) tickHeartbeat(now time.Duration) {
-	if now-owner.ticked > owner.bounds.Freeze() {
-		owner.contacts = map[string]contact{}
+func (owner *Replica) tickHeartbeat(now time.Duration) {
+	if now-owner.lastTick > owner.bounds.Freeze() {
+		owner.peers = map[string]peerState{}
 	}
-	if now-owner.ticked > owner.bounds.Round()/probeParts {
-		owner.ForgetContact()
+	if now-owner.lastTick > owner.bounds.Round()/probesPerRound {
+		owner.ResetProbes()
 	}
-	owner.ticked = now
+	owner.lastTick = now
 	for _, node := range owner.view.Core {
-		if _, known := owner.contacts[node.Identity()]; !known {
-			owner.contacts[node.Identity()] = contact{at: now, fresh: true}
+		if _, known := owner.peers[node.Identity()]; !known {
+			owner.peers[node.Identity()] = peerState{lastHeartbeat: now, awaitingFirst: true}
 		}
 	}
-	if owner.view.Number == 0 || now-owner.beaten < owner.bounds.Round() {
+	if owner.view.Number == 0 || now-owner.lastHeartbeat < owner.bounds.Round() {
 		return
 	}
-	owner.beaten = now
+	owner.lastHeartbeat = now
 	heard := []string{}
 	for _, node := range owner.view.Core {
 		if owner.hears(node.Identity()) {
@@ -51,53 +51,53 @@
 		}
 	}
 	for _, node := range owner.view.Core {
-		if node.Identity() != owner.self.Identity() && owner.aliveCore(node) {
+		if node.Identity() != owner.self.Identity() && owner.isAlive(node) {
 			owner.send(node, MessageHeartbeat, Heartbeat{From: owner.self, View: owner.view.Number, Heard: heard})
 		}
 	}
 }
 
-func (owner *Owner) heartbeat(now time.Duration, beat Heartbeat) {
-	owner.contacts[beat.From.Identity()] = contact{at: now, heard: beat.Heard}
+func (owner *Replica) handleHeartbeat(now time.Duration, beat Heartbeat) {
+	owner.peers[beat.From.Identity()] = peerState{lastHeartbeat: now, hears: beat.Heard}
 	if beat.View < owner.view.Number {
-		owner.send(beat.From, MessageNews, owner.view)
+		owner.send(beat.From, MessageNewView, owner.view)
 	}
 }
 
 // hears tells whether a member's own heartbeats come.
-func (owner *Owner) hears(identity string) bool {
-	return identity == owner.self.Identity() || owner.ticked-owner.contacts[identity].at <= owner.bounds.Suspicion()
+func (owner *Replica) hears(identity string) bool {
+	return identity == owner.self.Identity() || owner.lastTick-owner.peers[identity].lastHeartbeat <= owner.bounds.Suspicion()
 }
 
 // direct tells whether messages pass both ways between this member and another one, by their heartbeats.
-func (owner *Owner) direct(identity string) bool {
-	known := owner.contacts[identity]
-	return owner.hears(identity) && (known.fresh || slices.Contains(known.heard, owner.self.Identity()))
+func (owner *Replica) linkedBothWays(identity string) bool {
+	known := owner.peers[identity]
+	return owner.hears(identity) && (known.awaitingFirst || slices.Contains(known.hears, owner.self.Identity()))
 }
 
 // reaches tells whether another member is alive and linked with this one.
-func (owner *Owner) reaches(node contract.CoreNode) bool {
-	return node.Identity() == owner.self.Identity() || owner.aliveCore(node) && owner.direct(node.Identity())
+func (owner *Replica) reaches(node contract.CoreNode) bool {
+	return node.Identity() == owner.self.Identity() || owner.isAlive(node) && owner.linkedBothWays(node.Identity())
 }
 
 // linked tells whether a member and all of a chain reach each other, by what they say: a link that is cut would hold every version up.
-func (owner *Owner) linked(chain []string, identity string) bool {
-	return !slices.ContainsFunc(chain, func(other string) bool { return !owner.link(other, identity) })
+func (owner *Replica) connectedToAll(chain []string, identity string) bool {
+	return !slices.ContainsFunc(chain, func(other string) bool { return !owner.connected(other, identity) })
 }
 
-func (owner *Owner) link(one, other string) bool {
+func (owner *Replica) connected(one, other string) bool {
 	if one == owner.self.Identity() {
 		one, other = other, one
 	}
 	if other == owner.self.Identity() {
-		_, told := owner.contacts[one]
-		return !told || owner.direct(one)
+		_, told := owner.peers[one]
+		return !told || owner.linkedBothWays(one)
 	}
-	return owner.says(one, other) && owner.says(other, one)
+	return owner.reportsHearing(one, other) && owner.reportsHearing(other, one)
 }
 
 // says tells whether a member hears another one, by its own last heartbeat; one that said nothing yet is believed to.
-func (owner *Owner) says(one, other string) bool {
-	known, told := owner.contacts[one]
-	return !told || known.fresh || slices.Contains(known.heard, other)
+func (owner *Replica) reportsHearing(one, other string) bool {
+	known, told := owner.peers[one]
+	return !told || known.awaitingFirst || slices.Contains(known.hears, other)
 }
--- a/chain/vouch_test.go
+++ b/chain/vouch_test.go
@@ -24,23 +24,23 @@
 	names := []string{nodes[0].Identity(), nodes[1].Identity(), nodes[2].Identity()}
 
 	// member is the middle of a chain that has taken a version and not yet heard whether its tail has it.
-	member := func() *Owner {
+	member := func() *Replica {
 		owner := New(nodes[1], "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(1, 1)))
-		owner.Handle(0, message(MessageNews, "head", contract.View{Number: 1, Core: nodes, Chain: names, Holders: names}))
+		owner.Handle(0, message(MessageNewView, "head", contract.View{Number: 1, Core: nodes, Chain: names, Holders: names}))
 		version := contract.NewVersion(contract.Position{View: 1, Revision: 1}, "first", document.Empty())
-		owner.Handle(0, message(MessagePass, "head", Pass{From: nodes[0], View: 1, Records: []contract.Record{version.FullRecord()}, Top: 1}))
+		owner.Handle(0, message(MessageReplicate, "head", Replicate{From: nodes[0], View: 1, Records: []contract.Record{version.FullRecord()}, LastSynced: 1}))
 		for token := int64(1); token <= 4; token++ {
 			owner.Handle(time.Millisecond, Persisted{Token: token})
 		}
-		Expect(owner.top).To(Equal(int64(1)))
+		Expect(owner.lastSynced).To(Equal(int64(1)))
 		Expect(owner.Committed()).To(BeZero())
 		return owner
 	}
 
 	It("given a version that the former tail may have acknowledged, when it alone is asked, then it does not answer with an older one", func() {
 		owner := member()
-		owner.Handle(2*time.Millisecond, message(MessageNews, "tail", contract.View{Number: 2, Core: nodes, Chain: names[1:2], Holders: names}))
+		owner.Handle(2*time.Millisecond, message(MessageNewView, "tail", contract.View{Number: 2, Core: nodes, Chain: names[1:2], Holders: names}))
 		Expect(owner.IsTail()).To(BeTrue())
-		Expect(owner.Vouch(3*time.Millisecond, 7)).To(ConsistOf(Vouched{Token: 7}))
+		Expect(owner.ConfirmTail(3*time.Millisecond, 7)).To(ConsistOf(Confirmed{Token: 7}))
 	})
 })
--- a/control/control.go
+++ b/control/control.go
@@ -43,7 +43,7 @@
 
 type Owner struct {
 	*machine.Node
-	chain *chain.Owner
+	chain *chain.Replica
 	shard *shard.Owner
 	index *index.Owner
 	// others are the shards of the regions that this node stands in for, kept up to date so that a take-over is prompt.
@@ -72,10 +72,10 @@
 	if recovered != nil {
 		self := contract.CoreNode{Name: node.Self().Name, ID: boot, Address: node.Self().Address}
 		owner.chain = chain.New(self, boot, int(settings.CoreSize), settings.Bounds, *recovered, random)
-		owner.chain.Bootstraps(!settings.Joins)
+		owner.chain.AllowBootstrap(!settings.Joins)
 		node.Neighbours.Identify(owner.chain.Self().ID)
-		owner.chain.Founders(settings.Founders)
-		if newest, there := recovered.Newest(); there && settings.Wide {
+		owner.chain.SetFounders(settings.Founders)
+		if newest, there := recovered.NewestCommitted(); there && settings.Wide {
 			owner.Feed.Take(feed.Change{Versions: []contract.Version{newest}}, nil)
 		}
 	}
@@ -125,8 +125,8 @@
 	commands := []contract.Command{}
 	owner.Neighbours.Blind(owner.shard.Blind() || owner.Neighbours.Deaf(now))
 	if owner.chain != nil {
-		owner.Neighbours.Hold(owner.Feed.Version().Position, owner.Feed.View().Number, owner.chain.Fit())
-		commands = append(commands, owner.chain.Handle(now, chain.Seen{Members: owner.Neighbours.Members(now), Held: owner.Feed.Version(), View: owner.Feed.View()})...)
+		owner.Neighbours.Hold(owner.Feed.Version().Position, owner.Feed.View().Number, owner.chain.DiskHealthy())
+		commands = append(commands, owner.chain.Handle(now, chain.Membership{Members: owner.Neighbours.Members(now), NewestVersion: owner.Feed.Version(), View: owner.Feed.View()})...)
 	}
 	commands = append(commands, owner.askRefill(now, members)...)
 	if owner.Feed.Known() {
@@ -144,13 +144,13 @@
 		return nil
 	}
 	owner.refills = now + owner.Bounds.Round()
-	owner.Feed.Restore(owner.chain.CommittedOf(owner.Feed.Missing()))
-	first := owner.chain.Lacking()
+	owner.Feed.Restore(owner.chain.CommittedVersions(owner.Feed.Missing()))
+	first := owner.chain.FirstMissing()
 	member := members[owner.Random.IntN(len(members))]
 	if first == 0 || member.Name == owner.Self().Name {
 		return nil
 	}
-	return []contract.Command{contract.Send{To: member.Address, Kind: feed.MessageLack, Body: feed.Lack{From: first, Address: owner.Self().Address, Base: owner.chain.Base()}}}
+	return []contract.Command{contract.Send{To: member.Address, Kind: feed.MessageLack, Body: feed.Lack{From: first, Address: owner.Self().Address, Base: owner.chain.DeltaBase()}}}
 }
 
 func (owner *Owner) refill(now time.Duration, message contract.Message) []contract.Command {
@@ -158,7 +158,7 @@
 	if message.Kind != feed.MessageKept || json.Unmarshal(message.Body, &kept) != nil {
 		return nil
 	}
-	return owner.chain.Refill(now, kept.Records)
+	return owner.chain.Restore(now, kept.Records)
 }
 
 // absorb turns what the chain decided into news for the feed and answers for operators.
@@ -172,10 +172,10 @@
 			version := command.Version
 			commands = append(owner.Feed.Take(feed.Change{Versions: []contract.Version{version}}, owner.Neighbours.Active()), commands...)
 			owner.committed(now, version)
-		case chain.Viewed:
+		case chain.ViewInstalled:
 			view := command.View
 			commands = append(owner.Feed.Take(feed.Change{View: &view}, owner.Neighbours.Active()), commands...)
-		case chain.Vouched:
+		case chain.Confirmed:
 			commands = append(owner.vouched(now, command), commands...)
 		case contract.VersionAdopted:
 			out = append(out, contract.Log{Message: "manifest in force", Attributes: []any{"revision", command.Version.Position.Revision}})
@@ -220,13 +220,13 @@
 	switch ask.Verb {
 	case contract.VerbGet, contract.VerbHistory:
 		token := owner.whenVouched(func(_ time.Duration, fine bool) []contract.Command { return owner.answerRead(ask, fine) })
-		return owner.chain.Vouch(now, token)
+		return owner.chain.ConfirmTail(now, token)
 	case contract.VerbMembers:
 		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{
 			"members": owner.Neighbours.Members(now), "silent": owner.Neighbours.Silent(now)}}}
 	case contract.VerbChain:
 		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{
-			"view": owner.chain.View(), "committed": owner.chain.Committed(), "sealed": owner.chain.Sealed(), "open": owner.chain.Open()}}}
+			"view": owner.chain.View(), "committed": owner.chain.Committed(), "sealed": owner.chain.Sealed(), "open": owner.chain.AcceptsWrites()}}}
 	case contract.VerbShards, contract.VerbRetirements:
 		return owner.shards(now, ask)
 	case contract.VerbCache:
@@ -286,7 +286,7 @@
 
 func (owner *Owner) told(message contract.Message) []contract.Command {
 	var word Gone
-	if message.Kind == MessageGone && json.Unmarshal(message.Body, &word) == nil && owner.chain.Declare(word.Name) {
+	if message.Kind == MessageGone && json.Unmarshal(message.Body, &word) == nil && owner.chain.DeclareGone(word.Name) {
 		return []contract.Command{contract.Log{Message: "declared gone", Attributes: []any{"machine", word.Name}}}
 	}
 	return nil
@@ -299,13 +299,13 @@
 	return owner.token
 }
 
-func (owner *Owner) vouched(now time.Duration, vouched chain.Vouched) []contract.Command {
+func (owner *Owner) vouched(now time.Duration, vouched chain.Confirmed) []contract.Command {
 	then, there := owner.vouches[vouched.Token]
 	if !there {
 		return nil
 	}
 	delete(owner.vouches, vouched.Token)
-	return then(now, vouched.Fine)
+	return then(now, vouched.Granted)
 }
 
 func (owner *Owner) answerRead(ask contract.OperatorRequest, fine bool) []contract.Command {
@@ -320,7 +320,7 @@
 	if revision == 0 {
 		revision = owner.chain.Committed()
 	}
-	version, there := owner.chain.Version(revision)
+	version, there := owner.chain.CommittedVersion(revision)
 	if !there {
 		return []contract.Command{contract.ErrorResponse(ask.Token, 404, "no such revision is kept", 0)}
 	}
@@ -335,5 +335,5 @@
 	if owner.chain == nil {
 		return contract.Version{}, false
 	}
-	return owner.chain.Version(revision)
+	return owner.chain.CommittedVersion(revision)
 }
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -87,7 +87,7 @@
 				b.Fatal(failure)
 			}
 			next := last.Next(contract.Position{View: 1, Revision: last.Position.Revision + 1}, "next/f", change)
-			content, failure := json.Marshal(chain.Pass{View: 1, Previous: last.Position, Records: contract.EncodeRecords(last, []contract.Version{next}, contract.MaxRecordBytes)})
+			content, failure := json.Marshal(chain.Replicate{View: 1, Previous: last.Position, Records: contract.EncodeRecords(last, []contract.Version{next}, contract.MaxRecordBytes)})
 			if failure != nil {
 				b.Fatal(failure)
 			}
--- a/control/gateway.go
+++ b/control/gateway.go
@@ -54,7 +54,7 @@
 		return false
 	}
 	oldest, there := owner.chain.OldestKept()
-	if !there || owner.chain.RemembersAll() {
+	if !there || owner.chain.RemembersAllOperations() {
 		return false
 	}
 	return ask.BaseRevision < manifest.GatewayRevision(oldest.Document())
@@ -66,7 +66,7 @@
 		return contract.Version{}, false
 	}
 	latest, fine := owner.chain.Latest()
-	if !fine || latest.Position.Revision == 0 || !owner.chain.Open() {
+	if !fine || latest.Position.Revision == 0 || !owner.chain.AcceptsWrites() {
 		return contract.Version{}, false
 	}
 	read := owner.readLatest(latest)
--- a/control/refuse.go
+++ b/control/refuse.go
@@ -33,7 +33,7 @@
 		}
 		return owner.refuse(ask, status, reason)
 	})
-	return owner.chain.VouchHead(now, token)
+	return owner.chain.ConfirmHead(now, token)
 }
 
 // tickRefusals gives the refusals whose ground was committed meanwhile; one whose ground is not in time is none.
@@ -63,5 +63,5 @@
 		owner.await(now, ask, version, version.Operation)
 		return nil
 	})
-	return owner.chain.VouchHead(now, token)
+	return owner.chain.ConfirmHead(now, token)
 }
--- a/control/stale_test.go
+++ b/control/stale_test.go
@@ -39,7 +39,7 @@
 	hear(owner, 0)
 	owner.Handle(0, contract.Tick{})
 	owner.Handle(time.Millisecond, contract.Tick{})
-	Expect(owner.chain.Open()).To(BeTrue(), "it would take writes")
+	Expect(owner.chain.AcceptsWrites()).To(BeTrue(), "it would take writes")
 	return owner
 }
 
@@ -92,15 +92,15 @@
 	It("refuses once a majority confirms its view", func() {
 		owner := staleHead()
 		commands := owner.Handle(2*time.Millisecond, order(contract.VerbReplace, 9, 12))
-		var asked chain.Check
+		var asked chain.ViewCheck
 		for _, command := range commands {
-			if send, fine := command.(contract.Send); fine && send.Kind == chain.MessageCheck {
-				asked = send.Body.(chain.Check)
+			if send, fine := command.(contract.Send); fine && send.Kind == chain.MessageViewCheck {
+				asked = send.Body.(chain.ViewCheck)
 			}
 		}
-		asked.Holds, asked.By = true, coreNodes()[1]
+		asked.Current, asked.Responder = true, coreNodes()[1]
 		body, _ := json.Marshal(asked)
-		given := answers(owner, owner.Handle(3*time.Millisecond, contract.Message{Kind: chain.MessageChecked, From: asked.By.Name, Body: body}), time.Second)
+		given := answers(owner, owner.Handle(3*time.Millisecond, contract.Message{Kind: chain.MessageViewCheckReply, From: asked.Responder.Name, Body: body}), time.Second)
 		Expect(given).To(HaveLen(1))
 		Expect(given[0].Status).To(Equal(409))
 	})
@@ -128,8 +128,8 @@
 				}
 				if send, fine := command.(contract.Send); fine && send.Kind == chain.MessageProbe {
 					asked := send.Body.(chain.Probe)
-					body, _ := json.Marshal(chain.Probed{Nonce: asked.Nonce, Start: asked.Start, By: coreNodes()[1]})
-					commands = append(commands, owner.Handle(now+time.Millisecond, contract.Message{Kind: chain.MessageProbed, Body: body})...)
+					body, _ := json.Marshal(chain.ProbeReply{Nonce: asked.Nonce, StartID: asked.StartID, Responder: coreNodes()[1]})
+					commands = append(commands, owner.Handle(now+time.Millisecond, contract.Message{Kind: chain.MessageProbeReply, Body: body})...)
 				}
 			}
 		}
--- a/control/write.go
+++ b/control/write.go
@@ -64,7 +64,7 @@
 	if former, there := owner.standing(ask); there {
 		return owner.confirmStanding(now, ask, former)
 	}
-	if !owner.chain.Open() {
+	if !owner.chain.AcceptsWrites() {
 		return owner.refuse(ask, 503, "the chain cannot take writes now; nothing was committed")
 	}
 	latest, fine := owner.chain.Latest()
@@ -235,10 +235,10 @@
 	}
 	for _, pending := range owner.writes {
 		if !pending.committed {
-			return owner.chain.Contact(now)
+			return owner.chain.ProbeMajority(now)
 		}
 	}
-	owner.chain.ForgetContact()
+	owner.chain.ResetProbes()
 	return nil
 }
 
@@ -246,7 +246,7 @@
 func (owner *Owner) outcome(now time.Duration, pending *write) (int, contract.WriteResult) {
 	accepted := contract.WriteResult{Revision: pending.revision, Operation: pending.ask.Operation, View: owner.Feed.View().Number}
 	if !pending.committed {
-		if now-pending.began <= owner.Bounds.Commit() && !owner.chain.OutOfContact(now) {
+		if now-pending.began <= owner.Bounds.Commit() && !owner.chain.MajorityUnreachable(now) {
 			return 0, accepted
 		}
 		accepted.Outcome, accepted.Error = "unknown", "not yet acknowledged by the whole chain; ask by the operation key"
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -50,7 +50,7 @@
 		shell.machine.disk.Save(func() {
 			persisted := chain.Persisted{Token: command.Token}
 			if failure := image.Save(shell.machine.disk, command); failure != nil {
-				persisted.Failure = failure.Error()
+				persisted.Error = failure.Error()
 			}
 			shell.event(persisted)
 		})
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -212,7 +212,7 @@
 		}
 		persisted := chain.Persisted{Token: work.Token}
 		if err := image.Save(disk, work); err != nil {
-			persisted.Failure = err.Error()
+			persisted.Error = err.Error()
 		}
 		disk.Acknowledged()
 		process.Event(persisted)
--- a/image/image.go
+++ b/image/image.go
@@ -66,7 +66,7 @@
 // Save carries a change out. What is dropped is gone for good before anything else is written: a version that was left behind must never
 // be found beside the record of a newer view.
 func Save(files Files, work chain.Persist) error {
-	if failure := drop(files, work.Drop); failure != nil {
+	if failure := drop(files, work.Remove); failure != nil {
 		return failure
 	}
 	names := []string{}
@@ -90,8 +90,8 @@
 			return eris.Wrap(failure, "member record not written")
 		}
 	}
-	if work.Past != nil {
-		if failure := write(pastName, *work.Past); failure != nil {
+	if work.PastOperations != nil {
+		if failure := write(pastName, *work.PastOperations); failure != nil {
 			return eris.Wrap(failure, "past operations not written")
 		}
 	}
@@ -164,7 +164,7 @@
 		}
 		return failure
 	case pastName:
-		return unwrap(content, &recovered.Past)
+		return unwrap(content, &recovered.PastOperations)
 	case markName:
 		return unwrap(content, &recovered.Committed)
 	}
@@ -186,7 +186,7 @@
 	if failure != nil {
 		return failure
 	}
-	stored := chain.Stored{Place: record.Position, Size: record.Size()}
+	stored := chain.StoredVersion{Position: record.Position, Size: record.Size()}
 	if record.Base != nil {
 		stored.Base = *record.Base
 	}
--- a/image/image_test.go
+++ b/image/image_test.go
@@ -101,10 +101,10 @@
 		change.Put("/a/b/c", "2")
 		next := first.Next(contract.Position{View: 1, Revision: 4}, "o/4", change)
 		past := []contract.PastOperation{{Position: contract.Position{View: 1, Revision: 1}, Operation: "o/1"}}
-		Expect(Save(folder, chain.Persist{Writes: []chain.Write{{Version: first}, {Version: next, Base: first}}, Past: &past})).To(Succeed())
+		Expect(Save(folder, chain.Persist{Writes: []chain.Write{{Version: first}, {Version: next, Base: first}}, PastOperations: &past})).To(Succeed())
 		recovered, failure := Load(folder)
 		Expect(failure).NotTo(HaveOccurred())
-		Expect(recovered.Past).To(Equal(past))
+		Expect(recovered.PastOperations).To(Equal(past))
 		Expect(recovered.Versions[3].Digest).To(Equal(next.Digest))
 		Expect(recovered.Stored[3].Base).To(Equal(first.Position))
 		Expect(folder.Remove(nameOf(first.Position))).To(Succeed())
@@ -127,7 +127,7 @@
 
 	It("drops old versions and what was written aside but never renamed", func() {
 		Expect(folder.WriteAside(nameOf(contract.Position{View: 1, Revision: 3})+aside, []byte("half"))).To(Succeed())
-		Expect(Save(folder, chain.Persist{Drop: []contract.Position{{View: 1, Revision: 1}, {View: 9, Revision: 9}}})).To(Succeed())
+		Expect(Save(folder, chain.Persist{Remove: []contract.Position{{View: 1, Revision: 1}, {View: 9, Revision: 9}}})).To(Succeed())
 		recovered, _ := Load(folder)
 		Expect(texts(recovered.Versions)).To(Equal(texts([]contract.Version{version(2, `{"a":2}`)})))
 		names, _ := folder.List()
--- a/modelcheck/action.go
+++ b/modelcheck/action.go
@@ -147,10 +147,10 @@
 }
 
 // headOf and tailOf find the members that take writes, and that believe themselves to be the tail.
-var headOf, tailOf = (*chain.Owner).Open, (*chain.Owner).IsTail
+var headOf, tailOf = (*chain.Replica).AcceptsWrites, (*chain.Replica).IsTail
 
 // first gives the first member that fits, from a place on.
-func (cluster *Cluster) first(place int, fits func(*chain.Owner) bool) *member {
+func (cluster *Cluster) first(place int, fits func(*chain.Replica) bool) *member {
 	for offset := range cluster.members {
 		if member := cluster.members[(place+offset)%len(cluster.members)]; member.up() && fits(member.owner) {
 			return member
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -22,7 +22,7 @@
 type member struct {
 	name    string
 	disk    *disk
-	owner   *chain.Owner
+	owner   *chain.Replica
 	starts  int
 	removed bool
 	// clock is the member's own steady clock; it stands still while the member is frozen or down.
@@ -103,7 +103,7 @@
 	random := rand.New(rand.NewPCG(cluster.seed, uint64(member.starts)<<8|uint64(len(member.name))))
 	self := contract.CoreNode{Name: member.name, ID: start, Address: member.name}
 	member.owner = chain.New(self, start, cluster.size, cluster.bounds, recovered, random)
-	member.owner.Bootstraps(bootstrap)
+	member.owner.AllowBootstrap(bootstrap)
 	member.pending, member.orders, member.reads, member.wrong = nil, map[string]bool{}, map[int64]*read{}, map[string]bool{}
 	if cluster.fault != FaultStartsAlike {
 		member.token = int64(member.starts) * 1000
@@ -134,12 +134,12 @@
 			cluster.persist(member, command)
 		case chain.Committed:
 			cluster.committed(member, command.Version)
-		case chain.Viewed:
+		case chain.ViewInstalled:
 			cluster.checker.viewed(member.name, command.View)
 			if command.View.Number > cluster.view.Number {
 				cluster.view = command.View
 			}
-		case chain.Vouched:
+		case chain.Confirmed:
 			cluster.vouched(member, command)
 		case contract.AddCounter:
 			if command.Name == "committed_conflicts" {
@@ -181,7 +181,7 @@
 	member.pending = nil
 	if member.fullFor > 0 {
 		member.fullFor--
-		cluster.handle(member, chain.Persisted{Token: work.Token, Failure: "no space left"})
+		cluster.handle(member, chain.Persisted{Token: work.Token, Error: "no space left"})
 		return
 	}
 	if failure := image.Save(member.disk, work); failure != nil {
@@ -203,7 +203,7 @@
 
 // submit lets a client order a write at a member that takes writes.
 func (cluster *Cluster) submit(member *member) {
-	if !member.owner.Open() {
+	if !member.owner.AcceptsWrites() {
 		return
 	}
 	cluster.orders++
@@ -224,17 +224,17 @@
 	member.token++
 	member.reads[member.token] = &read{floor: cluster.checker.newest, began: int64(cluster.steps)}
 	if cluster.fault == FaultReadAlone {
-		cluster.vouched(member, chain.Vouched{Token: member.token, Fine: true})
+		cluster.vouched(member, chain.Confirmed{Token: member.token, Granted: true})
 		return
 	}
-	cluster.carryOut(member, member.owner.Vouch(member.clock, member.token))
+	cluster.carryOut(member, member.owner.ConfirmTail(member.clock, member.token))
 }
 
-func (cluster *Cluster) vouched(member *member, vouched chain.Vouched) {
+func (cluster *Cluster) vouched(member *member, vouched chain.Confirmed) {
 	read, there := member.reads[vouched.Token]
 	delete(member.reads, vouched.Token)
-	if there && vouched.Fine {
-		version, _ := member.owner.Version(member.owner.Committed())
+	if there && vouched.Granted {
+		version, _ := member.owner.CommittedVersion(member.owner.Committed())
 		cluster.checker.answered(member.name, *read, member.owner.Committed(), version, int64(cluster.steps))
 	}
 }
@@ -243,13 +243,13 @@
 const newsOdds = 16
 
 // seen is what a member's failure detector says; it errs as the walk wants it to.
-func (cluster *Cluster) seen(observer *member) chain.Seen {
-	seen := chain.Seen{}
+func (cluster *Cluster) seen(observer *member) chain.Membership {
+	seen := chain.Membership{}
 	if cluster.newsAlways {
-		seen.View, seen.Held = cluster.newsFor(observer)
+		seen.View, seen.NewestVersion = cluster.newsFor(observer)
 	} else if teller := cluster.members[cluster.random.IntN(len(cluster.members))]; teller.up() && !cluster.blocked[[2]string{teller.name, observer.name}] && cluster.random.IntN(newsOdds) == 0 {
 		seen.View = teller.owner.View()
-		seen.Held = cluster.held
+		seen.NewestVersion = cluster.held
 	}
 	for _, other := range cluster.members {
 		alive := other.up() && !cluster.blocked[[2]string{other.name, observer.name}]
@@ -273,7 +273,7 @@
 		if teller.owner.View().Number > view.Number {
 			view = teller.owner.View()
 		}
-		if version, there := teller.owner.Version(teller.owner.Committed()); there && version.Position.Revision > held.Position.Revision {
+		if version, there := teller.owner.CommittedVersion(teller.owner.Committed()); there && version.Position.Revision > held.Position.Revision {
 			held = version
 		}
 	}
@@ -282,5 +282,5 @@
 
 func (cluster *Cluster) row(member *member) contract.Member {
 	self := member.owner.Self()
-	return contract.Member{Name: member.name, CoreID: self.ID, Kind: contract.KindControl, Core: member.owner.Fit(), Address: member.name, View: member.owner.View().Number}
+	return contract.Member{Name: member.name, CoreID: self.ID, Kind: contract.KindControl, Core: member.owner.DiskHealthy(), Address: member.name, View: member.owner.View().Number}
 }
--- a/modelcheck/fault.go
+++ b/modelcheck/fault.go
@@ -34,9 +34,9 @@
 // rewrite changes what a member sends, where that is how a fault shows.
 func (fault Fault) rewrite(cluster *Cluster, sender *member, body any) any {
 	switch body := body.(type) {
-	case chain.Check:
-		if fault == FaultVouchesForOld && body.By.Name != "" {
-			body.Holds = true
+	case chain.ViewCheck:
+		if fault == FaultVouchesForOld && body.Responder.Name != "" {
+			body.Current = true
 			return body
 		}
 	case chain.Promise:
@@ -52,7 +52,7 @@
 			body.Node = cluster.anyone(body.Node)
 			return body
 		}
-	case chain.Pass:
+	case chain.Replicate:
 		if fault == FaultNoLogMatching || fault == FaultCountedEarly {
 			body.Previous = contract.Position{}
 			return body
@@ -75,8 +75,8 @@
 		if !member.up() {
 			continue
 		}
-		if versions := member.owner.Versions(); len(versions) > 0 && versions[len(versions)-1].Position.Revision > promise.Top {
-			promise.Top, promise.Digest, promise.Lacks = versions[len(versions)-1].Position.Revision, versions[len(versions)-1].Digest, 0
+		if versions := member.owner.Versions(); len(versions) > 0 && versions[len(versions)-1].Position.Revision > promise.LastSynced {
+			promise.LastSynced, promise.Digest, promise.Missing = versions[len(versions)-1].Position.Revision, versions[len(versions)-1].Digest, 0
 		}
 	}
 	return promise
--- a/modelcheck/move.go
+++ b/modelcheck/move.go
@@ -279,7 +279,7 @@
 	return ""
 }
 
-func lackedBy(owner *chain.Owner, acked map[string]int64) (string, bool) {
+func lackedBy(owner *chain.Replica, acked map[string]int64) (string, bool) {
 	for operation := range acked {
 		if _, there := owner.Operation(operation); !there {
 			return operation, true
--- a/modelcheck/walk.go
+++ b/modelcheck/walk.go
@@ -192,7 +192,7 @@
 	for _, member := range cluster.members {
 		if member.up() {
 			owner := member.owner
-			fmt.Fprintf(text, "\n%s view %d chain %v sealed %v fit %v open %v committed %d", owner.Self().Identity(), owner.View().Number, owner.View().Chain, owner.Sealed(), owner.Fit(), owner.Open(), owner.Committed())
+			fmt.Fprintf(text, "\n%s view %d chain %v sealed %v fit %v open %v committed %d", owner.Self().Identity(), owner.View().Number, owner.View().Chain, owner.Sealed(), owner.DiskHealthy(), owner.AcceptsWrites(), owner.Committed())
 		}
 	}
 	return text.String()
--- a/nodecheck/fault.go
+++ b/nodecheck/fault.go
@@ -44,7 +44,7 @@
 	for place := range found.Versions {
 		found.Versions[place].Operation = ""
 	}
-	found.Past = nil
+	found.PastOperations = nil
 }
 
 // rewrite changes what a node sends, or adds to it.
@@ -55,7 +55,7 @@
 			body.Records = world.altered(body.Records)
 		}
 		return body
-	case chain.Pass:
+	case chain.Replicate:
 		switch fault {
 		case FaultWrongPass:
 			body.Records = world.altered(body.Records)
@@ -65,8 +65,8 @@
 			world.acknowledgeEarly(sender, body)
 		}
 		return body
-	case chain.Check:
-		if fault == FaultNoQuorum && !body.Holds {
+	case chain.ViewCheck:
+		if fault == FaultNoQuorum && !body.Current {
 			world.vouchFor(sender, body)
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // tellEarly tells a node without a folder of versions that are still under way along the chain.
-func (world *world) tellEarly(sender *node, pass chain.Pass) {
+func (world *world) tellEarly(sender *node, pass chain.Replicate) {
 	if len(pass.Records) == 0 {
 		return
 	}
@@ -119,27 +119,27 @@
 }
 
 // acknowledgeEarly has a sender hear that the whole chain has what it passes.
-func (world *world) acknowledgeEarly(sender *node, pass chain.Pass) {
+func (world *world) acknowledgeEarly(sender *node, pass chain.Replicate) {
 	if len(pass.Records) == 0 {
 		return
 	}
-	body, failure := json.Marshal(chain.Done{View: pass.View, Place: pass.Records[len(pass.Records)-1].Position})
+	body, failure := json.Marshal(chain.CommitNotice{View: pass.View, Position: pass.Records[len(pass.Records)-1].Position})
 	if failure != nil {
 		panic(failure)
 	}
 	life := sender.life
-	world.after(0, func() { sender.handle(life, contract.Message{Kind: chain.MessageDone, Body: body}) })
+	world.after(0, func() { sender.handle(life, contract.Message{Kind: chain.MessageCommitNotice, Body: body}) })
 }
 
 // vouchFor answers a question for a quorum in the name of a member that was not asked.
-func (world *world) vouchFor(sender *node, check chain.Check) {
+func (world *world) vouchFor(sender *node, check chain.ViewCheck) {
 	life := sender.life
 	for _, member := range sender.owner.Feed.View().Core {
-		check.Holds, check.By = true, member
+		check.Current, check.Responder = true, member
 		body, failure := json.Marshal(check)
 		if failure != nil {
 			panic(failure)
 		}
-		world.after(0, func() { sender.handle(life, contract.Message{Kind: chain.MessageChecked, Body: body}) })
+		world.after(0, func() { sender.handle(life, contract.Message{Kind: chain.MessageViewCheckReply, Body: body}) })
 	}
 }
--- a/nodecheck/node.go
+++ b/nodecheck/node.go
@@ -129,7 +129,7 @@
 			}
 			persisted := chain.Persisted{Token: command.Token}
 			if failure := image.Save(node.disk, command); failure != nil {
-				persisted.Failure = failure.Error()
+				persisted.Error = failure.Error()
 			}
 			node.handle(life, persisted)
 		})
--- a/serve/control.go
+++ b/serve/control.go
@@ -119,7 +119,7 @@
 		case work := <-shell.disk:
 			persisted := chain.Persisted{Token: work.Token}
 			if err := image.Save(shell.files, work); err != nil {
-				persisted.Failure = err.Error()
+				persisted.Error = err.Error()
 			}
 			shell.Loop.Post(persisted)
 		}
