--- a/chain/agree.go
+++ b/chain/agree.go
@@ -7,14 +7,15 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// Ballot is one try to decide the view of a number. Proposer names the member and its start, so that a member which restarts never uses
-// a ballot again: what it proposed before may still be under way.
+// Ballot is the number of an attempt to decide the view of a number. Proposer names the member and its start, so that a restarted member
+// never reuses a ballot: messages of its earlier proposal may still be in transit.
 type Ballot struct {
 	Number   int64  `json:"number"`
 	Round    int64  `json:"round"`
 	Proposer string `json:"proposer"`
 }
 
+// Before reports whether the ballot is lower than the other one for the same view number.
 func (ballot Ballot) Before(other Ballot) bool {
 	if ballot.Round != other.Round {
 		return ballot.Round < other.Round
@@ -22,11 +23,14 @@
 	return ballot.Proposer < other.Proposer
 }
 
+// Proposal is the view that the proposer of a ballot asks the core to accept.
 type Proposal struct {
 	Ballot Ballot        `json:"ballot"`
 	View   contract.View `json:"view"`
 }
 
+// Prepare opens a ballot (phase 1). It is sent to the core of the view Base and to spares that may join. Suffix is the end of the proposer's
+// log and Committed its committed revision, so that a member outside of the chain can catch up and join at the tail.
 type Prepare struct {
 	Ballot    Ballot            `json:"ballot"`
 	Node      contract.CoreNode `json:"node"`
@@ -35,6 +39,9 @@
 	Committed int64             `json:"known"`
 }
 
+// Promise answers a Prepare. With Granted, a member of the core promises to take part in no lower ballot and reports in Accepted the proposal
+// that it has accepted before, if any; a spare answers without a vote. RejectedBy is the higher ballot that stands against the prepare.
+// LastSynced, Digest and Missing describe the log: its last revision, the hash of that version, and the number of versions it lacks.
 type Promise struct {
 	Ballot      Ballot            `json:"ballot"`
 	Node        contract.CoreNode `json:"node"`
@@ -47,18 +54,20 @@
 	DiskHealthy bool              `json:"fit"`
 }
 
+// Accept asks the core of the view Base to vote for a proposal (phase 2).
 type Accept struct {
 	Proposal Proposal          `json:"proposal"`
 	Node     contract.CoreNode `json:"node"`
 	Base     contract.View     `json:"base"`
 }
 
-// Accepted tells that a member has synced its vote for a proposal.
+// Accepted tells the proposer that a member has synced its vote for the proposal of a ballot.
 type Accepted struct {
 	Ballot Ballot            `json:"ballot"`
 	Node   contract.CoreNode `json:"node"`
 }
 
+// campaign is an attempt of this member to have the next view decided. proposal is nil during phase 1.
 type campaign struct {
 	ballot      Ballot
 	started     time.Duration
@@ -68,111 +77,116 @@
 	votes       map[string]bool
 }
 
+// joinSuffixSize is the number of versions at the end of the log that a Prepare carries.
 const joinSuffixSize = 8
 
-func (owner *Replica) tickViewChange(now time.Duration) {
-	if owner.campaign != nil {
-		owner.advanceCampaign(now)
-	}
-	takers := owner.view.Proposers()
-	place := slices.Index(takers, owner.self.Identity())
-	if place < 0 || !owner.needsViewChange(now) {
-		owner.viewChangeNeededSince = -1
+// tickViewChange starts a campaign if a view change has been needed for long enough. Each reachable member with precedence delays this one
+// by a round, so that proposers rarely compete.
+func (replica *Replica) tickViewChange(now time.Duration) {
+	if replica.campaign != nil {
+		replica.advanceCampaign(now)
+	}
+	proposers := replica.view.Proposers()
+	index := slices.Index(proposers, replica.self.Identity())
+	if index < 0 || !replica.needsViewChange(now) {
+		replica.viewChangeNeededSince = -1
 		return
 	}
-	if owner.viewChangeNeededSince < 0 {
-		owner.viewChangeNeededSince = now
+	if replica.viewChangeNeededSince < 0 {
+		replica.viewChangeNeededSince = now
 	}
-	turn := time.Duration(0)
-	for _, identity := range takers[:place] {
-		if node, there := owner.view.Node(identity); there && owner.reaches(node) {
-			turn++
+	proposersAhead := time.Duration(0)
+	for _, identity := range proposers[:index] {
+		if node, found := replica.view.Node(identity); found && replica.reaches(node) {
+			proposersAhead++
 		}
 	}
-	if now-owner.viewChangeNeededSince < owner.bounds.Round()/2*(1+2*turn) || now < owner.retryAt || owner.campaign != nil {
+	if now-replica.viewChangeNeededSince < replica.bounds.Round()/2*(1+2*proposersAhead) || now < replica.retryAt || replica.campaign != nil {
 		return
 	}
-	owner.startCampaign(now)
+	replica.startCampaign(now)
 }
 
-func (owner *Replica) needsViewChange(now time.Duration) bool {
-	if owner.sealed && owner.campaign == nil {
+// needsViewChange reports whether the view should change while a majority of the core is reachable: a member of the chain has failed, a
+// member can join the chain, a spare can replace a missing member, or this member was sealed by a campaign that did not finish.
+func (replica *Replica) needsViewChange(now time.Duration) bool {
+	if replica.sealed && replica.campaign == nil {
 		return true
 	}
-	owner.excludeStalledSuccessor(now)
-	living, present := 0, 0
-	for _, node := range owner.view.Core {
-		if owner.reaches(node) {
-			living++
+	replica.excludeStalledSuccessor(now)
+	reachable, alive := 0, 0
+	for _, node := range replica.view.Core {
+		if replica.reaches(node) {
+			reachable++
 		}
-		if owner.isAlive(node) {
-			present++
+		if replica.isAlive(node) {
+			alive++
 		}
 	}
-	if living < owner.view.Majority() {
+	if reachable < replica.view.Majority() {
 		return false
 	}
-	if head, there := owner.view.Head(); !there || len(owner.view.Chain) == 1 && !owner.reaches(head) {
+	if head, found := replica.view.Head(); !found || len(replica.view.Chain) == 1 && !replica.reaches(head) {
 		return true
 	}
-	for _, node := range owner.view.Core {
-		rank, fit := owner.view.ChainIndex(node.Identity()), owner.hasHealthyDisk(node) && owner.reaches(node)
-		_, doubted := owner.excludedUntil[node.Identity()]
-		if rank >= 0 && (!fit || doubted) && living > 1 {
-			return len(owner.view.Chain) > 1 || fit
+	for _, node := range replica.view.Core {
+		index, fit := replica.view.ChainIndex(node.Identity()), replica.hasHealthyDisk(node) && replica.reaches(node)
+		_, doubted := replica.excludedUntil[node.Identity()]
+		if index >= 0 && (!fit || doubted) && reachable > 1 {
+			return len(replica.view.Chain) > 1 || fit
 		}
-		if rank < 0 && fit && !doubted && owner.connectedToAll(owner.view.Chain, node.Identity()) {
+		if index < 0 && fit && !doubted && replica.connectedToAll(replica.view.Chain, node.Identity()) {
 			return true
 		}
 	}
-	return (present < len(owner.view.Core) || owner.belowTargetSize()) && len(owner.spares()) > 0
+	return (alive < len(replica.view.Core) || replica.belowTargetSize()) && len(replica.spares()) > 0
 }
 
-// small holds while the core has fewer machines than it should: those that stand by then join one view after the other.
-func (owner *Replica) belowTargetSize() bool {
-	return len(owner.founders) > 0 && len(owner.view.Core) < owner.coreSize
+// belowTargetSize reports whether the core has fewer members than intended. Spares then join with the next views.
+func (replica *Replica) belowTargetSize() bool {
+	return len(replica.founders) > 0 && len(replica.view.Core) < replica.coreSize
 }
 
-// doubtSuccessor has the head leave its successor out when versions are held up and no other reason shows. A member that is silent or has a
-// disk in trouble shows by itself within a suspicion; until then the successor is not to blame.
-func (owner *Replica) excludeStalledSuccessor(now time.Duration) {
-	if owner.stalledSince < 0 || now-owner.stalledSince < owner.bounds.Suspicion()+owner.bounds.Round() || len(owner.view.Chain) < 2 {
+// excludeStalledSuccessor makes the head exclude its successor when versions are not committed and no other cause is visible. A member that
+// is silent or has a failing disk is detected within the suspicion time, so the successor is excluded only after that.
+func (replica *Replica) excludeStalledSuccessor(now time.Duration) {
+	if replica.stalledSince < 0 || now-replica.stalledSince < replica.bounds.Suspicion()+replica.bounds.Round() || len(replica.view.Chain) < 2 {
 		return
 	}
-	for _, identity := range owner.view.Chain {
-		if node, there := owner.view.Node(identity); !there || !owner.reaches(node) {
+	for _, identity := range replica.view.Chain {
+		if node, found := replica.view.Node(identity); !found || !replica.reaches(node) {
 			return
 		}
 	}
-	owner.excludedUntil[owner.view.Chain[1]] = now + owner.bounds.Return()/2
-	owner.stalledSince = -1
+	replica.excludedUntil[replica.view.Chain[1]] = now + replica.bounds.Return()/2
+	replica.stalledSince = -1
 }
 
-func (owner *Replica) proposer() string { return owner.self.Identity() + "/" + owner.startID }
+func (replica *Replica) proposer() string { return replica.self.Identity() + "/" + replica.startID }
 
-func (owner *Replica) startCampaign(now time.Duration) {
-	round := owner.promised.Round + 1
-	ballot := Ballot{Number: owner.view.Number + 1, Round: round, Proposer: owner.proposer()}
-	owner.campaign = &campaign{ballot: ballot, started: now, promises: map[string]Promise{}, votes: map[string]bool{}}
+func (replica *Replica) startCampaign(now time.Duration) {
+	round := replica.promised.Round + 1
+	ballot := Ballot{Number: replica.view.Number + 1, Round: round, Proposer: replica.proposer()}
+	replica.campaign = &campaign{ballot: ballot, started: now, promises: map[string]Promise{}, votes: map[string]bool{}}
 	suffix := []contract.Version{}
-	for revision := max(1, owner.lastSynced-joinSuffixSize+1); revision <= owner.lastSynced; revision++ {
-		if version, there := owner.versions[revision]; there {
+	for revision := max(1, replica.lastSynced-joinSuffixSize+1); revision <= replica.lastSynced; revision++ {
+		if version, found := replica.versions[revision]; found {
 			suffix = append(suffix, version)
 		}
 	}
-	prepare := Prepare{Ballot: ballot, Node: owner.self, Base: owner.view, Suffix: owner.suffixRecords(suffix), Committed: owner.committed}
-	targets := append(append([]contract.CoreNode{}, owner.view.Core...), owner.spares()...)
-	owner.campaign.targetCount = len(targets)
+	prepare := Prepare{Ballot: ballot, Node: replica.self, Base: replica.view, Suffix: replica.suffixRecords(suffix), Committed: replica.committed}
+	targets := append(append([]contract.CoreNode{}, replica.view.Core...), replica.spares()...)
+	replica.campaign.targetCount = len(targets)
 	for _, node := range targets {
-		owner.send(node, MessagePrepare, prepare)
+		replica.send(node, MessagePrepare, prepare)
 	}
-	owner.emit(contract.AddCounter{Name: "view_campaigns", Delta: 1})
+	replica.emit(contract.AddCounter{Name: "view_campaigns", Delta: 1})
 }
 
-// suffixRecords gives the end of the log for members outside of the chain, in one message.
-func (owner *Replica) suffixRecords(suffix []contract.Version) []contract.Record {
+// suffixRecords returns the longest end of the given versions whose records fit into one message.
+func (replica *Replica) suffixRecords(suffix []contract.Version) []contract.Record {
 	for ; len(suffix) > 0; suffix = suffix[1:] {
-		base := owner.versions[owner.previousRevision(suffix[0].Position.Revision)]
+		base := replica.versions[replica.previousRevision(suffix[0].Position.Revision)]
 		if records := contract.EncodeRecords(base, suffix, contract.MaxRecordBytes); len(records) == len(suffix) {
 			return records
 		}
@@ -180,88 +194,94 @@
 	return nil
 }
 
-func (owner *Replica) handlePrepare(now time.Duration, prepare Prepare) {
-	owner.installView(now, prepare.Base)
-	if prepare.Base.Number < owner.view.Number {
-		owner.send(prepare.Node, MessageNewView, owner.view)
+// handlePrepare seals this member, if it votes, and answers once the promise is synced.
+func (replica *Replica) handlePrepare(now time.Duration, prepare Prepare) {
+	replica.installView(now, prepare.Base)
+	if prepare.Base.Number < replica.view.Number {
+		replica.send(prepare.Node, MessageNewView, replica.view)
 		return
 	}
-	_, vote := owner.view.Node(owner.self.Identity())
-	answer := Promise{Ballot: prepare.Ballot, Node: owner.self, Granted: vote, DiskHealthy: owner.diskHealthy}
+	_, vote := replica.view.Node(replica.self.Identity())
+	reply := Promise{Ballot: prepare.Ballot, Node: replica.self, Granted: vote, DiskHealthy: replica.diskHealthy}
 	if vote {
-		if prepare.Ballot.Before(owner.promised) {
-			answer.Granted, answer.RejectedBy = false, owner.promised
-			owner.send(prepare.Node, MessagePromise, answer)
+		if prepare.Ballot.Before(replica.promised) {
+			reply.Granted, reply.RejectedBy = false, replica.promised
+			replica.send(prepare.Node, MessagePromise, reply)
 			return
 		}
-		owner.promised, owner.sealed, answer.Accepted = prepare.Ballot, true, owner.accepted
-	}
-	number, suffix := owner.view.Number, owner.joinSuffix(prepare)
-	owner.persist(now, persistJob{record: vote, versions: suffix, onSynced: func(now time.Duration) {
-		owner.installJoinSuffix(now, number, suffix, prepare.Committed)
-		answer.LastSynced, answer.DiskHealthy = owner.lastSynced, owner.diskHealthy
-		answer.Digest = owner.versions[owner.lastSynced].Digest
-		answer.Missing, _ = owner.missing()
-		owner.send(prepare.Node, MessagePromise, answer)
+		replica.promised, replica.sealed, reply.Accepted = prepare.Ballot, true, replica.accepted
+	}
+	viewNumber, suffix := replica.view.Number, replica.joinSuffix(prepare)
+	replica.persist(now, persistJob{record: vote, versions: suffix, onSynced: func(now time.Duration) {
+		replica.installJoinSuffix(now, viewNumber, suffix, prepare.Committed)
+		reply.LastSynced, reply.DiskHealthy = replica.lastSynced, replica.diskHealthy
+		reply.Digest = replica.versions[replica.lastSynced].Digest
+		reply.Missing, _ = replica.missing()
+		replica.send(prepare.Node, MessagePromise, reply)
 	}})
 }
 
-// joinLog gives the end of the proposer's log that a member outside of the chain takes up, so that it may join at the tail. Within one
-// view the logs of its chain never disagree, so nothing has to give way.
-func (owner *Replica) joinSuffix(prepare Prepare) []contract.Version {
-	if owner.isHolder() || len(prepare.Suffix) == 0 || prepare.Suffix[0].Position.Revision > owner.lastSynced+1 {
+// joinSuffix returns the end of the proposer's log that a member outside of the chain adds to its own, so that it can join at the tail. The
+// logs of one view's chain never disagree, so this does not replace any version.
+func (replica *Replica) joinSuffix(prepare Prepare) []contract.Version {
+	if replica.isHolder() || len(prepare.Suffix) == 0 || prepare.Suffix[0].Position.Revision > replica.lastSynced+1 {
 		return nil
 	}
-	versions, _ := contract.DecodeRecords(prepare.Suffix, owner.lookup)
+	versions, _ := contract.DecodeRecords(prepare.Suffix, replica.lookup)
 	return versions
 }
 
-func (owner *Replica) installJoinSuffix(now time.Duration, number int64, suffix []contract.Version, known int64) {
-	if owner.view.Number != number || owner.isHolder() {
-		owner.discard(now, suffix)
+// installJoinSuffix adds synced versions of a proposer's log, unless the view has changed in the meantime.
+func (replica *Replica) installJoinSuffix(now time.Duration, viewNumber int64, suffix []contract.Version, committed int64) {
+	if replica.view.Number != viewNumber || replica.isHolder() {
+		replica.discard(now, suffix)
 		return
 	}
 	for _, version := range suffix {
-		owner.install(version)
+		replica.install(version)
 	}
 	if len(suffix) > 0 {
-		owner.commitUpTo(min(known, owner.lastSynced))
+		replica.commitUpTo(min(committed, replica.lastSynced))
 	}
 }
 
-func (owner *Replica) handlePromise(now time.Duration, promise Promise) {
-	campaign := owner.campaign
+func (replica *Replica) handlePromise(now time.Duration, promise Promise) {
+	campaign := replica.campaign
 	if campaign == nil || promise.Ballot != campaign.ballot || campaign.proposal != nil {
 		return
 	}
 	if campaign.ballot.Before(promise.RejectedBy) {
-		owner.promised.Round = max(owner.promised.Round, promise.RejectedBy.Round)
-		owner.endCampaign(now)
+		replica.promised.Round = max(replica.promised.Round, promise.RejectedBy.Round)
+		replica.endCampaign(now)
 		return
 	}
 	campaign.promises[promise.Node.Identity()] = promise
 	if len(campaign.promises) == campaign.targetCount {
-		owner.propose(now)
+		replica.propose(now)
 	}
 }
 
-func (owner *Replica) endCampaign(now time.Duration) {
-	owner.campaign = nil
-	owner.retryAt = now + owner.bounds.Round() + time.Duration(owner.random.Int64N(int64(owner.bounds.Round())))
+// endCampaign gives up the campaign and waits for a random time before the next one.
+func (replica *Replica) endCampaign(now time.Duration) {
+	replica.campaign = nil
+	replica.retryAt = now + replica.bounds.Round() + time.Duration(replica.random.Int64N(int64(replica.bounds.Round())))
 }
 
-func (owner *Replica) advanceCampaign(now time.Duration) {
-	age := now - owner.campaign.started
-	if owner.campaign.proposal == nil && age > owner.bounds.Round()*2/3 {
-		owner.propose(now)
+// advanceCampaign proposes without the promises that have not arrived in time, and gives up a campaign that takes too long.
+func (replica *Replica) advanceCampaign(now time.Duration) {
+	age := now - replica.campaign.started
+	if replica.campaign.proposal == nil && age > replica.bounds.Round()*2/3 {
+		replica.propose(now)
 	}
-	if owner.campaign != nil && age > owner.bounds.Round()*2 {
-		owner.endCampaign(now)
+	if replica.campaign != nil && age > replica.bounds.Round()*2 {
+		replica.endCampaign(now)
 	}
 }
 
-func (owner *Replica) propose(now time.Duration) {
-	campaign := owner.campaign
+// propose starts phase 2 once a majority has promised. It must propose the view accepted in the highest earlier ballot, if there is one,
+// since that may have been decided; otherwise it is free to compose a view.
+func (replica *Replica) propose(now time.Duration) {
+	campaign := replica.campaign
 	votes := 0
 	var earlier *Proposal
 	for _, promise := range campaign.promises {
@@ -273,72 +293,74 @@
 			earlier = promise.Accepted
 		}
 	}
-	if votes < owner.view.Majority() {
+	if votes < replica.view.Majority() {
 		return
 	}
-	view, fine := owner.composeView()
+	view, ok := replica.composeView()
 	if earlier != nil {
-		view, fine = earlier.View, true
+		view, ok = earlier.View, true
 	}
-	if !fine {
-		owner.endCampaign(now)
+	if !ok {
+		replica.endCampaign(now)
 		return
 	}
 	campaign.proposal = &Proposal{Ballot: campaign.ballot, View: view}
-	for _, node := range owner.view.Core {
-		owner.send(node, MessageAccept, Accept{Proposal: *campaign.proposal, Node: owner.self, Base: owner.view})
+	for _, node := range replica.view.Core {
+		replica.send(node, MessageAccept, Accept{Proposal: *campaign.proposal, Node: replica.self, Base: replica.view})
 	}
 }
 
-func (owner *Replica) handleAccept(now time.Duration, accept Accept) {
-	owner.installView(now, accept.Base)
-	if accept.Base.Number != owner.view.Number || !owner.IsMember() || accept.Proposal.Ballot.Before(owner.promised) {
+// handleAccept votes for a proposal unless this member promised a higher ballot. The vote is sent once it is synced.
+func (replica *Replica) handleAccept(now time.Duration, accept Accept) {
+	replica.installView(now, accept.Base)
+	if accept.Base.Number != replica.view.Number || !replica.IsMember() || accept.Proposal.Ballot.Before(replica.promised) {
 		return
 	}
 	proposal := accept.Proposal
-	owner.promised, owner.sealed, owner.accepted = proposal.Ballot, true, &proposal
-	owner.persist(now, persistJob{record: true, onSynced: func(time.Duration) {
-		owner.send(accept.Node, MessageAccepted, Accepted{Ballot: proposal.Ballot, Node: owner.self})
+	replica.promised, replica.sealed, replica.accepted = proposal.Ballot, true, &proposal
+	replica.persist(now, persistJob{record: true, onSynced: func(time.Duration) {
+		replica.send(accept.Node, MessageAccepted, Accepted{Ballot: proposal.Ballot, Node: replica.self})
 	}})
 }
 
-func (owner *Replica) handleAccepted(now time.Duration, accepted Accepted) {
-	campaign := owner.campaign
+// handleAccepted counts a vote. The view is decided once a majority of the core has accepted it.
+func (replica *Replica) handleAccepted(now time.Duration, accepted Accepted) {
+	campaign := replica.campaign
 	if campaign == nil || campaign.proposal == nil || campaign.ballot != accepted.Ballot {
 		return
 	}
-	if _, counts := owner.view.Node(accepted.Node.Identity()); !counts {
+	if _, counts := replica.view.Node(accepted.Node.Identity()); !counts {
 		return
 	}
 	campaign.votes[accepted.Node.Identity()] = true
-	if len(campaign.votes) < owner.view.Majority() {
+	if len(campaign.votes) < replica.view.Majority() {
 		return
 	}
-	old, view := owner.view, campaign.proposal.View
-	owner.endCampaign(now)
-	owner.installView(now, view)
-	owner.sendOthers(old.Core, MessageNewView, view)
-	owner.sendOthers(view.Core, MessageNewView, view)
+	old, view := replica.view, campaign.proposal.View
+	replica.endCampaign(now)
+	replica.installView(now, view)
+	replica.sendOthers(old.Core, MessageNewView, view)
+	replica.sendOthers(view.Core, MessageNewView, view)
 }
 
-// adopt takes a committed view; numbers only rise, and the old view's promises end with it. The record of the view is queued ahead of
-// anything that is done in it, and what leaves the log is removed from the folder before that record is written.
-func (owner *Replica) installView(now time.Duration, view contract.View) {
-	if view.Number <= owner.view.Number {
+// installView installs a decided view with a higher number, which ends the promises made in the old view. The record of the view is queued
+// ahead of anything that is done in it, and versions that leave the log are removed from the folder before that record is written.
+func (replica *Replica) installView(now time.Duration, view contract.View) {
+	if view.Number <= replica.view.Number {
 		return
 	}
-	if accepted := owner.bootstrapAccepted; accepted != nil && accepted.View.Number == view.Number && sameCore(accepted.View, view) {
-		owner.installBootstrap(now, *accepted)
+	if accepted := replica.bootstrapAccepted; accepted != nil && accepted.View.Number == view.Number && sameCore(accepted.View, view) {
+		replica.installBootstrap(now, *accepted)
 		return
 	}
-	owner.view = view
-	owner.promised, owner.accepted, owner.sealed, owner.campaign = Ballot{}, nil, false, nil
-	owner.viewChangeNeededSince, owner.stalledSince, owner.lastResend = -1, -1, now-owner.bounds.Round()
-	owner.dropAbandoned()
-	owner.lastAssigned, owner.matched, owner.synchronized = owner.lastSynced, 0, len(view.Chain) == 1 && owner.committed >= owner.lastSynced
-	owner.persist(now, persistJob{record: true})
-	owner.emit(ViewInstalled{View: view}, contract.Log{Message: "view", Attributes: []any{"number", view.Number, "chain", len(view.Chain)}})
+	replica.view = view
+	replica.promised, replica.accepted, replica.sealed, replica.campaign = Ballot{}, nil, false, nil
+	replica.viewChangeNeededSince, replica.stalledSince, replica.lastResend = -1, -1, now-replica.bounds.Round()
+	replica.dropAbandoned()
+	replica.lastAssigned, replica.matched, replica.synchronized = replica.lastSynced, 0, len(view.Chain) == 1 && replica.committed >= replica.lastSynced
+	replica.persist(now, persistJob{record: true})
+	replica.emit(ViewInstalled{View: view}, contract.Log{Message: "view", Attributes: []any{"number", view.Number, "chain", len(view.Chain)}})
 }
 
-// Viewed tells the rest of the node that a view was committed.
+// ViewInstalled is the command that tells the rest of the node that a view was decided.
 type ViewInstalled struct{ View contract.View }
--- a/chain/bytes_test.go
+++ b/chain/bytes_test.go
@@ -30,8 +30,8 @@
 	ginkgo.BeforeEach(func() {
 		core = newTrio()
 		core.write(0, many(parts))
-		for number := range changes {
-			core.write(1+number, item(fmt.Sprint(number)))
+		for viewNumber := range changes {
+			core.write(1+viewNumber, item(fmt.Sprint(viewNumber)))
 		}
 		core.bytes = map[int]int{}
 	})
@@ -54,8 +54,8 @@
 	It("takes a member in again that missed some changes without sending the configuration", func() {
 		core.away[2] = true
 		core.until(func() bool { head := core.head(); return head != nil && len(head.view.Chain) == 2 })
-		for number := range changes {
-			core.write(1+changes+number, item(fmt.Sprint(number+changes)))
+		for viewNumber := range changes {
+			core.write(1+changes+viewNumber, item(fmt.Sprint(viewNumber+changes)))
 		}
 		core.away[2] = false
 		core.until(func() bool { return len(core.owners[2].view.Chain) == 3 && core.owners[2].Committed() == 1+2*changes })
--- a/chain/catchup.go
+++ b/chain/catchup.go
@@ -7,50 +7,52 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// Resume is sent by a tail that doesn't know whether it has all of its head's log, as after a restart: the head passes its state again.
+// ResendRequest is sent by a tail that does not know whether it has all of its head's log, as after a restart. The head then sends its state
+// again.
 type ResendRequest struct {
 	View int64 `json:"view"`
 }
 
-func (owner *Replica) requestResend(now time.Duration) {
-	if !owner.IsTail() || owner.IsHead() || owner.synchronized || owner.sealed || now-owner.lastResendRequest < owner.bounds.Round()/2 {
+func (replica *Replica) requestResend(now time.Duration) {
+	if !replica.IsTail() || replica.IsHead() || replica.synchronized || replica.sealed || now-replica.lastResendRequest < replica.bounds.Round()/2 {
 		return
 	}
-	owner.lastResendRequest = now
-	if head, there := owner.view.Head(); there {
-		owner.send(head, MessageResendRequest, ResendRequest{View: owner.view.Number})
+	replica.lastResendRequest = now
+	if head, found := replica.view.Head(); found {
+		replica.send(head, MessageResendRequest, ResendRequest{View: replica.view.Number})
 	}
 }
 
-func (owner *Replica) handleResendRequest(resume ResendRequest) {
-	if resume.View == owner.view.Number && owner.IsHead() {
-		owner.synchronized = false
+func (replica *Replica) handleResendRequest(request ResendRequest) {
+	if request.View == replica.view.Number && replica.IsHead() {
+		replica.synchronized = false
 	}
 }
 
-// Fetch asks a member for committed versions from a revision on. Base is a version that the asker holds, if any: the first version comes
-// as the change of that.
+// CatchUpRequest asks a member for committed versions from a revision on. Base is the position of a version that Node holds, or zero; the
+// first record is relative to it.
 type CatchUpRequest struct {
 	Node contract.CoreNode `json:"node"`
 	From int64             `json:"from"`
 	Base contract.Position `json:"base"`
 }
 
-// History answers a Fetch.
+// CatchUpResponse answers a CatchUpRequest.
 type CatchUpResponse struct {
 	Records []contract.Record `json:"records"`
-	// Past are the operations from the revision on whose versions are no longer kept.
+	// PastOperations are the operations from the requested revision on whose versions are no longer kept.
 	PastOperations []contract.PastOperation `json:"past,omitempty"`
 	Committed      int64                    `json:"committed"`
 }
 
-func (owner *Replica) missing() (int64, int64) {
+// missing returns the number of committed revisions in the window that this log lacks, and the first one after the cursor, or 0.
+func (replica *Replica) missing() (int64, int64) {
 	count, first := int64(0), int64(0)
-	known := max(owner.committed, owner.membership.NewestVersion.Position.Revision)
-	for revision := max(1, known-owner.bounds.History+1); revision <= known; revision++ {
-		if !owner.knows(revision) || revision > owner.committed {
+	newest := max(replica.committed, replica.membership.NewestVersion.Position.Revision)
+	for revision := max(1, newest-replica.bounds.History+1); revision <= newest; revision++ {
+		if !replica.knows(revision) || revision > replica.committed {
 			count++
-			if first == 0 && revision > owner.catchUpCursor {
+			if first == 0 && revision > replica.catchUpCursor {
 				first = revision
 			}
 		}
@@ -58,136 +60,138 @@
 	return count, first
 }
 
-// scrubHistory asks another core machine for the committed versions that are missing here.
-func (owner *Replica) requestMissing(now time.Duration) {
-	if now < owner.nextCatchUp {
+// requestMissing asks a random member of the chain for committed versions that are missing here.
+func (replica *Replica) requestMissing(now time.Duration) {
+	if now < replica.nextCatchUp {
 		return
 	}
-	owner.nextCatchUp = now + owner.bounds.Round()/2
-	count, first := owner.missing()
-	owner.logCatchUp(now, count)
+	replica.nextCatchUp = now + replica.bounds.Round()/2
+	count, first := replica.missing()
+	replica.logCatchUp(now, count)
 	if first == 0 {
-		owner.catchUpCursor = 0
+		replica.catchUpCursor = 0
 	}
-	if count == 0 || first == 0 || len(owner.view.Chain) == 0 {
+	if count == 0 || first == 0 || len(replica.view.Chain) == 0 {
 		return
 	}
-	target, there := owner.view.Node(owner.view.Chain[owner.random.IntN(len(owner.view.Chain))])
-	if there && target.Identity() != owner.self.Identity() {
-		owner.send(target, MessageCatchUpRequest, CatchUpRequest{Node: owner.self, From: first, Base: owner.baseFor(first)})
+	target, found := replica.view.Node(replica.view.Chain[replica.random.IntN(len(replica.view.Chain))])
+	if found && target.Identity() != replica.self.Identity() {
+		replica.send(target, MessageCatchUpRequest, CatchUpRequest{Node: replica.self, From: first, Base: replica.baseFor(first)})
 	}
 }
 
-// baseFor gives the newest committed version that is held before a revision, or else the newest of all.
-func (owner *Replica) baseFor(revision int64) contract.Position {
-	if version, there := owner.versions[owner.previousRevision(revision)]; there && version.Position.Revision <= owner.committed {
+// baseFor returns the position of the newest committed version before a revision, or else of the newest committed version.
+func (replica *Replica) baseFor(revision int64) contract.Position {
+	if version, found := replica.versions[replica.previousRevision(revision)]; found && version.Position.Revision <= replica.committed {
 		return version.Position
 	}
-	return owner.versions[owner.committed].Position
+	return replica.versions[replica.committed].Position
 }
 
-// tellCatchUp says when this member begins to lack versions and when it lacks none any more.
-func (owner *Replica) logCatchUp(now time.Duration, lacks int64) {
+// logCatchUp logs when this member begins to lack versions and when it has them all again.
+func (replica *Replica) logCatchUp(now time.Duration, lacks int64) {
 	behind := lacks > 0
-	if behind == owner.catchingUp {
+	if behind == replica.catchingUp {
 		return
 	}
-	owner.catchingUp = behind
+	replica.catchingUp = behind
 	if behind {
-		owner.catchUpStarted = now
-		owner.emit(contract.Log{Message: "catching up", Attributes: []any{"versions", lacks}})
+		replica.catchUpStarted = now
+		replica.emit(contract.Log{Message: "catching up", Attributes: []any{"versions", lacks}})
 		return
 	}
-	owner.emit(contract.Log{Message: "caught up", Attributes: []any{"ms", (now - owner.catchUpStarted).Milliseconds()}})
+	replica.emit(contract.Log{Message: "caught up", Attributes: []any{"ms", (now - replica.catchUpStarted).Milliseconds()}})
 }
 
-func (owner *Replica) handleCatchUpRequest(fetch CatchUpRequest) {
+func (replica *Replica) handleCatchUpRequest(request CatchUpRequest) {
 	versions := []contract.Version{}
-	for revision := fetch.From; revision <= owner.committed && len(versions) < catchUpBatchSize; revision++ {
-		if version, there := owner.versions[revision]; there {
+	for revision := request.From; revision <= replica.committed && len(versions) < catchUpBatchSize; revision++ {
+		if version, found := replica.versions[revision]; found {
 			versions = append(versions, version)
 		}
 	}
-	base, _ := owner.lookup(fetch.Base)
-	past := slices.DeleteFunc(owner.sortedPastOperations(), func(one contract.PastOperation) bool { return one.Position.Revision < fetch.From })
-	owner.send(fetch.Node, MessageCatchUpResponse, CatchUpResponse{Records: contract.EncodeRecords(base, versions, contract.MaxRecordBytes), PastOperations: past, Committed: owner.committed})
+	base, _ := replica.lookup(request.Base)
+	past := slices.DeleteFunc(replica.sortedPastOperations(), func(operation contract.PastOperation) bool { return operation.Position.Revision < request.From })
+	replica.send(request.Node, MessageCatchUpResponse, CatchUpResponse{Records: contract.EncodeRecords(base, versions, contract.MaxRecordBytes), PastOperations: past, Committed: replica.committed})
 }
 
-// history takes committed versions. What can't be put together here is asked for whole the next time.
-func (owner *Replica) handleCatchUpResponse(now time.Duration, history CatchUpResponse) {
-	versions, failure := contract.DecodeRecords(history.Records, owner.lookup)
-	if failure != nil {
-		owner.emit(contract.AddCounter{Name: "versions_unreadable", Delta: 1})
+// handleCatchUpResponse adds committed versions to the log. A record that cannot be decoded is requested again, in full.
+func (replica *Replica) handleCatchUpResponse(now time.Duration, response CatchUpResponse) {
+	versions, err := contract.DecodeRecords(response.Records, replica.lookup)
+	if err != nil {
+		replica.emit(contract.AddCounter{Name: "versions_unreadable", Delta: 1})
 	}
-	fresh := []contract.Version{}
+	added := []contract.Version{}
 	for _, version := range versions {
-		held, there := owner.versions[version.Position.Revision]
-		contradicts := there && (held.Position == version.Position || version.Position.Revision <= owner.committed)
+		existing, found := replica.versions[version.Position.Revision]
+		contradicts := found && (existing.Position == version.Position || version.Position.Revision <= replica.committed)
 		if !contradicts {
-			fresh = append(fresh, version)
+			added = append(added, version)
 		}
-		owner.catchUpCursor = version.Position.Revision
+		replica.catchUpCursor = version.Position.Revision
 	}
 	if len(versions) == 0 {
-		owner.catchUpCursor = 0
+		replica.catchUpCursor = 0
 	}
-	arrived := func(now time.Duration) {
-		for _, version := range fresh {
-			if _, there := owner.versions[version.Position.Revision]; !there || version.Position.Revision > owner.committed {
-				owner.install(version)
+	onSynced := func(now time.Duration) {
+		for _, version := range added {
+			if _, found := replica.versions[version.Position.Revision]; !found || version.Position.Revision > replica.committed {
+				replica.install(version)
 			}
-			owner.committed = max(owner.committed, version.Position.Revision)
+			replica.committed = max(replica.committed, version.Position.Revision)
 		}
-		owner.addPastOperations(history.PastOperations)
-		owner.queuePastOperations()
-		if count, _ := owner.missing(); count > 0 && len(fresh) > 0 {
-			owner.nextCatchUp = now
+		replica.addPastOperations(response.PastOperations)
+		replica.queuePastOperations()
+		if count, _ := replica.missing(); count > 0 && len(added) > 0 {
+			replica.nextCatchUp = now
 		}
 	}
-	if len(fresh) > 0 || len(history.PastOperations) > 0 {
-		owner.persist(now, persistJob{versions: fresh, remove: owner.conflictingPositions(fresh), onSynced: arrived})
+	if len(added) > 0 || len(response.PastOperations) > 0 {
+		replica.persist(now, persistJob{versions: added, remove: replica.conflictingPositions(added), onSynced: onSynced})
 	}
 }
 
-// Base gives a version that is held, for whoever sends others to be read here as the changes of that.
-func (owner *Replica) DeltaBase() contract.Position { return owner.versions[owner.committed].Position }
+// DeltaBase returns the position of a version that this member holds. Another node can send it records relative to that version.
+func (replica *Replica) DeltaBase() contract.Position {
+	return replica.versions[replica.committed].Position
+}
 
-// Lacking gives the first committed revision that is missing here, or nothing.
-func (owner *Replica) FirstMissing() int64 {
-	cursor := owner.catchUpCursor
-	owner.catchUpCursor = 0
-	count, first := owner.missing()
+// FirstMissing returns a committed revision that is missing here, or 0. It picks one at random, so that members do not all ask for the same.
+func (replica *Replica) FirstMissing() int64 {
+	cursor := replica.catchUpCursor
+	replica.catchUpCursor = 0
+	count, first := replica.missing()
 	if count > 0 {
-		for skip := owner.random.Int64N(count); skip > 0 && first > 0; skip-- {
-			owner.catchUpCursor = first
-			_, first = owner.missing()
+		for skip := replica.random.Int64N(count); skip > 0 && first > 0; skip-- {
+			replica.catchUpCursor = first
+			_, first = replica.missing()
 		}
 	}
-	owner.catchUpCursor = cursor
-	if !owner.IsMember() {
+	replica.catchUpCursor = cursor
+	if !replica.IsMember() {
 		return 0
 	}
 	return first
 }
 
-// CommittedOf gives the committed versions of some revisions, as far as the log has them.
-func (owner *Replica) CommittedVersions(revisions []int64) []contract.Version {
+// CommittedVersions returns the committed versions of the given revisions that the log still has.
+func (replica *Replica) CommittedVersions(revisions []int64) []contract.Version {
 	versions := []contract.Version{}
 	for _, revision := range revisions {
-		if version, there := owner.versions[revision]; there && revision <= owner.committed {
+		if version, found := replica.versions[revision]; found && revision <= replica.committed {
 			versions = append(versions, version)
 		}
 	}
 	return versions
 }
 
-// Refill takes committed versions that other nodes kept.
-func (owner *Replica) Restore(now time.Duration, records []contract.Record) []contract.Command {
-	owner.commands = nil
-	cursor := owner.catchUpCursor
-	owner.handleCatchUpResponse(now, CatchUpResponse{Records: records})
-	owner.catchUpCursor = cursor
-	out := owner.commands
-	owner.commands = nil
+// Restore adds committed versions that nodes outside of the core kept.
+func (replica *Replica) Restore(now time.Duration, records []contract.Record) []contract.Command {
+	replica.commands = nil
+	cursor := replica.catchUpCursor
+	replica.handleCatchUpResponse(now, CatchUpResponse{Records: records})
+	replica.catchUpCursor = cursor
+	out := replica.commands
+	replica.commands = nil
 	return out
 }
--- a/chain/chain.go
+++ b/chain/chain.go
@@ -1,4 +1,6 @@
-// Package chain keeps the manifests on the core machines: written at the head, answered at the tail, mended by an agreed view.
+// Package chain replicates the log of manifest versions on the core machines by chain replication. The head of the chain assigns revisions
+// and each member passes versions on to its successor; a version is committed once the tail has synced it. The order and the members of the
+// chain are those of a view. When a member fails, the core decides on the next view by a ballot that needs a majority of the current core.
 package chain
 
 import (
@@ -10,86 +12,90 @@
 	"github.com/cedarreel/cedarreel/env"
 )
 
+// Kinds of messages between members of the core, with the type of their body.
 const (
-	MessageReplicate          = "chain-pass"
-	MessageCommitNotice       = "chain-done"
-	MessageCatchUpRequest     = "chain-fetch"
-	MessageCatchUpResponse    = "chain-history"
-	MessageNewView            = "view-news"
-	MessagePrepare            = "view-prepare"
-	MessagePromise            = "view-promise"
-	MessageAccept             = "view-accept"
-	MessageAccepted           = "view-accepted"
-	MessageViewCheck          = "view-check"
-	MessageViewCheckReply     = "view-checked"
-	MessageBootstrapPrepare   = "found-ask"
-	MessageBootstrapPromise   = "found-tell"
-	MessageBootstrapAccept    = "found-accept"
-	MessageBootstrapAccepted  = "found-accepted"
-	MessageBootstrapCommit    = "found-begin"
-	MessageResendRequest      = "chain-resume"
-	MessageBootstrapVoteQuery = "founded-ask"
-	MessageBootstrapVote      = "founded-held"
-	MessageHeartbeat          = "chain-heartbeat"
-	MessageProbe              = "chain-probe"
-	MessageProbeReply         = "chain-probed"
-	batchSize                 = 32
-	// fetchSize is how many versions answer one Fetch.
+	MessageReplicate          = "chain-pass"      // Replicate, from a member to its successor
+	MessageCommitNotice       = "chain-done"      // CommitNotice, from the tail to all members
+	MessageCatchUpRequest     = "chain-fetch"     // CatchUpRequest
+	MessageCatchUpResponse    = "chain-history"   // CatchUpResponse
+	MessageNewView            = "view-news"       // contract.View, a decided view
+	MessagePrepare            = "view-prepare"    // Prepare
+	MessagePromise            = "view-promise"    // Promise
+	MessageAccept             = "view-accept"     // Accept
+	MessageAccepted           = "view-accepted"   // Accepted
+	MessageViewCheck          = "view-check"      // ViewCheck, the request
+	MessageViewCheckReply     = "view-checked"    // ViewCheck, the reply
+	MessageBootstrapPrepare   = "found-ask"       // BootstrapPrepare
+	MessageBootstrapPromise   = "found-tell"      // BootstrapPromise
+	MessageBootstrapAccept    = "found-accept"    // BootstrapProposal, to be accepted
+	MessageBootstrapAccepted  = "found-accepted"  // Accepted
+	MessageBootstrapCommit    = "found-begin"     // BootstrapProposal, which all peers accepted
+	MessageResendRequest      = "chain-resume"    // ResendRequest, from the tail to the head
+	MessageBootstrapVoteQuery = "founded-ask"     // BootstrapVoteQuery
+	MessageBootstrapVote      = "founded-held"    // BootstrapVote
+	MessageHeartbeat          = "chain-heartbeat" // Heartbeat
+	MessageProbe              = "chain-probe"     // Probe
+	MessageProbeReply         = "chain-probed"    // ProbeReply
+
+	// batchSize is the number of versions that are resent at once. A head with four times as many queued writes accepts no more.
+	batchSize = 32
+	// catchUpBatchSize is the number of versions in a CatchUpResponse.
 	catchUpBatchSize = 256
 )
 
-// Persist asks for a write to the data folder. Its parts are synced in this order: dropped versions are removed, then versions, the
-// member record, the past operations and the commit mark are written. Persisted answers it once everything is synced.
+// Persist is the command to update the data folder. Its parts are synced in this order: versions are removed, then versions, the member
+// record, the past operations and the committed position are written. Persisted reports the result.
 type Persist struct {
 	Token  int64
 	Writes []Write
 	Member *MemberRecord
 	Remove []contract.Position
-	// Past are all operations whose versions are no longer kept, if they changed.
+	// PastOperations replaces the stored past operations, unless it is nil.
 	PastOperations *[]contract.PastOperation
-	// Committed is the newest version that is known to be committed.
+	// Committed is the position of the newest version known to be committed, or nil if that has not changed.
 	Committed *contract.Position
 }
 
-// Write is one version that is written to the data folder: as the change of another one that the folder holds, or whole.
+// Write is a version that is written to the data folder, as a delta to another version in the folder or in full.
 type Write struct {
 	Version contract.Version
-	// Base is the version whose change is written; without a place, the version is written whole.
+	// Base is the version that the delta is relative to. The zero version asks for a full record.
 	Base contract.Version
 }
 
-// Record gives what is written.
+// Record returns the record that is written.
 func (write Write) Record() contract.Record { return write.Version.RecordRelativeTo(write.Base) }
 
-// Persisted ends a Persist; Failure tells why nothing of it may be relied on.
+// Persisted is the event that a Persist has ended. Error is empty if everything was synced; otherwise nothing of it may be relied on.
 type Persisted struct {
 	Token int64
 	Error string
 }
 
-// Recovered is what a core member found in its data folder when it started.
+// Recovered is the content of the data folder when the process started.
 type Recovered struct {
 	Versions []contract.Version
-	// Stored tells how each version lies in the folder.
+	// Stored describes how each version is stored in the folder.
 	Stored []StoredVersion
-	// Member is the member's durable state; it has no ID when the folder is empty or its record was damaged.
+	// Member is the durable state of the member. It has no ID if the folder is empty or the record was damaged.
 	Member MemberRecord
-	// Past are the committed operations whose versions are no longer kept.
+	// PastOperations are the committed operations whose versions are no longer kept.
 	PastOperations []contract.PastOperation
-	// Damaged names the files that were put aside, each with the reason.
+	// Damaged names the files that were set aside because they could not be read, each with the reason.
 	Damaged []string
-	// Committed is the newest version that this folder knows to be committed.
+	// Committed is the position of the newest version that the folder records as committed.
 	Committed contract.Position
 }
 
-// Stored is one version in the data folder. Base is the version that it is written as a change of, and has no revision where it is whole.
+// StoredVersion describes a version in the data folder. Base is the position that its delta is relative to, or zero for a full record. Size
+// is in bytes.
 type StoredVersion struct {
 	Position contract.Position
 	Base     contract.Position
 	Size     int
 }
 
-// Newest gives the newest version known to be committed, if the folder still has it.
+// NewestCommitted returns the newest version known to be committed, if the folder still has it.
 func (recovered Recovered) NewestCommitted() (contract.Version, bool) {
 	for _, version := range recovered.Versions {
 		if version.Position == recovered.Committed && version.Position.Revision > 0 {
@@ -99,256 +105,278 @@
 	return contract.Version{}, false
 }
 
-// Committed tells that every member of a chain has synced a version.
+// Committed is the command that tells the node that a version is committed: every member of a chain has synced it.
 type Committed struct{ Version contract.Version }
 
-// Seen is the fleet as the neighbours tell it, taken with each tick.
+// Membership is the event of a tick, with the state of the fleet as this node knows it by the membership protocol and the feed.
+// NewestVersion and View are the newest that any node is known to hold.
 type Membership struct {
 	Members       []contract.Member
 	NewestVersion contract.Version
 	View          contract.View
 }
 
+// Replica is the state machine of a member of the core. It takes messages, Membership and Persisted as events.
 type Replica struct {
 	bounds   env.Bounds
 	coreSize int
 	self     contract.CoreNode
-	startID  string
-	random   *rand.Rand
-	view     contract.View
+	// startID identifies this start of the process in ballots and nonces.
+	startID string
+	random  *rand.Rand
+	view    contract.View
 	log
-	// verified is how far this log is known to be that of the head of this view.
-	matched  int64
+	// matched is the revision up to which this log is known to equal the log of this view's head.
+	matched int64
+	// salvaged are the versions found in a data folder without a member record. They serve only to bootstrap a view.
 	salvaged map[int64]contract.Version
-	// folder is what the data folder holds.
+	// stored tracks what the data folder holds.
 	stored storedVersions
 
-	promised     Ballot
-	accepted     *Proposal
-	sealed       bool
+	// promised is the highest ballot that this member promised or accepted for the next view, accepted the proposal that it voted for. sealed
+	// is set from the first promise until the next view is installed: a sealed member neither replicates nor confirms reads.
+	promised Ballot
+	accepted *Proposal
+	sealed   bool
+	// synchronized tells that the tail has all that its head had when the view began.
 	synchronized bool
 	campaign     *campaign
 
-	bootstrapPromised Ballot
-	bootstrapAccepted *BootstrapProposal
-	// foundSynced is the ballot of the first view that this member's folder agrees to; foundHeld are those that said the same since foundAsked.
+	// The same for the ballot that bootstraps a view. bootstrapSynced is the ballot whose proposal this member's folder holds. bootstrapVotes
+	// are the members that reported the same accepted proposal since bootstrapVotesQueried.
+	bootstrapPromised     Ballot
+	bootstrapAccepted     *BootstrapProposal
 	bootstrapSynced       Ballot
 	bootstrapVotes        map[string]bool
 	bootstrapVotesQueried time.Duration
 
-	// contacts are the direct links to the other members; ticked and beaten are the last tick and the last heartbeat.
+	// peers is the state of the direct links to the other members, by identity.
 	peers         map[string]peerState
 	lastTick      time.Duration
 	lastHeartbeat time.Duration
 	probes        probes
 	bootstrapping *bootstrapAttempt
-	coreLostSince time.Duration
+	coreLostSince time.Duration // -1 while the core is not lost
 
 	diskHealthy  bool
 	writeQueue   []persistJob
 	writing      *persistJob
 	writingSince time.Duration
-	token        int64
+	token        int64 // of the last Persist
 
-	viewChangeNeededSince time.Duration
-	retryAt               time.Duration
+	viewChangeNeededSince time.Duration // -1 while no change is needed
+	retryAt               time.Duration // no campaign or bootstrap attempt starts before
 	lastResend            time.Duration
 	lastResendRequest     time.Duration
 	nextCatchUp           time.Duration
-	// behind tells that versions are missing here, since behindSince.
+	// catchingUp tells that versions have been missing since catchUpStarted. catchUpCursor is the revision that was requested last.
 	catchingUp     bool
 	catchUpStarted time.Duration
 	catchUpCursor  int64
-	excludedUntil  map[string]time.Duration
-	declaredGone   map[string]bool
-	stalledSince   time.Duration
-	confirmations  map[int64]*pendingConfirmation
-	membership     Membership
-	startedAt      time.Duration
-	initialized    bool
-	announced      bool
-	commands       []contract.Command
-	selfMessages   []contract.Message
-	mayBootstrap   bool
-	// mayBootstrap is what the folder remembers of the first start.
+	// excludedUntil are members that the next views leave out of the chain until a time. declaredGone are those that an operator declared
+	// permanently lost.
+	excludedUntil map[string]time.Duration
+	declaredGone  map[string]bool
+	stalledSince  time.Duration // time since which versions wait to be committed, or -1
+	confirmations map[int64]*pendingConfirmation
+	membership    Membership
+	startedAt     time.Duration
+	initialized   bool
+	announced     bool
+	commands      []contract.Command // output of the current event
+	selfMessages  []contract.Message // messages to this member, handled at the end of the event
+	mayBootstrap  bool
+	// recordedMayBootstrap is mayBootstrap as recorded in the folder by the first start.
 	recordedMayBootstrap bool
 	founders             []string
-	markedCommit         contract.Position
+	markedCommit         contract.Position // the committed position last written to the folder
 }
 
-// New makes the owner of a member. Its identity is that of its data folder, or self's where the folder has none. start names this start
-// of the process and differs from that of any other start.
+// New returns the state machine of a member. The member keeps the identity recorded in its data folder; self supplies one for a new folder.
+// start must differ for each start of a process, since ballots are unique only then. coreSize is the intended number of members.
 func New(self contract.CoreNode, start string, coreSize int, bounds env.Bounds, recovered Recovered, random *rand.Rand) *Replica {
-	owner := &Replica{bounds: bounds, coreSize: coreSize, self: self, startID: start, random: random, diskHealthy: true, mayBootstrap: true,
+	replica := &Replica{bounds: bounds, coreSize: coreSize, self: self, startID: start, random: random, diskHealthy: true, mayBootstrap: true,
 		log: newLog(bounds.History, bounds.HistoryBytes), stored: newStoredVersions(recovered.Stored), salvaged: map[int64]contract.Version{}, excludedUntil: map[string]time.Duration{},
 		declaredGone: map[string]bool{}, confirmations: map[int64]*pendingConfirmation{}, bootstrapVotes: map[string]bool{}, peers: map[string]peerState{}, viewChangeNeededSince: -1, coreLostSince: -1, stalledSince: -1}
-	owner.restoreState(recovered)
-	return owner
+	replica.restoreState(recovered)
+	return replica
 }
 
-// Founders names the addresses of the core machines that found a blank fleet; others join the view that these agreed on, until it
-// has the size that was asked for.
-func (owner *Replica) SetFounders(addresses []string) { owner.founders = addresses }
+// SetFounders sets the addresses of the core machines that bootstrap a blank fleet. Other machines join the view that these agree on, until
+// the core has its intended size.
+func (replica *Replica) SetFounders(addresses []string) { replica.founders = addresses }
 
-// Bootstraps tells whether this start may bootstrap a blank fleet. A member that was allowed to at its first start stays allowed until
-// it has a view; one that replaces another, or has lost its disk, only joins.
-func (owner *Replica) AllowBootstrap(may bool) {
-	owner.mayBootstrap = may || owner.recordedMayBootstrap
+// AllowBootstrap sets whether this start may bootstrap a blank fleet. A member that was allowed to at its first start stays allowed until it
+// has a view. A member that replaces another one or has lost its disk must not be allowed to: it only joins.
+func (replica *Replica) AllowBootstrap(may bool) {
+	replica.mayBootstrap = may || replica.recordedMayBootstrap
 }
 
-// Self gives this member with the identity of its data folder.
-func (owner *Replica) Self() contract.CoreNode { return owner.self }
+// Self returns this member with the identity of its data folder.
+func (replica *Replica) Self() contract.CoreNode { return replica.self }
 
-func (owner *Replica) View() contract.View { return owner.view }
-func (owner *Replica) DiskHealthy() bool   { return owner.diskHealthy }
-func (owner *Replica) Committed() int64    { return owner.committed }
-func (owner *Replica) Sealed() bool        { return owner.sealed }
+// View returns the installed view. Its number is 0 before the first one.
+func (replica *Replica) View() contract.View { return replica.view }
 
-func (owner *Replica) IsMember() bool {
-	_, there := owner.view.Node(owner.self.Identity())
-	return there
+// DiskHealthy reports whether writes to the data folder succeed in time.
+func (replica *Replica) DiskHealthy() bool { return replica.diskHealthy }
+
+// Committed returns the newest revision that this member knows to be committed.
+func (replica *Replica) Committed() int64 { return replica.committed }
+
+// Sealed reports whether this member has promised to take part in the decision on the next view and so has left the current one.
+func (replica *Replica) Sealed() bool { return replica.sealed }
+
+// IsMember reports whether this member belongs to the core of its view.
+func (replica *Replica) IsMember() bool {
+	_, found := replica.view.Node(replica.self.Identity())
+	return found
 }
 
-func (owner *Replica) chainIndex() int { return owner.view.ChainIndex(owner.self.Identity()) }
+func (replica *Replica) chainIndex() int { return replica.view.ChainIndex(replica.self.Identity()) }
 
-func (owner *Replica) IsHead() bool { return owner.chainIndex() == 0 }
+// IsHead reports whether this member is the head of its view's chain.
+func (replica *Replica) IsHead() bool { return replica.chainIndex() == 0 }
 
-func (owner *Replica) IsTail() bool {
-	return len(owner.view.Chain) > 0 && owner.chainIndex() == len(owner.view.Chain)-1
+// IsTail reports whether this member is the tail of its view's chain.
+func (replica *Replica) IsTail() bool {
+	return len(replica.view.Chain) > 0 && replica.chainIndex() == len(replica.view.Chain)-1
 }
 
-func (owner *Replica) Handle(now time.Duration, event contract.Event) []contract.Command {
-	if !owner.initialized {
-		owner.initialized, owner.startedAt = true, now
+// Handle processes an event and returns the commands to carry out. See contract.StateMachine.
+func (replica *Replica) Handle(now time.Duration, event contract.Event) []contract.Command {
+	if !replica.initialized {
+		replica.initialized, replica.startedAt = true, now
 	}
-	owner.commands = nil
+	replica.commands = nil
 	switch event := event.(type) {
 	case Membership:
-		if !owner.announced {
-			owner.announceRecovered(now)
+		if !replica.announced {
+			replica.announceRecovered(now)
 		}
-		owner.tick(now, event)
+		replica.tick(now, event)
 	case Persisted:
-		owner.handlePersisted(now, event)
+		replica.handlePersisted(now, event)
 	case contract.Message:
-		owner.handleMessage(now, event)
+		replica.handleMessage(now, event)
 	}
-	for len(owner.selfMessages) > 0 {
-		message := owner.selfMessages[0]
-		owner.selfMessages = owner.selfMessages[1:]
-		owner.handleMessage(now, message)
+	for len(replica.selfMessages) > 0 {
+		message := replica.selfMessages[0]
+		replica.selfMessages = replica.selfMessages[1:]
+		replica.handleMessage(now, message)
 	}
-	out := owner.commands
-	owner.commands = nil
+	out := replica.commands
+	replica.commands = nil
 	return out
 }
 
-func (owner *Replica) emit(commands ...contract.Command) {
-	owner.commands = append(owner.commands, commands...)
+func (replica *Replica) emit(commands ...contract.Command) {
+	replica.commands = append(replica.commands, commands...)
 }
 
-func (owner *Replica) send(node contract.CoreNode, kind string, body any) {
-	if node.Identity() != owner.self.Identity() {
-		owner.emit(contract.Send{To: node.Address, Kind: kind, Body: body})
+// send sends a message to a member. A message to this member itself is handled at the end of the current event.
+func (replica *Replica) send(node contract.CoreNode, kind string, body any) {
+	if node.Identity() != replica.self.Identity() {
+		replica.emit(contract.Send{To: node.Address, Kind: kind, Body: body})
 		return
 	}
-	content, failure := json.Marshal(body)
-	if failure != nil {
-		panic(failure)
+	content, err := json.Marshal(body)
+	if err != nil {
+		panic(err)
 	}
-	owner.selfMessages = append(owner.selfMessages, contract.Message{Kind: kind, From: owner.self.Name, Body: content})
+	replica.selfMessages = append(replica.selfMessages, contract.Message{Kind: kind, From: replica.self.Name, Body: content})
 }
 
-// sendOthers sends to all nodes but this one.
-func (owner *Replica) sendOthers(nodes []contract.CoreNode, kind string, body any) {
+// sendOthers sends a message to all nodes but this one.
+func (replica *Replica) sendOthers(nodes []contract.CoreNode, kind string, body any) {
 	for _, node := range nodes {
-		if node.Identity() != owner.self.Identity() {
-			owner.send(node, kind, body)
+		if node.Identity() != replica.self.Identity() {
+			replica.send(node, kind, body)
 		}
 	}
 }
 
-func (owner *Replica) handleMessage(now time.Duration, message contract.Message) {
+func (replica *Replica) handleMessage(now time.Duration, message contract.Message) {
 	switch message.Kind {
 	case MessageReplicate:
-		decodeMessage(owner, message, func(pass Replicate) { owner.handleReplicate(now, pass) })
+		decodeMessage(replica, message, func(replicate Replicate) { replica.handleReplicate(now, replicate) })
 	case MessageCommitNotice:
-		decodeMessage(owner, message, func(done CommitNotice) { owner.handleCommitNotice(now, done) })
+		decodeMessage(replica, message, func(notice CommitNotice) { replica.handleCommitNotice(now, notice) })
 	case MessageCatchUpRequest:
-		decodeMessage(owner, message, func(fetch CatchUpRequest) { owner.handleCatchUpRequest(fetch) })
+		decodeMessage(replica, message, func(request CatchUpRequest) { replica.handleCatchUpRequest(request) })
 	case MessageCatchUpResponse:
-		decodeMessage(owner, message, func(history CatchUpResponse) { owner.handleCatchUpResponse(now, history) })
+		decodeMessage(replica, message, func(response CatchUpResponse) { replica.handleCatchUpResponse(now, response) })
 	case MessageNewView:
-		decodeMessage(owner, message, func(view contract.View) { owner.installView(now, view) })
+		decodeMessage(replica, message, func(view contract.View) { replica.installView(now, view) })
 	case MessagePrepare:
-		decodeMessage(owner, message, func(prepare Prepare) { owner.handlePrepare(now, prepare) })
+		decodeMessage(replica, message, func(prepare Prepare) { replica.handlePrepare(now, prepare) })
 	case MessagePromise:
-		decodeMessage(owner, message, func(promise Promise) { owner.handlePromise(now, promise) })
+		decodeMessage(replica, message, func(promise Promise) { replica.handlePromise(now, promise) })
 	case MessageAccept:
-		decodeMessage(owner, message, func(accept Accept) { owner.handleAccept(now, accept) })
+		decodeMessage(replica, message, func(accept Accept) { replica.handleAccept(now, accept) })
 	case MessageAccepted:
-		decodeMessage(owner, message, func(accepted Accepted) { owner.handleAccepted(now, accepted) })
+		decodeMessage(replica, message, func(accepted Accepted) { replica.handleAccepted(now, accepted) })
 	case MessageViewCheck:
-		decodeMessage(owner, message, func(ask ViewCheck) { owner.handleViewCheck(ask) })
+		decodeMessage(replica, message, func(request ViewCheck) { replica.handleViewCheck(request) })
 	case MessageViewCheckReply:
-		decodeMessage(owner, message, func(answer ViewCheck) { owner.handleViewCheckReply(answer) })
+		decodeMessage(replica, message, func(reply ViewCheck) { replica.handleViewCheckReply(reply) })
 	case MessageBootstrapPrepare:
-		decodeMessage(owner, message, func(ask BootstrapPrepare) { owner.handleBootstrapPrepare(ask) })
+		decodeMessage(replica, message, func(request BootstrapPrepare) { replica.handleBootstrapPrepare(request) })
 	case MessageBootstrapPromise:
-		decodeMessage(owner, message, func(tell BootstrapPromise) { owner.handleBootstrapPromise(now, tell) })
+		decodeMessage(replica, message, func(promise BootstrapPromise) { replica.handleBootstrapPromise(now, promise) })
 	case MessageBootstrapAccept:
-		decodeMessage(owner, message, func(foundation BootstrapProposal) { owner.handleBootstrapAccept(now, foundation) })
+		decodeMessage(replica, message, func(proposal BootstrapProposal) { replica.handleBootstrapAccept(now, proposal) })
 	case MessageBootstrapCommit:
-		decodeMessage(owner, message, func(foundation BootstrapProposal) { owner.installBootstrap(now, foundation) })
+		decodeMessage(replica, message, func(proposal BootstrapProposal) { replica.installBootstrap(now, proposal) })
 	case MessageBootstrapAccepted:
-		decodeMessage(owner, message, func(accepted Accepted) { owner.handleBootstrapAccepted(now, accepted) })
+		decodeMessage(replica, message, func(accepted Accepted) { replica.handleBootstrapAccepted(now, accepted) })
 	case MessageBootstrapVoteQuery:
-		decodeMessage(owner, message, func(ask BootstrapVoteQuery) { owner.handleBootstrapVoteQuery(ask) })
+		decodeMessage(replica, message, func(request BootstrapVoteQuery) { replica.handleBootstrapVoteQuery(request) })
 	case MessageBootstrapVote:
-		decodeMessage(owner, message, func(held BootstrapVote) { owner.handleBootstrapVote(now, held) })
+		decodeMessage(replica, message, func(vote BootstrapVote) { replica.handleBootstrapVote(now, vote) })
 	case MessageHeartbeat:
-		decodeMessage(owner, message, func(beat Heartbeat) { owner.handleHeartbeat(now, beat) })
+		decodeMessage(replica, message, func(heartbeat Heartbeat) { replica.handleHeartbeat(now, heartbeat) })
 	case MessageProbe:
-		decodeMessage(owner, message, func(ask Probe) {
-			owner.send(ask.Node, MessageProbeReply, ProbeReply{Nonce: ask.Nonce, StartID: ask.StartID, Responder: owner.self})
+		decodeMessage(replica, message, func(request Probe) {
+			replica.send(request.Node, MessageProbeReply, ProbeReply{Nonce: request.Nonce, StartID: request.StartID, Responder: replica.self})
 		})
 	case MessageProbeReply:
-		decodeMessage(owner, message, owner.handleProbeReply)
+		decodeMessage(replica, message, replica.handleProbeReply)
 	case MessageResendRequest:
-		decodeMessage(owner, message, func(resume ResendRequest) { owner.handleResendRequest(resume) })
+		decodeMessage(replica, message, func(request ResendRequest) { replica.handleResendRequest(request) })
 	}
 }
 
-func decodeMessage[Body any](owner *Replica, message contract.Message, then func(Body)) {
+func decodeMessage[Body any](replica *Replica, message contract.Message, handle func(Body)) {
 	var body Body
 	if json.Unmarshal(message.Body, &body) != nil {
-		owner.emit(contract.AddCounter{Name: "messages_broken", Delta: 1})
+		replica.emit(contract.AddCounter{Name: "messages_broken", Delta: 1})
 		return
 	}
-	then(body)
+	handle(body)
 }
 
-func (owner *Replica) tick(now time.Duration, seen Membership) {
-	owner.membership = seen
-	if seen.View.Number > owner.view.Number {
-		owner.installView(now, seen.View)
+func (replica *Replica) tick(now time.Duration, membership Membership) {
+	replica.membership = membership
+	if membership.View.Number > replica.view.Number {
+		replica.installView(now, membership.View)
 	}
-	owner.tickHeartbeat(now)
-	owner.watchDisk(now)
-	owner.startWrite(now)
-	for name, until := range owner.excludedUntil {
+	replica.tickHeartbeat(now)
+	replica.watchDisk(now)
+	replica.startWrite(now)
+	for name, until := range replica.excludedUntil {
 		if now > until {
-			delete(owner.excludedUntil, name)
+			delete(replica.excludedUntil, name)
 		}
 	}
-	owner.retransmit(now)
-	owner.requestResend(now)
-	owner.requestMissing(now)
-	owner.expireConfirmations(now)
-	if owner.coreLost() {
-		owner.tickBootstrap(now)
+	replica.retransmit(now)
+	replica.requestResend(now)
+	replica.requestMissing(now)
+	replica.expireConfirmations(now)
+	if replica.coreLost() {
+		replica.tickBootstrap(now)
 		return
 	}
-	owner.coreLostSince, owner.bootstrapping = -1, nil
-	owner.tickViewChange(now)
+	replica.coreLostSince, replica.bootstrapping = -1, nil
+	replica.tickViewChange(now)
 }
--- a/chain/check.go
+++ b/chain/check.go
@@ -7,87 +7,91 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// Check asks the core whether a view still is the newest, so that a woken old tail cannot answer.
+// ViewCheck asks the core whether a view is still current, so that the tail of an old view that was paused cannot answer reads. The reply
+// repeats Nonce, StartID and View.
 type ViewCheck struct {
 	Nonce int64 `json:"nonce"`
-	// Start is the asker's start, so that an answer to its former start is not taken for one to this.
+	// StartID identifies the start of the sender, so that it ignores replies to requests of an earlier start.
 	StartID string            `json:"start"`
 	View    int64             `json:"view"`
 	Node    contract.CoreNode `json:"node"`
 	Current bool              `json:"holds"`
-	// By answers.
+	// Responder is the member that replies. Node is the sender of the request.
 	Responder contract.CoreNode `json:"by"`
 }
 
+// pendingConfirmation collects the replies to a ViewCheck.
 type pendingConfirmation struct {
 	view int64
-	// fits tells whether this member still has the place in the chain that asked.
+	// inRole reports whether this member still is the head or tail that it was at the request.
 	inRole   func() bool
 	deadline time.Duration
 	votes    map[string]bool
 }
 
-// Vouched ends a check: the tail's answer may or may not be given.
+// Confirmed is the command that ends the confirmation of a token. The response may be given only if it is Granted.
 type Confirmed struct {
 	Token   int64
 	Granted bool
 }
 
-// Vouch asks the core whether the tail's answer to a read may be given.
-func (owner *Replica) ConfirmTail(now time.Duration, token int64) []contract.Command {
-	if !owner.synchronized || owner.isOutdated(owner.committed) {
+// ConfirmTail asks the core whether this member is still the tail, before it answers a read. A Confirmed with the token follows.
+func (replica *Replica) ConfirmTail(now time.Duration, token int64) []contract.Command {
+	if !replica.synchronized || replica.isOutdated(replica.committed) {
 		return []contract.Command{Confirmed{Token: token}}
 	}
-	return owner.confirm(now, token, owner.IsTail)
+	return replica.confirm(now, token, replica.IsTail)
 }
 
-// VouchHead asks the core whether what the head says of its state may be given, as when it refuses an order.
-func (owner *Replica) ConfirmHead(now time.Duration, token int64) []contract.Command {
-	if owner.isOutdated(owner.lastAssigned) {
+// ConfirmHead asks the core whether this member is still the head, before it tells its state, as when it refuses a write. A Confirmed with
+// the token follows.
+func (replica *Replica) ConfirmHead(now time.Duration, token int64) []contract.Command {
+	if replica.isOutdated(replica.lastAssigned) {
 		return []contract.Command{Confirmed{Token: token}}
 	}
-	return owner.confirm(now, token, owner.IsHead)
+	return replica.confirm(now, token, replica.IsHead)
 }
 
-func (owner *Replica) confirm(now time.Duration, token int64, fits func() bool) []contract.Command {
-	if !fits() || owner.sealed {
+func (replica *Replica) confirm(now time.Duration, token int64, eligible func() bool) []contract.Command {
+	if !eligible() || replica.sealed {
 		return []contract.Command{Confirmed{Token: token}}
 	}
-	owner.commands = nil
-	owner.confirmations[token] = &pendingConfirmation{view: owner.view.Number, inRole: fits, deadline: now + owner.bounds.Round(), votes: map[string]bool{owner.self.Identity(): true}}
-	owner.sendOthers(owner.view.Core, MessageViewCheck, ViewCheck{Nonce: token, StartID: owner.startID, View: owner.view.Number, Node: owner.self})
-	out := owner.commands
-	owner.commands = nil
+	replica.commands = nil
+	replica.confirmations[token] = &pendingConfirmation{view: replica.view.Number, inRole: eligible, deadline: now + replica.bounds.Round(), votes: map[string]bool{replica.self.Identity(): true}}
+	replica.sendOthers(replica.view.Core, MessageViewCheck, ViewCheck{Nonce: token, StartID: replica.startID, View: replica.view.Number, Node: replica.self})
+	out := replica.commands
+	replica.commands = nil
 	return out
 }
 
-func (owner *Replica) handleViewCheck(ask ViewCheck) {
-	holds := owner.IsMember() && !owner.sealed && owner.view.Number == ask.View
-	owner.send(ask.Node, MessageViewCheckReply, ViewCheck{Nonce: ask.Nonce, StartID: ask.StartID, View: ask.View, Current: holds, Responder: owner.self})
+func (replica *Replica) handleViewCheck(request ViewCheck) {
+	holds := replica.IsMember() && !replica.sealed && replica.view.Number == request.View
+	replica.send(request.Node, MessageViewCheckReply, ViewCheck{Nonce: request.Nonce, StartID: request.StartID, View: request.View, Current: holds, Responder: replica.self})
 }
 
-func (owner *Replica) handleViewCheckReply(answer ViewCheck) {
-	pending, there := owner.confirmations[answer.Nonce]
-	if !there || !answer.Current || pending.view != answer.View || answer.StartID != owner.startID {
+func (replica *Replica) handleViewCheckReply(reply ViewCheck) {
+	pending, found := replica.confirmations[reply.Nonce]
+	if !found || !reply.Current || pending.view != reply.View || reply.StartID != replica.startID {
 		return
 	}
-	pending.votes[answer.Responder.Identity()] = true
-	if len(pending.votes) >= owner.view.Majority() {
-		delete(owner.confirmations, answer.Nonce)
-		owner.emit(Confirmed{Token: answer.Nonce, Granted: pending.view == owner.view.Number && !owner.sealed && pending.inRole()})
+	pending.votes[reply.Responder.Identity()] = true
+	if len(pending.votes) >= replica.view.Majority() {
+		delete(replica.confirmations, reply.Nonce)
+		replica.emit(Confirmed{Token: reply.Nonce, Granted: pending.view == replica.view.Number && !replica.sealed && pending.inRole()})
 	}
 }
 
-func (owner *Replica) expireConfirmations(now time.Duration) {
+// expireConfirmations denies the confirmations that a majority did not answer in time.
+func (replica *Replica) expireConfirmations(now time.Duration) {
 	late := []int64{}
-	for token, pending := range owner.confirmations {
+	for token, pending := range replica.confirmations {
 		if now > pending.deadline {
 			late = append(late, token)
 		}
 	}
 	slices.Sort(late)
 	for _, token := range late {
-		delete(owner.confirmations, token)
-		owner.emit(Confirmed{Token: token})
+		delete(replica.confirmations, token)
+		replica.emit(Confirmed{Token: token})
 	}
 }
--- a/chain/compose.go
+++ b/chain/compose.go
@@ -2,11 +2,12 @@
 
 import "github.com/cedarreel/cedarreel/contract"
 
-func (owner *Replica) isAlive(node contract.CoreNode) bool {
-	if node.Identity() == owner.self.Identity() {
+// isAlive reports whether the membership protocol knows a member with this identity to be alive.
+func (replica *Replica) isAlive(node contract.CoreNode) bool {
+	if node.Identity() == replica.self.Identity() {
 		return true
 	}
-	for _, member := range owner.membership.Members {
+	for _, member := range replica.membership.Members {
 		if member.CoreNode().Identity() == node.Identity() {
 			return true
 		}
@@ -14,11 +15,12 @@
 	return false
 }
 
-func (owner *Replica) hasHealthyDisk(node contract.CoreNode) bool {
-	if node.Identity() == owner.self.Identity() {
-		return owner.diskHealthy
+// hasHealthyDisk reports whether a member says that its data folder works.
+func (replica *Replica) hasHealthyDisk(node contract.CoreNode) bool {
+	if node.Identity() == replica.self.Identity() {
+		return replica.diskHealthy
 	}
-	for _, member := range owner.membership.Members {
+	for _, member := range replica.membership.Members {
 		if member.CoreNode().Identity() == node.Identity() {
 			return member.Core
 		}
@@ -26,74 +28,76 @@
 	return false
 }
 
-// strangers are live core machines that the view does not know by this identity.
-func (owner *Replica) spares() []contract.CoreNode {
-	strangers := []contract.CoreNode{}
-	for _, member := range owner.membership.Members {
+// spares returns the live core machines whose identity is not in the view.
+func (replica *Replica) spares() []contract.CoreNode {
+	spares := []contract.CoreNode{}
+	for _, member := range replica.membership.Members {
 		node := member.CoreNode()
-		if _, there := owner.view.Node(node.Identity()); member.Core && !there {
-			strangers = append(strangers, node)
+		if _, found := replica.view.Node(node.Identity()); member.Core && !found {
+			spares = append(spares, node)
 		}
 	}
-	return strangers
+	return spares
 }
 
-// compose builds the next view: survivors keep their order, missing core machines give place, those caught up join at the tail.
-func (owner *Replica) composeView() (contract.View, bool) {
-	promises := owner.campaign.promises
-	fits := func(identity string) bool {
-		_, doubted := owner.excludedUntil[identity]
+// composeView builds the next view from the promises: surviving members of the chain keep their order, spares replace members of the core
+// that are gone, and members that have caught up join at the tail. It fails if no member with a complete log answered.
+func (replica *Replica) composeView() (contract.View, bool) {
+	promises := replica.campaign.promises
+	eligible := func(identity string) bool {
+		_, doubted := replica.excludedUntil[identity]
 		promise, answered := promises[identity]
 		return answered && promise.DiskHealthy && !doubted
 	}
-	view := contract.View{Number: owner.view.Number + 1}
-	for _, identity := range owner.view.Proposers() {
-		if len(view.Chain) > 0 && owner.view.ChainIndex(identity) < 0 {
+	view := contract.View{Number: replica.view.Number + 1}
+	for _, identity := range replica.view.Proposers() {
+		if len(view.Chain) > 0 && replica.view.ChainIndex(identity) < 0 {
 			break
 		}
-		if promise := promises[identity]; fits(identity) && promise.Granted && owner.connectedToAll(view.Chain, identity) {
+		if promise := promises[identity]; eligible(identity) && promise.Granted && replica.connectedToAll(view.Chain, identity) {
 			view.Chain = append(view.Chain, identity)
 		}
 	}
 	if len(view.Chain) == 0 {
 		return view, false
 	}
-	strangers := []contract.CoreNode{}
-	for _, stranger := range owner.spares() {
-		if promise, answered := promises[stranger.Identity()]; answered && owner.caughtUp(promise) {
-			strangers = append(strangers, stranger)
+	spares := []contract.CoreNode{}
+	for _, spare := range replica.spares() {
+		if promise, answered := promises[spare.Identity()]; answered && replica.caughtUp(promise) {
+			spares = append(spares, spare)
 		}
 	}
-	for _, node := range owner.view.Core {
-		if _, answered := promises[node.Identity()]; !answered && !owner.isAlive(node) && len(strangers) > 0 {
+	for _, node := range replica.view.Core {
+		if _, answered := promises[node.Identity()]; !answered && !replica.isAlive(node) && len(spares) > 0 {
 			place := 0
-			for index, stranger := range strangers {
-				if stranger.Name == node.Name {
+			for index, spare := range spares {
+				if spare.Name == node.Name {
 					place = index
 				}
 			}
-			node = strangers[place]
-			strangers = append(strangers[:place], strangers[place+1:]...)
+			node = spares[place]
+			spares = append(spares[:place], spares[place+1:]...)
 		}
 		view.Core = append(view.Core, node)
 	}
-	for owner.belowTargetSize() && len(view.Core) < owner.coreSize && len(strangers) > 0 {
-		view.Core, strangers = append(view.Core, strangers[0]), strangers[1:]
+	for replica.belowTargetSize() && len(view.Core) < replica.coreSize && len(spares) > 0 {
+		view.Core, spares = append(view.Core, spares[0]), spares[1:]
 	}
 	for _, node := range view.Core {
 		identity := node.Identity()
-		if view.ChainIndex(identity) < 0 && fits(identity) && owner.caughtUp(promises[identity]) && owner.connectedToAll(view.Chain, identity) {
+		if view.ChainIndex(identity) < 0 && eligible(identity) && replica.caughtUp(promises[identity]) && replica.connectedToAll(view.Chain, identity) {
 			view.Chain = append(view.Chain, identity)
 		}
 	}
 	view.Holders = view.Chain
 	if len(view.Chain) == 1 {
-		view.Holders = owner.view.Holders
+		view.Holders = replica.view.Holders
 	}
 	return view, true
 }
 
-func (owner *Replica) caughtUp(promise Promise) bool {
-	lacks, _ := owner.missing()
-	return promise.DiskHealthy && promise.LastSynced >= owner.lastSynced && promise.Digest == owner.versions[owner.lastSynced].Digest && promise.Missing <= lacks
+// caughtUp reports whether a member has the same log as this one, and can join the chain.
+func (replica *Replica) caughtUp(promise Promise) bool {
+	lacks, _ := replica.missing()
+	return promise.DiskHealthy && promise.LastSynced >= replica.lastSynced && promise.Digest == replica.versions[replica.lastSynced].Digest && promise.Missing <= lacks
 }
--- a/chain/folder.go
+++ b/chain/folder.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// changesMost is how many changes in a row lie in the data folder before a version is written whole again.
+	// maxDeltaChain is the maximum number of successive deltas in the data folder. After these a full record is written.
 	maxDeltaChain = 256
-	// changesLeast is how many bytes of changes in a row are always written before a version is written whole again; else they may be as
-	// large as the version.
+	// minDeltaChainBytes is the total size that successive deltas may have in any case, in bytes. Beyond it they may be as large as the version
+	// before a full record is written.
 	minDeltaChainBytes = 64 << 10
 )
 
-// folder knows how the versions lie in the data folder: whole, or as the change of an earlier one, which then has to stay as long as they
-// do. What it knows is what was synced.
+// storedVersions tracks how versions are stored in the data folder: as full records, or as deltas to an earlier version, which has to stay as
+// long as its deltas. It reflects what was synced.
 type storedVersions struct {
 	files map[contract.Position]storedFile
-	// released are the files that nobody wants but others are changes of.
+	// released are the versions that are no longer wanted but that deltas may depend on.
 	released map[contract.Position]bool
 }
 
-// file is one version in the data folder.
+// storedFile is one version in the data folder.
 type storedFile struct {
-	// base is the version that it is a change of, without a revision where it is whole.
+	// base is the position that the delta is relative to, or zero for a full record.
 	base contract.Position
 	size int
 }
 
 func newStoredVersions(stored []StoredVersion) storedVersions {
-	made := storedVersions{files: map[contract.Position]storedFile{}, released: map[contract.Position]bool{}}
-	for _, one := range stored {
-		made.files[one.Position] = storedFile{base: one.Base, size: one.Size}
+	result := storedVersions{files: map[contract.Position]storedFile{}, released: map[contract.Position]bool{}}
+	for _, version := range stored {
+		result.files[version.Position] = storedFile{base: version.Base, size: version.Size}
 	}
-	return made
+	return result
 }
 
-// plan says how versions are written and which files are removed, so that all that stays can be put together again.
-func (folder storedVersions) plan(versions []contract.Version, drop []contract.Position) ([]Write, []contract.Position) {
-	next := folder.copy()
-	for _, place := range drop {
-		next.released[place] = true
+// plan returns how versions are written and which files can be removed, given unwanted versions, so that all that stays can be decoded.
+func (stored storedVersions) plan(versions []contract.Version, unwanted []contract.Position) ([]Write, []contract.Position) {
+	next := stored.copy()
+	for _, position := range unwanted {
+		next.released[position] = true
 	}
 	for _, version := range versions {
 		delete(next.released, version.Position)
@@ -58,13 +58,13 @@
 	return writes, next.removable()
 }
 
-func (folder storedVersions) copy() storedVersions {
+func (stored storedVersions) copy() storedVersions {
 	copied := newStoredVersions(nil)
-	for place, one := range folder.files {
-		copied.files[place] = one
+	for position, file := range stored.files {
+		copied.files[position] = file
 	}
-	for place := range folder.released {
-		copied.released[place] = true
+	for position := range stored.released {
+		copied.released[position] = true
 	}
 	return copied
 }
@@ -76,10 +76,10 @@
 	return write.Version.Document().Size()
 }
 
-// fitsChange tells whether a version is written as the change of its base.
-func (folder storedVersions) canWriteDelta(version contract.Version) bool {
-	_, there := folder.files[version.Base]
-	if !there || folder.released[version.Base] || version.Base.Revision >= version.Position.Revision {
+// canWriteDelta reports whether a version is written as a delta to its base.
+func (stored storedVersions) canWriteDelta(version contract.Version) bool {
+	_, found := stored.files[version.Base]
+	if !found || stored.released[version.Base] || version.Base.Revision >= version.Position.Revision {
 		return false
 	}
 	size := version.Change.Size()
@@ -87,45 +87,45 @@
 		return false
 	}
 	count := 1
-	for place := version.Base; folder.files[place].base.Revision > 0; place = folder.files[place].base {
-		size += folder.files[place].size
+	for position := version.Base; stored.files[position].base.Revision > 0; position = stored.files[position].base {
+		size += stored.files[position].size
 		count++
 	}
 	return count < maxDeltaChain && size <= max(minDeltaChainBytes, version.Document().Size())
 }
 
-// unneeded gives the released files that no other one is a change of, those included that the folder never had.
-func (folder storedVersions) removable() []contract.Position {
+// removable returns the released versions that no delta depends on, including those that the folder never had.
+func (stored storedVersions) removable() []contract.Position {
 	needed := map[contract.Position]bool{}
-	for place := range folder.files {
-		if folder.released[place] {
+	for position := range stored.files {
+		if stored.released[position] {
 			continue
 		}
-		for base := folder.files[place].base; base.Revision > 0 && !needed[base]; base = folder.files[base].base {
+		for base := stored.files[position].base; base.Revision > 0 && !needed[base]; base = stored.files[base].base {
 			needed[base] = true
 		}
 	}
 	removed := []contract.Position{}
-	for place := range folder.released {
-		if !needed[place] {
-			removed = append(removed, place)
+	for position := range stored.released {
+		if !needed[position] {
+			removed = append(removed, position)
 		}
 	}
 	slices.SortFunc(removed, contract.Position.Compare)
 	return removed
 }
 
-// done takes up that a write was synced.
-func (folder storedVersions) apply(writes []Write, drop, removed []contract.Position) {
-	for _, place := range drop {
-		folder.released[place] = true
+// apply records that the writes and removals of a plan were synced.
+func (stored storedVersions) apply(writes []Write, unwanted, removed []contract.Position) {
+	for _, position := range unwanted {
+		stored.released[position] = true
 	}
 	for _, write := range writes {
-		folder.files[write.Version.Position] = storedFile{base: write.Base.Position, size: writeSize(write)}
-		delete(folder.released, write.Version.Position)
+		stored.files[write.Version.Position] = storedFile{base: write.Base.Position, size: writeSize(write)}
+		delete(stored.released, write.Version.Position)
 	}
-	for _, place := range removed {
-		delete(folder.files, place)
-		delete(folder.released, place)
+	for _, position := range removed {
+		delete(stored.files, position)
+		delete(stored.released, position)
 	}
 }
--- a/chain/folder_test.go
+++ b/chain/folder_test.go
@@ -20,35 +20,35 @@
 // files are what a data folder holds as records, by place.
 type files map[contract.Position][]byte
 
-func (held files) save(writes []Write, removed []contract.Position) {
-	for _, place := range removed {
-		delete(held, place)
+func (disk files) save(writes []Write, removed []contract.Position) {
+	for _, position := range removed {
+		delete(disk, position)
 	}
 	for _, write := range writes {
-		content, failure := json.Marshal(write.Record())
-		Expect(failure).NotTo(HaveOccurred())
-		held[write.Version.Position] = content
+		content, err := json.Marshal(write.Record())
+		Expect(err).NotTo(HaveOccurred())
+		disk[write.Version.Position] = content
 	}
 }
 
 // open reads all files as a start does, and gives them as they lie there.
-func (held files) open() ([]contract.Version, []StoredVersion) {
+func (disk files) open() ([]contract.Version, []StoredVersion) {
 	places := []contract.Position{}
-	for place := range held {
-		places = append(places, place)
+	for position := range disk {
+		places = append(places, position)
 	}
 	slices.SortFunc(places, contract.Position.Compare)
 	versions, stored := []contract.Version{}, []StoredVersion{}
-	for _, place := range places {
+	for _, position := range places {
 		record := contract.Record{}
-		Expect(json.Unmarshal(held[place], &record)).To(Succeed())
-		version, failure := record.Decode(versions)
-		Expect(failure).NotTo(HaveOccurred())
-		one := StoredVersion{Position: place, Size: record.Size()}
+		Expect(json.Unmarshal(disk[position], &record)).To(Succeed())
+		version, err := record.Decode(versions)
+		Expect(err).NotTo(HaveOccurred())
+		entry := StoredVersion{Position: position, Size: record.Size()}
 		if record.Base != nil {
-			one.Base = *record.Base
+			entry.Base = *record.Base
 		}
-		versions, stored = append(versions, version), append(stored, one)
+		versions, stored = append(versions, version), append(stored, entry)
 	}
 	return versions, stored
 }
@@ -57,13 +57,13 @@
 	It("given writes, views that leave versions behind, trims, failed writes and restarts, then all that is wanted can always be put together", func() {
 		for seed := range uint64(foldersTried) {
 			random := rand.New(rand.NewPCG(seed, 6))
-			known, held, log := newStoredVersions(nil), files{}, []contract.Version{contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(40)))}
+			known, disk, log := newStoredVersions(nil), files{}, []contract.Version{contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(40)))}
 			writes, removed := known.plan(log, nil)
-			held.save(writes, removed)
+			disk.save(writes, removed)
 			known.apply(writes, nil, removed)
 			view := int64(1)
 			for step := range foldersSteps {
-				fresh, drop := []contract.Version{}, []contract.Position{}
+				added, drop := []contract.Version{}, []contract.Position{}
 				switch random.IntN(8) {
 				case 0:
 					view++
@@ -80,21 +80,21 @@
 					for range 1 + random.IntN(3) {
 						last := log[len(log)-1]
 						next := last.Next(contract.Position{View: view, Revision: last.Position.Revision + 1}, fmt.Sprint(step), item(fmt.Sprint(random.IntN(1000))))
-						log, fresh = append(log, next), append(fresh, next)
+						log, added = append(log, next), append(added, next)
 					}
 				}
-				writes, removed := known.plan(fresh, drop)
+				writes, removed := known.plan(added, drop)
 				if random.IntN(10) == 0 {
-					held.save(writes[:len(writes)/2], removed)
-					writes, removed = known.plan(fresh, drop)
+					disk.save(writes[:len(writes)/2], removed)
+					writes, removed = known.plan(added, drop)
 				}
-				held.save(writes, removed)
+				disk.save(writes, removed)
 				known.apply(writes, drop, removed)
-				versions, stored := held.open()
+				versions, stored := disk.open()
 				for _, version := range log {
-					place := slices.IndexFunc(versions, func(other contract.Version) bool { return other.Position == version.Position })
-					Expect(place).To(BeNumerically(">=", 0), "seed %d, step %d: %v is lost", seed, step, version.Position)
-					Expect(versions[place].Digest).To(Equal(version.Digest))
+					index := slices.IndexFunc(versions, func(other contract.Version) bool { return other.Position == version.Position })
+					Expect(index).To(BeNumerically(">=", 0), "seed %d, step %d: %v is lost", seed, step, version.Position)
+					Expect(versions[index].Digest).To(Equal(version.Digest))
 				}
 				if random.IntN(20) == 0 {
 					known = newStoredVersions(stored)
--- a/chain/forsaken_test.go
+++ b/chain/forsaken_test.go
@@ -18,52 +18,52 @@
 		nodes = append(nodes, contract.CoreNode{Name: name, ID: "boot", Address: name})
 		names = append(names, nodes[len(nodes)-1].Identity())
 	}
-	view := func(number int64) contract.View {
-		return contract.View{Number: number, Core: nodes, Chain: names, Holders: names}
+	view := func(viewNumber int64) contract.View {
+		return contract.View{Number: viewNumber, Core: nodes, Chain: names, Holders: names}
 	}
 	message := func(kind string, body any) contract.Message {
-		text, failure := json.Marshal(body)
-		Expect(failure).NotTo(HaveOccurred())
-		return contract.Message{Kind: kind, From: "middle", Boot: "boot", Body: text}
+		builder, err := json.Marshal(body)
+		Expect(err).NotTo(HaveOccurred())
+		return contract.Message{Kind: kind, From: "middle", Boot: "boot", Body: builder}
 	}
 	head := func() *Replica {
-		owner := New(nodes[0], "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(1, 1)))
-		owner.Handle(0, message(MessageNewView, view(1)))
-		owner.Handle(time.Millisecond, Persisted{Token: owner.token})
-		return owner
+		replica := New(nodes[0], "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(1, 1)))
+		replica.Handle(0, message(MessageNewView, view(1)))
+		replica.Handle(time.Millisecond, Persisted{Token: replica.token})
+		return replica
 	}
-	next := func(owner *Replica, former contract.Version) {
-		owner.Handle(5*time.Millisecond, message(MessageNewView, view(2)))
+	next := func(replica *Replica, former contract.Version) {
+		replica.Handle(5*time.Millisecond, message(MessageNewView, view(2)))
 		for range 2 {
-			owner.Handle(6*time.Millisecond, Persisted{Token: owner.token})
+			replica.Handle(6*time.Millisecond, Persisted{Token: replica.token})
 		}
-		Expect(owner.IsHead()).To(BeTrue())
-		Expect(owner.Versions()).NotTo(ContainElement(former), "nobody waits for it under its key")
-		again, _ := owner.Submit(7*time.Millisecond, "lost", former.Change)
+		Expect(replica.IsHead()).To(BeTrue())
+		Expect(replica.Versions()).NotTo(ContainElement(former), "nobody waits for it under its key")
+		again, _ := replica.Submit(7*time.Millisecond, "lost", former.Change)
 		Expect(again.Position).To(Equal(contract.Position{View: 2, Revision: former.Position.Revision}))
 	}
 
 	It("given that the next view comes before it is synced, then it is forgotten, and taken when it is asked for again", func() {
-		owner := head()
-		version, _ := owner.Submit(2*time.Millisecond, "lost", document.Change{})
-		next(owner, version)
+		replica := head()
+		version, _ := replica.Submit(2*time.Millisecond, "lost", document.Change{})
+		next(replica, version)
 	})
 
 	It("given that its head is sealed when it is synced, then it is forgotten, and taken when it is asked for again", func() {
-		owner := head()
-		version, _ := owner.Submit(2*time.Millisecond, "lost", document.Change{})
-		owner.Handle(3*time.Millisecond, message(MessagePrepare, Prepare{Ballot: Ballot{Number: 2, Round: 1}, Node: nodes[1], Base: view(1)}))
-		owner.Handle(4*time.Millisecond, Persisted{Token: owner.token})
-		next(owner, version)
+		replica := head()
+		version, _ := replica.Submit(2*time.Millisecond, "lost", document.Change{})
+		replica.Handle(3*time.Millisecond, message(MessagePrepare, Prepare{Ballot: Ballot{Number: 2, Round: 1}, Node: nodes[1], Base: view(1)}))
+		replica.Handle(4*time.Millisecond, Persisted{Token: replica.token})
+		next(replica, version)
 	})
 
 	It("given that it was synced and passed on, when the view changes, then it is kept and passed on in the next one", func() {
-		owner := head()
-		version, _ := owner.Submit(2*time.Millisecond, "kept", document.Change{})
-		owner.Handle(3*time.Millisecond, Persisted{Token: owner.token})
-		owner.Handle(5*time.Millisecond, message(MessageNewView, view(2)))
-		Expect(owner.Versions()).To(ContainElement(version))
-		later, _ := owner.Submit(7*time.Millisecond, "later", document.Change{})
+		replica := head()
+		version, _ := replica.Submit(2*time.Millisecond, "kept", document.Change{})
+		replica.Handle(3*time.Millisecond, Persisted{Token: replica.token})
+		replica.Handle(5*time.Millisecond, message(MessageNewView, view(2)))
+		Expect(replica.Versions()).To(ContainElement(version))
+		later, _ := replica.Submit(7*time.Millisecond, "later", document.Change{})
 		Expect(later.Position.Revision).To(Equal(version.Position.Revision + 1))
 	})
 })
--- a/chain/found.go
+++ b/chain/found.go
@@ -8,11 +8,16 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
+// BootstrapPrepare opens a ballot to bootstrap a view, either the first one or the one after the core was lost. In place of a majority, all
+// peers must agree.
 type BootstrapPrepare struct {
 	Ballot Ballot            `json:"ballot"`
 	Node   contract.CoreNode `json:"node"`
 }
 
+// BootstrapPromise answers a BootstrapPrepare. View is the number of the responder's view and Blank tells that it knows of no data in the
+// fleet. Newest is the newest version that it knows, and Accepted the bootstrap proposal that it has accepted before. RejectedBy is the
+// ballot that it has promised if it does not grant this one.
 type BootstrapPromise struct {
 	Ballot     Ballot             `json:"ballot"`
 	Node       contract.CoreNode  `json:"node"`
@@ -24,7 +29,8 @@
 	Accepted   *BootstrapProposal `json:"accepted,omitempty"`
 }
 
-// Foundation is a first view, or the first after the core forgot: it starts from the highest image that any node held.
+// BootstrapProposal proposes a first view, or a new view after the core was lost. Its log starts at Snapshot, the newest version that any peer
+// knows.
 type BootstrapProposal struct {
 	Ballot   Ballot            `json:"ballot"`
 	Node     contract.CoreNode `json:"node"`
@@ -32,6 +38,7 @@
 	Snapshot *contract.Version `json:"image,omitempty"`
 }
 
+// bootstrapAttempt is an attempt of this member to bootstrap a view. proposal is nil until all peers have promised.
 type bootstrapAttempt struct {
 	ballot   Ballot
 	started  time.Duration
@@ -41,9 +48,10 @@
 	votes    map[string]bool
 }
 
-func (owner *Replica) visibleCore() []contract.CoreNode {
+// visibleCore returns the live members that have a data folder, whether or not the view has them.
+func (replica *Replica) visibleCore() []contract.CoreNode {
 	nodes := []contract.CoreNode{}
-	for _, member := range owner.membership.Members {
+	for _, member := range replica.membership.Members {
 		if member.Core {
 			nodes = append(nodes, member.CoreNode())
 		}
@@ -51,25 +59,25 @@
 	return nodes
 }
 
-// lostCore holds when there is no core whose majority could decide: before the first view, or when so many members can never return
-// that those left are no majority. A member never returns once an operator has declared it gone, or its own machine came back with
-// another disk. That a member is merely silent proves nothing.
-func (owner *Replica) coreLost() bool {
-	if owner.view.Number == 0 {
+// coreLost reports whether there is no core whose majority could decide: before the first view, or when so many members can never return
+// that the others are no majority. A member can never return once an operator has declared it gone or its machine has come back with
+// another data folder. Silence alone does not prove that a member is lost.
+func (replica *Replica) coreLost() bool {
+	if replica.view.Number == 0 {
 		return true
 	}
 	gone := 0
-	for _, node := range owner.view.Core {
-		if _, replaced := owner.replacement(node); !owner.isAlive(node) && (replaced || owner.declaredGone[node.Identity()]) {
+	for _, node := range replica.view.Core {
+		if _, replaced := replica.replacement(node); !replica.isAlive(node) && (replaced || replica.declaredGone[node.Identity()]) {
 			gone++
 		}
 	}
-	return len(owner.view.Core)-gone < owner.view.Majority()
+	return len(replica.view.Core)-gone < replica.view.Majority()
 }
 
-// successor gives the member that a machine is now, where it came back with another disk.
-func (owner *Replica) replacement(node contract.CoreNode) (contract.CoreNode, bool) {
-	for _, other := range owner.visibleCore() {
+// replacement returns the new member on the machine of a member, if the machine came back with another data folder.
+func (replica *Replica) replacement(node contract.CoreNode) (contract.CoreNode, bool) {
+	for _, other := range replica.visibleCore() {
 		if other.Name == node.Name && other.ID != node.ID {
 			return other, true
 		}
@@ -77,37 +85,39 @@
 	return contract.CoreNode{}, false
 }
 
-// Declare takes an operator's word that a machine's former member never returns; a live one is not believed dead.
-func (owner *Replica) DeclareGone(name string) bool {
-	for _, node := range owner.view.Core {
-		if node.Name == name && !owner.isAlive(node) {
-			owner.declaredGone[node.Identity()] = true
+// DeclareGone records an operator's statement that the member of the given name never returns. It reports false if the view has no such
+// member or if it is alive.
+func (replica *Replica) DeclareGone(name string) bool {
+	for _, node := range replica.view.Core {
+		if node.Name == name && !replica.isAlive(node) {
+			replica.declaredGone[node.Identity()] = true
 			return true
 		}
 	}
 	return false
 }
 
-// foundPeers are those who all have to agree to a first view, or to one after the core was lost: then every machine of the old core
-// must be there, as the member that it was or as its successor, or be declared gone. Others take the places of those.
-func (owner *Replica) bootstrapPeers() []contract.CoreNode {
-	if owner.view.Number == 0 {
-		return owner.founderNodes()
+// bootstrapPeers returns the members that all have to agree to a bootstrap, by name. After the core was lost, each machine of the old core
+// must be present, as its member or with a replacement, or be declared gone; otherwise there are no peers. Spares fill the places of those
+// declared gone.
+func (replica *Replica) bootstrapPeers() []contract.CoreNode {
+	if replica.view.Number == 0 {
+		return replica.founderNodes()
 	}
 	peers := []contract.CoreNode{}
-	for _, node := range owner.view.Core {
-		successor, replaced := owner.replacement(node)
+	for _, node := range replica.view.Core {
+		successor, replaced := replica.replacement(node)
 		switch {
-		case owner.isAlive(node):
+		case replica.isAlive(node):
 			peers = append(peers, node)
 		case replaced:
 			peers = append(peers, successor)
-		case !owner.declaredGone[node.Identity()]:
+		case !replica.declaredGone[node.Identity()]:
 			return nil
 		}
 	}
-	for _, node := range owner.spares() {
-		if len(owner.declaredGone) > 0 && len(peers) < owner.coreSize && !slices.Contains(peers, node) {
+	for _, node := range replica.spares() {
+		if len(replica.declaredGone) > 0 && len(peers) < replica.coreSize && !slices.Contains(peers, node) {
 			peers = append(peers, node)
 		}
 	}
@@ -115,11 +125,11 @@
 	return peers
 }
 
-// founderNodes are the members that bootstrap a blank fleet: those at the addresses that were told, or all that are seen.
-func (owner *Replica) founderNodes() []contract.CoreNode {
-	nodes := owner.visibleCore()
-	if len(owner.founders) > 0 {
-		nodes = slices.DeleteFunc(nodes, func(node contract.CoreNode) bool { return !slices.Contains(owner.founders, node.Address) })
+// founderNodes returns the members that bootstrap a blank fleet: those at the addresses of the founders, or all visible ones if none are set.
+func (replica *Replica) founderNodes() []contract.CoreNode {
+	nodes := replica.visibleCore()
+	if len(replica.founders) > 0 {
+		nodes = slices.DeleteFunc(nodes, func(node contract.CoreNode) bool { return !slices.Contains(replica.founders, node.Address) })
 	}
 	sortByName(nodes)
 	return nodes
@@ -129,11 +139,12 @@
 	slices.SortFunc(nodes, func(left, right contract.CoreNode) int { return strings.Compare(left.Name, right.Name) })
 }
 
-func (owner *Replica) isBlankFleet() bool {
-	if !owner.mayBootstrap || owner.view.Number > 0 || owner.membership.NewestVersion.Position.Revision > 0 || len(owner.salvaged) > 0 {
+// isBlankFleet reports whether this member may bootstrap a first view and no node is known to hold a view or a version.
+func (replica *Replica) isBlankFleet() bool {
+	if !replica.mayBootstrap || replica.view.Number > 0 || replica.membership.NewestVersion.Position.Revision > 0 || len(replica.salvaged) > 0 {
 		return false
 	}
-	for _, member := range owner.membership.Members {
+	for _, member := range replica.membership.Members {
 		if member.View > 0 || member.Position.Revision > 0 {
 			return false
 		}
@@ -141,124 +152,128 @@
 	return true
 }
 
-// founderCount is how many members bootstrap a blank fleet.
-func (owner *Replica) founderCount() int {
-	if len(owner.founders) > 0 {
-		return len(owner.founders)
+// founderCount returns the number of members that bootstrap a blank fleet.
+func (replica *Replica) founderCount() int {
+	if len(replica.founders) > 0 {
+		return len(replica.founders)
 	}
-	return owner.coreSize
+	return replica.coreSize
 }
 
-func (owner *Replica) tickBootstrap(now time.Duration) {
-	if owner.coreLostSince < 0 {
-		owner.coreLostSince = now
-	}
-	if owner.bootstrapping != nil {
-		if now-owner.bootstrapping.started > owner.bounds.Round()*2 {
-			owner.bootstrapping = nil
-			owner.retryAt = now + time.Duration(owner.random.Int64N(int64(owner.bounds.Round())))
+// tickBootstrap starts a bootstrap attempt if this member is the first of the peers, and gives up one that takes too long.
+func (replica *Replica) tickBootstrap(now time.Duration) {
+	if replica.coreLostSince < 0 {
+		replica.coreLostSince = now
+	}
+	if replica.bootstrapping != nil {
+		if now-replica.bootstrapping.started > replica.bounds.Round()*2 {
+			replica.bootstrapping = nil
+			replica.retryAt = now + time.Duration(replica.random.Int64N(int64(replica.bounds.Round())))
 		}
 		return
 	}
-	owner.queryBootstrapVotes(now)
-	peers := owner.bootstrapPeers()
-	if owner.view.Number == 0 && (len(peers) != owner.founderCount() || !owner.isBlankFleet()) {
+	replica.queryBootstrapVotes(now)
+	peers := replica.bootstrapPeers()
+	if replica.view.Number == 0 && (len(peers) != replica.founderCount() || !replica.isBlankFleet()) {
 		return
 	}
-	waited := now - owner.coreLostSince
-	if len(peers) < 2 || waited < owner.bounds.Round() || now-owner.startedAt < owner.bounds.Lease() || now < owner.retryAt || peers[0].Identity() != owner.self.Identity() {
+	waited := now - replica.coreLostSince
+	if len(peers) < 2 || waited < replica.bounds.Round() || now-replica.startedAt < replica.bounds.Lease() || now < replica.retryAt || peers[0].Identity() != replica.self.Identity() {
 		return
 	}
-	owner.bootstrapPromised.Round++
-	ballot := Ballot{Number: owner.view.Number + 1, Round: owner.bootstrapPromised.Round, Proposer: owner.proposer()}
-	owner.bootstrapping = &bootstrapAttempt{ballot: ballot, started: now, peers: peers, promises: map[string]BootstrapPromise{}, votes: map[string]bool{}}
+	replica.bootstrapPromised.Round++
+	ballot := Ballot{Number: replica.view.Number + 1, Round: replica.bootstrapPromised.Round, Proposer: replica.proposer()}
+	replica.bootstrapping = &bootstrapAttempt{ballot: ballot, started: now, peers: peers, promises: map[string]BootstrapPromise{}, votes: map[string]bool{}}
 	for _, node := range peers {
-		owner.send(node, MessageBootstrapPrepare, BootstrapPrepare{Ballot: ballot, Node: owner.self})
+		replica.send(node, MessageBootstrapPrepare, BootstrapPrepare{Ballot: ballot, Node: replica.self})
 	}
-	owner.emit(contract.AddCounter{Name: "foundings_tried", Delta: 1})
+	replica.emit(contract.AddCounter{Name: "foundings_tried", Delta: 1})
 }
 
-func (owner *Replica) newestKnown() *contract.Version {
-	var best *contract.Version
+// newestKnown returns the newest version that this member holds or was told of, or nil.
+func (replica *Replica) newestKnown() *contract.Version {
+	var newest *contract.Version
 	take := func(version contract.Version) {
-		if version.Position.Revision > 0 && (best == nil || best.Position.Before(version.Position)) {
-			best = &version
+		if version.Position.Revision > 0 && (newest == nil || newest.Position.Before(version.Position)) {
+			newest = &version
 		}
 	}
-	take(owner.membership.NewestVersion)
-	for _, version := range owner.salvaged {
+	take(replica.membership.NewestVersion)
+	for _, version := range replica.salvaged {
 		take(version)
 	}
-	for _, version := range owner.versions {
+	for _, version := range replica.versions {
 		take(version)
 	}
-	return best
+	return newest
 }
 
-func (owner *Replica) handleBootstrapPrepare(ask BootstrapPrepare) {
-	tell := BootstrapPromise{Ballot: ask.Ballot, Node: owner.self, View: owner.view.Number, Blank: owner.isBlankFleet(), Newest: owner.newestKnown(), Accepted: owner.bootstrapAccepted}
-	if !owner.coreLost() || ask.Ballot.Number != owner.view.Number+1 || ask.Ballot.Before(owner.bootstrapPromised) {
-		tell.RejectedBy = owner.bootstrapPromised
+func (replica *Replica) handleBootstrapPrepare(request BootstrapPrepare) {
+	promise := BootstrapPromise{Ballot: request.Ballot, Node: replica.self, View: replica.view.Number, Blank: replica.isBlankFleet(), Newest: replica.newestKnown(), Accepted: replica.bootstrapAccepted}
+	if !replica.coreLost() || request.Ballot.Number != replica.view.Number+1 || request.Ballot.Before(replica.bootstrapPromised) {
+		promise.RejectedBy = replica.bootstrapPromised
 	} else {
-		owner.bootstrapPromised, owner.sealed, tell.Granted = ask.Ballot, owner.view.Number > 0, owner.diskHealthy
+		replica.bootstrapPromised, replica.sealed, promise.Granted = request.Ballot, replica.view.Number > 0, replica.diskHealthy
 	}
-	owner.send(ask.Node, MessageBootstrapPromise, tell)
+	replica.send(request.Node, MessageBootstrapPromise, promise)
 }
 
-func (owner *Replica) handleBootstrapPromise(now time.Duration, tell BootstrapPromise) {
-	founding := owner.bootstrapping
-	if founding == nil || founding.ballot != tell.Ballot || founding.proposal != nil {
+// handleBootstrapPromise collects promises. Once all peers have promised, it proposes a view with the newest snapshot, or the view that a peer
+// has already accepted for the same core.
+func (replica *Replica) handleBootstrapPromise(now time.Duration, promise BootstrapPromise) {
+	attempt := replica.bootstrapping
+	if attempt == nil || attempt.ballot != promise.Ballot || attempt.proposal != nil {
 		return
 	}
-	if !tell.Granted {
-		owner.bootstrapPromised.Round = max(owner.bootstrapPromised.Round, tell.RejectedBy.Round)
+	if !promise.Granted {
+		replica.bootstrapPromised.Round = max(replica.bootstrapPromised.Round, promise.RejectedBy.Round)
 		return
 	}
-	if !slices.Contains(founding.peers, tell.Node) {
+	if !slices.Contains(attempt.peers, promise.Node) {
 		return
 	}
-	founding.promises[tell.Node.Identity()] = tell
-	if len(founding.promises) < len(founding.peers) {
+	attempt.promises[promise.Node.Identity()] = promise
+	if len(attempt.promises) < len(attempt.peers) {
 		return
 	}
-	foundation := BootstrapProposal{Ballot: founding.ballot, Node: owner.self, View: contract.View{Number: founding.ballot.Number}}
-	if owner.view.Number > 0 {
-		foundation.View.Number += rebuiltViewGap
+	proposal := BootstrapProposal{Ballot: attempt.ballot, Node: replica.self, View: contract.View{Number: attempt.ballot.Number}}
+	if replica.view.Number > 0 {
+		proposal.View.Number += rebuiltViewGap
 	}
-	for _, node := range founding.peers {
-		other := founding.promises[node.Identity()]
-		if owner.view.Number == 0 && !other.Blank {
+	for _, node := range attempt.peers {
+		other := attempt.promises[node.Identity()]
+		if replica.view.Number == 0 && !other.Blank {
 			return
 		}
-		if other.Newest != nil && (foundation.Snapshot == nil || foundation.Snapshot.Position.Before(other.Newest.Position)) {
-			foundation.Snapshot = other.Newest
+		if other.Newest != nil && (proposal.Snapshot == nil || proposal.Snapshot.Position.Before(other.Newest.Position)) {
+			proposal.Snapshot = other.Newest
 		}
-		foundation.View.Core = append(foundation.View.Core, node)
-		foundation.View.Chain = append(foundation.View.Chain, node.Identity())
-	}
-	foundation.View.Holders = foundation.View.Chain
-	for _, node := range owner.view.Core {
-		present := len(foundation.View.Core) >= owner.coreSize
-		for _, peer := range founding.peers {
-			present = present || peer.Name == node.Name
+		proposal.View.Core = append(proposal.View.Core, node)
+		proposal.View.Chain = append(proposal.View.Chain, node.Identity())
+	}
+	proposal.View.Holders = proposal.View.Chain
+	for _, node := range replica.view.Core {
+		alive := len(proposal.View.Core) >= replica.coreSize
+		for _, peer := range attempt.peers {
+			alive = alive || peer.Name == node.Name
 		}
-		if !present {
-			foundation.View.Core = append(foundation.View.Core, node)
+		if !alive {
+			proposal.View.Core = append(proposal.View.Core, node)
 		}
 	}
-	for _, node := range founding.peers {
-		accepted := founding.promises[node.Identity()].Accepted
-		if accepted != nil && accepted.Ballot.Number == founding.ballot.Number && sameCore(accepted.View, foundation.View) {
-			foundation.View, foundation.Snapshot = accepted.View, accepted.Snapshot
+	for _, node := range attempt.peers {
+		accepted := attempt.promises[node.Identity()].Accepted
+		if accepted != nil && accepted.Ballot.Number == attempt.ballot.Number && sameCore(accepted.View, proposal.View) {
+			proposal.View, proposal.Snapshot = accepted.View, accepted.Snapshot
 		}
 	}
-	founding.proposal = &foundation
-	for _, node := range founding.peers {
-		owner.send(node, MessageBootstrapAccept, foundation)
+	attempt.proposal = &proposal
+	for _, node := range attempt.peers {
+		replica.send(node, MessageBootstrapAccept, proposal)
 	}
 }
 
-// foundingGap keeps the numbers of a core that was founded anew apart from views that the lost core may still have decided.
+// rebuiltViewGap is added to the number of a view that replaces a lost core, so that it exceeds those that the lost core may have decided.
 const rebuiltViewGap = 1 << 10
 
 func sameCore(left, right contract.View) bool {
@@ -273,70 +288,72 @@
 	return true
 }
 
-func (owner *Replica) handleBootstrapAccept(now time.Duration, foundation BootstrapProposal) {
-	if !owner.coreLost() || foundation.Ballot.Number != owner.view.Number+1 || foundation.Ballot.Before(owner.bootstrapPromised) {
+// handleBootstrapAccept accepts a proposal and tells the proposer once the proposal and its snapshot are synced.
+func (replica *Replica) handleBootstrapAccept(now time.Duration, proposal BootstrapProposal) {
+	if !replica.coreLost() || proposal.Ballot.Number != replica.view.Number+1 || proposal.Ballot.Before(replica.bootstrapPromised) {
 		return
 	}
-	owner.bootstrapPromised, owner.bootstrapAccepted = foundation.Ballot, &foundation
-	work := persistJob{record: true}
-	if foundation.Snapshot != nil {
-		work.versions = []contract.Version{*foundation.Snapshot}
+	replica.bootstrapPromised, replica.bootstrapAccepted = proposal.Ballot, &proposal
+	job := persistJob{record: true}
+	if proposal.Snapshot != nil {
+		job.versions = []contract.Version{*proposal.Snapshot}
 	}
-	work.onSynced = func(now time.Duration) {
-		owner.bootstrapSynced = foundation.Ballot
-		owner.send(foundation.Node, MessageBootstrapAccepted, Accepted{Ballot: foundation.Ballot, Node: owner.self})
+	job.onSynced = func(now time.Duration) {
+		replica.bootstrapSynced = proposal.Ballot
+		replica.send(proposal.Node, MessageBootstrapAccepted, Accepted{Ballot: proposal.Ballot, Node: replica.self})
 	}
-	owner.persist(now, work)
+	replica.persist(now, job)
 }
 
-func (owner *Replica) handleBootstrapAccepted(now time.Duration, accepted Accepted) {
-	founding := owner.bootstrapping
-	if founding == nil || founding.proposal == nil || founding.ballot != accepted.Ballot {
+// handleBootstrapAccepted counts votes. The view is decided once all peers have accepted it.
+func (replica *Replica) handleBootstrapAccepted(now time.Duration, accepted Accepted) {
+	attempt := replica.bootstrapping
+	if attempt == nil || attempt.proposal == nil || attempt.ballot != accepted.Ballot {
 		return
 	}
-	founding.votes[accepted.Node.Identity()] = true
-	if len(founding.votes) < len(founding.peers) {
+	attempt.votes[accepted.Node.Identity()] = true
+	if len(attempt.votes) < len(attempt.peers) {
 		return
 	}
-	peers, foundation := founding.peers, *founding.proposal
-	owner.bootstrapping = nil
-	owner.installBootstrap(now, foundation)
-	owner.sendOthers(peers, MessageBootstrapCommit, foundation)
+	peers, proposal := attempt.peers, *attempt.proposal
+	replica.bootstrapping = nil
+	replica.installBootstrap(now, proposal)
+	replica.sendOthers(peers, MessageBootstrapCommit, proposal)
 }
 
-// begin takes up a foundation: the image is in force again, with the older versions that this folder still has.
-func (owner *Replica) installBootstrap(now time.Duration, foundation BootstrapProposal) {
-	if foundation.View.Number <= owner.view.Number {
+// installBootstrap installs a decided bootstrap: the log is reset to the snapshot and the older versions that this folder still has.
+func (replica *Replica) installBootstrap(now time.Duration, proposal BootstrapProposal) {
+	if proposal.View.Number <= replica.view.Number {
 		return
 	}
-	image := foundation.Snapshot
-	former, past := owner.versions, owner.sortedPastOperations()
-	owner.log = newLog(owner.bounds.History, owner.bounds.HistoryBytes)
+	image := proposal.Snapshot
+	former, past := replica.versions, replica.sortedPastOperations()
+	replica.log = newLog(replica.bounds.History, replica.bounds.HistoryBytes)
 	if image != nil {
-		for _, source := range []map[int64]contract.Version{owner.salvaged, former} {
+		for _, source := range []map[int64]contract.Version{replica.salvaged, former} {
 			for revision, version := range source {
-				if revision < image.Position.Revision && revision > image.Position.Revision-owner.bounds.History && !image.Position.Before(version.Position) {
-					owner.put(version)
+				if revision < image.Position.Revision && revision > image.Position.Revision-replica.bounds.History && !image.Position.Before(version.Position) {
+					replica.put(version)
 				}
 			}
 		}
-		owner.put(*image)
-		owner.lastSynced, owner.committed = image.Position.Revision, image.Position.Revision
-		owner.addPastOperations(past)
-		owner.emit(Committed{Version: *image})
-		owner.commitUpTo(owner.committed)
-	}
-	owner.bootstrapAccepted = nil
-	drop := []contract.Position{}
-	for _, source := range []map[int64]contract.Version{owner.salvaged, former} {
+		replica.put(*image)
+		replica.lastSynced, replica.committed = image.Position.Revision, image.Position.Revision
+		replica.addPastOperations(past)
+		replica.emit(Committed{Version: *image})
+		replica.commitUpTo(replica.committed)
+	}
+	replica.bootstrapAccepted = nil
+	removed := []contract.Position{}
+	for _, source := range []map[int64]contract.Version{replica.salvaged, former} {
 		for revision, version := range source {
-			if kept, there := owner.versions[revision]; !there || kept.Position != version.Position {
-				drop = append(drop, version.Position)
+			if kept, found := replica.versions[revision]; !found || kept.Position != version.Position {
+				removed = append(removed, version.Position)
 			}
 		}
 	}
-	owner.queueRemoval(drop)
-	owner.salvaged = map[int64]contract.Version{}
-	owner.installView(now, foundation.View)
-	owner.emit(contract.AddCounter{Name: "foundings", Delta: 1})
+	replica.queueRemoval(removed)
+	replica.salvaged = map[int64]contract.Version{}
+	replica.installView(now, proposal.View)
+	replica.emit(contract.AddCounter{Name: "foundings", Delta: 1})
 }
--- a/chain/founded.go
+++ b/chain/founded.go
@@ -6,53 +6,55 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// FoundedAsk asks a member whether it has synced its yes to a first view; FoundedHeld answers with the view that it agreed to.
+// BootstrapVoteQuery asks a member which bootstrap proposal it has synced. BootstrapVote answers with the view of the proposal.
 //
-// Members that restart before any of them has written the view down that all agreed to would wait for ever otherwise. A majority that
-// still holds the same yes is enough: another first view would need the yes of each of these members to that one instead.
+// Members that restart after all of them accepted a first view, but before any of them recorded it as decided, would otherwise wait forever.
+// A majority that still holds the same vote suffices: a different first view would need the vote of each of these members.
 type BootstrapVoteQuery struct {
 	Node contract.CoreNode `json:"node"`
 }
 
+// BootstrapVote answers a BootstrapVoteQuery.
 type BootstrapVote struct {
 	Node contract.CoreNode `json:"node"`
 	View contract.View     `json:"view"`
 }
 
-func (owner *Replica) queryBootstrapVotes(now time.Duration) {
-	accepted := owner.syncedBootstrap()
-	if accepted == nil || now-owner.bootstrapVotesQueried < owner.bounds.Round() || now-owner.startedAt < owner.bounds.Lease() {
+// queryBootstrapVotes asks the peers for their votes if this member has accepted a proposal and does not know whether it was decided.
+func (replica *Replica) queryBootstrapVotes(now time.Duration) {
+	accepted := replica.syncedBootstrap()
+	if accepted == nil || now-replica.bootstrapVotesQueried < replica.bounds.Round() || now-replica.startedAt < replica.bounds.Lease() {
 		return
 	}
-	owner.bootstrapVotesQueried, owner.bootstrapVotes = now, map[string]bool{owner.self.Identity(): true}
-	owner.sendOthers(accepted.View.Core, MessageBootstrapVoteQuery, BootstrapVoteQuery{Node: owner.self})
+	replica.bootstrapVotesQueried, replica.bootstrapVotes = now, map[string]bool{replica.self.Identity(): true}
+	replica.sendOthers(accepted.View.Core, MessageBootstrapVoteQuery, BootstrapVoteQuery{Node: replica.self})
 }
 
-// syncedFoundation gives the first view that this member's folder agrees to, or nothing.
-func (owner *Replica) syncedBootstrap() *BootstrapProposal {
-	if accepted := owner.bootstrapAccepted; accepted != nil && owner.bootstrapSynced == accepted.Ballot {
+// syncedBootstrap returns the proposal that this member has accepted and synced, or nil.
+func (replica *Replica) syncedBootstrap() *BootstrapProposal {
+	if accepted := replica.bootstrapAccepted; accepted != nil && replica.bootstrapSynced == accepted.Ballot {
 		return accepted
 	}
 	return nil
 }
 
-func (owner *Replica) handleBootstrapVoteQuery(ask BootstrapVoteQuery) {
-	if owner.view.Number > 0 {
-		owner.send(ask.Node, MessageNewView, owner.view)
+func (replica *Replica) handleBootstrapVoteQuery(request BootstrapVoteQuery) {
+	if replica.view.Number > 0 {
+		replica.send(request.Node, MessageNewView, replica.view)
 		return
 	}
-	if accepted := owner.syncedBootstrap(); accepted != nil {
-		owner.send(ask.Node, MessageBootstrapVote, BootstrapVote{Node: owner.self, View: accepted.View})
+	if accepted := replica.syncedBootstrap(); accepted != nil {
+		replica.send(request.Node, MessageBootstrapVote, BootstrapVote{Node: replica.self, View: accepted.View})
 	}
 }
 
-func (owner *Replica) handleBootstrapVote(now time.Duration, held BootstrapVote) {
-	accepted := owner.syncedBootstrap()
-	if accepted == nil || held.View.Number != accepted.View.Number || !sameCore(held.View, accepted.View) {
+func (replica *Replica) handleBootstrapVote(now time.Duration, vote BootstrapVote) {
+	accepted := replica.syncedBootstrap()
+	if accepted == nil || vote.View.Number != accepted.View.Number || !sameCore(vote.View, accepted.View) {
 		return
 	}
-	owner.bootstrapVotes[held.Node.Identity()] = true
-	if len(owner.bootstrapVotes) >= accepted.View.Majority() {
-		owner.installBootstrap(now, *accepted)
+	replica.bootstrapVotes[vote.Node.Identity()] = true
+	if len(replica.bootstrapVotes) >= accepted.View.Majority() {
+		replica.installBootstrap(now, *accepted)
 	}
 }
--- a/chain/log.go
+++ b/chain/log.go
@@ -7,11 +7,11 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// log holds a member's versions by revision. All up to committed are committed; those up to top were synced, those up to assigned were
-// numbered by this member as the head.
+// log holds the versions of a member by revision. Those up to committed are committed, those up to lastSynced are synced here, and those up to
+// lastAssigned were assigned their revision by this member as the head.
 //
-// It keeps the newest historyMost revisions, and of these no more than bytesMost bytes of changes. The operations of all of them are
-// kept, also of those whose versions are not: an order that is sent again finds what it did for as long.
+// It keeps the newest maxRevisions revisions, and of these at most maxBytes of changes. The operations of all revisions in that window are
+// kept, even where the version is not, so that a write that is retried finds its result for as long.
 type log struct {
 	maxRevisions int64
 	maxBytes     int64
@@ -20,15 +20,15 @@
 	lastSynced   int64
 	committed    int64
 	lastAssigned int64
-	// oldest is a revision below which no version is kept.
+	// oldest is the revision below which no version is kept.
 	oldest int64
-	// bytes are those of all kept changes.
+	// bytes is the total size of the kept changes.
 	bytes int64
-	// operations finds what an operation made by its key. It holds the operations of all kept versions and those that are past.
+	// operations maps the key of an operation to the position of its version, for all kept versions and past operations.
 	operations map[string]contract.Position
-	// past are the committed operations whose versions are no longer kept, by revision.
+	// pastOperations are the committed operations whose versions are no longer kept, by revision.
 	pastOperations map[int64]contract.PastOperation
-	// pastChanged tells that the folder has to be told of them.
+	// pastChanged tells that pastOperations has to be written to the folder.
 	pastChanged bool
 }
 
@@ -36,28 +36,30 @@
 	return log{maxRevisions: historyMost, maxBytes: bytesMost, versions: map[int64]contract.Version{}, operations: map[string]contract.Position{}, pastOperations: map[int64]contract.PastOperation{}}
 }
 
-// Operation gives the version that an operation made, whether or not it is committed yet; without its content, where that is no longer kept.
+// Operation returns the version that the operation with the given key created, whether or not it is committed yet. The version has no content
+// if it is no longer kept.
 func (log *log) Operation(key string) (contract.Version, bool) {
-	place, there := log.operations[key]
-	if !there {
+	position, found := log.operations[key]
+	if !found {
 		return contract.Version{}, false
 	}
-	if past, gone := log.pastOperations[place.Revision]; gone && past.Position == place {
-		return contract.Version{Position: place, Operation: past.Operation}, true
+	if past, gone := log.pastOperations[position.Revision]; gone && past.Position == position {
+		return contract.Version{Position: position, Operation: past.Operation}, true
 	}
-	return log.lookup(place)
+	return log.lookup(position)
 }
 
-// OldestKept gives the oldest version that is kept.
+// OldestKept returns the oldest version that is kept.
 func (log *log) OldestKept() (contract.Version, bool) {
-	version, there := log.versions[log.oldest]
-	return version, there
+	version, found := log.versions[log.oldest]
+	return version, found
 }
 
-// Remembers tells whether the operation of a committed revision is still known, so that one which is not found was never taken.
+// InWindow reports whether a revision is recent enough that the operations of the log are kept for it.
 func (log *log) InWindow(revision int64) bool { return revision > log.committed-log.maxRevisions }
 
-// RemembersAll tells whether the operations of all revisions there ever were are still known.
+// RemembersAllOperations reports whether the operations of all revisions that ever existed are known, so that an operation that is not found
+// was never executed.
 func (log *log) RemembersAllOperations() bool {
 	if !log.InWindow(1) {
 		return false
@@ -70,41 +72,41 @@
 	return true
 }
 
-// at gives the version of a place, if the log has it.
-func (log *log) lookup(place contract.Position) (contract.Version, bool) {
-	if version, there := log.versions[place.Revision]; there && version.Position == place {
+// lookup returns the version at a position, if the log has it.
+func (log *log) lookup(position contract.Position) (contract.Version, bool) {
+	if version, found := log.versions[position.Revision]; found && version.Position == position {
 		return version, true
 	}
 	return contract.Version{}, false
 }
 
-// before gives the newest kept revision before another one, or 0.
+// previousRevision returns the newest kept revision before another one, or 0.
 func (log *log) previousRevision(revision int64) int64 {
 	for previous := revision - 1; previous > 0 && previous > revision-log.maxRevisions; previous-- {
-		if _, there := log.versions[previous]; there {
+		if _, found := log.versions[previous]; found {
 			return previous
 		}
 	}
 	return 0
 }
 
-// follows tells whether the log has the version before those that are passed.
+// hasPrevious reports whether the log has synced the predecessor of versions that are to be appended. The zero position stands for none.
 func (log *log) hasPrevious(previous contract.Position) bool {
-	_, there := log.lookup(previous)
-	return previous.Revision == 0 || there && previous.Revision <= log.lastSynced
+	_, found := log.lookup(previous)
+	return previous.Revision == 0 || found && previous.Revision <= log.lastSynced
 }
 
-// knows tells whether a revision is kept, or its operation is all that is left of it.
+// knows reports whether the log has the version of a revision or at least its operation.
 func (log *log) knows(revision int64) bool {
 	_, kept := log.versions[revision]
 	_, past := log.pastOperations[revision]
 	return kept || past
 }
 
-// keep puts a version into the log.
+// put adds a version to the log, in place of another one under its revision.
 func (log *log) put(version contract.Version) {
 	revision := version.Position.Revision
-	if former, there := log.versions[revision]; there {
+	if former, found := log.versions[revision]; found {
 		log.remove(former)
 	}
 	delete(log.pastOperations, revision)
@@ -116,33 +118,33 @@
 	}
 }
 
-// forget takes a version out of the log.
+// remove removes a version from the log.
 func (log *log) remove(version contract.Version) {
 	delete(log.versions, version.Position.Revision)
 	log.bytes -= version.RetainedBytes()
 	log.removeOperation(version.Operation, version.Position)
 }
 
-func (log *log) removeOperation(operation string, place contract.Position) {
-	if key := contract.OperationKey(operation); log.operations[key] == place {
+func (log *log) removeOperation(operation string, position contract.Position) {
+	if key := contract.OperationKey(operation); log.operations[key] == position {
 		delete(log.operations, key)
 	}
 }
 
-// remember takes up operations whose versions are no longer kept, as the folder or another member has them.
+// addPastOperations adds operations from the folder or from another member whose versions are no longer kept there.
 func (log *log) addPastOperations(operations []contract.PastOperation) {
-	for _, one := range operations {
-		revision := one.Position.Revision
+	for _, operation := range operations {
+		revision := operation.Position.Revision
 		if log.knows(revision) || !log.InWindow(revision) || revision > log.committed {
 			continue
 		}
-		log.pastOperations[revision] = one
-		log.operations[contract.OperationKey(one.Operation)] = one.Position
+		log.pastOperations[revision] = operation
+		log.operations[contract.OperationKey(operation.Operation)] = operation.Position
 		log.pastChanged = true
 	}
 }
 
-// pastOperations gives the operations whose versions are no longer kept, the oldest first.
+// sortedPastOperations returns the operations whose versions are no longer kept, the oldest first.
 func (log *log) sortedPastOperations() []contract.PastOperation {
 	operations := []contract.PastOperation{}
 	for _, revision := range slices.Sorted(maps.Keys(log.pastOperations)) {
@@ -151,16 +153,16 @@
 	return operations
 }
 
-// trim forgets the committed versions that are too old or too many bytes, but never the newest, and gives their places. Revisions may have
-// gaps, none larger than the window.
+// trim removes committed versions that are older than the window or exceed the byte limit, but never the newest one, and returns their
+// positions. Revisions may have gaps, none larger than the window.
 func (log *log) trim() []contract.Position {
-	drop := []contract.Position{}
+	removed := []contract.Position{}
 	for ; log.oldest > 0 && log.oldest < log.committed && (!log.InWindow(log.oldest) || log.bytes > log.maxBytes); log.oldest++ {
-		version, there := log.versions[log.oldest]
-		if !there {
+		version, found := log.versions[log.oldest]
+		if !found {
 			continue
 		}
-		drop = append(drop, version.Position)
+		removed = append(removed, version.Position)
 		log.remove(version)
 		if log.InWindow(log.oldest) {
 			log.pastOperations[log.oldest] = contract.PastOperation{Position: version.Position, Operation: version.Operation}
@@ -168,31 +170,31 @@
 			log.pastChanged = true
 		}
 	}
-	for revision, one := range log.pastOperations {
+	for revision, operation := range log.pastOperations {
 		if !log.InWindow(revision) {
 			delete(log.pastOperations, revision)
-			log.removeOperation(one.Operation, one.Position)
+			log.removeOperation(operation.Operation, operation.Position)
 		}
 	}
-	return drop
+	return removed
 }
 
-// truncate takes all versions after a revision out of the log and gives their places.
+// truncate removes all versions after a revision from the log and returns their positions.
 func (log *log) truncate(last int64) []contract.Position {
-	drop := []contract.Position{}
+	removed := []contract.Position{}
 	for revision, version := range log.versions {
 		if revision > last {
-			drop = append(drop, version.Position)
+			removed = append(removed, version.Position)
 			log.remove(version)
 		}
 	}
 	if log.lastSynced > last {
 		log.lastSynced = log.previousRevision(last + 1)
 	}
-	return drop
+	return removed
 }
 
-// Versions gives all kept versions, the oldest first.
+// Versions returns all kept versions, the oldest first.
 func (log *log) Versions() []contract.Version {
 	versions := []contract.Version{}
 	for _, revision := range slices.Sorted(maps.Keys(log.versions)) {
--- a/chain/log_test.go
+++ b/chain/log_test.go
@@ -16,55 +16,55 @@
 	)
 	// grown gives a log of so many committed versions, each of which is a change of changeSize bytes.
 	grown := func(count int64) (*log, []contract.Position) {
-		made, dropped := newLog(window, bytesMost), []contract.Position{}
+		result, dropped := newLog(window, bytesMost), []contract.Position{}
 		version := contract.Version{}
 		for revision := int64(1); revision <= count; revision++ {
 			version = version.Next(contract.Position{View: 1, Revision: revision}, contract.OperationID(fmt.Sprint("o", revision), "f"),
 				item(fmt.Sprintf("%q", fmt.Sprintf("%0*d", changeSize-len("/item")-2, revision))))
-			made.put(version)
-			made.lastSynced, made.committed = revision, revision
-			dropped = append(dropped, made.trim()...)
+			result.put(version)
+			result.lastSynced, result.committed = revision, revision
+			dropped = append(dropped, result.trim()...)
 		}
-		return &made, dropped
+		return &result, dropped
 	}
 
 	It("keeps the newest versions that fit and the operations of the whole window", func() {
-		made, dropped := grown(30)
-		Expect(len(made.versions)).To(And(BeNumerically(">=", 8), BeNumerically("<=", 11)))
-		Expect(made.bytes).To(BeNumerically("<=", bytesMost))
-		Expect(len(dropped) + len(made.versions)).To(Equal(30))
+		result, dropped := grown(30)
+		Expect(len(result.versions)).To(And(BeNumerically(">=", 8), BeNumerically("<=", 11)))
+		Expect(result.bytes).To(BeNumerically("<=", bytesMost))
+		Expect(len(dropped) + len(result.versions)).To(Equal(30))
 		for revision := int64(1); revision <= 30; revision++ {
-			version, there := made.Operation(fmt.Sprint("o", revision))
-			Expect(there).To(BeTrue(), "operation %d", revision)
+			version, found := result.Operation(fmt.Sprint("o", revision))
+			Expect(found).To(BeTrue(), "operation %d", revision)
 			Expect(version.Position.Revision).To(Equal(revision))
 			Expect(version.Operation).To(Equal(contract.OperationID(fmt.Sprint("o", revision), "f")))
 		}
-		Expect(made.RemembersAllOperations()).To(BeTrue())
+		Expect(result.RemembersAllOperations()).To(BeTrue())
 	})
 
 	It("forgets operations that are older than the window", func() {
-		made, _ := grown(100)
-		_, there := made.Operation("o60")
-		Expect(there).To(BeFalse())
-		_, there = made.Operation("o61")
-		Expect(there).To(BeTrue())
-		Expect(made.operations).To(HaveLen(window))
-		Expect(made.RemembersAllOperations()).To(BeFalse())
+		result, _ := grown(100)
+		_, found := result.Operation("o60")
+		Expect(found).To(BeFalse())
+		_, found = result.Operation("o61")
+		Expect(found).To(BeTrue())
+		Expect(result.operations).To(HaveLen(window))
+		Expect(result.RemembersAllOperations()).To(BeFalse())
 	})
 
 	It("takes up operations of versions that it never had, and none that contradict what it has", func() {
-		made, _ := grown(30)
+		result, _ := grown(30)
 		other := newLog(window, bytesMost)
-		newest := made.versions[30]
+		newest := result.versions[30]
 		other.put(newest)
 		other.lastSynced, other.committed = 30, 30
 		Expect(other.knows(3)).To(BeFalse())
-		other.addPastOperations(append(made.sortedPastOperations(), contract.PastOperation{Position: contract.Position{View: 9, Revision: 30}, Operation: "wrong/f"}))
+		other.addPastOperations(append(result.sortedPastOperations(), contract.PastOperation{Position: contract.Position{View: 9, Revision: 30}, Operation: "wrong/f"}))
 		Expect(other.knows(3)).To(BeTrue())
-		_, there := other.Operation("o3")
-		Expect(there).To(BeTrue())
-		_, there = other.Operation("wrong")
-		Expect(there).To(BeFalse())
+		_, found := other.Operation("o3")
+		Expect(found).To(BeTrue())
+		_, found = other.Operation("wrong")
+		Expect(found).To(BeFalse())
 		Expect(other.pastChanged).To(BeTrue())
 	})
 })
@@ -73,11 +73,11 @@
 	It("hands the operations of versions that are gone to a member with an empty disk, which has what the others have", func() {
 		const changes = 60
 		core := newTrio()
-		for _, owner := range core.owners {
-			owner.maxBytes = 200 << 10
+		for _, replica := range core.owners {
+			replica.maxBytes = 200 << 10
 		}
-		for number := range changes {
-			core.write(number, item(fmt.Sprintf("%q", fmt.Sprintf("%020000d", number))))
+		for viewNumber := range changes {
+			core.write(viewNumber, item(fmt.Sprintf("%q", fmt.Sprintf("%020000d", viewNumber))))
 		}
 		Expect(len(core.owners[0].versions)).To(BeNumerically("<", 12))
 		core.replace(2)
@@ -90,9 +90,9 @@
 })
 
 var _ = It("gives no version for a place of another view under the same revision", func() {
-	made := newLog(10, 1000)
-	made.put(contract.NewVersion(contract.Position{View: 2, Revision: 4}, "o/f", document.Empty()))
-	version, there := made.lookup(contract.Position{View: 1, Revision: 4})
-	Expect(there).To(BeFalse())
+	result := newLog(10, 1000)
+	result.put(contract.NewVersion(contract.Position{View: 2, Revision: 4}, "o/f", document.Empty()))
+	version, found := result.lookup(contract.Position{View: 1, Revision: 4})
+	Expect(found).To(BeFalse())
 	Expect(version.Position).To(BeZero(), "else what follows would be told as its change")
 })
--- a/chain/past_test.go
+++ b/chain/past_test.go
@@ -30,27 +30,27 @@
 }
 
 func newTrio() *trio {
-	made := &trio{away: map[int]bool{}, bytes: map[int]int{}}
-	for place := range 3 {
-		self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", place), ID: "disk", Address: fmt.Sprint(place)}
-		made.owners = append(made.owners, New(self, "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(uint64(place), 1))))
+	result := &trio{away: map[int]bool{}, bytes: map[int]int{}}
+	for index := range 3 {
+		self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", index), ID: "disk", Address: fmt.Sprint(index)}
+		result.owners = append(result.owners, New(self, "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(uint64(index), 1))))
 	}
-	made.until(func() bool { return made.head() != nil })
-	return made
+	result.until(func() bool { return result.head() != nil })
+	return result
 }
 
 // replace gives a member an empty disk.
-func (trio *trio) replace(place int) {
-	self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", place), ID: "another disk", Address: fmt.Sprint(place)}
-	trio.owners[place] = New(self, "another start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(uint64(place), 2)))
-	trio.owners[place].AllowBootstrap(false)
-	trio.bytes[place] = 0
+func (trio *trio) replace(index int) {
+	self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", index), ID: "another disk", Address: fmt.Sprint(index)}
+	trio.owners[index] = New(self, "another start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(uint64(index), 2)))
+	trio.owners[index].AllowBootstrap(false)
+	trio.bytes[index] = 0
 }
 
 func (trio *trio) head() *Replica {
-	for place, owner := range trio.owners {
-		if !trio.away[place] && owner.AcceptsWrites() {
-			return owner
+	for index, replica := range trio.owners {
+		if !trio.away[index] && replica.AcceptsWrites() {
+			return replica
 		}
 	}
 	return nil
@@ -89,15 +89,15 @@
 
 func (trio *trio) tick() {
 	trio.now += env.DefaultBounds().Tick()
-	seen := Membership{NewestVersion: trio.held}
-	for place, owner := range trio.owners {
-		if !trio.away[place] {
-			seen.Members = append(seen.Members, contract.Member{Name: owner.self.Name, CoreID: owner.self.ID, Core: true, Address: owner.self.Address, View: owner.view.Number})
+	membership := Membership{NewestVersion: trio.held}
+	for index, replica := range trio.owners {
+		if !trio.away[index] {
+			membership.Members = append(membership.Members, contract.Member{Name: replica.self.Name, CoreID: replica.self.ID, Core: true, Address: replica.self.Address, View: replica.view.Number})
 		}
 	}
-	for place, owner := range trio.owners {
-		if !trio.away[place] {
-			trio.take(place, owner.Handle(trio.now, seen))
+	for index, replica := range trio.owners {
+		if !trio.away[index] {
+			trio.take(index, replica.Handle(trio.now, membership))
 		}
 	}
 	trio.settle()
@@ -122,12 +122,12 @@
 	return change
 }
 
-func (trio *trio) write(number int, change document.Change) {
+func (trio *trio) write(viewNumber int, change document.Change) {
 	head := trio.head()
-	for place, owner := range trio.owners {
-		if owner == head {
-			_, commands := head.Submit(trio.now, contract.OperationID(fmt.Sprint(number), "f"), change)
-			trio.take(place, commands)
+	for index, replica := range trio.owners {
+		if replica == head {
+			_, commands := head.Submit(trio.now, contract.OperationID(fmt.Sprint(viewNumber), "f"), change)
+			trio.take(index, commands)
 		}
 	}
 	trio.settle()
@@ -138,18 +138,18 @@
 	for _, past := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("past=%d", past), func(b *testing.B) {
 			core := newTrio()
-			for number := range past {
-				core.write(number, item(fmt.Sprint(number)))
+			for viewNumber := range past {
+				core.write(viewNumber, item(fmt.Sprint(viewNumber)))
 			}
 			b.ResetTimer()
-			for number := range b.N {
-				core.write(past+number, item(fmt.Sprint(past+number)))
+			for viewNumber := range b.N {
+				core.write(past+viewNumber, item(fmt.Sprint(past+viewNumber)))
 			}
 		})
 		b.Run(fmt.Sprintf("tick/past=%d", past), func(b *testing.B) {
 			core := newTrio()
-			for number := range past {
-				core.write(number, item(fmt.Sprint(number)))
+			for viewNumber := range past {
+				core.write(viewNumber, item(fmt.Sprint(viewNumber)))
 			}
 			b.ResetTimer()
 			for range b.N {
@@ -167,8 +167,8 @@
 		core := newTrio()
 		core.away[2] = true
 		core.until(func() bool { head := core.head(); return head != nil && len(head.view.Chain) == 2 })
-		for number := range missed {
-			core.write(number, item(fmt.Sprintf("%q", fmt.Sprintf("%0*d", size-2, number))))
+		for viewNumber := range missed {
+			core.write(viewNumber, item(fmt.Sprintf("%q", fmt.Sprintf("%0*d", size-2, viewNumber))))
 		}
 		core.away[2], core.bytes[2] = false, 0
 		began := core.now
--- a/chain/persist.go
+++ b/chain/persist.go
@@ -7,19 +7,19 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// MemberRecord is what a member must not forget: it is synced before a promise, a vote or anything done in a newer view is told to
-// another member. One file holds it whole, so that a member comes back with all of it or with none.
+// MemberRecord is the durable state of a member. It is synced before a promise, a vote or anything done in a newer view is told to another
+// member. It is written as one file, so that a member restarts with all of it or none.
 type MemberRecord struct {
 	ID        string        `json:"id"`
 	Bootstrap bool          `json:"bootstrap,omitempty"`
 	View      contract.View `json:"view"`
 	Promised  Ballot        `json:"promised"`
 	Accepted  *Proposal     `json:"accepted,omitempty"`
-	// Founding is the first view that this member agreed to, until it has a view.
+	// Bootstrapping is the bootstrap proposal that this member accepted, until it has a view.
 	Bootstrapping *BootstrapProposal `json:"founding,omitempty"`
 }
 
-// job is one change of the data folder that waits for its turn; after runs once it is synced.
+// persistJob is a queued update of the data folder. onSynced is called once it is synced.
 type persistJob struct {
 	versions   []contract.Version
 	record     bool
@@ -27,183 +27,185 @@
 	remove     []contract.Position
 	commitMark *contract.Position
 	onSynced   func(now time.Duration)
-	// writes and removed are how versions and drop are carried out, once the job is under way.
+	// writes and removals are the plan for versions and remove, once the job has been started.
 	writes   []Write
 	removals []contract.Position
 }
 
-// recover takes up what the data folder held. A folder without a member record makes a new member, whose versions are only salvage.
-func (owner *Replica) restoreState(recovered Recovered) {
+// restoreState restores the state from the data folder. A folder without a member record makes a new member; its versions are only salvaged.
+func (replica *Replica) restoreState(recovered Recovered) {
 	newest := map[int64]contract.Version{}
 	for _, version := range recovered.Versions {
-		if former, there := newest[version.Position.Revision]; !there || former.Position.Before(version.Position) {
+		if former, found := newest[version.Position.Revision]; !found || former.Position.Before(version.Position) {
 			newest[version.Position.Revision] = version
 		}
 	}
 	record := recovered.Member
 	if record.ID == "" {
-		record = MemberRecord{ID: owner.self.ID}
+		record = MemberRecord{ID: replica.self.ID}
 	}
-	owner.self.ID, owner.recordedMayBootstrap = record.ID, record.Bootstrap
-	owner.view, owner.promised, owner.accepted = record.View, record.Promised, record.Accepted
-	owner.sealed = owner.promised.Round > 0
-	if founding := record.Bootstrapping; founding != nil && founding.View.Number > owner.view.Number {
-		owner.bootstrapAccepted, owner.bootstrapSynced = founding, founding.Ballot
+	replica.self.ID, replica.recordedMayBootstrap = record.ID, record.Bootstrap
+	replica.view, replica.promised, replica.accepted = record.View, record.Promised, record.Accepted
+	replica.sealed = replica.promised.Round > 0
+	if attempt := record.Bootstrapping; attempt != nil && attempt.View.Number > replica.view.Number {
+		replica.bootstrapAccepted, replica.bootstrapSynced = attempt, attempt.Ballot
 	}
-	if owner.view.Number == 0 {
-		owner.salvaged = newest
+	if replica.view.Number == 0 {
+		replica.salvaged = newest
 		return
 	}
-	owner.restoreLog(newest, recovered.Committed)
-	owner.addPastOperations(recovered.PastOperations)
-	owner.pastChanged = false
+	replica.restoreLog(newest, recovered.Committed)
+	replica.addPastOperations(recovered.PastOperations)
+	replica.pastChanged = false
 }
 
-// recoverLog takes up the log of a member of a view. One that was not in the chain keeps only what was committed: nobody counts on the
-// rest, and the chain may have gone another way.
-func (owner *Replica) restoreLog(newest map[int64]contract.Version, committed contract.Position) {
-	if marked, there := newest[committed.Revision]; there && marked.Position == committed {
-		owner.committed, owner.markedCommit = committed.Revision, committed
+// restoreLog restores the log of a member that has a view. A member outside of the chain keeps only committed versions: the others do not
+// count towards any commit, and the chain may have replaced them.
+func (replica *Replica) restoreLog(newest map[int64]contract.Version, committed contract.Position) {
+	if marked, found := newest[committed.Revision]; found && marked.Position == committed {
+		replica.committed, replica.markedCommit = committed.Revision, committed
 	}
-	drop, holder := []contract.Position{}, owner.isHolder()
+	removed, holder := []contract.Position{}, replica.isHolder()
 	for revision, version := range newest {
-		if revision > owner.committed && !holder {
-			drop = append(drop, version.Position)
+		if revision > replica.committed && !holder {
+			removed = append(removed, version.Position)
 			continue
 		}
-		owner.put(version)
-		owner.lastSynced = max(owner.lastSynced, revision)
+		replica.put(version)
+		replica.lastSynced = max(replica.lastSynced, revision)
 	}
-	owner.lastAssigned = owner.lastSynced
-	owner.synchronized = len(owner.view.Chain) == 1 && owner.committed >= owner.lastSynced
-	owner.queueRemoval(drop)
+	replica.lastAssigned = replica.lastSynced
+	replica.synchronized = len(replica.view.Chain) == 1 && replica.committed >= replica.lastSynced
+	replica.queueRemoval(removed)
 }
 
-// queuePast has the operations whose versions are no longer kept written with the next write, if they changed.
-func (owner *Replica) queuePastOperations() {
-	if owner.pastChanged {
-		owner.pastChanged = false
-		owner.writeQueue = append(owner.writeQueue, persistJob{past: true})
+// queuePastOperations queues the past operations for the next write if they changed.
+func (replica *Replica) queuePastOperations() {
+	if replica.pastChanged {
+		replica.pastChanged = false
+		replica.writeQueue = append(replica.writeQueue, persistJob{past: true})
 	}
 }
 
-// queueDrop has versions removed from the folder with the next write.
-func (owner *Replica) queueRemoval(places []contract.Position) {
+// queueRemoval queues the removal of versions from the folder for the next write.
+func (replica *Replica) queueRemoval(places []contract.Position) {
 	if len(places) > 0 {
-		owner.writeQueue = append(owner.writeQueue, persistJob{remove: places})
+		replica.writeQueue = append(replica.writeQueue, persistJob{remove: places})
 	}
 }
 
-// holder tells whether this member's log counts: it is in the chain, or has everything that was acknowledged before the chain shrank.
-func (owner *Replica) isHolder() bool {
-	return slices.Contains(owner.view.Proposers(), owner.self.Identity())
+// isHolder reports whether this member's log counts: it is in the chain, or has every write acknowledged before the chain shrank to one.
+func (replica *Replica) isHolder() bool {
+	return slices.Contains(replica.view.Proposers(), replica.self.Identity())
 }
 
-// present says once, at the first tick, what was recovered, and has a new member's identity written down before anything else.
-func (owner *Replica) announceRecovered(now time.Duration) {
-	owner.announced = true
-	if owner.view.Number == 0 {
-		owner.persist(now, persistJob{record: true})
+// announceRecovered emits the recovered view and committed version at the first tick. A new member first records its identity.
+func (replica *Replica) announceRecovered(now time.Duration) {
+	replica.announced = true
+	if replica.view.Number == 0 {
+		replica.persist(now, persistJob{record: true})
 		return
 	}
-	if version, there := owner.versions[owner.committed]; there {
-		owner.emit(Committed{Version: version})
+	if version, found := replica.versions[replica.committed]; found {
+		replica.emit(Committed{Version: version})
 	}
-	owner.emit(ViewInstalled{View: owner.view})
-	owner.startWrite(now)
+	replica.emit(ViewInstalled{View: replica.view})
+	replica.startWrite(now)
 }
 
-func (owner *Replica) persist(now time.Duration, work persistJob) {
-	owner.writeQueue = append(owner.writeQueue, work)
-	owner.startWrite(now)
+func (replica *Replica) persist(now time.Duration, job persistJob) {
+	replica.writeQueue = append(replica.writeQueue, job)
+	replica.startWrite(now)
 }
 
-// startWrite puts every waiting job into one write, so a storm costs one sync a batch.
-func (owner *Replica) startWrite(now time.Duration) {
-	if owner.writing != nil || len(owner.writeQueue) == 0 {
+// startWrite merges all queued jobs into one write, so that many concurrent jobs share one sync.
+func (replica *Replica) startWrite(now time.Duration) {
+	if replica.writing != nil || len(replica.writeQueue) == 0 {
 		return
 	}
-	batch := owner.writeQueue
-	owner.writeQueue = nil
+	batch := replica.writeQueue
+	replica.writeQueue = nil
 	merged := mergeJobs(batch)
-	merged.writes, merged.removals = owner.stored.plan(merged.versions, merged.remove)
-	owner.token++
-	owner.writing, owner.writingSince = &merged, now
-	owner.emit(Persist{Token: owner.token, Writes: merged.writes, Member: owner.currentRecord(merged.record), PastOperations: owner.currentPastOperations(merged.past), Remove: merged.removals, Committed: merged.commitMark})
+	merged.writes, merged.removals = replica.stored.plan(merged.versions, merged.remove)
+	replica.token++
+	replica.writing, replica.writingSince = &merged, now
+	replica.emit(Persist{Token: replica.token, Writes: merged.writes, Member: replica.currentRecord(merged.record), PastOperations: replica.currentPastOperations(merged.past), Remove: merged.removals, Committed: merged.commitMark})
 }
 
-// merge makes one job of several. Since drops are carried out first, a version that a later job drops is not written at all.
+// mergeJobs merges jobs into one. Since removals are carried out first, a version that a later job removes is not written at all.
 func mergeJobs(batch []persistJob) persistJob {
 	merged := persistJob{onSynced: func(now time.Duration) {
-		for _, work := range batch {
-			if work.onSynced != nil {
-				work.onSynced(now)
+		for _, job := range batch {
+			if job.onSynced != nil {
+				job.onSynced(now)
 			}
 		}
 	}}
-	for _, work := range batch {
-		merged.versions = slices.DeleteFunc(merged.versions, func(version contract.Version) bool { return slices.Contains(work.remove, version.Position) })
-		merged.versions = append(merged.versions, work.versions...)
-		merged.remove = append(merged.remove, work.remove...)
-		merged.record = merged.record || work.record
-		merged.past = merged.past || work.past
-		if work.commitMark != nil {
-			merged.commitMark = work.commitMark
+	for _, job := range batch {
+		merged.versions = slices.DeleteFunc(merged.versions, func(version contract.Version) bool { return slices.Contains(job.remove, version.Position) })
+		merged.versions = append(merged.versions, job.versions...)
+		merged.remove = append(merged.remove, job.remove...)
+		merged.record = merged.record || job.record
+		merged.past = merged.past || job.past
+		if job.commitMark != nil {
+			merged.commitMark = job.commitMark
 		}
 	}
 	return merged
 }
 
-// currentRecord gives the record as it stands now, which may be newer than the job that asked for it: it only moves forward.
-func (owner *Replica) currentRecord(wanted bool) *MemberRecord {
+// currentRecord returns the current member record, if wanted. It may be newer than the job that asked for it, since it only moves forward.
+func (replica *Replica) currentRecord(wanted bool) *MemberRecord {
 	if !wanted {
 		return nil
 	}
-	return &MemberRecord{ID: owner.self.ID, Bootstrap: owner.mayBootstrap && owner.view.Number == 0, View: owner.view, Promised: owner.promised,
-		Accepted: owner.accepted, Bootstrapping: owner.bootstrapAccepted}
+	return &MemberRecord{ID: replica.self.ID, Bootstrap: replica.mayBootstrap && replica.view.Number == 0, View: replica.view, Promised: replica.promised,
+		Accepted: replica.accepted, Bootstrapping: replica.bootstrapAccepted}
 }
 
-func (owner *Replica) currentPastOperations(wanted bool) *[]contract.PastOperation {
+func (replica *Replica) currentPastOperations(wanted bool) *[]contract.PastOperation {
 	if !wanted {
 		return nil
 	}
-	past := owner.sortedPastOperations()
+	past := replica.sortedPastOperations()
 	return &past
 }
 
-func (owner *Replica) handlePersisted(now time.Duration, event Persisted) {
-	if owner.writing == nil || event.Token != owner.token {
+// handlePersisted ends the write in progress. After a failure its job is queued again, ahead of the others.
+func (replica *Replica) handlePersisted(now time.Duration, event Persisted) {
+	if replica.writing == nil || event.Token != replica.token {
 		return
 	}
-	work := owner.writing
-	owner.writing = nil
+	job := replica.writing
+	replica.writing = nil
 	if event.Error != "" {
-		owner.setDiskHealth(false, event.Error)
-		owner.writeQueue = append([]persistJob{*work}, owner.writeQueue...)
-		owner.emit(contract.AddCounter{Name: "disk_failures", Delta: 1})
+		replica.setDiskHealth(false, event.Error)
+		replica.writeQueue = append([]persistJob{*job}, replica.writeQueue...)
+		replica.emit(contract.AddCounter{Name: "disk_failures", Delta: 1})
 		return
 	}
-	owner.setDiskHealth(true, "")
-	owner.stored.apply(work.writes, work.remove, work.removals)
-	work.onSynced(now)
-	owner.startWrite(now)
+	replica.setDiskHealth(true, "")
+	replica.stored.apply(job.writes, job.remove, job.removals)
+	job.onSynced(now)
+	replica.startWrite(now)
 }
 
-func (owner *Replica) watchDisk(now time.Duration) {
-	if owner.writing != nil && now-owner.writingSince > owner.bounds.Commit()/2 {
-		owner.setDiskHealth(false, "write stalled")
+// watchDisk marks the disk as failing when a write takes too long. While the disk is failing it retries, if need be with the member record.
+func (replica *Replica) watchDisk(now time.Duration) {
+	if replica.writing != nil && now-replica.writingSince > replica.bounds.Commit()/2 {
+		replica.setDiskHealth(false, "write stalled")
 	}
-	if !owner.diskHealthy && owner.writing == nil && now-owner.writingSince > owner.bounds.Round() {
-		if len(owner.writeQueue) == 0 {
-			owner.writeQueue = append(owner.writeQueue, persistJob{record: true})
+	if !replica.diskHealthy && replica.writing == nil && now-replica.writingSince > replica.bounds.Round() {
+		if len(replica.writeQueue) == 0 {
+			replica.writeQueue = append(replica.writeQueue, persistJob{record: true})
 		}
-		owner.startWrite(now)
+		replica.startWrite(now)
 	}
 }
 
-func (owner *Replica) setDiskHealth(fit bool, why string) {
-	if owner.diskHealthy != fit {
-		owner.diskHealthy = fit
-		owner.emit(contract.Log{Message: "disk", Attributes: []any{"fit", fit, "why", why}})
+func (replica *Replica) setDiskHealth(fit bool, why string) {
+	if replica.diskHealthy != fit {
+		replica.diskHealthy = fit
+		replica.emit(contract.Log{Message: "disk", Attributes: []any{"fit", fit, "why", why}})
 	}
 }
--- a/chain/reach.go
+++ b/chain/reach.go
@@ -7,97 +7,99 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// Heartbeat goes from each member of the core to each other one. Heard names the members whose own heartbeats came lately, so that both
-// ends of a link know when it works one way only.
+// Heartbeat is sent by each member of the core to each other one. Heard names the members whose heartbeats arrived recently, so that both ends
+// of a link know when it works in one direction only.
 //
-// Membership alone does not tell whether members reach each other: a member that is cut off from its peers and not from other nodes is
-// still told to be alive by those, while no version passes through it.
+// The membership protocol does not show whether members reach each other: a member that is cut off from its peers but not from other nodes
+// still counts as alive, while no version can be replicated through it.
 type Heartbeat struct {
 	From  contract.CoreNode `json:"from"`
 	View  int64             `json:"view"`
 	Heard []string          `json:"heard"`
 }
 
-// contact is what is known of the direct links to a member.
+// peerState is what is known of the direct link to a member. hears names the members that the peer hears, by its last heartbeat.
 type peerState struct {
 	lastHeartbeat time.Duration
 	hears         []string
-	// fresh holds until the first heartbeat: nothing is known of what the other hears.
+	// awaitingFirst is set until the first heartbeat. Until then it is unknown which members the peer hears.
 	awaitingFirst bool
 }
 
-// tickHeartbeat sends heartbeats, and begins anew with all members after a pause of this process.
-func (owner *Replica) tickHeartbeat(now time.Duration) {
-	if now-owner.lastTick > owner.bounds.Freeze() {
-		owner.peers = map[string]peerState{}
+// tickHeartbeat sends heartbeats. After a pause of this process it forgets the state of all peers, which says nothing about them.
+func (replica *Replica) tickHeartbeat(now time.Duration) {
+	if now-replica.lastTick > replica.bounds.Freeze() {
+		replica.peers = map[string]peerState{}
 	}
-	if now-owner.lastTick > owner.bounds.Round()/probesPerRound {
-		owner.ResetProbes()
+	if now-replica.lastTick > replica.bounds.Round()/probesPerRound {
+		replica.ResetProbes()
 	}
-	owner.lastTick = now
-	for _, node := range owner.view.Core {
-		if _, known := owner.peers[node.Identity()]; !known {
-			owner.peers[node.Identity()] = peerState{lastHeartbeat: now, awaitingFirst: true}
+	replica.lastTick = now
+	for _, node := range replica.view.Core {
+		if _, known := replica.peers[node.Identity()]; !known {
+			replica.peers[node.Identity()] = peerState{lastHeartbeat: now, awaitingFirst: true}
 		}
 	}
-	if owner.view.Number == 0 || now-owner.lastHeartbeat < owner.bounds.Round() {
+	if replica.view.Number == 0 || now-replica.lastHeartbeat < replica.bounds.Round() {
 		return
 	}
-	owner.lastHeartbeat = now
+	replica.lastHeartbeat = now
 	heard := []string{}
-	for _, node := range owner.view.Core {
-		if owner.hears(node.Identity()) {
+	for _, node := range replica.view.Core {
+		if replica.hears(node.Identity()) {
 			heard = append(heard, node.Identity())
 		}
 	}
-	for _, node := range owner.view.Core {
-		if node.Identity() != owner.self.Identity() && owner.isAlive(node) {
-			owner.send(node, MessageHeartbeat, Heartbeat{From: owner.self, View: owner.view.Number, Heard: heard})
+	for _, node := range replica.view.Core {
+		if node.Identity() != replica.self.Identity() && replica.isAlive(node) {
+			replica.send(node, MessageHeartbeat, Heartbeat{From: replica.self, View: replica.view.Number, Heard: heard})
 		}
 	}
 }
 
-func (owner *Replica) handleHeartbeat(now time.Duration, beat Heartbeat) {
-	owner.peers[beat.From.Identity()] = peerState{lastHeartbeat: now, hears: beat.Heard}
-	if beat.View < owner.view.Number {
-		owner.send(beat.From, MessageNewView, owner.view)
+func (replica *Replica) handleHeartbeat(now time.Duration, heartbeat Heartbeat) {
+	replica.peers[heartbeat.From.Identity()] = peerState{lastHeartbeat: now, hears: heartbeat.Heard}
+	if heartbeat.View < replica.view.Number {
+		replica.send(heartbeat.From, MessageNewView, replica.view)
 	}
 }
 
-// hears tells whether a member's own heartbeats come.
-func (owner *Replica) hears(identity string) bool {
-	return identity == owner.self.Identity() || owner.lastTick-owner.peers[identity].lastHeartbeat <= owner.bounds.Suspicion()
+// hears reports whether this member received a heartbeat of a member within the suspicion time.
+func (replica *Replica) hears(identity string) bool {
+	return identity == replica.self.Identity() || replica.lastTick-replica.peers[identity].lastHeartbeat <= replica.bounds.Suspicion()
 }
 
-// direct tells whether messages pass both ways between this member and another one, by their heartbeats.
-func (owner *Replica) linkedBothWays(identity string) bool {
-	known := owner.peers[identity]
-	return owner.hears(identity) && (known.awaitingFirst || slices.Contains(known.hears, owner.self.Identity()))
+// linkedBothWays reports whether messages pass in both directions between this member and another one, by their heartbeats.
+func (replica *Replica) linkedBothWays(identity string) bool {
+	peer := replica.peers[identity]
+	return replica.hears(identity) && (peer.awaitingFirst || slices.Contains(peer.hears, replica.self.Identity()))
 }
 
-// reaches tells whether another member is alive and linked with this one.
-func (owner *Replica) reaches(node contract.CoreNode) bool {
-	return node.Identity() == owner.self.Identity() || owner.isAlive(node) && owner.linkedBothWays(node.Identity())
+// reaches reports whether another member is alive and linked with this one.
+func (replica *Replica) reaches(node contract.CoreNode) bool {
+	return node.Identity() == replica.self.Identity() || replica.isAlive(node) && replica.linkedBothWays(node.Identity())
 }
 
-// linked tells whether a member and all of a chain reach each other, by what they say: a link that is cut would hold every version up.
-func (owner *Replica) connectedToAll(chain []string, identity string) bool {
-	return !slices.ContainsFunc(chain, func(other string) bool { return !owner.connected(other, identity) })
+// connectedToAll reports whether a member and all members of a chain reach each other, by their heartbeats: a broken link within the chain
+// would block every commit.
+func (replica *Replica) connectedToAll(chain []string, identity string) bool {
+	return !slices.ContainsFunc(chain, func(other string) bool { return !replica.connected(other, identity) })
 }
 
-func (owner *Replica) connected(one, other string) bool {
-	if one == owner.self.Identity() {
-		one, other = other, one
+// connected reports whether two members reach each other.
+func (replica *Replica) connected(first, other string) bool {
+	if first == replica.self.Identity() {
+		first, other = other, first
 	}
-	if other == owner.self.Identity() {
-		_, told := owner.peers[one]
-		return !told || owner.linkedBothWays(one)
+	if other == replica.self.Identity() {
+		_, heard := replica.peers[first]
+		return !heard || replica.linkedBothWays(first)
 	}
-	return owner.reportsHearing(one, other) && owner.reportsHearing(other, one)
+	return replica.reportsHearing(first, other) && replica.reportsHearing(other, first)
 }
 
-// says tells whether a member hears another one, by its own last heartbeat; one that said nothing yet is believed to.
-func (owner *Replica) reportsHearing(one, other string) bool {
-	known, told := owner.peers[one]
-	return !told || known.awaitingFirst || slices.Contains(known.hears, other)
+// reportsHearing reports whether a member hears another one, by its last heartbeat. A member without a heartbeat is assumed to.
+func (replica *Replica) reportsHearing(sender, other string) bool {
+	peer, heard := replica.peers[sender]
+	return !heard || peer.awaitingFirst || slices.Contains(peer.hears, other)
 }
--- a/chain/vouch_test.go
+++ b/chain/vouch_test.go
@@ -16,8 +16,8 @@
 		return contract.CoreNode{Name: name, ID: "boot", Address: name}
 	}
 	message := func(kind, from string, body any) contract.Message {
-		content, failure := json.Marshal(body)
-		Expect(failure).NotTo(HaveOccurred())
+		content, err := json.Marshal(body)
+		Expect(err).NotTo(HaveOccurred())
 		return contract.Message{Kind: kind, From: from, Boot: "boot", Body: content}
 	}
 	nodes := []contract.CoreNode{node("head"), node("middle"), node("tail")}
@@ -25,22 +25,22 @@
 
 	// member is the middle of a chain that has taken a version and not yet heard whether its tail has it.
 	member := func() *Replica {
-		owner := New(nodes[1], "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(1, 1)))
-		owner.Handle(0, message(MessageNewView, "head", contract.View{Number: 1, Core: nodes, Chain: names, Holders: names}))
+		replica := New(nodes[1], "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(1, 1)))
+		replica.Handle(0, message(MessageNewView, "head", contract.View{Number: 1, Core: nodes, Chain: names, Holders: names}))
 		version := contract.NewVersion(contract.Position{View: 1, Revision: 1}, "first", document.Empty())
-		owner.Handle(0, message(MessageReplicate, "head", Replicate{From: nodes[0], View: 1, Records: []contract.Record{version.FullRecord()}, LastSynced: 1}))
+		replica.Handle(0, message(MessageReplicate, "head", Replicate{From: nodes[0], View: 1, Records: []contract.Record{version.FullRecord()}, LastSynced: 1}))
 		for token := int64(1); token <= 4; token++ {
-			owner.Handle(time.Millisecond, Persisted{Token: token})
+			replica.Handle(time.Millisecond, Persisted{Token: token})
 		}
-		Expect(owner.lastSynced).To(Equal(int64(1)))
-		Expect(owner.Committed()).To(BeZero())
-		return owner
+		Expect(replica.lastSynced).To(Equal(int64(1)))
+		Expect(replica.Committed()).To(BeZero())
+		return replica
 	}
 
 	It("given a version that the former tail may have acknowledged, when it alone is asked, then it does not answer with an older one", func() {
-		owner := member()
-		owner.Handle(2*time.Millisecond, message(MessageNewView, "tail", contract.View{Number: 2, Core: nodes, Chain: names[1:2], Holders: names}))
-		Expect(owner.IsTail()).To(BeTrue())
-		Expect(owner.ConfirmTail(3*time.Millisecond, 7)).To(ConsistOf(Confirmed{Token: 7}))
+		replica := member()
+		replica.Handle(2*time.Millisecond, message(MessageNewView, "tail", contract.View{Number: 2, Core: nodes, Chain: names[1:2], Holders: names}))
+		Expect(replica.IsTail()).To(BeTrue())
+		Expect(replica.ConfirmTail(3*time.Millisecond, 7)).To(ConsistOf(Confirmed{Token: 7}))
 	})
 })
--- a/chain/write.go
+++ b/chain/write.go
@@ -7,297 +7,311 @@
 	"github.com/cedarreel/cedarreel/document"
 )
 
-// Pass brings a head's versions down the chain, and tells how far the head is.
+// Replicate carries versions from the head down the chain. Committed and LastSynced are the revisions of the head.
 type Replicate struct {
 	From    contract.CoreNode `json:"from"`
 	View    int64             `json:"view"`
 	Records []contract.Record `json:"records"`
-	// Previous is the place before the first version, or the newest one where there is none: the receiver's log must have it. The first
-	// record is the change of that version.
+	// Previous is the position of the version before the first record, or the newest one if there are no records. The receiver's log must
+	// have it. The first record is relative to it.
 	Previous   contract.Position `json:"previous"`
 	Committed  int64             `json:"committed"`
 	LastSynced int64             `json:"top"`
 }
 
-// Done is the tail's word that the whole chain has synced all versions up to a place.
+// CommitNotice is sent by the tail: the whole chain has synced all versions up to a position.
 type CommitNotice struct {
 	View     int64             `json:"view"`
 	Position contract.Position `json:"place"`
-	// Settled tells that the tail has all that its head had when the view began.
+	// Synchronized tells that the tail has all versions that its head had when the view began.
 	Synchronized bool `json:"settled"`
 }
 
-// outrun tells whether another node holds a committed version that is newer than a revision, as after a disk lost what it had synced:
-// then this member neither numbers versions nor answers reads until it has that version again.
-func (owner *Replica) isOutdated(revision int64) bool {
-	return owner.membership.NewestVersion.Position.Revision > revision
+// isOutdated reports whether another node holds a committed version newer than a revision, as after a disk lost synced data. This member then
+// neither assigns revisions nor answers reads until it has that version again.
+func (replica *Replica) isOutdated(revision int64) bool {
+	return replica.membership.NewestVersion.Position.Revision > revision
 }
 
-// Open tells whether this node may number a write now.
-func (owner *Replica) AcceptsWrites() bool {
-	if !owner.IsHead() || owner.sealed || !owner.diskHealthy || len(owner.view.Chain) < 2 || len(owner.writeQueue) >= 4*batchSize || owner.isOutdated(owner.lastAssigned) {
+// AcceptsWrites reports whether this node is a head that can assign a revision to a write now: the whole chain is reachable and healthy.
+func (replica *Replica) AcceptsWrites() bool {
+	if !replica.IsHead() || replica.sealed || !replica.diskHealthy || len(replica.view.Chain) < 2 || len(replica.writeQueue) >= 4*batchSize || replica.isOutdated(replica.lastAssigned) {
 		return false
 	}
-	for _, identity := range owner.view.Chain {
-		node, there := owner.view.Node(identity)
-		if !there || !owner.reaches(node) || !owner.hasHealthyDisk(node) {
+	for _, identity := range replica.view.Chain {
+		node, found := replica.view.Node(identity)
+		if !found || !replica.reaches(node) || !replica.hasHealthyDisk(node) {
 			return false
 		}
 	}
 	return true
 }
 
-func (owner *Replica) Latest() (contract.Version, bool) {
-	for revision := owner.lastAssigned; revision > 0 && revision > owner.lastAssigned-owner.bounds.History; revision-- {
-		if version, there := owner.versions[revision]; there {
+// Latest returns the version with the highest assigned revision, committed or not, or the zero version of an empty log. It reports false if
+// that version is missing.
+func (replica *Replica) Latest() (contract.Version, bool) {
+	for revision := replica.lastAssigned; revision > 0 && revision > replica.lastAssigned-replica.bounds.History; revision-- {
+		if version, found := replica.versions[revision]; found {
 			return version, true
 		}
 	}
-	return contract.Version{}, owner.lastAssigned == 0
+	return contract.Version{}, replica.lastAssigned == 0
 }
 
-func (owner *Replica) CommittedVersion(revision int64) (contract.Version, bool) {
-	version, there := owner.versions[revision]
-	return version, there && revision <= owner.committed
+// CommittedVersion returns the committed version of a revision, if it is kept.
+func (replica *Replica) CommittedVersion(revision int64) (contract.Version, bool) {
+	version, found := replica.versions[revision]
+	return version, found && revision <= replica.committed
 }
 
-// Submit numbers a change of the latest version at the head; it counts as accepted only with the Committed command that follows.
-func (owner *Replica) Submit(now time.Duration, operation string, change document.Change) (contract.Version, []contract.Command) {
-	owner.commands = nil
-	latest, _ := owner.Latest()
-	highest := owner.lastAssigned
-	for _, member := range owner.membership.Members {
+// Submit applies a change to the latest version at the head and assigns the next revision to the result. The write is acknowledged only when
+// the Committed command for it follows.
+func (replica *Replica) Submit(now time.Duration, operation string, change document.Change) (contract.Version, []contract.Command) {
+	replica.commands = nil
+	latest, _ := replica.Latest()
+	highest := replica.lastAssigned
+	for _, member := range replica.membership.Members {
 		highest = max(highest, member.Position.Revision)
 	}
-	version := latest.Next(contract.Position{View: owner.view.Number, Revision: highest + 1}, operation, change)
-	owner.lastAssigned = version.Position.Revision
-	owner.put(version)
-	number := owner.view.Number
-	owner.persist(now, persistJob{versions: []contract.Version{version}, onSynced: func(now time.Duration) {
-		if owner.view.Number == number && !owner.sealed {
-			owner.lastSynced = max(owner.lastSynced, version.Position.Revision)
-			owner.sendDownstream(owner.newReplicate([]contract.Version{version}))
+	version := latest.Next(contract.Position{View: replica.view.Number, Revision: highest + 1}, operation, change)
+	replica.lastAssigned = version.Position.Revision
+	replica.put(version)
+	viewNumber := replica.view.Number
+	replica.persist(now, persistJob{versions: []contract.Version{version}, onSynced: func(now time.Duration) {
+		if replica.view.Number == viewNumber && !replica.sealed {
+			replica.lastSynced = max(replica.lastSynced, version.Position.Revision)
+			replica.sendDownstream(replica.newReplicate([]contract.Version{version}))
 		}
 	}})
-	out := owner.commands
-	owner.commands = nil
+	out := replica.commands
+	replica.commands = nil
 	return version, out
 }
 
-// sheet is what the head passes down: versions, and how far it is itself.
-func (owner *Replica) newReplicate(versions []contract.Version) Replicate {
-	pass := Replicate{View: owner.view.Number, Committed: owner.committed, LastSynced: owner.lastSynced}
-	last := owner.lastSynced
+// newReplicate returns the message with which the head replicates versions, which may be none.
+func (replica *Replica) newReplicate(versions []contract.Version) Replicate {
+	replicate := Replicate{View: replica.view.Number, Committed: replica.committed, LastSynced: replica.lastSynced}
+	last := replica.lastSynced
 	if len(versions) > 0 {
-		last = owner.previousRevision(versions[0].Position.Revision)
+		last = replica.previousRevision(versions[0].Position.Revision)
 	}
-	previous := owner.versions[last]
-	pass.Previous = previous.Position
-	pass.Records = contract.EncodeRecords(previous, versions, contract.MaxRecordBytes)
-	return pass
+	previous := replica.versions[last]
+	replicate.Previous = previous.Position
+	replicate.Records = contract.EncodeRecords(previous, versions, contract.MaxRecordBytes)
+	return replicate
 }
 
-func (owner *Replica) sendDownstream(pass Replicate) {
-	rank := owner.chainIndex()
-	if rank < 0 || rank == len(owner.view.Chain)-1 {
+// sendDownstream sends a message to the successor in the chain, if there is one.
+func (replica *Replica) sendDownstream(replicate Replicate) {
+	index := replica.chainIndex()
+	if index < 0 || index == len(replica.view.Chain)-1 {
 		return
 	}
-	if next, there := owner.view.Node(owner.view.Chain[rank+1]); there {
-		pass.From = owner.self
-		owner.send(next, MessageReplicate, pass)
+	if next, found := replica.view.Node(replica.view.Chain[index+1]); found {
+		replicate.From = replica.self
+		replica.send(next, MessageReplicate, replicate)
 	}
 }
 
-func (owner *Replica) handleReplicate(now time.Duration, pass Replicate) {
-	rank := owner.chainIndex()
-	if pass.View != owner.view.Number || owner.sealed || rank < 1 || owner.view.Chain[rank-1] != pass.From.Identity() {
-		owner.emit(contract.AddCounter{Name: "passes_refused", Delta: 1})
+// handleReplicate syncs versions from the predecessor and then passes them on. It ignores versions that do not follow its log; the head sends
+// them again.
+func (replica *Replica) handleReplicate(now time.Duration, replicate Replicate) {
+	index := replica.chainIndex()
+	if replicate.View != replica.view.Number || replica.sealed || index < 1 || replica.view.Chain[index-1] != replicate.From.Identity() {
+		replica.emit(contract.AddCounter{Name: "passes_refused", Delta: 1})
 		return
 	}
-	if !owner.hasPrevious(pass.Previous) {
-		owner.emit(contract.AddCounter{Name: "passes_early", Delta: 1})
+	if !replica.hasPrevious(replicate.Previous) {
+		replica.emit(contract.AddCounter{Name: "passes_early", Delta: 1})
 		return
 	}
-	passed, failure := contract.DecodeRecords(pass.Records, owner.lookup)
-	if failure != nil {
-		owner.emit(contract.AddCounter{Name: "versions_unreadable", Delta: 1}, contract.Log{Message: "passed versions can't be read", Attributes: []any{"error", failure}})
+	passed, err := contract.DecodeRecords(replicate.Records, replica.lookup)
+	if err != nil {
+		replica.emit(contract.AddCounter{Name: "versions_unreadable", Delta: 1}, contract.Log{Message: "replicated versions could not be decoded", Attributes: []any{"error", err}})
 		return
 	}
-	fresh, fine := owner.unknownVersions(passed)
-	if !fine {
+	added, ok := replica.unknownVersions(passed)
+	if !ok {
 		return
 	}
-	number := owner.view.Number
-	arrived := func(now time.Duration) {
-		if owner.view.Number != number {
-			owner.discard(now, fresh)
+	viewNumber := replica.view.Number
+	onSynced := func(now time.Duration) {
+		if replica.view.Number != viewNumber {
+			replica.discard(now, added)
 			return
 		}
-		owner.replicated(pass, passed, fresh)
+		replica.replicated(replicate, passed, added)
 	}
-	if len(fresh) == 0 && owner.writing == nil {
-		arrived(now)
+	if len(added) == 0 && replica.writing == nil {
+		onSynced(now)
 		return
 	}
-	owner.persist(now, persistJob{versions: fresh, remove: owner.conflictingPositions(fresh), onSynced: arrived})
+	replica.persist(now, persistJob{versions: added, remove: replica.conflictingPositions(added), onSynced: onSynced})
 }
 
-// fresh gives the passed versions that the log lacks; one that contradicts a committed version spoils them all.
-func (owner *Replica) unknownVersions(versions []contract.Version) ([]contract.Version, bool) {
-	fresh := []contract.Version{}
+// unknownVersions returns the versions that the log lacks. It fails if one of them contradicts a committed version.
+func (replica *Replica) unknownVersions(versions []contract.Version) ([]contract.Version, bool) {
+	added := []contract.Version{}
 	for _, version := range versions {
-		held, there := owner.versions[version.Position.Revision]
-		if there && held.Position == version.Position && version.Position.Revision <= owner.lastSynced {
+		existing, found := replica.versions[version.Position.Revision]
+		if found && existing.Position == version.Position && version.Position.Revision <= replica.lastSynced {
 			continue
 		}
-		if there && version.Position.Revision <= owner.committed {
-			owner.emit(contract.AddCounter{Name: "committed_conflicts", Delta: 1}, contract.Log{Message: "pass against a committed version", Attributes: []any{"revision", version.Position.Revision}})
+		if found && version.Position.Revision <= replica.committed {
+			replica.emit(contract.AddCounter{Name: "committed_conflicts", Delta: 1}, contract.Log{Message: "replicated version conflicts with a committed version", Attributes: []any{"revision", version.Position.Revision}})
 			return nil, false
 		}
-		fresh = append(fresh, version)
+		added = append(added, version)
 	}
-	return fresh, true
+	return added, true
 }
 
-// conflicts gives what must leave the folder before versions are written: others under their revisions and all that was built on those.
-func (owner *Replica) conflictingPositions(fresh []contract.Version) []contract.Position {
+// conflictingPositions returns what must be removed from the folder before versions are written: other versions under their revisions and all
+// uncommitted versions after those.
+func (replica *Replica) conflictingPositions(added []contract.Version) []contract.Position {
 	first := int64(0)
-	for _, version := range fresh {
-		held, there := owner.versions[version.Position.Revision]
-		if there && held.Position != version.Position && (first == 0 || version.Position.Revision < first) {
+	for _, version := range added {
+		existing, found := replica.versions[version.Position.Revision]
+		if found && existing.Position != version.Position && (first == 0 || version.Position.Revision < first) {
 			first = version.Position.Revision
 		}
 	}
-	drop := []contract.Position{}
-	for revision, version := range owner.versions {
-		if first > 0 && revision >= first && revision > owner.committed {
-			drop = append(drop, version.Position)
+	removed := []contract.Position{}
+	for revision, version := range replica.versions {
+		if first > 0 && revision >= first && revision > replica.committed {
+			removed = append(removed, version.Position)
 		}
 	}
-	return drop
+	return removed
 }
 
-// passed takes up what was synced. A sealed member keeps it, since it may be the only one that has it, but tells nobody.
-func (owner *Replica) replicated(pass Replicate, passed, fresh []contract.Version) {
-	for _, version := range fresh {
-		owner.install(version)
+// replicated adds synced versions to the log and passes them on, or commits them at the tail. A sealed member keeps them, since it may be the
+// only one that has them, but does not pass them on.
+func (replica *Replica) replicated(replicate Replicate, passed, added []contract.Version) {
+	for _, version := range added {
+		replica.install(version)
 	}
-	if owner.sealed {
+	if replica.sealed {
 		return
 	}
-	owner.matched = max(owner.matched, pass.Previous.Revision)
+	replica.matched = max(replica.matched, replicate.Previous.Revision)
 	if count := len(passed); count > 0 {
-		owner.matched = max(owner.matched, passed[count-1].Position.Revision)
+		replica.matched = max(replica.matched, passed[count-1].Position.Revision)
 	}
-	owner.commitUpTo(min(pass.Committed, owner.matched))
-	if !owner.IsTail() {
-		owner.sendDownstream(pass)
+	replica.commitUpTo(min(replicate.Committed, replica.matched))
+	if !replica.IsTail() {
+		replica.sendDownstream(replicate)
 		return
 	}
-	owner.commitUpTo(owner.matched)
-	owner.synchronized = owner.synchronized || owner.matched >= pass.LastSynced
-	owner.announceCommit()
+	replica.commitUpTo(replica.matched)
+	replica.synchronized = replica.synchronized || replica.matched >= replicate.LastSynced
+	replica.announceCommit()
 }
 
-// discard removes versions from the folder that were written for a view which ended meanwhile.
-func (owner *Replica) discard(now time.Duration, versions []contract.Version) {
-	drop := []contract.Position{}
+// discard removes versions from the folder that were written for a view that has ended in the meantime.
+func (replica *Replica) discard(now time.Duration, versions []contract.Version) {
+	removed := []contract.Position{}
 	for _, version := range versions {
-		if held, there := owner.versions[version.Position.Revision]; !there || held.Position != version.Position {
-			drop = append(drop, version.Position)
+		if existing, found := replica.versions[version.Position.Revision]; !found || existing.Position != version.Position {
+			removed = append(removed, version.Position)
 		}
 	}
-	if len(drop) > 0 {
-		owner.persist(now, persistJob{remove: drop})
+	if len(removed) > 0 {
+		replica.persist(now, persistJob{remove: removed})
 	}
 }
 
-func (owner *Replica) install(version contract.Version) {
+// install adds a synced version to the log. A different version under its revision is removed, with all that follow it.
+func (replica *Replica) install(version contract.Version) {
 	revision := version.Position.Revision
-	if held, there := owner.versions[revision]; there && held.Position != version.Position {
-		owner.truncate(max(revision-1, owner.committed))
+	if existing, found := replica.versions[revision]; found && existing.Position != version.Position {
+		replica.truncate(max(revision-1, replica.committed))
 	}
-	owner.put(version)
-	owner.lastSynced = max(owner.lastSynced, revision)
-	owner.lastAssigned = max(owner.lastAssigned, owner.lastSynced)
+	replica.put(version)
+	replica.lastSynced = max(replica.lastSynced, revision)
+	replica.lastAssigned = max(replica.lastAssigned, replica.lastSynced)
 }
 
-// forsake drops what a new view leaves behind. A head drops what it numbered and passed on to nobody: it can never be committed any more,
-// and whoever asks for it by its key must not wait for it. A member that is in no chain drops all that was not committed.
-func (owner *Replica) dropAbandoned() {
-	last := max(owner.lastSynced, owner.committed)
-	if !owner.isHolder() {
-		last = owner.committed
-	}
-	owner.queueRemoval(owner.truncate(last))
+// dropAbandoned removes the versions that a new view leaves behind. A head removes versions that it assigned a revision but never sent: these
+// can no longer be committed, and a client that asks for one by its key must not wait for it. A member outside of the chain removes all that
+// is not committed.
+func (replica *Replica) dropAbandoned() {
+	last := max(replica.lastSynced, replica.committed)
+	if !replica.isHolder() {
+		last = replica.committed
+	}
+	replica.queueRemoval(replica.truncate(last))
 }
 
-func (owner *Replica) announceCommit() {
-	owner.sendOthers(owner.view.Core, MessageCommitNotice, CommitNotice{View: owner.view.Number, Position: owner.versions[owner.committed].Position, Synchronized: owner.synchronized})
+// announceCommit tells all members how far the tail has committed.
+func (replica *Replica) announceCommit() {
+	replica.sendOthers(replica.view.Core, MessageCommitNotice, CommitNotice{View: replica.view.Number, Position: replica.versions[replica.committed].Position, Synchronized: replica.synchronized})
 }
 
-func (owner *Replica) handleCommitNotice(now time.Duration, done CommitNotice) {
-	version, there := owner.versions[done.Position.Revision]
-	if done.View == owner.view.Number && (there && version.Position == done.Position || done.Position.Revision == 0) {
-		owner.synchronized = owner.synchronized || done.Synchronized
-		owner.commitUpTo(done.Position.Revision)
+func (replica *Replica) handleCommitNotice(now time.Duration, notice CommitNotice) {
+	version, found := replica.versions[notice.Position.Revision]
+	if notice.View == replica.view.Number && (found && version.Position == notice.Position || notice.Position.Revision == 0) {
+		replica.synchronized = replica.synchronized || notice.Synchronized
+		replica.commitUpTo(notice.Position.Revision)
 		return
 	}
-	owner.nextCatchUp = now
+	replica.nextCatchUp = now
 }
 
-func (owner *Replica) commitUpTo(revision int64) {
-	if revision > owner.committed {
-		owner.stalledSince = -1
-	}
-	for next := owner.committed + 1; next <= revision; next++ {
-		version, there := owner.versions[next]
-		if there {
-			owner.emit(Committed{Version: version})
+// commitUpTo marks all versions up to a revision as committed and trims the log.
+func (replica *Replica) commitUpTo(revision int64) {
+	if revision > replica.committed {
+		replica.stalledSince = -1
+	}
+	for next := replica.committed + 1; next <= revision; next++ {
+		version, found := replica.versions[next]
+		if found {
+			replica.emit(Committed{Version: version})
 		}
 	}
-	owner.committed = max(owner.committed, revision)
-	if version, there := owner.versions[owner.committed]; there && version.Position != owner.markedCommit {
-		owner.markedCommit = version.Position
-		owner.writeQueue = append(owner.writeQueue, persistJob{commitMark: &version.Position})
+	replica.committed = max(replica.committed, revision)
+	if version, found := replica.versions[replica.committed]; found && version.Position != replica.markedCommit {
+		replica.markedCommit = version.Position
+		replica.writeQueue = append(replica.writeQueue, persistJob{commitMark: &version.Position})
 	}
-	owner.queueRemoval(owner.trim())
-	owner.queuePastOperations()
+	replica.queueRemoval(replica.trim())
+	replica.queuePastOperations()
 }
 
-// retransmit passes the head's state and what is not yet acknowledged again, until the tail of this view has answered for it.
-func (owner *Replica) retransmit(now time.Duration) {
-	if !owner.IsHead() || owner.sealed || owner.committed >= owner.lastSynced && owner.synchronized {
-		owner.stalledSince = -1
+// retransmit sends the head's state and its uncommitted versions again until the tail of this view has confirmed them.
+func (replica *Replica) retransmit(now time.Duration) {
+	if !replica.IsHead() || replica.sealed || replica.committed >= replica.lastSynced && replica.synchronized {
+		replica.stalledSince = -1
 		return
 	}
-	if owner.stalledSince < 0 {
-		owner.stalledSince = now
+	if replica.stalledSince < 0 {
+		replica.stalledSince = now
 	}
-	if now-owner.lastResend < owner.bounds.Round()/2 {
+	if now-replica.lastResend < replica.bounds.Round()/2 {
 		return
 	}
-	owner.lastResend = now
+	replica.lastResend = now
 	suffix := []contract.Version{}
-	for revision := owner.committed + 1; revision <= owner.lastSynced && len(suffix) < batchSize; revision++ {
-		if version, there := owner.versions[revision]; there {
+	for revision := replica.committed + 1; revision <= replica.lastSynced && len(suffix) < batchSize; revision++ {
+		if version, found := replica.versions[revision]; found {
 			suffix = append(suffix, version)
 		}
 	}
-	owner.sendDownstream(owner.newReplicate(suffix))
+	replica.sendDownstream(replica.newReplicate(suffix))
 }
 
-// Row is one kept revision as the history tells it.
+// HistoryEntry describes a committed version in the history.
 type HistoryEntry struct {
 	Position  contract.Position `json:"place"`
 	Operation string            `json:"operation"`
 	Digest    string            `json:"digest"`
 }
 
-func (owner *Replica) History() []HistoryEntry {
+// History returns the committed versions that are kept, the oldest first.
+func (replica *Replica) History() []HistoryEntry {
 	rows := []HistoryEntry{}
-	for _, version := range owner.Versions() {
-		if version.Position.Revision <= owner.committed {
+	for _, version := range replica.Versions() {
+		if version.Position.Revision <= replica.committed {
 			rows = append(rows, HistoryEntry{version.Position, version.Operation, version.Digest})
 		}
 	}
