--- a/chain/agree.go
+++ b/chain/agree.go
@@ -131,11 +131,11 @@
 	}
 	for _, node := range replica.view.Core {
 		index, fit := replica.view.ChainIndex(node.Identity()), replica.hasHealthyDisk(node) && replica.reaches(node)
-		_, doubted := replica.excludedUntil[node.Identity()]
-		if index >= 0 && (!fit || doubted) && reachable > 1 {
+		_, excluded := replica.excludedUntil[node.Identity()]
+		if index >= 0 && (!fit || excluded) && reachable > 1 {
 			return len(replica.view.Chain) > 1 || fit
 		}
-		if index < 0 && fit && !doubted && replica.connectedToAll(replica.view.Chain, node.Identity()) {
+		if index < 0 && fit && !excluded && replica.connectedToAll(replica.view.Chain, node.Identity()) {
 			return true
 		}
 	}
--- a/chain/bytes_test.go
+++ b/chain/bytes_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// many gives a change that sets so many parts of half a kilobyte each.
-func many(parts int) document.Change {
+// largeChange returns a change that sets the given number of parts of half a kilobyte each.
+func largeChange(parts int) document.Change {
 	change := document.Change{}
 	for part := range parts {
 		change.Put(fmt.Sprintf("/items/i%05d", part), fmt.Sprintf("%q", fmt.Sprintf("%0500d", part)))
@@ -22,53 +22,55 @@
 	const (
 		parts   = 4000
 		changes = 20
-		// small is what all messages to one member may have together, in bytes.
+		// small is the limit for the total size of the messages to one member, in bytes.
 		small = 200 << 10
 	)
-	var core *trio
+	var core *testCluster
 
 	ginkgo.BeforeEach(func() {
-		core = newTrio()
-		core.write(0, many(parts))
+		core = newTestCluster()
+		core.write(0, largeChange(parts))
 		for viewNumber := range changes {
-			core.write(1+viewNumber, item(fmt.Sprint(viewNumber)))
+			core.write(1+viewNumber, itemChange(fmt.Sprint(viewNumber)))
 		}
 		core.bytes = map[int]int{}
 	})
 
-	It("takes a change for what the change costs", func() {
-		core.write(1+changes, item(`"another"`))
-		for member := range core.owners {
+	It("sends each member no more than the size of a change", func() {
+		core.write(1+changes, itemChange(`"another"`))
+		for member := range core.replicas {
 			Expect(core.bytes[member]).To(BeNumerically("<", 8<<10), "bytes to member %d", member)
 		}
 	})
 
-	It("agrees on a view without sending the configuration, when a member goes away", func() {
-		core.away[2] = true
+	It("decides on a view without sending the configuration when a member fails", func() {
+		core.down[2] = true
 		core.until(func() bool { head := core.head(); return head != nil && len(head.view.Chain) == 2 })
-		for member := range core.owners {
+		for member := range core.replicas {
 			Expect(core.bytes[member]).To(BeNumerically("<", small), "bytes to member %d", member)
 		}
 	})
 
-	It("takes a member in again that missed some changes without sending the configuration", func() {
-		core.away[2] = true
+	It("lets a member that missed some changes join again without sending the configuration", func() {
+		core.down[2] = true
 		core.until(func() bool { head := core.head(); return head != nil && len(head.view.Chain) == 2 })
 		for viewNumber := range changes {
-			core.write(1+changes+viewNumber, item(fmt.Sprint(viewNumber+changes)))
+			core.write(1+changes+viewNumber, itemChange(fmt.Sprint(viewNumber+changes)))
 		}
-		core.away[2] = false
-		core.until(func() bool { return len(core.owners[2].view.Chain) == 3 && core.owners[2].Committed() == 1+2*changes })
-		for member := range core.owners {
+		core.down[2] = false
+		core.until(func() bool {
+			return len(core.replicas[2].view.Chain) == 3 && core.replicas[2].Committed() == 1+2*changes
+		})
+		for member := range core.replicas {
 			Expect(core.bytes[member]).To(BeNumerically("<", small), "bytes to member %d", member)
 		}
 	})
 
-	It("sends the configuration once to a member that comes with an empty disk", func() {
-		whole := core.held.Document().Size()
+	It("sends the configuration once to a member that starts with an empty disk", func() {
+		fullSize := core.newest.Document().Size()
 		core.replace(2)
-		core.until(func() bool { return len(core.owners[2].view.Chain) == 3 && core.owners[2].Committed() == 1+changes })
-		Expect(core.bytes[2]).To(BeNumerically("<", 2*whole))
-		Expect(core.owners[2].versions[1+changes].Digest).To(Equal(core.held.Digest))
+		core.until(func() bool { return len(core.replicas[2].view.Chain) == 3 && core.replicas[2].Committed() == 1+changes })
+		Expect(core.bytes[2]).To(BeNumerically("<", 2*fullSize))
+		Expect(core.replicas[2].versions[1+changes].Digest).To(Equal(core.newest.Digest))
 	})
 })
--- a/chain/compose.go
+++ b/chain/compose.go
@@ -45,9 +45,9 @@
 func (replica *Replica) composeView() (contract.View, bool) {
 	promises := replica.campaign.promises
 	eligible := func(identity string) bool {
-		_, doubted := replica.excludedUntil[identity]
+		_, excluded := replica.excludedUntil[identity]
 		promise, answered := promises[identity]
-		return answered && promise.DiskHealthy && !doubted
+		return answered && promise.DiskHealthy && !excluded
 	}
 	view := contract.View{Number: replica.view.Number + 1}
 	for _, identity := range replica.view.Proposers() {
@@ -69,14 +69,14 @@
 	}
 	for _, node := range replica.view.Core {
 		if _, answered := promises[node.Identity()]; !answered && !replica.isAlive(node) && len(spares) > 0 {
-			place := 0
+			chosen := 0
 			for index, spare := range spares {
 				if spare.Name == node.Name {
-					place = index
+					chosen = index
 				}
 			}
-			node = spares[place]
-			spares = append(spares[:place], spares[place+1:]...)
+			node = spares[chosen]
+			spares = append(spares[:chosen], spares[chosen+1:]...)
 		}
 		view.Core = append(view.Core, node)
 	}
--- a/chain/folder_test.go
+++ b/chain/folder_test.go
@@ -11,16 +11,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// foldersTried is how many series of writes are played, each of foldersSteps.
+// seriesCount is the number of random series of updates, each of seriesLength steps.
 const (
-	foldersTried = 25
-	foldersSteps = 80
+	seriesCount  = 25
+	seriesLength = 80
 )
 
-// files are what a data folder holds as records, by place.
-type files map[contract.Position][]byte
+// diskFiles are the encoded records in a data folder, by position.
+type diskFiles map[contract.Position][]byte
 
-func (disk files) save(writes []Write, removed []contract.Position) {
+func (disk diskFiles) save(writes []Write, removed []contract.Position) {
 	for _, position := range removed {
 		delete(disk, position)
 	}
@@ -31,8 +31,8 @@
 	}
 }
 
-// open reads all files as a start does, and gives them as they lie there.
-func (disk files) open() ([]contract.Version, []StoredVersion) {
+// readAll decodes all files as a start of the process does, and describes how they are stored.
+func (disk diskFiles) readAll() ([]contract.Version, []StoredVersion) {
 	places := []contract.Position{}
 	for position := range disk {
 		places = append(places, position)
@@ -53,16 +53,16 @@
 	return versions, stored
 }
 
-var _ = Describe("a data folder whose versions are changes of each other", func() {
-	It("given writes, views that leave versions behind, trims, failed writes and restarts, then all that is wanted can always be put together", func() {
-		for seed := range uint64(foldersTried) {
+var _ = Describe("a data folder with deltas", func() {
+	It("given writes, abandoned versions, trims, failed writes and restarts, then all wanted versions can always be decoded", func() {
+		for seed := range uint64(seriesCount) {
 			random := rand.New(rand.NewPCG(seed, 6))
-			known, disk, log := newStoredVersions(nil), files{}, []contract.Version{contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(40)))}
-			writes, removed := known.plan(log, nil)
+			tracked, disk, log := newStoredVersions(nil), diskFiles{}, []contract.Version{contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(largeChange(40)))}
+			writes, removed := tracked.plan(log, nil)
 			disk.save(writes, removed)
-			known.apply(writes, nil, removed)
+			tracked.apply(writes, nil, removed)
 			view := int64(1)
-			for step := range foldersSteps {
+			for step := range seriesLength {
 				added, drop := []contract.Version{}, []contract.Position{}
 				switch random.IntN(8) {
 				case 0:
@@ -79,28 +79,28 @@
 				default:
 					for range 1 + random.IntN(3) {
 						last := log[len(log)-1]
-						next := last.Next(contract.Position{View: view, Revision: last.Position.Revision + 1}, fmt.Sprint(step), item(fmt.Sprint(random.IntN(1000))))
+						next := last.Next(contract.Position{View: view, Revision: last.Position.Revision + 1}, fmt.Sprint(step), itemChange(fmt.Sprint(random.IntN(1000))))
 						log, added = append(log, next), append(added, next)
 					}
 				}
-				writes, removed := known.plan(added, drop)
+				writes, removed := tracked.plan(added, drop)
 				if random.IntN(10) == 0 {
 					disk.save(writes[:len(writes)/2], removed)
-					writes, removed = known.plan(added, drop)
+					writes, removed = tracked.plan(added, drop)
 				}
 				disk.save(writes, removed)
-				known.apply(writes, drop, removed)
-				versions, stored := disk.open()
+				tracked.apply(writes, drop, removed)
+				versions, stored := disk.readAll()
 				for _, version := range log {
 					index := slices.IndexFunc(versions, func(other contract.Version) bool { return other.Position == version.Position })
-					Expect(index).To(BeNumerically(">=", 0), "seed %d, step %d: %v is lost", seed, step, version.Position)
+					Expect(index).To(BeNumerically(">=", 0), "seed %d, step %d: %v cannot be decoded", seed, step, version.Position)
 					Expect(versions[index].Digest).To(Equal(version.Digest))
 				}
 				if random.IntN(20) == 0 {
-					known = newStoredVersions(stored)
+					tracked = newStoredVersions(stored)
 					for _, version := range versions {
 						if !slices.ContainsFunc(log, func(other contract.Version) bool { return other.Position == version.Position }) {
-							known.released[version.Position] = true
+							tracked.released[version.Position] = true
 						}
 					}
 				}
@@ -108,17 +108,17 @@
 		}
 	})
 
-	It("writes a version whole when the changes in a row are many or as large as the version", func() {
-		known, last := newStoredVersions(nil), contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(many(400)))
-		whole := 0
+	It("writes a full record when the successive deltas are many or as large as the version", func() {
+		tracked, last := newStoredVersions(nil), contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty().Apply(largeChange(400)))
+		fullRecords := 0
 		for revision := int64(1); revision <= 4*maxDeltaChain; revision++ {
-			writes, removed := known.plan([]contract.Version{last}, nil)
-			known.apply(writes, nil, removed)
+			writes, removed := tracked.plan([]contract.Version{last}, nil)
+			tracked.apply(writes, nil, removed)
 			if writes[0].Base.Position.Revision == 0 {
-				whole++
+				fullRecords++
 			}
-			last = last.Next(contract.Position{View: 1, Revision: revision + 1}, "", item(fmt.Sprint(revision)))
+			last = last.Next(contract.Position{View: 1, Revision: revision + 1}, "", itemChange(fmt.Sprint(revision)))
 		}
-		Expect(whole).To(Equal(4))
+		Expect(fullRecords).To(Equal(4))
 	})
 })
--- a/chain/forsaken_test.go
+++ b/chain/forsaken_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a write that its head numbered and passed on to nobody", func() {
+var _ = Describe("a write that its head assigned a revision but did not send", func() {
 	nodes := []contract.CoreNode{}
 	names := []string{}
 	for _, name := range []string{"head", "middle", "tail"} {
@@ -38,18 +38,18 @@
 			replica.Handle(6*time.Millisecond, Persisted{Token: replica.token})
 		}
 		Expect(replica.IsHead()).To(BeTrue())
-		Expect(replica.Versions()).NotTo(ContainElement(former), "nobody waits for it under its key")
+		Expect(replica.Versions()).NotTo(ContainElement(former), "else a client would wait for it under its key")
 		again, _ := replica.Submit(7*time.Millisecond, "lost", former.Change)
 		Expect(again.Position).To(Equal(contract.Position{View: 2, Revision: former.Position.Revision}))
 	}
 
-	It("given that the next view comes before it is synced, then it is forgotten, and taken when it is asked for again", func() {
+	It("given that the next view is installed before it is synced, then it is removed and accepted again when it is retried", func() {
 		replica := head()
 		version, _ := replica.Submit(2*time.Millisecond, "lost", document.Change{})
 		next(replica, version)
 	})
 
-	It("given that its head is sealed when it is synced, then it is forgotten, and taken when it is asked for again", func() {
+	It("given that its head is sealed when it is synced, then it is removed and accepted again when it is retried", func() {
 		replica := head()
 		version, _ := replica.Submit(2*time.Millisecond, "lost", document.Change{})
 		replica.Handle(3*time.Millisecond, message(MessagePrepare, Prepare{Ballot: Ballot{Number: 2, Round: 1}, Node: nodes[1], Base: view(1)}))
@@ -57,7 +57,7 @@
 		next(replica, version)
 	})
 
-	It("given that it was synced and passed on, when the view changes, then it is kept and passed on in the next one", func() {
+	It("given that it was synced and sent, when the view changes, then it is kept in the next one", func() {
 		replica := head()
 		version, _ := replica.Submit(2*time.Millisecond, "kept", document.Change{})
 		replica.Handle(3*time.Millisecond, Persisted{Token: replica.token})
--- a/chain/found_test.go
+++ b/chain/found_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// The package has a Done of its own, so ginkgo's names cannot be imported all at once.
+// Only some of ginkgo's names are used, next to those of the package under test.
 var (
 	Describe = ginkgo.Describe
 	It       = ginkgo.It
@@ -24,13 +24,13 @@
 	ginkgo.RunSpecs(t, "chain")
 }
 
-// core runs three core machines that see each other, for a while, and gives them and what was counted.
-func core(founds []bool, shelves []Recovered, span time.Duration) ([]*Replica, map[string]int64) {
+// runCore runs core machines that see each other for a span of time, and returns them and the values of the counters.
+func runCore(mayBootstrap []bool, recovered []Recovered, span time.Duration) ([]*Replica, map[string]int64) {
 	bounds, replicas, members, counts := env.DefaultBounds(), []*Replica{}, []contract.Member{}, map[string]int64{}
-	for index := range founds {
+	for index := range mayBootstrap {
 		self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", index), ID: "boot", Address: fmt.Sprint("address", index)}
-		replica := New(self, "start", len(founds), bounds, shelves[index], rand.New(rand.NewPCG(uint64(index), 1)))
-		replica.AllowBootstrap(founds[index])
+		replica := New(self, "start", len(mayBootstrap), bounds, recovered[index], rand.New(rand.NewPCG(uint64(index), 1)))
+		replica.AllowBootstrap(mayBootstrap[index])
 		replicas = append(replicas, replica)
 		members = append(members, contract.Member{Name: self.Name, Boot: self.ID, CoreID: self.ID, Kind: contract.KindControl, Core: true, Address: self.Address})
 	}
@@ -66,8 +66,8 @@
 var _ = Describe("a blank core", func() {
 	blank := make([]Recovered, 3)
 
-	It("given three machines of a first start, when they see each other, then they found one view", func() {
-		replicas, counts := core([]bool{true, true, true}, blank, 30*time.Second)
+	It("given three machines at their first start, when they see each other, then they bootstrap one view", func() {
+		replicas, counts := runCore([]bool{true, true, true}, blank, 30*time.Second)
 		for _, replica := range replicas {
 			Expect(replica.View().Number).To(Equal(int64(1)))
 			Expect(replica.View()).To(Equal(replicas[0].View()))
@@ -75,8 +75,8 @@
 		Expect(counts["foundings_tried"]).To(BeNumerically(">", 0))
 	})
 
-	It("given three machines that may not found, when they see each other for long, then none founds or tries to", func() {
-		replicas, counts := core([]bool{false, false, false}, blank, 10*time.Minute)
+	It("given three machines that may not bootstrap, when they see each other for long, then none attempts to", func() {
+		replicas, counts := runCore([]bool{false, false, false}, blank, 10*time.Minute)
 		for _, replica := range replicas {
 			Expect(replica.View().Number).To(BeZero())
 		}
@@ -84,11 +84,11 @@
 		Expect(counts).NotTo(HaveKey("foundings"))
 	})
 
-	for lost := range 3 {
-		It(fmt.Sprintf("given machine %d of three that may not found, when the others may, then no view is founded", lost), func() {
-			founds := []bool{true, true, true}
-			founds[lost] = false
-			replicas, counts := core(founds, blank, 5*time.Minute)
+	for joiner := range 3 {
+		It(fmt.Sprintf("given machine %d of three that may not bootstrap, when the others may, then no view is created", joiner), func() {
+			mayBootstrap := []bool{true, true, true}
+			mayBootstrap[joiner] = false
+			replicas, counts := runCore(mayBootstrap, blank, 5*time.Minute)
 			for _, replica := range replicas {
 				Expect(replica.View().Number).To(BeZero())
 			}
@@ -96,9 +96,9 @@
 		})
 	}
 
-	It("given a machine whose folder holds a version, when it may found but has no view, then it never founds a blank fleet", func() {
+	It("given a machine whose folder holds a version, when it may bootstrap but has no view, then no view is created", func() {
 		recovered := Recovered{Versions: []contract.Version{{Position: contract.Position{View: 1, Revision: 4}}}}
-		replicas, counts := core([]bool{true, true, true}, []Recovered{recovered, {}, {}}, 5*time.Minute)
+		replicas, counts := runCore([]bool{true, true, true}, []Recovered{recovered, {}, {}}, 5*time.Minute)
 		for _, replica := range replicas {
 			Expect(replica.View().Number).To(BeZero())
 		}
--- a/chain/log_test.go
+++ b/chain/log_test.go
@@ -8,19 +8,19 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a log that is bounded by bytes", func() {
+var _ = Describe("a log with a byte limit", func() {
 	const (
 		changeSize = 1000
 		bytesMost  = 10 * changeSize
 		window     = 40
 	)
-	// grown gives a log of so many committed versions, each of which is a change of changeSize bytes.
+	// grown returns a log of the given number of committed versions, each with a change of changeSize bytes, and the trimmed positions.
 	grown := func(count int64) (*log, []contract.Position) {
 		result, dropped := newLog(window, bytesMost), []contract.Position{}
 		version := contract.Version{}
 		for revision := int64(1); revision <= count; revision++ {
 			version = version.Next(contract.Position{View: 1, Revision: revision}, contract.OperationID(fmt.Sprint("o", revision), "f"),
-				item(fmt.Sprintf("%q", fmt.Sprintf("%0*d", changeSize-len("/item")-2, revision))))
+				itemChange(fmt.Sprintf("%q", fmt.Sprintf("%0*d", changeSize-len("/item")-2, revision))))
 			result.put(version)
 			result.lastSynced, result.committed = revision, revision
 			dropped = append(dropped, result.trim()...)
@@ -42,7 +42,7 @@
 		Expect(result.RemembersAllOperations()).To(BeTrue())
 	})
 
-	It("forgets operations that are older than the window", func() {
+	It("removes operations older than the window", func() {
 		result, _ := grown(100)
 		_, found := result.Operation("o60")
 		Expect(found).To(BeFalse())
@@ -52,7 +52,7 @@
 		Expect(result.RemembersAllOperations()).To(BeFalse())
 	})
 
-	It("takes up operations of versions that it never had, and none that contradict what it has", func() {
+	It("adds operations of versions that it never had, but none that contradict its versions", func() {
 		result, _ := grown(30)
 		other := newLog(window, bytesMost)
 		newest := result.versions[30]
@@ -69,30 +69,30 @@
 	})
 })
 
-var _ = Describe("a core whose changes are large", func() {
-	It("hands the operations of versions that are gone to a member with an empty disk, which has what the others have", func() {
+var _ = Describe("a core with large changes", func() {
+	It("sends the operations of removed versions to a member with an empty disk, which then has all that the others have", func() {
 		const changes = 60
-		core := newTrio()
-		for _, replica := range core.owners {
+		core := newTestCluster()
+		for _, replica := range core.replicas {
 			replica.maxBytes = 200 << 10
 		}
 		for viewNumber := range changes {
-			core.write(viewNumber, item(fmt.Sprintf("%q", fmt.Sprintf("%020000d", viewNumber))))
+			core.write(viewNumber, itemChange(fmt.Sprintf("%q", fmt.Sprintf("%020000d", viewNumber))))
 		}
-		Expect(len(core.owners[0].versions)).To(BeNumerically("<", 12))
+		Expect(len(core.replicas[0].versions)).To(BeNumerically("<", 12))
 		core.replace(2)
-		core.owners[2].maxBytes = 200 << 10
-		core.until(func() bool { return len(core.owners[2].view.Chain) == 3 && core.owners[2].Committed() == changes })
-		core.until(func() bool { return len(core.owners[2].operations) == changes })
-		count, _ := core.owners[2].missing()
+		core.replicas[2].maxBytes = 200 << 10
+		core.until(func() bool { return len(core.replicas[2].view.Chain) == 3 && core.replicas[2].Committed() == changes })
+		core.until(func() bool { return len(core.replicas[2].operations) == changes })
+		count, _ := core.replicas[2].missing()
 		Expect(count).To(BeZero())
 	})
 })
 
-var _ = It("gives no version for a place of another view under the same revision", func() {
+var _ = It("finds no version at a position of another view under the same revision", func() {
 	result := newLog(10, 1000)
 	result.put(contract.NewVersion(contract.Position{View: 2, Revision: 4}, "o/f", document.Empty()))
 	version, found := result.lookup(contract.Position{View: 1, Revision: 4})
 	Expect(found).To(BeFalse())
-	Expect(version.Position).To(BeZero(), "else what follows would be told as its change")
+	Expect(version.Position).To(BeZero(), "else the next version would be encoded relative to it")
 })
--- a/chain/past_test.go
+++ b/chain/past_test.go
@@ -12,16 +12,16 @@
 	"github.com/cedarreel/cedarreel/env"
 )
 
-// trio is a core of three members whose disks and links take no time; a member that is away gets nothing.
-type trio struct {
-	owners  []*Replica
-	away    map[int]bool
-	now     time.Duration
-	pending []delivery
+// testCluster is a core of three members whose disks and links take no time. A member that is down receives nothing.
+type testCluster struct {
+	replicas []*Replica
+	down     map[int]bool
+	now      time.Duration
+	pending  []delivery
 	// bytes counts what was sent to each member.
 	bytes map[int]int
-	// held is the newest version that the feed brought.
-	held contract.Version
+	// newest is the newest committed version.
+	newest contract.Version
 }
 
 type delivery struct {
@@ -29,41 +29,41 @@
 	event contract.Event
 }
 
-func newTrio() *trio {
-	result := &trio{away: map[int]bool{}, bytes: map[int]int{}}
+func newTestCluster() *testCluster {
+	result := &testCluster{down: map[int]bool{}, bytes: map[int]int{}}
 	for index := range 3 {
 		self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", index), ID: "disk", Address: fmt.Sprint(index)}
-		result.owners = append(result.owners, New(self, "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(uint64(index), 1))))
+		result.replicas = append(result.replicas, New(self, "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(uint64(index), 1))))
 	}
 	result.until(func() bool { return result.head() != nil })
 	return result
 }
 
-// replace gives a member an empty disk.
-func (trio *trio) replace(index int) {
+// replace restarts a member with an empty disk.
+func (cluster *testCluster) replace(index int) {
 	self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", index), ID: "another disk", Address: fmt.Sprint(index)}
-	trio.owners[index] = New(self, "another start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(uint64(index), 2)))
-	trio.owners[index].AllowBootstrap(false)
-	trio.bytes[index] = 0
+	cluster.replicas[index] = New(self, "another start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(uint64(index), 2)))
+	cluster.replicas[index].AllowBootstrap(false)
+	cluster.bytes[index] = 0
 }
 
-func (trio *trio) head() *Replica {
-	for index, replica := range trio.owners {
-		if !trio.away[index] && replica.AcceptsWrites() {
+func (cluster *testCluster) head() *Replica {
+	for index, replica := range cluster.replicas {
+		if !cluster.down[index] && replica.AcceptsWrites() {
 			return replica
 		}
 	}
 	return nil
 }
 
-func (trio *trio) take(from int, commands []contract.Command) {
+func (cluster *testCluster) execute(from int, commands []contract.Command) {
 	for _, command := range commands {
 		switch command := command.(type) {
 		case Persist:
-			trio.pending = append(trio.pending, delivery{from, Persisted{Token: command.Token}})
+			cluster.pending = append(cluster.pending, delivery{from, Persisted{Token: command.Token}})
 		case Committed:
-			if trio.held.Position.Before(command.Version.Position) {
-				trio.held = command.Version
+			if cluster.newest.Position.Before(command.Version.Position) {
+				cluster.newest = command.Version
 			}
 		case contract.Send:
 			body, err := json.Marshal(command.Body)
@@ -71,85 +71,85 @@
 				panic(err)
 			}
 			to := int(command.To[0] - '0')
-			trio.bytes[to] += len(body)
-			trio.pending = append(trio.pending, delivery{to, contract.Message{Kind: command.Kind, From: trio.owners[from].self.Name, Body: body}})
+			cluster.bytes[to] += len(body)
+			cluster.pending = append(cluster.pending, delivery{to, contract.Message{Kind: command.Kind, From: cluster.replicas[from].self.Name, Body: body}})
 		}
 	}
 }
 
-func (trio *trio) settle() {
-	for len(trio.pending) > 0 {
-		next := trio.pending[0]
-		trio.pending = trio.pending[1:]
-		if !trio.away[next.to] {
-			trio.take(next.to, trio.owners[next.to].Handle(trio.now, next.event))
+func (cluster *testCluster) deliverAll() {
+	for len(cluster.pending) > 0 {
+		next := cluster.pending[0]
+		cluster.pending = cluster.pending[1:]
+		if !cluster.down[next.to] {
+			cluster.execute(next.to, cluster.replicas[next.to].Handle(cluster.now, next.event))
 		}
 	}
 }
 
-func (trio *trio) tick() {
-	trio.now += env.DefaultBounds().Tick()
-	membership := Membership{NewestVersion: trio.held}
-	for index, replica := range trio.owners {
-		if !trio.away[index] {
+func (cluster *testCluster) tick() {
+	cluster.now += env.DefaultBounds().Tick()
+	membership := Membership{NewestVersion: cluster.newest}
+	for index, replica := range cluster.replicas {
+		if !cluster.down[index] {
 			membership.Members = append(membership.Members, contract.Member{Name: replica.self.Name, CoreID: replica.self.ID, Core: true, Address: replica.self.Address, View: replica.view.Number})
 		}
 	}
-	for index, replica := range trio.owners {
-		if !trio.away[index] {
-			trio.take(index, replica.Handle(trio.now, membership))
+	for index, replica := range cluster.replicas {
+		if !cluster.down[index] {
+			cluster.execute(index, replica.Handle(cluster.now, membership))
 		}
 	}
-	trio.settle()
+	cluster.deliverAll()
 }
 
-const patience = 2000
+const maxTicks = 2000
 
-func (trio *trio) until(holds func() bool) {
-	for range patience {
+func (cluster *testCluster) until(holds func() bool) {
+	for range maxTicks {
 		if holds() {
 			return
 		}
-		trio.tick()
+		cluster.tick()
 	}
-	panic("the core does not get there")
+	panic("condition not reached")
 }
 
-// item gives a change that sets one part.
-func item(content string) document.Change {
+// itemChange returns a change that sets one part.
+func itemChange(content string) document.Change {
 	change := document.Change{}
 	change.Put("/item", content)
 	return change
 }
 
-func (trio *trio) write(viewNumber int, change document.Change) {
-	head := trio.head()
-	for index, replica := range trio.owners {
+func (cluster *testCluster) write(viewNumber int, change document.Change) {
+	head := cluster.head()
+	for index, replica := range cluster.replicas {
 		if replica == head {
-			_, commands := head.Submit(trio.now, contract.OperationID(fmt.Sprint(viewNumber), "f"), change)
-			trio.take(index, commands)
+			_, commands := head.Submit(cluster.now, contract.OperationID(fmt.Sprint(viewNumber), "f"), change)
+			cluster.execute(index, commands)
 		}
 	}
-	trio.settle()
+	cluster.deliverAll()
 }
 
-// BenchmarkWrite is one write through a chain of three, and one tick of its head, after so many writes before it.
+// BenchmarkWrite measures one write through a chain of three, and one tick of all members, after a number of earlier writes.
 func BenchmarkWrite(b *testing.B) {
 	for _, past := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("past=%d", past), func(b *testing.B) {
-			core := newTrio()
+			core := newTestCluster()
 			for viewNumber := range past {
-				core.write(viewNumber, item(fmt.Sprint(viewNumber)))
+				core.write(viewNumber, itemChange(fmt.Sprint(viewNumber)))
 			}
 			b.ResetTimer()
 			for viewNumber := range b.N {
-				core.write(past+viewNumber, item(fmt.Sprint(past+viewNumber)))
+				core.write(past+viewNumber, itemChange(fmt.Sprint(past+viewNumber)))
 			}
 		})
 		b.Run(fmt.Sprintf("tick/past=%d", past), func(b *testing.B) {
-			core := newTrio()
+			core := newTestCluster()
 			for viewNumber := range past {
-				core.write(viewNumber, item(fmt.Sprint(viewNumber)))
+				core.write(viewNumber, itemChange(fmt.Sprint(viewNumber)))
 			}
 			b.ResetTimer()
 			for range b.N {
@@ -159,23 +159,23 @@
 	}
 }
 
-// BenchmarkCatchUp is a member that missed 1,000 changes of 200 KB and joins the chain again.
+// BenchmarkCatchUp measures a member that missed 1,000 changes of 200 KB and joins the chain again.
 func BenchmarkCatchUp(b *testing.B) {
 	const missed, size = 1000, 200 << 10
 	for range b.N {
 		b.StopTimer()
-		core := newTrio()
-		core.away[2] = true
+		core := newTestCluster()
+		core.down[2] = true
 		core.until(func() bool { head := core.head(); return head != nil && len(head.view.Chain) == 2 })
 		for viewNumber := range missed {
-			core.write(viewNumber, item(fmt.Sprintf("%q", fmt.Sprintf("%0*d", size-2, viewNumber))))
+			core.write(viewNumber, itemChange(fmt.Sprintf("%q", fmt.Sprintf("%0*d", size-2, viewNumber))))
 		}
-		core.away[2], core.bytes[2] = false, 0
+		core.down[2], core.bytes[2] = false, 0
 		began := core.now
 		b.StartTimer()
-		core.until(func() bool { return len(core.owners[2].view.Chain) == 3 && core.owners[2].Committed() == missed })
+		core.until(func() bool { return len(core.replicas[2].view.Chain) == 3 && core.replicas[2].Committed() == missed })
 		b.ReportMetric(float64(core.bytes[2])/1e6, "MB/catch-up")
 		b.ReportMetric((core.now - began).Seconds(), "virtual-s/catch-up")
-		b.ReportMetric(float64(len(core.owners[2].versions)), "versions")
+		b.ReportMetric(float64(len(core.replicas[2].versions)), "versions")
 	}
 }
--- a/chain/vouch_test.go
+++ b/chain/vouch_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a chain that shrank to one member", func() {
+var _ = Describe("a chain that has shrunk to one member", func() {
 	node := func(name string) contract.CoreNode {
 		return contract.CoreNode{Name: name, ID: "boot", Address: name}
 	}
@@ -23,7 +23,7 @@
 	nodes := []contract.CoreNode{node("head"), node("middle"), node("tail")}
 	names := []string{nodes[0].Identity(), nodes[1].Identity(), nodes[2].Identity()}
 
-	// member is the middle of a chain that has taken a version and not yet heard whether its tail has it.
+	// member returns the middle of a chain, which has synced a version and does not know whether the tail has committed it.
 	member := func() *Replica {
 		replica := New(nodes[1], "start", 3, env.DefaultBounds(), Recovered{}, rand.New(rand.NewPCG(1, 1)))
 		replica.Handle(0, message(MessageNewView, "head", contract.View{Number: 1, Core: nodes, Chain: names, Holders: names}))
@@ -37,7 +37,7 @@
 		return replica
 	}
 
-	It("given a version that the former tail may have acknowledged, when it alone is asked, then it does not answer with an older one", func() {
+	It("given a version that the former tail may have acknowledged, when it is asked as the only member, then it does not answer with an older one", func() {
 		replica := member()
 		replica.Handle(2*time.Millisecond, message(MessageNewView, "tail", contract.View{Number: 2, Core: nodes, Chain: names[1:2], Holders: names}))
 		Expect(replica.IsTail()).To(BeTrue())
