--- a/control/control.go
+++ b/control/control.go
@@ -79,7 +79,7 @@
 			owner.Feed.Take(feed.Change{Versions: []contract.Version{newest}}, nil)
 		}
 	}
-	owner.shard.Prompt(settings.Wide)
+	owner.shard.SetAdvisoryLeases(settings.Wide)
 	return owner
 }
 
--- a/control/gather.go
+++ b/control/gather.go
@@ -56,7 +56,7 @@
 		body, _ := json.Marshal(told)
 		return []contract.Command{contract.Send{To: ask.Address, Kind: MessageStatus, Body: Status{Token: ask.Token, Node: owner.Self().Name, Body: body}}}
 	}
-	if message.Kind != MessageStatus && message.Kind != MessageWhy && message.Kind != shard.MessageWithdrawn {
+	if message.Kind != MessageStatus && message.Kind != MessageWhy && message.Kind != shard.MessageZoneWithdrawn {
 		return nil
 	}
 	var status Status
@@ -69,7 +69,7 @@
 	}
 	pending.waiting.Remove(message.From)
 	body := status.Body
-	if message.Kind == shard.MessageWithdrawn {
+	if message.Kind == shard.MessageZoneWithdrawn {
 		body = message.Body
 	}
 	if pending.take(body) || pending.waiting.Cardinality() == 0 {
--- a/control/regions.go
+++ b/control/regions.go
@@ -19,7 +19,7 @@
 
 func (owner *Owner) shardsWoke(now time.Duration) {
 	for _, shards := range owner.shardsOf() {
-		shards.Woke(now)
+		shards.ResumeAfterFreeze(now)
 	}
 }
 
@@ -31,7 +31,7 @@
 			if _, there := owner.others[region]; !there && region != owner.Self().Region {
 				self.Region = region
 				owner.others[region] = shard.New(self, owner.Bounds)
-				owner.others[region].Prompt(true)
+				owner.others[region].SetAdvisoryLeases(true)
 			}
 		}
 		for region := range owner.others {
@@ -67,16 +67,16 @@
 
 // shardEvent brings an event to the shards that it concerns: what is carried around or read for others is done once.
 func (owner *Owner) shardEvent(now time.Duration, event contract.Event) []contract.Command {
-	if message, fine := event.(contract.Message); fine && message.Kind != shard.MessageAsk && message.Kind != shard.MessageWithdraw && message.Kind != shard.MessageAgesTold {
+	if message, fine := event.(contract.Message); fine && message.Kind != shard.MessageLeaseRequest && message.Kind != shard.MessageZoneWithdraw && message.Kind != shard.MessageRampReply {
 		return owner.shard.Handle(now, event)
 	}
-	if read, fine := event.(shard.ReportRead); fine && read.For.Back != "" {
+	if read, fine := event.(shard.ReportResult); fine && read.Request.ReplyTo != "" {
 		return owner.shard.Handle(now, event)
 	}
 	commands := []contract.Command{}
 	for index, shards := range owner.shardsOf() {
 		part := event
-		if read, fine := event.(shard.ListingRead); fine && owner.wide {
+		if read, fine := event.(shard.ListingResult); fine && owner.wide {
 			part = owner.partOf(read, index)
 		}
 		commands = append(commands, shards.Handle(now, part)...)
@@ -84,12 +84,12 @@
 	return owner.oneListing(now, commands)
 }
 
-func (owner *Owner) partOf(read shard.ListingRead, index int) shard.ListingRead {
+func (owner *Owner) partOf(read shard.ListingResult, index int) shard.ListingResult {
 	region := owner.Self().Region
 	if index > 0 {
 		region = manifest.SortedKeys(owner.others)[index-1]
 	}
-	part := shard.ListingRead{Region: region, Began: read.Began, Error: read.Error, Listing: contract.Listing{Region: region}}
+	part := shard.ListingResult{Region: region, Began: read.Began, Error: read.Error, Listing: contract.Listing{Region: region}}
 	for _, row := range read.Listing.Servers {
 		if row.Region == region {
 			part.Listing.Servers = append(part.Listing.Servers, row)
--- a/control/write.go
+++ b/control/write.go
@@ -170,10 +170,10 @@
 	fits := func(member contract.Member) bool {
 		return member.Kind == contract.KindControl && (member.Region == reach.region || owner.wide)
 	}
-	return owner.gather(now, fits, shard.MessageWithdraw, func(token int64) any {
-		return shard.Withdraw{Zone: zone, Region: reach.region, Token: token, Address: owner.Self().Address}
+	return owner.gather(now, fits, shard.MessageZoneWithdraw, func(token int64) any {
+		return shard.ZoneWithdraw{Zone: zone, Region: reach.region, Token: token, Address: owner.Self().Address}
 	}, func(body json.RawMessage) bool {
-		var answer shard.Withdrawn
+		var answer shard.ZoneWithdrawn
 		if json.Unmarshal(body, &answer) == nil {
 			for _, index := range answer.Shards {
 				covered[index] = true
--- a/data/leases.go
+++ b/data/leases.go
@@ -35,14 +35,14 @@
 			owner.grants[index] = held
 		}
 		targets := map[string]bool{held.hint: true, held.lease.Epoch.Node: true}
-		first := shard.First(members, region, index)
+		first := shard.PreferredOwner(members, region, index)
 		targets[first] = true
 		ask := contract.LeaseRequest{Node: owner.Self().Name, Address: owner.Self().Address, Region: region, Shard: index,
 			Asked: now, Highest: held.highest, Number: held.lease.Number, Shards: shards}
 		ask.Calls, ask.Lingering = owner.callsOn(index)
 		for _, name := range manifest.SortedKeys(targets) {
 			if member, there := owner.Neighbours.Look(name); there && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
-				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageAsk, Body: ask})
+				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageLeaseRequest, Body: ask})
 			}
 		}
 		owner.askByRelay(now, held, first, ask)
@@ -58,7 +58,7 @@
 		return
 	}
 	if route, tried, needed := held.detour.Next(silent); needed {
-		owner.emit(owner.ByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageAsk, Body: ask}, route, tried)...)
+		owner.emit(owner.ByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageLeaseRequest, Body: ask}, route, tried)...)
 	}
 }
 
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -67,7 +67,7 @@
 	case shard.ReadReport:
 		shell.readReport(command)
 	case shard.Order:
-		shell.event(shard.Ordered{Server: command.Server, Load: command.Load})
+		shell.event(shard.OrderResult{Server: command.Server, Load: command.Load})
 	case contract.Answer:
 		take := shell.asks[command.Token]
 		delete(shell.asks, command.Token)
@@ -123,7 +123,7 @@
 
 // readList reads the list page by page, each within the time for it.
 func (shell *controlShell) readList() {
-	read, limit := shard.ListingRead{Began: shell.now()}, shell.settings.Bounds.PlatformPoll()
+	read, limit := shard.ListingResult{Began: shell.now()}, shell.settings.Bounds.PlatformPoll()
 	var page func(number int)
 	page = func(number int) {
 		question(shell.process, shell.day.list.place(), limit, func() (any, time.Duration) {
@@ -156,7 +156,7 @@
 }
 
 func (shell *controlShell) readReport(command shard.ReadReport) {
-	read := shard.ReportRead{Server: command.Server, For: command, Outcome: retire.Outcome{Began: shell.now()}}
+	read := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: shell.now()}}
 	server := shell.day.at(command.Address)
 	if server == nil {
 		read.Error = "nobody is there"
--- a/fleet/platform.go
+++ b/fleet/platform.go
@@ -76,7 +76,7 @@
 			}
 			return fleet.Platform.listing(command.Region)
 		}, func(content []byte) {
-			read := shard.ListingRead{Began: began}
+			read := shard.ListingResult{Began: began}
 			var err error
 			if read.Listing, err = listing.ReadListing(content, command.Region); err != nil {
 				read.Error = err.Error()
@@ -86,7 +86,7 @@
 	case shard.ReadReport:
 		server := fleet.Server(command.Server)
 		fleet.question(process, server.place(), limit, server.report, func(content []byte) {
-			read := shard.ReportRead{Server: command.Server, For: command, Outcome: retire.Outcome{Began: began}}
+			read := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: began}}
 			var err error
 			if read.Report, err = listing.ReadReport(content, command.Server); err != nil {
 				read.Error = err.Error()
@@ -99,7 +99,7 @@
 			if !fleet.Platform.order(command, process.machine.Region) {
 				err = "stale epoch"
 			}
-			process.Event(shard.Ordered{Server: command.Server, Load: command.Load, Error: err})
+			process.Event(shard.OrderResult{Server: command.Server, Load: command.Load, Error: err})
 		})
 	default:
 		panic(fmt.Sprintf("a command that nobody carries out: %T", command))
--- a/gateway/condition_test.go
+++ b/gateway/condition_test.go
@@ -129,7 +129,7 @@
 		node.now += node.askEvery()
 		asked := 0
 		for _, command := range node.take(contract.Tick{}) {
-			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).Region == "east" {
+			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageLeaseRequest && send.Body.(contract.LeaseRequest).Region == "east" {
 				asked++
 				Expect(send.Body.(contract.LeaseRequest).Tallies).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
 			}
--- a/gateway/interim_test.go
+++ b/gateway/interim_test.go
@@ -20,7 +20,7 @@
 	asks := func(node *follower) map[string][]contract.LeaseRequest {
 		found := map[string][]contract.LeaseRequest{}
 		for _, command := range node.take(contract.Tick{}) {
-			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk {
+			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageLeaseRequest {
 				found[send.To] = append(found[send.To], send.Body.(contract.LeaseRequest))
 			}
 		}
--- a/gateway/lists.go
+++ b/gateway/lists.go
@@ -82,7 +82,7 @@
 		Interim: !held.held && (held.interim == 0 || now-held.interim >= node.askEvery())}
 	owners := node.ownersOf(members, held, region, index)
 	for _, owner := range owners {
-		node.emit(contract.Send{To: owner.Address, Kind: shard.MessageAsk, Body: ask})
+		node.emit(contract.Send{To: owner.Address, Kind: shard.MessageLeaseRequest, Body: ask})
 	}
 	if ask.Interim {
 		node.askStandIn(members, owners, ask)
@@ -97,7 +97,7 @@
 // ownersOf gives who may own a shard: the first one in the agreed order, and whom a control node named instead of itself.
 func (node *Node) ownersOf(members []contract.Member, held *list, region string, index int) []contract.Member {
 	owners := []contract.Member{}
-	for _, name := range []string{shard.First(members, region, index), held.hint} {
+	for _, name := range []string{shard.PreferredOwner(members, region, index), held.hint} {
 		member, there := node.Neighbours.Look(name)
 		if name != "" && there && !slices.ContainsFunc(owners, func(owner contract.Member) bool { return owner.Name == name }) {
 			owners = append(owners, member)
@@ -119,7 +119,7 @@
 	}
 	if len(others) > 0 {
 		node.emit(contract.Count{Name: "lists_asked_around", By: 1},
-			contract.Send{To: others[node.Random.IntN(len(others))], Kind: shard.MessageAsk, Body: ask})
+			contract.Send{To: others[node.Random.IntN(len(others))], Kind: shard.MessageLeaseRequest, Body: ask})
 	}
 }
 
@@ -147,7 +147,7 @@
 			"epoch", held.highest, "ageMs", (now - held.asked).Milliseconds(), "tried", tried, "owners", names(owners)}})
 	}
 	for _, owner := range owners {
-		node.emit(node.ByRelay(now, owner, contract.Send{To: owner.Address, Kind: shard.MessageAsk, Body: ask}, route, tried)...)
+		node.emit(node.ByRelay(now, owner, contract.Send{To: owner.Address, Kind: shard.MessageLeaseRequest, Body: ask}, route, tried)...)
 	}
 }
 
@@ -246,7 +246,7 @@
 				continue
 			}
 			held.overdue = true
-			owner := shard.First(node.Neighbours.Members(now), region, index)
+			owner := shard.PreferredOwner(node.Neighbours.Members(now), region, index)
 			node.emit(contract.Count{Name: "lists_unconfirmed", By: 1}, contract.Say{What: "list is not confirmed", Detail: []any{
 				"region", region, "shard", index, "number", held.number, "ageMs", age.Milliseconds(), "owner", owner, "hint", held.hint}})
 		}
--- a/gateway/lists_test.go
+++ b/gateway/lists_test.go
@@ -82,7 +82,7 @@
 			}
 			envelope := send.Body.(relay.Envelope)
 			Expect(envelope.To).To(Equal(owner.Address))
-			Expect(envelope.Kind).To(Equal(shard.MessageAsk))
+			Expect(envelope.Kind).To(Equal(shard.MessageLeaseRequest))
 			var ask contract.LeaseRequest
 			Expect(json.Unmarshal(envelope.Body, &ask)).To(Succeed())
 			if ask.Region == "east" && ask.Shard == 0 {
--- a/gateway/node.go
+++ b/gateway/node.go
@@ -119,7 +119,7 @@
 		if json.Unmarshal(message.Body, &lease) == nil {
 			node.take(now, message, lease)
 		}
-	case shard.MessageNotices:
+	case shard.MessageServerNotices:
 		var told contract.Notices
 		if json.Unmarshal(message.Body, &told) == nil {
 			node.takeNotices(message, told)
--- a/gateway/node_test.go
+++ b/gateway/node_test.go
@@ -174,7 +174,7 @@
 		node.now += node.askEvery() * 2
 		asks := []contract.LeaseRequest{}
 		for _, command := range node.take(contract.Tick{}) {
-			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk && send.To == owner.Address {
+			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageLeaseRequest && send.To == owner.Address {
 				asks = append(asks, send.Body.(contract.LeaseRequest))
 			}
 		}
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -21,13 +21,13 @@
 	}
 	for place, member := range others {
 		if machine.Name(member) == machine.Name(node.Self()) {
-			node.emit(contract.Send{To: member.Address, Kind: shard.MessageAsk, Body: ask})
+			node.emit(contract.Send{To: member.Address, Kind: shard.MessageLeaseRequest, Body: ask})
 			others = slices.Delete(others, place, place+1)
 			break
 		}
 	}
 	if len(others) > 0 {
-		node.emit(contract.Send{To: others[node.Random.IntN(len(others))].Address, Kind: shard.MessageAsk, Body: ask})
+		node.emit(contract.Send{To: others[node.Random.IntN(len(others))].Address, Kind: shard.MessageLeaseRequest, Body: ask})
 	}
 }
 
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -14,13 +14,13 @@
 		return contract.Member{Name: name + "-control", Boot: "boot", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: host + ":8166"}
 	}
 	tells := func(node *follower, region string, leaving ...string) []contract.Command {
-		return node.take(message(shard.MessageNotices, "other-control", contract.Notices{Region: region, Leaving: leaving}))
+		return node.take(message(shard.MessageServerNotices, "other-control", contract.Notices{Region: region, Leaving: leaving}))
 	}
 	// asked gives the addresses that were asked for notices in one tick, in order.
 	asked := func(node *follower) []string {
 		addresses := []string{}
 		for _, command := range node.take(contract.Tick{}) {
-			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).Notices {
+			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageLeaseRequest && send.Body.(contract.LeaseRequest).Notices {
 				addresses = append(addresses, send.To)
 			}
 		}
--- a/serve/control.go
+++ b/serve/control.go
@@ -98,11 +98,11 @@
 	case index.Persist:
 		go shell.writeIndex(command)
 	case shard.ReadPlatform:
-		shell.read(func() { shell.readPlatform(command) }, shard.ListingRead{Error: "too many reads at once"})
+		shell.read(func() { shell.readPlatform(command) }, shard.ListingResult{Error: "too many reads at once"})
 	case shard.ReadReport:
-		shell.read(func() { shell.readReport(command) }, shard.ReportRead{Server: command.Server, For: command, Outcome: retire.Outcome{Error: "too many reads at once"}})
+		shell.read(func() { shell.readReport(command) }, shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Error: "too many reads at once"}})
 	case shard.Order:
-		shell.read(func() { shell.order(command) }, shard.Ordered{Server: command.Server, Load: command.Load, Error: "too many reads at once"})
+		shell.read(func() { shell.order(command) }, shard.OrderResult{Server: command.Server, Load: command.Load, Error: "too many reads at once"})
 	case contract.Forward:
 		go shell.forward.Forward(command)
 	default:
@@ -170,7 +170,7 @@
 }
 
 func (shell *controlShell) readPlatform(command shard.ReadPlatform) {
-	read := shard.ListingRead{Began: shell.Loop.Now()}
+	read := shard.ListingResult{Began: shell.Loop.Now()}
 	var content []byte
 	var err error
 	if shell.face != nil {
@@ -185,7 +185,7 @@
 }
 
 func (shell *controlShell) readReport(command shard.ReadReport) {
-	read := shard.ReportRead{Server: command.Server, For: command, Outcome: retire.Outcome{Began: shell.Loop.Now()}}
+	read := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: shell.Loop.Now()}}
 	content, err := shell.get("http://" + command.Address + "/report")
 	switch {
 	case err == nil && shell.face != nil:
@@ -200,7 +200,7 @@
 }
 
 func (shell *controlShell) order(command shard.Order) {
-	ordered := shard.Ordered{Server: command.Server, Load: command.Load}
+	ordered := shard.OrderResult{Server: command.Server, Load: command.Load}
 	if shell.face != nil {
 		shell.Loop.Post(ordered)
 		return
--- a/shard/condition.go
+++ b/shard/condition.go
@@ -7,201 +7,204 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// condition is what a shard's owner makes of the nodes' words on one server. Suspected servers may come back cold; ill ones rest, and
-// come back by steps.
-type condition struct {
-	incarnation string
-	since       time.Duration
-	until       time.Duration
-	lostUntil   time.Duration
-	ill         int64
-	stepped     time.Duration
-	relapses    int
-	healed      time.Duration
+// healthRecord is the owner's state of one server, derived from the nodes' call tallies. A suspected server may return with a cold cache.
+// A resting one gets trial calls only and returns in recoverySteps steps.
+type healthRecord struct {
+	incarnation    string        // incarnation of the server that the record is about
+	reportedSince  time.Duration // start of the current run of failures
+	watchedUntil   time.Duration // end of that run unless more failures are reported
+	suspectedUntil time.Duration // until when a lost connection makes it suspected
+	resting        int64         // recovery steps left until it serves fully, 0 if it does not rest
+	steppedAt      time.Duration // last change of resting
+	relapses       int           // times that it failed again after a recovery
+	recoveredAt    time.Duration // last successful step of a recovery
 }
 
 const (
-	// illSteps is how many steps an ill server takes to come back.
-	illSteps = 2
-	// badPart is the part of its calls, one in so many, that must fail before a server counts as ill, and twice the mean of its service.
-	badPart   = 5
-	meanTimes = 2
-	// leastBad is the least number of bad calls, and leastFailed of nodes with failures, that say anything.
-	leastBad    = 5
-	leastFailed = 3
-	// fewestNodes is the least size of a fleet where servers rest for all: in a smaller one each node calls a server often enough to
-	// know by itself, and knows better.
-	fewestNodes = 24
-	// leastWitnesses is how many nodes, and how many zones, must find a server bad before it rests for all.
-	leastWitnesses = 2
-	// untriedTimes is how many rests a server that nobody tries stays at a step.
-	untriedTimes = 4
-	// mostRelapses bounds the doubling of an ill server's rest; after calmTimes rests in health, it begins anew.
-	mostRelapses = 3
-	calmTimes    = 16
+	// recoverySteps is how many steps a resting server takes to return.
+	recoverySteps = 2
+	// badRatio: a server fails if at least one call in badRatio is bad; it rests only if its failure rate is also meanMultiple times
+	// the mean of its pool.
+	badRatio     = 5
+	meanMultiple = 2
+	// minBadCalls is the least number of bad calls, and minFailedNodes the least number of nodes with failures, that count as evidence.
+	minBadCalls    = 5
+	minFailedNodes = 3
+	// minFleetNodes is the least number of nodes at which a server rests for all of them. In a smaller fleet each node calls a server
+	// often enough to judge it by its own calls, which is more precise.
+	minFleetNodes = 24
+	// minWitnesses is how many nodes, and how many zones, must find a server failing before it rests.
+	minWitnesses = 2
+	// untriedMultiple is how many quarantine times a server stays at a step if no node sends it a trial call.
+	untriedMultiple = 4
+	// maxRelapses bounds the doubling of a server's quarantine time; after calmMultiple quarantine times of health it starts over.
+	maxRelapses  = 3
+	calmMultiple = 16
 )
 
-// witness is what all nodes together say of one server.
-type witness struct {
-	all    contract.Tally
-	zones  map[string]contract.Tally
-	lost   int
-	failed int
+// evidence is the sum of all nodes' tallies for one server.
+type evidence struct {
+	total       contract.Tally
+	zones       map[string]contract.Tally // tallies of the nodes of each zone
+	lostNodes   int                       // nodes that lost a connection to it
+	failedNodes int                       // nodes with other failures only
 }
 
-// bad tells whether the part of a server's calls that fail is that of an ill one.
-func bad(tally contract.Tally) bool { return tally.Bad() > 0 && tally.Bad()*badPart >= tally.Calls() }
+// bad reports whether the share of bad calls is that of a failing server.
+func bad(tally contract.Tally) bool { return tally.Bad() > 0 && tally.Bad()*badRatio >= tally.Calls() }
 
-func (witness *witness) share() float64 {
-	if witness == nil || witness.all.Calls() == 0 {
+// failureRate returns the share of bad calls, 0 if there were none.
+func (evidence *evidence) failureRate() float64 {
+	if evidence == nil || evidence.total.Calls() == 0 {
 		return 0
 	}
-	return float64(witness.all.Bad()) / float64(witness.all.Calls())
+	return float64(evidence.total.Bad()) / float64(evidence.total.Calls())
 }
 
-// agreed tells whether more than one node, and most of the zones that called the server lately, more than one, find it bad.
-func (witness *witness) agreed(nodes, zones int) bool {
+// confirmed reports whether at least minWitnesses nodes, and most of the zones that called the server lately, find it failing.
+func (evidence *evidence) confirmed(nodes, zones int) bool {
 	found := 0
-	for _, tally := range witness.zones {
+	for _, tally := range evidence.zones {
 		if bad(tally) {
 			found++
 		}
 	}
-	return witness.all.Bad() >= leastBad && bad(witness.all) && witness.lost+witness.failed >= leastWitnesses &&
-		found >= min(leastWitnesses, zones) && 2*found > len(witness.zones)
+	return evidence.total.Bad() >= minBadCalls && bad(evidence.total) && evidence.lostNodes+evidence.failedNodes >= minWitnesses &&
+		found >= min(minWitnesses, zones) && 2*found > len(evidence.zones)
 }
 
-// witnesses joins the words of the nodes that asked lately, and counts those nodes and their zones.
-func (owner *Owner) witnesses(now time.Duration, held *duty) (joined map[string]*witness, nodes, zones int) {
+// collectEvidence sums the tallies of the nodes that asked within a lease's time, and counts those nodes and their zones.
+func (owner *Owner) collectEvidence(now time.Duration, shard *shardState) (evidenceByServer map[string]*evidence, nodes, zones int) {
 	zoneOf, seen := map[string]string{}, map[string]bool{}
 	for _, member := range owner.seen.Members {
 		zoneOf[member.Name] = member.Zone
 	}
-	joined = map[string]*witness{}
-	for node, tallies := range held.tallies {
-		if now-held.words[node].Told >= owner.bounds.Lease() {
-			delete(held.tallies, node)
+	evidenceByServer = map[string]*evidence{}
+	for node, tallies := range shard.tallies {
+		if now-shard.nodeAcks[node].Told >= owner.bounds.Lease() {
+			delete(shard.tallies, node)
 			continue
 		}
 		nodes++
 		zone := zoneOf[node]
 		seen[zone] = true
 		for name, tally := range tallies {
-			one := joined[name]
-			if one == nil {
-				one = &witness{zones: map[string]contract.Tally{}}
-				joined[name] = one
+			merged := evidenceByServer[name]
+			if merged == nil {
+				merged = &evidence{zones: map[string]contract.Tally{}}
+				evidenceByServer[name] = merged
 			}
-			one.all, one.zones[zone] = one.all.Plus(tally), one.zones[zone].Plus(tally)
+			merged.total, merged.zones[zone] = merged.total.Plus(tally), merged.zones[zone].Plus(tally)
 			switch {
 			case tally.Lost > 0:
-				one.lost++
+				merged.lostNodes++
 			case tally.Failed > 0:
-				one.failed++
+				merged.failedNodes++
 			}
 		}
 	}
-	return joined, nodes, len(seen)
+	return evidenceByServer, nodes, len(seen)
 }
 
-// judge goes through the servers of a shard. One node that got no connection makes it suspected; it rests only in a large fleet, when
-// nodes of several zones agree, and never more than half of a service's servers do: a server must be twice as bad as the mean.
-func (owner *Owner) judge(now time.Duration, held *duty) {
-	if now < held.nextJudge {
+// evaluateHealth updates the health of a shard's servers. One node without a connection makes a server suspected. It rests only in a
+// large fleet, if nodes of several zones agree and it fails at twice the mean rate; at most half of a pool rests at a time.
+func (owner *Owner) evaluateHealth(now time.Duration, shard *shardState) {
+	if now < shard.nextEvaluation {
 		return
 	}
-	held.nextJudge = now + owner.bounds.Ask()
-	joined, nodes, zones := owner.witnesses(now, held)
+	shard.nextEvaluation = now + owner.bounds.Ask()
+	evidenceByServer, nodes, zones := owner.collectEvidence(now, shard)
 	pools, present := map[string][]contract.ServerRow{}, map[string]bool{}
-	for _, row := range owner.eligible(now, held) {
+	for _, row := range owner.eligibleServers(now, shard) {
 		pools[row.Pool], present[row.Name] = append(pools[row.Pool], row), true
-		one, known := joined[row.Name], held.conditions[row.Name]
-		if known != nil && known.incarnation != row.Incarnation {
-			delete(held.conditions, row.Name)
-			known = nil
+		evidence, record := evidenceByServer[row.Name], shard.serverHealth[row.Name]
+		if record != nil && record.incarnation != row.Incarnation {
+			delete(shard.serverHealth, row.Name)
+			record = nil
 		}
-		if one == nil || one.lost == 0 && one.failed < leastFailed {
+		if evidence == nil || evidence.lostNodes == 0 && evidence.failedNodes < minFailedNodes {
 			continue
 		}
-		if known == nil {
-			known = &condition{incarnation: row.Incarnation}
-			held.conditions[row.Name] = known
+		if record == nil {
+			record = &healthRecord{incarnation: row.Incarnation}
+			shard.serverHealth[row.Name] = record
 		}
-		if now >= known.until {
-			known.since = now
+		if now >= record.watchedUntil {
+			record.reportedSince = now
 		}
-		known.until = now + owner.bounds.Lease()
-		if one.lost > 0 {
-			known.lostUntil = known.until
+		record.watchedUntil = now + owner.bounds.Lease()
+		if evidence.lostNodes > 0 {
+			record.suspectedUntil = record.watchedUntil
 		}
 	}
-	for name, known := range held.conditions {
-		if !present[name] || now >= known.until && known.ill == 0 && now-known.healed > calmTimes*owner.rest(known) {
-			delete(held.conditions, name)
+	for name, record := range shard.serverHealth {
+		if !present[name] || now >= record.watchedUntil && record.resting == 0 && now-record.recoveredAt > calmMultiple*owner.quarantineTime(record) {
+			delete(shard.serverHealth, name)
 		}
 	}
 	for _, pool := range manifest.SortedKeys(pools) {
-		owner.judgePool(now, held, pools[pool], joined, nodes, zones)
+		owner.evaluatePool(now, shard, pools[pool], evidenceByServer, nodes, zones)
 	}
 }
 
-// rest is the time of one step: what nodes told of the time before it is past. It doubles when the server falls ill again.
-func (owner *Owner) rest(known *condition) time.Duration {
-	return (owner.bounds.Withdraw() + owner.bounds.Lease()) << min(known.relapses, mostRelapses)
+// quarantineTime is the length of one recovery step, after which tallies from before the step have expired. It doubles with each relapse.
+func (owner *Owner) quarantineTime(record *healthRecord) time.Duration {
+	return (owner.bounds.Withdraw() + owner.bounds.Lease()) << min(record.relapses, maxRelapses)
 }
 
-// recover lets an ill server come back by a step when trial calls were answered well, or when nobody tried for long.
-func (owner *Owner) recover(now time.Duration, known *condition, name string, one *witness) {
-	passed := now - known.stepped
+// recover moves a resting server one step on if its trial calls succeeded or if no node tried it for long.
+func (owner *Owner) recover(now time.Duration, record *healthRecord, name string, reports *evidence) {
+	passed := now - record.steppedAt
 	switch {
-	case passed < owner.rest(known):
-	case one != nil && bad(one.all):
-		if known.ill < illSteps {
-			known.relapses++
+	case passed < owner.quarantineTime(record):
+	case reports != nil && bad(reports.total):
+		if record.resting < recoverySteps {
+			record.relapses++
 		}
-		known.ill, known.stepped = illSteps, now
-	case one == nil && passed < untriedTimes*owner.rest(known):
+		record.resting, record.steppedAt = recoverySteps, now
+	case reports == nil && passed < untriedMultiple*owner.quarantineTime(record):
 	default:
-		known.ill, known.stepped, known.healed = known.ill-1, now, now
-		if known.ill == 0 {
+		record.resting, record.steppedAt, record.recoveredAt = record.resting-1, now, now
+		if record.resting == 0 {
 			owner.emit(contract.Say{What: "server serves again", Detail: []any{"server", name}})
 		}
 	}
 }
 
-// conditionOf gives what the list says of a server: whether nodes tell how it fares, whether it may come back cold, and how many steps
-// it has to go until it serves.
-func (held *duty) conditionOf(now time.Duration, name string) (watched, suspected bool, ill int64) {
-	known := held.conditions[name]
-	if known == nil {
+// healthOf returns what the list says of a server: whether nodes report their calls to it, whether it may return with a cold cache, and
+// how many recovery steps are left.
+func (shard *shardState) healthOf(now time.Duration, name string) (watched, suspected bool, resting int64) {
+	record := shard.serverHealth[name]
+	if record == nil {
 		return false, false, 0
 	}
-	return now < known.until || known.ill > 0, now < known.lostUntil, known.ill
+	return now < record.watchedUntil || record.resting > 0, now < record.suspectedUntil, record.resting
 }
 
-func (owner *Owner) judgePool(now time.Duration, held *duty, rows []contract.ServerRow, joined map[string]*witness, nodes, zones int) {
-	mean, ill := 0.0, 0
+// evaluatePool decides for the servers of one pool which of them start to rest and which advance in their recovery.
+func (owner *Owner) evaluatePool(now time.Duration, shard *shardState, rows []contract.ServerRow, evidenceByServer map[string]*evidence, nodes, zones int) {
+	mean, resting := 0.0, 0
 	for _, row := range rows {
-		mean += joined[row.Name].share() / float64(len(rows))
-		if known := held.conditions[row.Name]; known != nil && known.ill > 0 {
-			ill++
+		mean += evidenceByServer[row.Name].failureRate() / float64(len(rows))
+		if record := shard.serverHealth[row.Name]; record != nil && record.resting > 0 {
+			resting++
 		}
 	}
 	for _, row := range rows {
-		known, one := held.conditions[row.Name], joined[row.Name]
+		record, reports := shard.serverHealth[row.Name], evidenceByServer[row.Name]
 		switch {
-		case known == nil:
-		case known.ill > 0:
-			owner.recover(now, known, row.Name, one)
-		case one == nil || now-known.since < owner.bounds.Lease() || now >= known.until:
-		case nodes >= fewestNodes && one.agreed(nodes, zones) && one.share() >= meanTimes*mean && 2*(ill+1) <= len(rows):
-			ill++
-			if known.healed > 0 {
-				known.relapses++
+		case record == nil:
+		case record.resting > 0:
+			owner.recover(now, record, row.Name, reports)
+		case reports == nil || now-record.reportedSince < owner.bounds.Lease() || now >= record.watchedUntil:
+		case nodes >= minFleetNodes && reports.confirmed(nodes, zones) && reports.failureRate() >= meanMultiple*mean && 2*(resting+1) <= len(rows):
+			resting++
+			if record.recoveredAt > 0 {
+				record.relapses++
 			}
-			known.ill, known.stepped = illSteps, now
+			record.resting, record.steppedAt = recoverySteps, now
 			owner.emit(contract.Count{Name: "servers_rested", By: 1},
-				contract.Say{What: "server rests for all", Detail: []any{"server", row.Name, "bad", one.all.Bad(), "well", one.all.Well, "zones", len(one.zones)}})
+				contract.Say{What: "server rests for all", Detail: []any{"server", row.Name, "bad", reports.total.Bad(), "well", reports.total.Well, "zones", len(reports.zones)}})
 		}
 	}
 }
--- a/shard/condition_test.go
+++ b/shard/condition_test.go
@@ -12,85 +12,85 @@
 	. "github.com/onsi/gomega"
 )
 
-// ward is an owner of one shard with a clock of its own, servers s0, s1, ..., and data nodes spread over zones.
-type ward struct {
+// fixture is the owner of one shard with its own clock, servers s0, s1, ..., and data nodes spread over zones.
+type fixture struct {
 	*Owner
-	now     time.Duration
-	nodes   []contract.Member
-	listing contract.Listing
-	told    map[string]map[string]contract.Tally
-	held    map[string]contract.Lease
-	lists   int
+	now       time.Duration
+	nodes     []contract.Member
+	listing   contract.Listing
+	tallies   map[string]map[string]contract.Tally
+	leases    map[string]contract.Lease
+	listCount int
 }
 
-func warded(servers, nodes, zones int) *ward {
+func newFixture(servers, nodes, zones int) *fixture {
 	self := contract.Member{Name: "east-control", Kind: contract.KindControl, Region: "east", Zone: "zone0", Address: "owner:1"}
-	made := &ward{Owner: New(self, env.DefaultBounds()), now: time.Second, told: map[string]map[string]contract.Tally{}, held: map[string]contract.Lease{}}
-	made.Prompt(true)
-	made.nodes = append(made.nodes, self)
+	created := &fixture{Owner: New(self, env.DefaultBounds()), now: time.Second, tallies: map[string]map[string]contract.Tally{}, leases: map[string]contract.Lease{}}
+	created.SetAdvisoryLeases(true)
+	created.nodes = append(created.nodes, self)
 	for node := range nodes {
-		made.nodes = append(made.nodes, contract.Member{Name: fmt.Sprintf("node%02d", node), Kind: contract.KindData, Region: "east", Zone: fmt.Sprintf("zone%d", node%zones)})
+		created.nodes = append(created.nodes, contract.Member{Name: fmt.Sprintf("node%02d", node), Kind: contract.KindData, Region: "east", Zone: fmt.Sprintf("zone%d", node%zones)})
 	}
 	for server := range servers {
 		name := fmt.Sprintf("s%d", server)
-		made.listing.Servers = append(made.listing.Servers, contract.ServerRow{Name: name, Incarnation: name, Pool: "s", Unmeasured: true})
+		created.listing.Servers = append(created.listing.Servers, contract.ServerRow{Name: name, Incarnation: name, Pool: "s", Unmeasured: true})
 	}
-	made.passes(3*time.Second, nil)
-	return made
+	created.advance(3*time.Second, nil)
+	return created
 }
 
-func (ward *ward) lease(command contract.Command) (contract.Lease, bool) {
-	send, fine := command.(contract.Send)
-	if !fine {
+func (fixture *fixture) lease(command contract.Command) (contract.Lease, bool) {
+	send, ok := command.(contract.Send)
+	if !ok {
 		return contract.Lease{}, false
 	}
-	lease, fine := send.Body.(contract.Lease)
-	return lease, fine
+	lease, ok := send.Body.(contract.Lease)
+	return lease, ok
 }
 
-// passes lets time go by while every node tells its tallies every half second; each time, the words may be changed before.
-func (ward *ward) passes(span time.Duration, each func()) {
+// advance moves the clock while every node reports its tallies every half second; beforeReport runs before each round of reports.
+func (fixture *fixture) advance(span time.Duration, beforeReport func()) {
 	ginkgo.GinkgoHelper()
-	read := manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}}, Gateway: manifest.Gateway{Services: map[string]manifest.Service{"s": {}}}}
-	for ends := ward.now + span; ward.now < ends; ward.now += 50 * time.Millisecond {
-		ward.Handle(ward.now, Seen{Members: ward.nodes, Manifest: read})
-		if ward.now%(500*time.Millisecond) > 0 {
+	currentManifest := manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}}, Gateway: manifest.Gateway{Services: map[string]manifest.Service{"s": {}}}}
+	for until := fixture.now + span; fixture.now < until; fixture.now += 50 * time.Millisecond {
+		fixture.Handle(fixture.now, Seen{Members: fixture.nodes, Manifest: currentManifest})
+		if fixture.now%(500*time.Millisecond) > 0 {
 			continue
 		}
-		ward.Handle(ward.now, ListingRead{Began: ward.now, Listing: ward.listing})
-		if each != nil {
-			each()
+		fixture.Handle(fixture.now, ListingResult{Began: fixture.now, Listing: fixture.listing})
+		if beforeReport != nil {
+			beforeReport()
 		}
-		for _, node := range ward.nodes[1:] {
-			last := ward.held[node.Name]
-			ask := contract.LeaseRequest{Node: node.Name, Region: "east", Address: node.Name, Shards: 1, Highest: last.Epoch, Number: last.Number, Brief: true, Tallies: ward.told[node.Name]}
+		for _, node := range fixture.nodes[1:] {
+			last := fixture.leases[node.Name]
+			ask := contract.LeaseRequest{Node: node.Name, Region: "east", Address: node.Name, Shards: 1, Highest: last.Epoch, Number: last.Number, Brief: true, Tallies: fixture.tallies[node.Name]}
 			body, _ := json.Marshal(ask)
-			for _, command := range ward.Handle(ward.now, contract.Message{Kind: MessageAsk, Body: body}) {
-				if lease, fine := ward.lease(command); fine && !lease.Same {
-					ward.held[node.Name] = lease
-					ward.lists++
+			for _, command := range fixture.Handle(fixture.now, contract.Message{Kind: MessageLeaseRequest, Body: body}) {
+				if lease, ok := fixture.lease(command); ok && !lease.Same {
+					fixture.leases[node.Name] = lease
+					fixture.listCount++
 				}
 			}
 		}
 	}
 }
 
-// all lets the nodes that are chosen tell a tally of a server; nil chooses all.
-func (ward *ward) all(server string, tally contract.Tally, chosen func(contract.Member) bool) {
-	for _, node := range ward.nodes[1:] {
-		if ward.told[node.Name] == nil {
-			ward.told[node.Name] = map[string]contract.Tally{}
+// reportTally sets the tally of a server that the chosen nodes report; nil chooses all nodes.
+func (fixture *fixture) reportTally(server string, tally contract.Tally, chosen func(contract.Member) bool) {
+	for _, node := range fixture.nodes[1:] {
+		if fixture.tallies[node.Name] == nil {
+			fixture.tallies[node.Name] = map[string]contract.Tally{}
 		}
-		delete(ward.told[node.Name], server)
+		delete(fixture.tallies[node.Name], server)
 		if (chosen == nil || chosen(node)) && tally.Calls() > 0 {
-			ward.told[node.Name][server] = tally
+			fixture.tallies[node.Name][server] = tally
 		}
 	}
 }
 
-func (ward *ward) sees(server string) contract.Candidate {
+func (fixture *fixture) candidate(server string) contract.Candidate {
 	ginkgo.GinkgoHelper()
-	for _, one := range ward.held[ward.nodes[len(ward.nodes)-1].Name].Servers {
+	for _, one := range fixture.leases[fixture.nodes[len(fixture.nodes)-1].Name].Servers {
 		if one.Name == server {
 			return one
 		}
@@ -99,9 +99,9 @@
 	return contract.Candidate{}
 }
 
-func (ward *ward) ill() int {
+func (fixture *fixture) resting() int {
 	count := 0
-	for _, one := range ward.held[ward.nodes[len(ward.nodes)-1].Name].Servers {
+	for _, one := range fixture.leases[fixture.nodes[len(fixture.nodes)-1].Name].Servers {
 		if one.Ill > 0 {
 			count++
 		}
@@ -109,11 +109,11 @@
 	return count
 }
 
-func named(name string) func(contract.Member) bool {
+func nodeNamed(name string) func(contract.Member) bool {
 	return func(node contract.Member) bool { return node.Name == name }
 }
 
-func zoned(zones ...string) func(contract.Member) bool {
+func inZones(zones ...string) func(contract.Member) bool {
 	return func(node contract.Member) bool {
 		for _, zone := range zones {
 			if node.Zone == zone {
@@ -125,204 +125,204 @@
 }
 
 var (
-	lost   = contract.Tally{Lost: 1}
-	failed = contract.Tally{Failed: 1}
-	grey   = contract.Tally{Failed: 1, Well: 2}
-	well   = contract.Tally{Well: 3}
-	none   = contract.Tally{}
+	lost       = contract.Tally{Lost: 1}
+	failed     = contract.Tally{Failed: 1}
+	mostlyGood = contract.Tally{Failed: 1, Well: 2}
+	well       = contract.Tally{Well: 3}
+	none       = contract.Tally{}
 )
 
-var _ = ginkgo.Describe("the condition of a server at its shard's owner", func() {
-	ginkgo.It("given one node that got no sign of life, when it tells it, then all nodes learn that the server may come back cold, and that no sooner ends than its word", func() {
-		ward := warded(6, 24, 3)
-		ward.all("s1", lost, named("node03"))
-		ward.passes(1100*time.Millisecond, nil)
-		Expect(ward.sees("s1").Suspected).To(BeTrue())
-		Expect(ward.sees("s0").Suspected).To(BeFalse())
-		ward.passes(10*time.Second, nil)
-		Expect(ward.sees("s1").Suspected).To(BeTrue())
-		Expect(ward.sees("s1").Ill).To(BeZero())
-		ward.all("s1", none, nil)
-		ward.passes(3*time.Second, nil)
-		Expect(ward.sees("s1").Suspected).To(BeFalse())
+var _ = ginkgo.Describe("the health of a server at its shard's owner", func() {
+	ginkgo.It("given one node that lost a server, when it reports it, then all nodes see the server as suspected until the report ends", func() {
+		fixture := newFixture(6, 24, 3)
+		fixture.reportTally("s1", lost, nodeNamed("node03"))
+		fixture.advance(1100*time.Millisecond, nil)
+		Expect(fixture.candidate("s1").Suspected).To(BeTrue())
+		Expect(fixture.candidate("s0").Suspected).To(BeFalse())
+		fixture.advance(10*time.Second, nil)
+		Expect(fixture.candidate("s1").Suspected).To(BeTrue())
+		Expect(fixture.candidate("s1").Ill).To(BeZero())
+		fixture.reportTally("s1", none, nil)
+		fixture.advance(3*time.Second, nil)
+		Expect(fixture.candidate("s1").Suspected).To(BeFalse())
 	})
 
-	ginkgo.It("given one call that failed in another way, when its node tells it, then no list changes", func() {
-		ward := warded(6, 24, 3)
-		lists := ward.lists
-		ward.all("s1", failed, named("node03"))
-		ward.passes(10*time.Second, nil)
-		Expect(ward.lists).To(Equal(lists))
+	ginkgo.It("given one call that failed in another way, when its node reports it, then no list changes", func() {
+		fixture := newFixture(6, 24, 3)
+		listCount := fixture.listCount
+		fixture.reportTally("s1", failed, nodeNamed("node03"))
+		fixture.advance(10*time.Second, nil)
+		Expect(fixture.listCount).To(Equal(listCount))
 	})
 
-	ginkgo.It("given calls that fail at several nodes now and then, when they tell it, then the list changes twice and not with each word", func() {
-		ward := warded(6, 24, 3)
-		number, turn := ward.held["node00"].Number, 0
-		ward.passes(20*time.Second, func() {
+	ginkgo.It("given occasional failures at several nodes, when they report them, then the list changes twice and not with each report", func() {
+		fixture := newFixture(6, 24, 3)
+		number, turn := fixture.leases["node00"].Number, 0
+		fixture.advance(20*time.Second, func() {
 			turn++
-			ward.all("s1", none, nil)
+			fixture.reportTally("s1", none, nil)
 			if turn%3 != 0 {
-				ward.all("s1", lost, named(fmt.Sprintf("node%02d", turn%24)))
+				fixture.reportTally("s1", lost, nodeNamed(fmt.Sprintf("node%02d", turn%24)))
 			}
 		})
-		ward.all("s1", none, nil)
-		ward.passes(3*time.Second, nil)
-		Expect(ward.held["node00"].Number - number).To(Equal(int64(2)))
+		fixture.reportTally("s1", none, nil)
+		fixture.advance(3*time.Second, nil)
+		Expect(fixture.leases["node00"].Number - number).To(Equal(int64(2)))
 	})
 
-	ginkgo.It("given nodes of most zones that see calls fail, when they tell it, then the server rests for all, but not before all could tell how it fares", func() {
-		ward := warded(6, 24, 3)
-		ward.all("s1", grey, nil)
-		ward.passes(1100*time.Millisecond, nil)
-		Expect(ward.sees("s1").Watched).To(BeTrue())
-		Expect(ward.sees("s1").Suspected).To(BeFalse(), "none lost it")
-		Expect(ward.sees("s1").Ill).To(BeZero())
-		ward.passes(2*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(Equal(int64(illSteps)))
-		Expect(ward.ill()).To(Equal(1))
+	ginkgo.It("given nodes of most zones that see failures, when they report them, then the server rests for all, but only after every node could report", func() {
+		fixture := newFixture(6, 24, 3)
+		fixture.reportTally("s1", mostlyGood, nil)
+		fixture.advance(1100*time.Millisecond, nil)
+		Expect(fixture.candidate("s1").Watched).To(BeTrue())
+		Expect(fixture.candidate("s1").Suspected).To(BeFalse(), "no node lost its connection")
+		Expect(fixture.candidate("s1").Ill).To(BeZero())
+		fixture.advance(2*time.Second, nil)
+		Expect(fixture.candidate("s1").Ill).To(Equal(int64(recoverySteps)))
+		Expect(fixture.resting()).To(Equal(1))
 	})
 
-	ginkgo.It("given a small fleet, when all its nodes see calls fail, then the server is suspected and rests for nobody", func() {
-		ward := warded(6, fewestNodes-1, 3)
-		ward.all("s1", lost, nil)
-		ward.passes(10*time.Second, nil)
-		Expect(ward.sees("s1").Suspected).To(BeTrue())
-		Expect(ward.ill()).To(BeZero())
+	ginkgo.It("given a small fleet, when all its nodes see calls fail, then the server is suspected and does not rest", func() {
+		fixture := newFixture(6, minFleetNodes-1, 3)
+		fixture.reportTally("s1", lost, nil)
+		fixture.advance(10*time.Second, nil)
+		Expect(fixture.candidate("s1").Suspected).To(BeTrue())
+		Expect(fixture.resting()).To(BeZero())
 	})
 
 	for _, trouble := range []struct {
 		what   string
 		chosen func(contract.Member) bool
-	}{{"one zone", zoned("zone1")}, {"half of the zones", zoned("zone0", "zone1")}, {"one node", named("node03")}} {
-		ginkgo.It("given "+trouble.what+" that loses a server, when the others find it well, then it rests for nobody", func() {
-			ward := warded(6, 24, 4)
-			ward.all("s1", well, nil)
-			ward.passes(time.Second, nil)
-			for _, node := range ward.nodes[1:] {
+	}{{"one zone", inZones("zone1")}, {"half of the zones", inZones("zone0", "zone1")}, {"one node", nodeNamed("node03")}} {
+		ginkgo.It("given "+trouble.what+" that loses a server, when the others reach it, then it does not rest", func() {
+			fixture := newFixture(6, 24, 4)
+			fixture.reportTally("s1", well, nil)
+			fixture.advance(time.Second, nil)
+			for _, node := range fixture.nodes[1:] {
 				if trouble.chosen(node) {
-					ward.told[node.Name]["s1"] = contract.Tally{Lost: 3}
+					fixture.tallies[node.Name]["s1"] = contract.Tally{Lost: 3}
 				}
 			}
-			ward.passes(20*time.Second, nil)
-			Expect(ward.sees("s1").Suspected).To(BeTrue())
-			Expect(ward.ill()).To(BeZero())
+			fixture.advance(20*time.Second, nil)
+			Expect(fixture.candidate("s1").Suspected).To(BeTrue())
+			Expect(fixture.resting()).To(BeZero())
 		})
 	}
 
-	ginkgo.It("given nodes of one zone alone that call a server, when it fails them all, then it rests for nobody", func() {
-		ward := warded(6, 24, 4)
-		ward.all("s1", contract.Tally{Lost: 3}, zoned("zone1"))
-		ward.passes(20*time.Second, nil)
-		Expect(ward.ill()).To(BeZero())
+	ginkgo.It("given a server that only nodes of one zone call, when all their calls fail, then it does not rest", func() {
+		fixture := newFixture(6, 24, 4)
+		fixture.reportTally("s1", contract.Tally{Lost: 3}, inZones("zone1"))
+		fixture.advance(20*time.Second, nil)
+		Expect(fixture.resting()).To(BeZero())
 	})
 
-	ginkgo.It("given one server where calls fail rarely, when nodes of all zones tell it, then it does not rest", func() {
-		ward := warded(6, 24, 3)
-		ward.all("s1", contract.Tally{Lost: 1, Well: 9}, nil)
-		ward.passes(20*time.Second, nil)
-		Expect(ward.sees("s1").Suspected).To(BeTrue())
-		Expect(ward.ill()).To(BeZero())
+	ginkgo.It("given one server with rare failures, when nodes of all zones report them, then it does not rest", func() {
+		fixture := newFixture(6, 24, 3)
+		fixture.reportTally("s1", contract.Tally{Lost: 1, Well: 9}, nil)
+		fixture.advance(20*time.Second, nil)
+		Expect(fixture.candidate("s1").Suspected).To(BeTrue())
+		Expect(fixture.resting()).To(BeZero())
 	})
 
-	ginkgo.It("given calls that fail rarely everywhere, when nodes tell it, then no server rests", func() {
-		ward := warded(6, 24, 3)
+	ginkgo.It("given rare failures at all servers, when nodes report them, then no server rests", func() {
+		fixture := newFixture(6, 24, 3)
 		for server := range 6 {
-			ward.all(fmt.Sprintf("s%d", server), contract.Tally{Lost: 1, Well: 9}, nil)
+			fixture.reportTally(fmt.Sprintf("s%d", server), contract.Tally{Lost: 1, Well: 9}, nil)
 		}
-		ward.passes(20*time.Second, nil)
-		Expect(ward.ill()).To(BeZero())
+		fixture.advance(20*time.Second, nil)
+		Expect(fixture.resting()).To(BeZero())
 	})
 
-	ginkgo.It("given a service whose servers all fail alike, when nodes tell it, then none rests", func() {
-		ward := warded(6, 24, 3)
+	ginkgo.It("given a service whose servers all fail alike, when nodes report it, then none rests", func() {
+		fixture := newFixture(6, 24, 3)
 		for server := range 6 {
-			ward.all(fmt.Sprintf("s%d", server), lost, nil)
+			fixture.reportTally(fmt.Sprintf("s%d", server), lost, nil)
 		}
-		ward.passes(20*time.Second, nil)
-		Expect(ward.ill()).To(BeZero())
+		fixture.advance(20*time.Second, nil)
+		Expect(fixture.resting()).To(BeZero())
 	})
 
-	ginkgo.It("given servers that fall ill one after the other, when nodes tell it, then no more than half of them rest", func() {
-		ward := warded(6, 24, 3)
+	ginkgo.It("given servers that fail one after the other, when nodes report it, then no more than half of them rest", func() {
+		fixture := newFixture(6, 24, 3)
 		for server := range 6 {
-			ward.all(fmt.Sprintf("s%d", server), lost, nil)
-			ward.passes(3*time.Second, nil)
-			Expect(ward.ill()).To(BeNumerically("<=", 3))
+			fixture.reportTally(fmt.Sprintf("s%d", server), lost, nil)
+			fixture.advance(3*time.Second, nil)
+			Expect(fixture.resting()).To(BeNumerically("<=", 3))
 		}
-		Expect(ward.ill()).To(Equal(3))
+		Expect(fixture.resting()).To(Equal(3))
 	})
 
-	ginkgo.It("given resting servers that nobody tries, when others fall ill, then no more than half of them rest", func() {
-		ward := warded(6, 24, 3)
+	ginkgo.It("given resting servers without trial calls, when others fail, then no more than half of them rest", func() {
+		fixture := newFixture(6, 24, 3)
 		for server := range 5 {
-			ward.all(fmt.Sprintf("s%d", server), lost, nil)
-			ward.passes(3*time.Second, nil)
-			ward.all(fmt.Sprintf("s%d", server), none, nil)
-			Expect(ward.ill()).To(BeNumerically("<=", 3))
+			fixture.reportTally(fmt.Sprintf("s%d", server), lost, nil)
+			fixture.advance(3*time.Second, nil)
+			fixture.reportTally(fmt.Sprintf("s%d", server), none, nil)
+			Expect(fixture.resting()).To(BeNumerically("<=", 3))
 		}
-		Expect(ward.ill()).To(Equal(3))
+		Expect(fixture.resting()).To(Equal(3))
 	})
 
-	ginkgo.It("given two servers, when one is ill, then it rests, and with one server alone it never does", func() {
-		ward := warded(2, 24, 3)
-		ward.all("s1", lost, nil)
-		ward.passes(5*time.Second, nil)
-		Expect(ward.ill()).To(Equal(1))
-		ward = warded(1, 24, 3)
-		ward.all("s0", lost, nil)
-		ward.passes(5*time.Second, nil)
-		Expect(ward.ill()).To(BeZero())
+	ginkgo.It("given two servers, when one fails, then it rests; a single server never does", func() {
+		fixture := newFixture(2, 24, 3)
+		fixture.reportTally("s1", lost, nil)
+		fixture.advance(5*time.Second, nil)
+		Expect(fixture.resting()).To(Equal(1))
+		fixture = newFixture(1, 24, 3)
+		fixture.reportTally("s0", lost, nil)
+		fixture.advance(5*time.Second, nil)
+		Expect(fixture.resting()).To(BeZero())
 	})
 
-	rested := func() *ward {
-		ward := warded(6, 24, 3)
-		ward.all("s1", grey, nil)
-		ward.passes(3*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(Equal(int64(illSteps)))
-		return ward
+	rested := func() *fixture {
+		fixture := newFixture(6, 24, 3)
+		fixture.reportTally("s1", mostlyGood, nil)
+		fixture.advance(3*time.Second, nil)
+		Expect(fixture.candidate("s1").Ill).To(Equal(int64(recoverySteps)))
+		return fixture
 	}
 
-	ginkgo.It("given a server that rests, when trial calls are answered well, then it comes back by steps", func() {
-		ward, steps := rested(), []int64{}
-		ward.all("s1", contract.Tally{Well: 1}, named("node03"))
-		ward.passes(20*time.Second, func() {
-			if ill := ward.sees("s1").Ill; len(steps) == 0 || steps[len(steps)-1] != ill {
-				steps = append(steps, ill)
+	ginkgo.It("given a resting server, when trial calls succeed, then it recovers in steps", func() {
+		fixture, steps := rested(), []int64{}
+		fixture.reportTally("s1", contract.Tally{Well: 1}, nodeNamed("node03"))
+		fixture.advance(20*time.Second, func() {
+			if resting := fixture.candidate("s1").Ill; len(steps) == 0 || steps[len(steps)-1] != resting {
+				steps = append(steps, resting)
 			}
 		})
 		Expect(steps).To(Equal([]int64{2, 1, 0}))
 	})
 
-	ginkgo.It("given a server that rests, when trial calls fail, then it rests on", func() {
-		ward := rested()
-		ward.all("s1", grey, named("node03"))
-		ward.passes(60*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(Equal(int64(illSteps)))
+	ginkgo.It("given a resting server, when trial calls fail, then it keeps resting", func() {
+		fixture := rested()
+		fixture.reportTally("s1", mostlyGood, nodeNamed("node03"))
+		fixture.advance(60*time.Second, nil)
+		Expect(fixture.candidate("s1").Ill).To(Equal(int64(recoverySteps)))
 	})
 
-	ginkgo.It("given a server that rests, when nobody tries it, then it comes back, but later", func() {
-		ward := rested()
-		ward.all("s1", none, nil)
-		ward.passes(20*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(Equal(int64(illSteps)))
-		ward.passes(40*time.Second, nil)
-		Expect(ward.sees("s1").Ill).To(BeZero())
+	ginkgo.It("given a resting server, when no node tries it, then it recovers, but later", func() {
+		fixture := rested()
+		fixture.reportTally("s1", none, nil)
+		fixture.advance(20*time.Second, nil)
+		Expect(fixture.candidate("s1").Ill).To(Equal(int64(recoverySteps)))
+		fixture.advance(40*time.Second, nil)
+		Expect(fixture.candidate("s1").Ill).To(BeZero())
 	})
 
-	ginkgo.It("given a server that falls ill whenever it serves, when minutes pass, then it rests longer each time", func() {
-		ward, healthy := warded(6, 24, 3), []time.Duration{}
+	ginkgo.It("given a server that fails whenever it serves, when minutes pass, then it rests longer each time", func() {
+		fixture, healthy := newFixture(6, 24, 3), []time.Duration{}
 		former := int64(0)
-		ward.passes(3*time.Minute, func() {
-			ill := ward.sees("s1").Ill
-			if ill == 0 {
-				ward.all("s1", grey, nil)
+		fixture.advance(3*time.Minute, func() {
+			resting := fixture.candidate("s1").Ill
+			if resting == 0 {
+				fixture.reportTally("s1", mostlyGood, nil)
 			} else {
-				ward.all("s1", contract.Tally{Well: 1}, named("node03"))
+				fixture.reportTally("s1", contract.Tally{Well: 1}, nodeNamed("node03"))
 			}
-			if former > 0 && ill == 0 {
-				healthy = append(healthy, ward.now)
+			if former > 0 && resting == 0 {
+				healthy = append(healthy, fixture.now)
 			}
-			former = ill
+			former = resting
 		})
 		Expect(len(healthy)).To(BeNumerically(">=", 3))
 		for place := 2; place < len(healthy); place++ {
@@ -331,20 +331,20 @@
 		Expect(len(healthy)).To(BeNumerically("<=", 6))
 	})
 
-	ginkgo.It("given a server that rests, when another takes its name or it leaves the list, then nothing is held against the new one", func() {
-		ward := rested()
-		ward.all("s1", none, nil)
-		ward.listing.Servers[1].Incarnation = "anew"
-		ward.passes(time.Second, nil)
-		Expect(ward.sees("s1").Suspected).To(BeFalse())
+	ginkgo.It("given a resting server, when a new incarnation takes its name, then the new one starts without a health record", func() {
+		fixture := rested()
+		fixture.reportTally("s1", none, nil)
+		fixture.listing.Servers[1].Incarnation = "anew"
+		fixture.advance(time.Second, nil)
+		Expect(fixture.candidate("s1").Suspected).To(BeFalse())
 	})
 
-	ginkgo.It("given nodes that fall silent, when their words are old, then they count no more", func() {
-		ward := warded(6, 24, 3)
-		ward.all("s1", lost, named("node03"))
-		ward.passes(time.Second, nil)
-		ward.nodes = append(ward.nodes[:4:4], ward.nodes[5:]...)
-		ward.passes(5*time.Second, nil)
-		Expect(ward.sees("s1").Suspected).To(BeFalse())
+	ginkgo.It("given nodes that stop reporting, when their reports have expired, then they no longer count", func() {
+		fixture := newFixture(6, 24, 3)
+		fixture.reportTally("s1", lost, nodeNamed("node03"))
+		fixture.advance(time.Second, nil)
+		fixture.nodes = append(fixture.nodes[:4:4], fixture.nodes[5:]...)
+		fixture.advance(5*time.Second, nil)
+		Expect(fixture.candidate("s1").Suspected).To(BeFalse())
 	})
 })
--- a/shard/cost_test.go
+++ b/shard/cost_test.go
@@ -9,7 +9,7 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// BenchmarkFirst finds the owner of a shard among all members, as every question for a list does.
+// BenchmarkFirst measures finding the owner of a shard among all members, which each lease request does.
 func BenchmarkFirst(b *testing.B) {
 	for _, nodes := range []int{48, 350, planned.Nodes} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -23,7 +23,7 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				shard.First(members, "region-07", 0)
+				shard.PreferredOwner(members, "region-07", 0)
 			}
 		})
 	}
--- a/shard/duty.go
+++ b/shard/duty.go
@@ -9,9 +9,9 @@
 	"github.com/cedarreel/cedarreel/retire"
 )
 
-const pastSize = 64
+const maxFinished = 64 // ended retirements that are kept for operators, per shard
 
-// Retired is a retirement as operators see it.
+// Retired is a running or ended retirement as operators see it.
 type Retired struct {
 	Server string       `json:"server"`
 	Shard  int          `json:"shard"`
@@ -20,44 +20,45 @@
 	State  retire.State `json:"state"`
 	Reason string       `json:"reason"`
 	Epoch  int64        `json:"epoch"`
-	Tries  int          `json:"tries"`
-	AgeMs  int64        `json:"ageMs"`
+	Tries  int          `json:"tries"` // times that the withdrawal was started
+	AgeMs  int64        `json:"ageMs"` // milliseconds since the last start
 }
 
+// Status is the state of one shard as its owner reports it to operators.
 type Status struct {
 	Region  string    `json:"region"`
 	Shard   int       `json:"shard"`
 	Owner   string    `json:"owner"`
 	Epoch   int64     `json:"epoch"`
-	Number  int64     `json:"number"`
-	Servers []string  `json:"servers"`
-	Retired []Retired `json:"retired"`
+	Number  int64     `json:"number"`  // version of the list within the epoch
+	Servers []string  `json:"servers"` // servers on the list
+	Retired []Retired `json:"retired"` // running retirements, then the latest ended ones
 }
 
-// surplus names the loaded servers that the manifest's scale does not want, and the unloaded ones that it does.
+// scalePlan returns the loaded servers beyond the scale in the manifest with the cause to retire them, and the unloaded ones to load again.
 func (owner *Owner) surplus() (map[string]retire.Cause, map[string]bool) {
 	causes, wanted := map[string]retire.Cause{}, map[string]bool{}
 	pools := map[string][]contract.ServerRow{}
 	for _, row := range owner.listing.Servers {
-		if !row.Leaving && !owner.drained(row.Zone) {
+		if !row.Leaving && !owner.zoneDrained(row.Zone) {
 			pools[row.Pool] = append(pools[row.Pool], row)
 		}
 	}
 	for _, name := range manifest.SortedKeys(pools) {
-		pool, there := owner.seen.Manifest.Pools[name]
-		if !there {
+		pool, found := owner.seen.Manifest.Pools[name]
+		if !found {
 			continue
 		}
 		rows := pools[name]
 		sort.Slice(rows, func(left, right int) bool { return rows[left].Name < rows[right].Name })
-		for place, row := range rows {
-			inside := pool.Scale < 0 || int64(place) < pool.Scale
+		for position, row := range rows {
+			withinScale := pool.Scale < 0 || int64(position) < pool.Scale
 			switch {
-			case inside && row.Unloaded:
+			case withinScale && row.Unloaded:
 				wanted[row.Name] = true
-			case !inside && !row.Unloaded && pool.Scale == 0:
+			case !withinScale && !row.Unloaded && pool.Scale == 0:
 				causes[row.Name] = retire.ScaleZero
-			case !inside && !row.Unloaded:
+			case !withinScale && !row.Unloaded:
 				causes[row.Name] = retire.ScaleDown
 			}
 		}
@@ -65,51 +66,53 @@
 	return causes, wanted
 }
 
-func (owner *Owner) retireAll(now time.Duration, held *duty) {
+// updateRetirements starts, continues and ends the retirements of a shard's servers.
+func (owner *Owner) updateRetirements(now time.Duration, shard *shardState) {
 	surplus, wanted := owner.surplus()
 	present := map[string]bool{}
-	for _, row := range owner.mine(held) {
+	for _, row := range owner.shardServers(shard) {
 		present[row.Name] = true
 		if wanted[row.Name] {
-			owner.orderOnce(now, held, row.Name, true)
+			owner.sendOrder(now, shard, row.Name, true)
 			continue
 		}
 		cause, leaving := surplus[row.Name]
-		if owner.drained(row.Zone) && !row.Unloaded {
+		if owner.zoneDrained(row.Zone) && !row.Unloaded {
 			cause, leaving = retire.Drain, true
 		}
 		if row.Leaving {
 			cause, leaving = retire.Reclaim, true
 		}
-		owner.retireOne(now, held, row, cause, leaving)
+		owner.updateRetirement(now, shard, row, cause, leaving)
 	}
-	for _, name := range manifest.SortedKeys(held.retirements) {
-		retirement := held.retirements[name]
+	for _, name := range manifest.SortedKeys(shard.retirements) {
+		retirement := shard.retirements[name]
 		if !present[name] {
-			owner.end(now, held, retirement, "the platform no longer lists it")
+			owner.endRetirement(now, shard, retirement, "the platform no longer lists it")
 			continue
 		}
-		owner.step(now, held, retirement)
+		owner.stepRetirement(now, shard, retirement)
 	}
 }
 
-func (owner *Owner) retireOne(now time.Duration, held *duty, row contract.ServerRow, cause retire.Cause, leaving bool) {
-	known := owner.servers[row.Name]
-	retirement, running := held.retirements[row.Name]
+// updateRetirement starts or ends the retirement of one server as its cause for leaving appears, changes or disappears.
+func (owner *Owner) updateRetirement(now time.Duration, shard *shardState, row contract.ServerRow, cause retire.Cause, leaving bool) {
+	server := owner.servers[row.Name]
+	retirement, running := shard.retirements[row.Name]
 	if !leaving || row.Unloaded {
-		delete(held.aborted, row.Name)
-		if held.released[row.Name] == row.Incarnation && !row.Unloaded {
-			delete(held.released, row.Name)
-			known.ramping, known.rampFrom = true, now
+		delete(shard.abortedScales, row.Name)
+		if shard.released[row.Name] == row.Incarnation && !row.Unloaded {
+			delete(shard.released, row.Name)
+			server.ramping, server.rampStart = true, now
 		}
 		if running {
-			owner.end(now, held, retirement, "its cause is over")
-			known.ramping, known.rampFrom = true, now
+			owner.endRetirement(now, shard, retirement, "its cause is over")
+			server.ramping, server.rampStart = true, now
 		}
 		return
 	}
-	if held.released[row.Name] == row.Incarnation {
-		owner.orderOnce(now, held, row.Name, false)
+	if shard.released[row.Name] == row.Incarnation {
+		owner.sendOrder(now, shard, row.Name, false)
 		return
 	}
 	remaining := time.Duration(row.RemainingMs) * time.Millisecond
@@ -120,98 +123,103 @@
 		return
 	}
 	pool := owner.seen.Manifest.Pools[row.Pool]
-	if scale, there := held.aborted[row.Name]; there && cause == retire.ScaleDown && scale == pool.Scale {
+	if scale, found := shard.abortedScales[row.Name]; found && cause == retire.ScaleDown && scale == pool.Scale {
 		return
 	}
 	if running {
-		owner.end(now, held, retirement, "a stronger cause came")
+		owner.endRetirement(now, shard, retirement, "a stronger cause came")
 	}
 	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), Link: owner.bounds.Ask(), Remaining: remaining}
-	held.retirements[row.Name] = retire.New(now, row.Name, row.Incarnation, cause, held.number+1, terms)
+	shard.retirements[row.Name] = retire.New(now, row.Name, row.Incarnation, cause, shard.listNumber+1, terms)
 	owner.emit(contract.Count{Name: "retirements", By: 1}, contract.Say{What: "withdrawn", Detail: []any{"server", row.Name, "cause", cause}})
-	owner.renumber(now, held)
-	held.retirements[row.Name].Number = held.number
+	owner.refreshList(now, shard)
+	shard.retirements[row.Name].Number = shard.listNumber
 }
 
-func (owner *Owner) step(now time.Duration, held *duty, retirement *retire.Retirement) {
+// stepRetirement advances one retirement by the nodes' latest acknowledgements.
+func (owner *Owner) stepRetirement(now time.Duration, shard *shardState, retirement *retire.Retirement) {
 	facts := retire.Facts{Words: map[string]retire.Word{}}
-	for node, word := range held.words {
+	for node, word := range shard.nodeAcks {
 		if now-word.Granted > owner.bounds.Return() {
 			continue
 		}
-		word.Calls = held.calls[node][retirement.Server]
+		word.Calls = shard.callsByNode[node][retirement.Server]
 		facts.Words[node] = word
 	}
-	read, over := retirement.Step(now, facts)
-	if over && retirement.State == retire.Released {
-		owner.release(now, held, retirement)
+	readNow, ended := retirement.Step(now, facts)
+	if ended && retirement.State == retire.Released {
+		owner.releaseServer(now, shard, retirement)
 		return
 	}
-	if over {
+	if ended {
 		pool := ""
 		for _, row := range owner.listing.Servers {
 			if row.Name == retirement.Server {
 				pool = row.Pool
 			}
 		}
-		held.aborted[retirement.Server] = owner.seen.Manifest.Pools[pool].Scale
+		shard.abortedScales[retirement.Server] = owner.seen.Manifest.Pools[pool].Scale
 		owner.emit(contract.Count{Name: "retirements_aborted", By: 1})
-		owner.end(now, held, retirement, retirement.Reason)
+		owner.endRetirement(now, shard, retirement, retirement.Reason)
 		return
 	}
-	if known := owner.servers[retirement.Server]; read && known != nil {
-		known.nextRead = now
+	if server := owner.servers[retirement.Server]; readNow && server != nil {
+		server.nextRead = now
 	}
 }
 
-func (owner *Owner) release(now time.Duration, held *duty, retirement *retire.Retirement) {
-	held.released[retirement.Server] = retirement.Incarnation
+// releaseServer ends a retirement whose server is empty and orders the platform to unload it.
+func (owner *Owner) releaseServer(now time.Duration, shard *shardState, retirement *retire.Retirement) {
+	shard.released[retirement.Server] = retirement.Incarnation
 	owner.emit(contract.Count{Name: "retirements_released", By: 1})
-	owner.end(now, held, retirement, retirement.Reason)
-	owner.orderOnce(now, held, retirement.Server, false)
+	owner.endRetirement(now, shard, retirement, retirement.Reason)
+	owner.sendOrder(now, shard, retirement.Server, false)
 }
 
-func (owner *Owner) end(now time.Duration, held *duty, retirement *retire.Retirement, why string) {
-	delete(held.retirements, retirement.Server)
-	entry := owner.retired(now, held, retirement)
-	entry.Reason = why
-	held.past = append(held.past, entry)
-	if len(held.past) > pastSize {
-		held.past = held.past[1:]
-	}
-	owner.emit(contract.Say{What: "retirement over", Detail: []any{"server", retirement.Server, "state", retirement.State, "why", why}})
+// endRetirement removes a retirement and records the reason for operators.
+func (owner *Owner) endRetirement(now time.Duration, shard *shardState, retirement *retire.Retirement, reason string) {
+	delete(shard.retirements, retirement.Server)
+	entry := owner.retirementStatus(now, shard, retirement)
+	entry.Reason = reason
+	shard.finished = append(shard.finished, entry)
+	if len(shard.finished) > maxFinished {
+		shard.finished = shard.finished[1:]
+	}
+	owner.emit(contract.Say{What: "retirement ended", Detail: []any{"server", retirement.Server, "state", retirement.State, "why", reason}})
 }
 
-func (owner *Owner) orderOnce(now time.Duration, held *duty, server string, load bool) {
-	known := owner.servers[server]
-	if known == nil || now-known.orderedAt < owner.bounds.PlatformPoll()*2 {
+// sendOrder orders the platform to load or unload a server, at most once in two platform polls.
+func (owner *Owner) sendOrder(now time.Duration, shard *shardState, name string, load bool) {
+	server := owner.servers[name]
+	if server == nil || now-server.orderedAt < owner.bounds.PlatformPoll()*2 {
 		return
 	}
-	known.orderedAt = now
-	owner.emit(Order{Server: server, Shard: held.index, Load: load, Epoch: held.epoch})
+	server.orderedAt = now
+	owner.emit(Order{Server: name, Shard: shard.index, Load: load, Epoch: shard.epoch})
 }
 
-func (owner *Owner) retired(now time.Duration, held *duty, retirement *retire.Retirement) Retired {
-	return Retired{Server: retirement.Server, Shard: held.index, Region: owner.self.Region, Cause: retirement.Cause, State: retirement.State,
-		Reason: retirement.Reason, Epoch: held.epoch.Number, Tries: retirement.Tries, AgeMs: (now - retirement.Since).Milliseconds()}
+func (owner *Owner) retirementStatus(now time.Duration, shard *shardState, retirement *retire.Retirement) Retired {
+	return Retired{Server: retirement.Server, Shard: shard.index, Region: owner.self.Region, Cause: retirement.Cause, State: retirement.State,
+		Reason: retirement.Reason, Epoch: shard.epoch.Number, Tries: retirement.Tries, AgeMs: (now - retirement.Since).Milliseconds()}
 }
 
+// Status returns the state of each shard that this node owns.
 func (owner *Owner) Status(now time.Duration) []Status {
 	statuses := []Status{}
-	for _, index := range manifestOrder(owner.duties) {
-		held := owner.duties[index]
-		if !held.owning {
+	for _, index := range sortedIndexes(owner.shardStates) {
+		shard := owner.shardStates[index]
+		if !shard.isOwner {
 			continue
 		}
-		status := Status{Region: owner.self.Region, Shard: index, Owner: owner.self.Name, Epoch: held.epoch.Number, Number: held.number,
+		status := Status{Region: owner.self.Region, Shard: index, Owner: owner.self.Name, Epoch: shard.epoch.Number, Number: shard.listNumber,
 			Servers: []string{}, Retired: []Retired{}}
-		for _, row := range owner.eligible(now, held) {
+		for _, row := range owner.eligibleServers(now, shard) {
 			status.Servers = append(status.Servers, row.Name)
 		}
-		for _, name := range manifest.SortedKeys(held.retirements) {
-			status.Retired = append(status.Retired, owner.retired(now, held, held.retirements[name]))
+		for _, name := range manifest.SortedKeys(shard.retirements) {
+			status.Retired = append(status.Retired, owner.retirementStatus(now, shard, shard.retirements[name]))
 		}
-		status.Retired = append(status.Retired, held.past...)
+		status.Retired = append(status.Retired, shard.finished...)
 		statuses = append(statuses, status)
 	}
 	return statuses
--- a/shard/idle_test.go
+++ b/shard/idle_test.go
@@ -10,87 +10,87 @@
 	. "github.com/onsi/gomega"
 )
 
-// reader is a control node beside another one, of which one owns the east's only shard; its readings of the platform are counted.
-type reader struct {
+// poller is one of two control nodes of a region with one shard; its reads of the platform are recorded.
+type poller struct {
 	*Owner
-	now      time.Duration
-	members  []contract.Member
-	readings []time.Duration
-	err      string
+	now          time.Duration
+	members      []contract.Member
+	pollTimes    []time.Duration
+	listingError string
 }
 
-func reading(prompt bool) *reader {
+func newPoller(prompt bool) *poller {
 	member := func(name string) contract.Member {
 		return contract.Member{Name: name, Kind: contract.KindControl, Region: "east", Zone: "zone", Address: name}
 	}
-	both := contract.Ordered(Subject("east", 0), []string{"left", "right"})
-	made := &reader{Owner: New(member(both[1]), env.DefaultBounds()), now: time.Second, members: []contract.Member{member(both[0]), member(both[1])}}
-	made.Prompt(prompt)
-	return made
+	both := contract.Ordered(HashKey("east", 0), []string{"left", "right"})
+	fixture := &poller{Owner: New(member(both[1]), env.DefaultBounds()), now: time.Second, members: []contract.Member{member(both[0]), member(both[1])}}
+	fixture.SetAdvisoryLeases(prompt)
+	return fixture
 }
 
-// passes lets time go by; each reading is answered a moment later, unless it is to fail or to stay without an answer.
-func (reader *reader) passes(span time.Duration, answers bool) int {
-	read := manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}}}
-	former := len(reader.readings)
-	for ends := reader.now + span; reader.now < ends; reader.now += 10 * time.Millisecond {
-		for _, command := range reader.Handle(reader.now, Seen{Members: reader.members, Manifest: read}) {
+// advance moves the clock; with answers set, each read is answered at once, by listingError if there is one.
+func (poller *poller) advance(span time.Duration, answers bool) int {
+	currentManifest := manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}}}
+	former := len(poller.pollTimes)
+	for until := poller.now + span; poller.now < until; poller.now += 10 * time.Millisecond {
+		for _, command := range poller.Handle(poller.now, Seen{Members: poller.members, Manifest: currentManifest}) {
 			if _, reads := command.(ReadPlatform); reads {
-				reader.readings = append(reader.readings, reader.now)
+				poller.pollTimes = append(poller.pollTimes, poller.now)
 				if answers {
-					reader.Handle(reader.now, ListingRead{Began: reader.now, Error: reader.err})
+					poller.Handle(poller.now, ListingResult{Began: poller.now, Error: poller.listingError})
 				}
 			}
 		}
 	}
-	return len(reader.readings) - former
+	return len(poller.pollTimes) - former
 }
 
-var _ = ginkgo.Describe("readings of the platform, which have a price", func() {
+var _ = ginkgo.Describe("polls of the platform, each of which has a price", func() {
 	poll := env.DefaultBounds().PlatformPoll()
 
-	ginkgo.It("given a prompt node that owns no shard, when time goes by, then it reads a third as often as the owner, and can see", func() {
-		idle := reading(true)
-		Expect(idle.passes(30*poll, true)).To(BeNumerically("~", 10, 1))
+	ginkgo.It("given advisory leases and a node without shards, when time passes, then it polls a third as often as the owner and is not blind", func() {
+		idle := newPoller(true)
+		Expect(idle.advance(30*poll, true)).To(BeNumerically("~", 10, 1))
 		Expect(idle.Blind()).To(BeFalse())
 		idle.members = idle.members[1:]
-		Expect(idle.passes(30*poll, true)).To(BeNumerically("~", 30, 2))
+		Expect(idle.advance(30*poll, true)).To(BeNumerically("~", 30, 2))
 	})
 
-	ginkgo.It("given a node that is not prompt, when time goes by, then it reads as often whether it owns a shard or not", func() {
-		Expect(reading(false).passes(30*poll, true)).To(BeNumerically("~", 30, 1))
+	ginkgo.It("given binding leases, when time passes, then a node polls as often whether it owns a shard or not", func() {
+		Expect(newPoller(false).advance(30*poll, true)).To(BeNumerically("~", 30, 1))
 	})
 
-	ginkgo.It("given an idle node, when the owner goes at any moment, then it reads at once or has read lately, and takes the shard within a round", func() {
+	ginkgo.It("given an idle node, when the owner leaves at any moment, then it polls at once or has polled lately, and takes the shard within a round", func() {
 		for part := range 12 {
-			idle := reading(true)
-			idle.passes(9*poll+time.Duration(part)*poll/4, true)
-			idle.members, idle.readings = idle.members[1:], idle.readings[len(idle.readings)-1:]
+			idle := newPoller(true)
+			idle.advance(9*poll+time.Duration(part)*poll/4, true)
+			idle.members, idle.pollTimes = idle.members[1:], idle.pollTimes[len(idle.pollTimes)-1:]
 			began := idle.now
-			idle.passes(env.DefaultBounds().Round()+20*time.Millisecond, true)
-			Expect(idle.duties[0].owning).To(BeTrue())
-			Expect(idle.readings[len(idle.readings)-1]).To(BeNumerically(">", began-2*poll))
+			idle.advance(env.DefaultBounds().Round()+20*time.Millisecond, true)
+			Expect(idle.shardStates[0].isOwner).To(BeTrue())
+			Expect(idle.pollTimes[len(idle.pollTimes)-1]).To(BeNumerically(">", began-2*poll))
 		}
 	})
 
-	ginkgo.It("given an idle node whose reading is refused, when time goes by, then it reads again as soon as an owner would", func() {
-		idle := reading(true)
-		idle.err = "over the rate"
-		Expect(idle.passes(10*poll, true)).To(BeNumerically("~", 10, 1))
+	ginkgo.It("given an idle node whose poll is refused, when time passes, then it polls again as soon as an owner would", func() {
+		idle := newPoller(true)
+		idle.listingError = "over the rate"
+		Expect(idle.advance(10*poll, true)).To(BeNumerically("~", 10, 1))
 	})
 
-	ginkgo.It("given an idle node that gets no answers, when two more of its readings are over, then it is blind, and an owner sooner", func() {
-		idle, owner := reading(true), reading(true)
+	ginkgo.It("given an idle node without answers, when two more of its polls are due, then it is blind, and an owner is sooner", func() {
+		idle, owner := newPoller(true), newPoller(true)
 		owner.members = owner.members[1:]
-		for _, node := range []*reader{idle, owner} {
-			node.passes(3*poll+20*time.Millisecond, true)
+		for _, node := range []*poller{idle, owner} {
+			node.advance(3*poll+20*time.Millisecond, true)
 		}
 		last := idle.listedAt
-		owner.passes(owner.listedAt+env.DefaultBounds().Lease()+50*time.Millisecond-owner.now, false)
+		owner.advance(owner.listedAt+env.DefaultBounds().Lease()+50*time.Millisecond-owner.now, false)
 		Expect(owner.Blind()).To(BeTrue())
-		idle.passes(last+env.DefaultBounds().Lease()+2*poll-idle.now, false)
+		idle.advance(last+env.DefaultBounds().Lease()+2*poll-idle.now, false)
 		Expect(idle.Blind()).To(BeFalse())
-		idle.passes(50*time.Millisecond, false)
+		idle.advance(50*time.Millisecond, false)
 		Expect(idle.Blind()).To(BeTrue())
 	})
 })
--- a/shard/interim_test.go
+++ b/shard/interim_test.go
@@ -11,57 +11,57 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("a question for a list at a control node that is not the owner", func() {
+var _ = ginkgo.Describe("a lease request at a control node that is not the owner", func() {
 	now := 5 * time.Second
 	seen := Seen{Manifest: manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}}, Zones: map[string]manifest.Zone{"closed": {Region: "east", Drained: true}},
 		Gateway: manifest.Gateway{Services: map[string]manifest.Service{"service": {}}}}}
 	row := func(name, zone string) contract.ServerRow {
 		return contract.ServerRow{Name: name, Address: name + ":80", Zone: zone, Region: "east", Pool: "service", Incarnation: name, Unmeasured: true}
 	}
-	node := func(prompt bool) *reader {
-		made := reading(prompt)
-		seen.Members = made.members
-		made.Handle(now, seen)
+	node := func(prompt bool) *poller {
+		fixture := newPoller(prompt)
+		seen.Members = fixture.members
+		fixture.Handle(now, seen)
 		leaving, other := row("leaving", "zone"), row("other", "zone")
 		leaving.Leaving, other.Pool = true, "nobody"
 		cold := row("cold", "zone")
 		cold.WarmMs = 2000
-		made.Handle(now, ListingRead{Began: now, Listing: contract.Listing{Servers: []contract.ServerRow{row("good", "zone"), cold, leaving, row("drained", "closed"), other}}})
-		return made
+		fixture.Handle(now, ListingResult{Began: now, Listing: contract.Listing{Servers: []contract.ServerRow{row("good", "zone"), cold, leaving, row("drained", "closed"), other}}})
+		return fixture
 	}
-	send := func(node *reader, at time.Duration, ask contract.LeaseRequest) []contract.Send {
-		ask.Node, ask.Address, ask.Region, ask.Shards, ask.Asked = "data", "data:1", "east", 1, 7
-		body, failure := json.Marshal(ask)
-		Expect(failure).NotTo(HaveOccurred())
+	send := func(node *poller, at time.Duration, request contract.LeaseRequest) []contract.Send {
+		request.Node, request.Address, request.Region, request.Shards, request.Asked = "data", "data:1", "east", 1, 7
+		body, err := json.Marshal(request)
+		Expect(err).NotTo(HaveOccurred())
 		sent := []contract.Send{}
-		for _, command := range node.Handle(at, contract.Message{Kind: MessageAsk, From: "data", Body: body}) {
-			if send, fine := command.(contract.Send); fine {
+		for _, command := range node.Handle(at, contract.Message{Kind: MessageLeaseRequest, From: "data", Body: body}) {
+			if send, ok := command.(contract.Send); ok {
 				sent = append(sent, send)
 			}
 		}
 		return sent
 	}
-	asks := func(node *reader, at time.Duration, interim bool) []contract.Send {
+	asks := func(node *poller, at time.Duration, interim bool) []contract.Send {
 		return send(node, at, contract.LeaseRequest{Interim: interim})
 	}
 
-	ginkgo.It("given who asks for notices, when the listing here is fresh, then it is told the owner, and who leaves by this listing", func() {
-		told := send(node(true), now, contract.LeaseRequest{Notices: true})
-		Expect(told).To(HaveLen(2))
-		Expect(told[0].Kind).To(Equal(MessageNotOwner))
-		Expect(told[1]).To(Equal(contract.Send{To: "data:1", Kind: MessageNotices, Body: contract.Notices{Region: "east", Leaving: []string{"leaving"}}}))
+	ginkgo.It("given a request for notices, when the listing is fresh, then the reply names the owner and the servers that leave by this listing", func() {
+		replies := send(node(true), now, contract.LeaseRequest{Notices: true})
+		Expect(replies).To(HaveLen(2))
+		Expect(replies[0].Kind).To(Equal(MessageNotOwner))
+		Expect(replies[1]).To(Equal(contract.Send{To: "data:1", Kind: MessageServerNotices, Body: contract.Notices{Region: "east", Leaving: []string{"leaving"}}}))
 	})
 
-	ginkgo.It("given an old listing, or an owner whose leases bind, when notices are asked for, then none are told", func() {
+	ginkgo.It("given an old listing, or binding leases, when notices are requested, then none are sent", func() {
 		Expect(send(node(true), now+env.DefaultBounds().PlatformGrace(), contract.LeaseRequest{Notices: true})).To(HaveLen(1))
 		Expect(send(node(false), now, contract.LeaseRequest{Notices: true})).To(HaveLen(1))
 	})
 
-	ginkgo.It("given who has no list, when it asks, then it is told the owner, and what may take work as seen here, without an epoch", func() {
-		told := asks(node(true), now, true)
-		Expect(told).To(HaveLen(2))
-		Expect(told[0].Kind).To(Equal(MessageNotOwner))
-		lease := told[1].Body.(contract.Lease)
+	ginkgo.It("given a node without a list, when it asks, then it gets the owner's name and the eligible servers as seen here, without an epoch", func() {
+		replies := asks(node(true), now, true)
+		Expect(replies).To(HaveLen(2))
+		Expect(replies[0].Kind).To(Equal(MessageNotOwner))
+		lease := replies[1].Body.(contract.Lease)
 		Expect(lease.Interim).To(BeTrue())
 		Expect(lease.Epoch).To(Equal(contract.Epoch{}))
 		Expect(lease.Asked).To(Equal(time.Duration(7)))
@@ -72,12 +72,12 @@
 		Expect(names).To(Equal(map[string]int64{"good": 0, "cold": 2000}))
 	})
 
-	ginkgo.It("given who has a list, or an owner whose leases bind, when it asks, then it is told the owner alone", func() {
+	ginkgo.It("given a node with a list, or binding leases, when it asks, then it gets only the owner's name", func() {
 		Expect(asks(node(true), now, false)).To(HaveLen(1))
 		Expect(asks(node(false), now, true)).To(HaveLen(1))
 	})
 
-	ginkgo.It("given a listing that was read too long ago, when who has no list asks, then none is given", func() {
+	ginkgo.It("given an old listing, when a node without a list asks, then it gets none", func() {
 		Expect(asks(node(true), now+env.DefaultBounds().PlatformGrace(), true)).To(HaveLen(1))
 	})
 })
--- a/shard/list.go
+++ b/shard/list.go
@@ -10,19 +10,19 @@
 	"github.com/cedarreel/cedarreel/retire"
 )
 
-// eligible gives the servers of a shard that may take new work now.
-func (owner *Owner) eligible(now time.Duration, held *duty) []contract.ServerRow {
+// eligibleServers returns the servers of a shard that may receive new calls now.
+func (owner *Owner) eligibleServers(now time.Duration, shard *shardState) []contract.ServerRow {
 	rows := []contract.ServerRow{}
-	for _, row := range owner.mine(held) {
-		known := owner.servers[row.Name]
-		_, retiring := held.retirements[row.Name]
-		_, pooled := owner.seen.Manifest.Pools[row.Pool]
+	for _, row := range owner.shardServers(shard) {
+		server := owner.servers[row.Name]
+		_, retiring := shard.retirements[row.Name]
+		_, inPool := owner.seen.Manifest.Pools[row.Pool]
 		_, serves := owner.seen.Manifest.Gateway.Services[row.Pool]
-		released := held.released[row.Name] == row.Incarnation
-		if row.Leaving || row.Unloaded || retiring || released || !pooled && !serves || owner.drained(row.Zone) {
+		released := shard.released[row.Name] == row.Incarnation
+		if row.Leaving || row.Unloaded || retiring || released || !inPool && !serves || owner.zoneDrained(row.Zone) {
 			continue
 		}
-		if !row.Unmeasured && (!known.good || known.failures >= darkAfter) {
+		if !row.Unmeasured && (!server.reported || server.failures >= unreachableFailures) {
 			continue
 		}
 		rows = append(rows, row)
@@ -30,221 +30,223 @@
 	return rows
 }
 
-func (owner *Owner) drained(zone string) bool {
-	_, early := owner.withdrawn[zone]
-	return early || owner.seen.Manifest.Drained(zone)
+// zoneDrained reports whether a zone is drained by the manifest or withdrawn ahead of it.
+func (owner *Owner) zoneDrained(zone string) bool {
+	_, withdrawn := owner.withdrawnZones[zone]
+	return withdrawn || owner.seen.Manifest.Drained(zone)
 }
 
-// renumber raises the list's number whenever its set of servers or their condition changed.
-func (owner *Owner) renumber(now time.Duration, held *duty) {
+// refreshList recomputes the list and raises its number if its servers or their condition changed.
+func (owner *Owner) refreshList(now time.Duration, shard *shardState) {
 	names := []string{}
-	held.rows, held.numbered = owner.eligible(now, held), owner.changes
-	for _, row := range held.rows {
+	shard.listRows, shard.listVersion = owner.eligibleServers(now, shard), owner.stateVersion
+	for _, row := range shard.listRows {
 		name := row.Name + "@" + row.Incarnation
 		if now < owner.servers[row.Name].warmUntil {
 			name += "~"
 		}
-		if count := owner.servers[row.Name].cache; count > 0 {
+		if count := owner.servers[row.Name].cacheGeneration; count > 0 {
 			name += "#" + strconv.FormatInt(count, 10)
 		}
-		if watched, suspected, ill := held.conditionOf(now, row.Name); watched {
-			name += "!" + strconv.FormatBool(suspected) + strconv.FormatInt(ill, 10)
+		if watched, suspected, stepsLeft := shard.healthOf(now, row.Name); watched {
+			name += "!" + strconv.FormatBool(suspected) + strconv.FormatInt(stepsLeft, 10)
 		}
 		names = append(names, name)
 	}
-	list := strings.Join(names, ",")
-	if list != held.list || held.number == 0 {
-		held.list = list
-		held.number++
+	fingerprint := strings.Join(names, ",")
+	if fingerprint != shard.fingerprint || shard.listNumber == 0 {
+		shard.fingerprint = fingerprint
+		shard.listNumber++
 	}
 }
 
-// throwIndex has all nodes throw away what they presume of servers whose index one of them found wrong: once for one count, and not
-// again before the nodes could know.
-func (owner *Owner) throwIndex(now time.Duration, stale map[string]int64) {
+// invalidateCacheIndex makes all nodes discard their cache index of servers where one node found it wrong. Reports of the same
+// generation count once, and a generation is not raised again before all nodes could have learned of the last one.
+func (owner *Owner) invalidateCacheIndex(now time.Duration, stale map[string]int64) {
 	for name, count := range stale {
-		known, there := owner.servers[name]
-		if !there || known.cache > count || known.cacheAt > 0 && now-known.cacheAt < owner.bounds.Withdraw() {
+		server, found := owner.servers[name]
+		if !found || server.cacheGeneration > count || server.cacheInvalidatedAt > 0 && now-server.cacheInvalidatedAt < owner.bounds.Withdraw() {
 			continue
 		}
-		known.cache, known.cacheAt = max(known.cache, count)+1, now
-		owner.changes++
-		owner.emit(contract.Count{Name: "cache_indexes_thrown", By: 1}, contract.Say{What: "cache index thrown away", Detail: []any{"server", name, "count", known.cache}})
+		server.cacheGeneration, server.cacheInvalidatedAt = max(server.cacheGeneration, count)+1, now
+		owner.stateVersion++
+		owner.emit(contract.Count{Name: "cache_indexes_thrown", By: 1}, contract.Say{What: "cache index thrown away", Detail: []any{"server", name, "count", server.cacheGeneration}})
 	}
 }
 
-func (owner *Owner) ask(now time.Duration, ask contract.LeaseRequest) {
-	held, there := owner.duties[ask.Shard]
-	if !there || ask.Shards != owner.shards {
-		owner.emit(contract.Send{To: ask.Address, Kind: MessageNotOwner, Body: contract.NotOwner{Region: ask.Region, Shard: ask.Shard}})
+// leaseRequest answers a data node with the list, or with the owner's name if this node does not own the shard.
+func (owner *Owner) leaseRequest(now time.Duration, leaseRequest contract.LeaseRequest) {
+	shard, found := owner.shardStates[leaseRequest.Shard]
+	if !found || leaseRequest.Shards != owner.shardCount {
+		owner.emit(contract.Send{To: leaseRequest.Address, Kind: MessageNotOwner, Body: contract.NotOwner{Region: leaseRequest.Region, Shard: leaseRequest.Shard}})
 		return
 	}
-	if held.highest.Before(ask.Highest) {
-		held.highest = ask.Highest
-		if held.owning {
-			held.owning, held.firstSince = false, now
+	if shard.highestEpoch.Before(leaseRequest.Highest) {
+		shard.highestEpoch = leaseRequest.Highest
+		if shard.isOwner {
+			shard.isOwner, shard.preferredSince = false, now
 			owner.emit(contract.Count{Name: "superseded", By: 1})
 		}
 	}
-	if !held.owning || !owner.fresh(now) || owner.first(held.index) != owner.self.Name {
-		owner.emit(contract.Send{To: ask.Address, Kind: MessageNotOwner,
-			Body: contract.NotOwner{Region: ask.Region, Shard: ask.Shard, Owner: owner.first(held.index)}})
-		owner.interim(now, held, ask)
-		owner.notices(now, held, ask)
+	if !shard.isOwner || !owner.listingFresh(now) || owner.preferredOwner(shard.index) != owner.self.Name {
+		owner.emit(contract.Send{To: leaseRequest.Address, Kind: MessageNotOwner,
+			Body: contract.NotOwner{Region: leaseRequest.Region, Shard: leaseRequest.Shard, Owner: owner.preferredOwner(shard.index)}})
+		owner.sendInterimList(now, shard, leaseRequest)
+		owner.sendNotices(now, shard, leaseRequest)
 		return
 	}
-	owner.throwIndex(now, ask.Stale)
-	if held.numbered != owner.changes {
-		owner.renumber(now, held)
-	}
-	word := retire.Word{Told: now, Granted: now}
-	if ask.Highest == held.epoch {
-		word.Number = ask.Number
-	}
-	held.tallies[ask.Node] = ask.Tallies
-	held.observations.tell(ask.Node, ask.Observed)
-	held.words[ask.Node], held.calls[ask.Node], held.lingering[ask.Node] = word, ask.Calls, ask.Lingering
-	lease := contract.Lease{Region: ask.Region, Shard: ask.Shard, Asked: ask.Asked, Epoch: held.epoch, Number: held.number,
-		Life: owner.bounds.Lease(), Revision: owner.seen.Revision, Shards: owner.shards, Observed: owner.observed(now, held)}
-	lease.Same = ask.Brief && ask.Highest == held.epoch && ask.Number == held.number
-	for _, row := range held.rows {
+	owner.invalidateCacheIndex(now, leaseRequest.Stale)
+	if shard.listVersion != owner.stateVersion {
+		owner.refreshList(now, shard)
+	}
+	ack := retire.Word{Told: now, Granted: now}
+	if leaseRequest.Highest == shard.epoch {
+		ack.Number = leaseRequest.Number
+	}
+	shard.tallies[leaseRequest.Node] = leaseRequest.Tallies
+	shard.observations.record(leaseRequest.Node, leaseRequest.Observed)
+	shard.nodeAcks[leaseRequest.Node], shard.callsByNode[leaseRequest.Node], shard.lingeringByNode[leaseRequest.Node] = ack, leaseRequest.Calls, leaseRequest.Lingering
+	lease := contract.Lease{Region: leaseRequest.Region, Shard: leaseRequest.Shard, Asked: leaseRequest.Asked, Epoch: shard.epoch, Number: shard.listNumber,
+		Life: owner.bounds.Lease(), Revision: owner.seen.Revision, Shards: owner.shardCount, Observed: owner.mergedObservations(now, shard)}
+	lease.Same = leaseRequest.Brief && leaseRequest.Highest == shard.epoch && leaseRequest.Number == shard.listNumber
+	for _, row := range shard.listRows {
 		if lease.Same {
 			break
 		}
-		lease.Servers = append(lease.Servers, owner.candidate(now, held, row, owner.share(now, held, row, ask.Node)))
+		lease.Servers = append(lease.Servers, owner.candidate(now, shard, row, owner.rampShare(now, shard, row, leaseRequest.Node)))
 	}
-	for _, name := range manifest.SortedKeys(held.retirements) {
+	for _, name := range manifest.SortedKeys(shard.retirements) {
 		lease.Withdraw = append(lease.Withdraw, name)
-		if held.retirements[name].Recalls() {
+		if shard.retirements[name].Recalls() {
 			lease.Recall = append(lease.Recall, name)
 		}
 	}
-	owner.emit(contract.Send{To: ask.Address, Kind: MessageLease, Body: lease})
+	owner.emit(contract.Send{To: leaseRequest.Address, Kind: MessageLease, Body: lease})
 }
 
-func (owner *Owner) candidate(now time.Duration, held *duty, row contract.ServerRow, share int64) contract.Candidate {
-	known := owner.servers[row.Name]
-	watched, suspected, ill := held.conditionOf(now, row.Name)
+func (owner *Owner) candidate(now time.Duration, shard *shardState, row contract.ServerRow, share int64) contract.Candidate {
+	server := owner.servers[row.Name]
+	watched, suspected, stepsLeft := shard.healthOf(now, row.Name)
 	return contract.Candidate{Name: row.Name, Address: row.Address, Zone: row.Zone, Pool: row.Pool,
 		Incarnation: row.Incarnation, Slots: owner.seen.Manifest.Pools[row.Pool].Slots, Share: share,
-		Running: known.report.Running, Waiting: known.report.Waiting, Report: known.report.Number, Prefixes: known.report.Prefixes,
-		Cache: known.cache, Watched: watched, Suspected: suspected, Ill: ill, WarmMs: max(0, (known.warmUntil - now).Milliseconds())}
+		Running: server.report.Running, Waiting: server.report.Waiting, Report: server.report.Number, Prefixes: server.report.Prefixes,
+		Cache: server.cacheGeneration, Watched: watched, Suspected: suspected, Ill: stepsLeft, WarmMs: max(0, (server.warmUntil - now).Milliseconds())}
 }
 
-// interim gives a node that has no list yet what the platform lists here, while the owner is not found: without an epoch, so that any
-// owner's list replaces it. Only for nodes that go on by their last list whether a lease stands or not.
-func (owner *Owner) interim(now time.Duration, held *duty, ask contract.LeaseRequest) {
-	if !owner.prompt || !ask.Interim || !owner.fresh(now) {
+// sendInterimList gives a node without any list the servers in this node's own listing while the owner cannot be found. It has no epoch,
+// so any owner's list replaces it. It is sent under advisory leases only.
+func (owner *Owner) sendInterimList(now time.Duration, shard *shardState, request contract.LeaseRequest) {
+	if !owner.advisoryLeases || !request.Interim || !owner.listingFresh(now) {
 		return
 	}
-	lease := contract.Lease{Region: ask.Region, Shard: ask.Shard, Asked: ask.Asked, Shards: owner.shards, Interim: true}
-	for _, row := range owner.eligible(now, held) {
-		lease.Servers = append(lease.Servers, owner.candidate(now, held, row, -1))
+	lease := contract.Lease{Region: request.Region, Shard: request.Shard, Asked: request.Asked, Shards: owner.shardCount, Interim: true}
+	for _, row := range owner.eligibleServers(now, shard) {
+		lease.Servers = append(lease.Servers, owner.candidate(now, shard, row, -1))
 	}
-	owner.emit(contract.Count{Name: "lists_interim", By: 1}, contract.Send{To: ask.Address, Kind: MessageLease, Body: lease})
+	owner.emit(contract.Count{Name: "lists_interim", By: 1}, contract.Send{To: request.Address, Kind: MessageLease, Body: lease})
 }
 
-// notices tells a node whose list nobody confirms which servers leave, by this node's own listing: a second way beside the owner, so that
-// a cut or a relay that fails keeps no node sending to them.
-func (owner *Owner) notices(now time.Duration, held *duty, ask contract.LeaseRequest) {
-	if !owner.prompt || !ask.Notices || !owner.fresh(now) {
+// sendNotices tells a node whose list no owner confirms which servers are leaving, by this node's own listing. It is a second path
+// beside the owner, so that a partition or a failed relay does not keep a node sending calls to them.
+func (owner *Owner) sendNotices(now time.Duration, shard *shardState, request contract.LeaseRequest) {
+	if !owner.advisoryLeases || !request.Notices || !owner.listingFresh(now) {
 		return
 	}
-	told := contract.Notices{Region: ask.Region, Shard: ask.Shard}
-	for _, row := range owner.mine(held) {
+	notices := contract.Notices{Region: request.Region, Shard: request.Shard}
+	for _, row := range owner.shardServers(shard) {
 		if row.Leaving {
-			told.Leaving = append(told.Leaving, row.Name)
+			notices.Leaving = append(notices.Leaving, row.Name)
 		}
 	}
-	if len(told.Leaving) > 0 {
-		owner.emit(contract.Count{Name: "notices_told", By: 1}, contract.Send{To: ask.Address, Kind: MessageNotices, Body: told})
+	if len(notices.Leaving) > 0 {
+		owner.emit(contract.Count{Name: "notices_told", By: 1}, contract.Send{To: request.Address, Kind: MessageServerNotices, Body: notices})
 	}
 }
 
-// share is this node's part of a cold server's ramp. What others were given and still hold, or still run, is taken off first,
-// so the parts never add up to more than the ramp. Below zero means no bound. Right after a take-over nothing is given: leases
-// of the former owner may still stand.
-func (owner *Owner) share(now time.Duration, held *duty, row contract.ServerRow, node string) int64 {
-	known := owner.servers[row.Name]
+// rampShare returns how many calls a node may run on a cold server, or -1 for no bound. Calls that other nodes were granted or still run
+// are subtracted first, so the shares never exceed the ramp. Just after a take-over it is 0: leases of the former owner may stand.
+func (owner *Owner) rampShare(now time.Duration, shard *shardState, row contract.ServerRow, node string) int64 {
+	server := owner.servers[row.Name]
 	ramp := owner.seen.Manifest.Retirement.Ramp
-	if !known.ramping || now-known.rampFrom >= ramp {
-		known.ramping = false
-		delete(held.shares, row.Name)
+	if !server.ramping || now-server.rampStart >= ramp {
+		server.ramping = false
+		delete(shard.rampShares, row.Name)
 		return -1
 	}
-	if now-held.taken < owner.bounds.Lease() {
+	if now-shard.takenAt < owner.bounds.Lease() {
 		return 0
 	}
 	slots := owner.seen.Manifest.Pools[row.Pool].Slots
-	names, others := owner.othersOn(now, held, row.Name, node)
-	open := owner.part(max(1, slots*int64(now-known.rampFrom)/int64(ramp)), len(names))
+	names, others := owner.otherNodesLoad(now, shard, row.Name, node)
+	available := owner.portion(max(1, slots*int64(now-server.rampStart)/int64(ramp)), len(names))
 	count := int64(len(names))
-	part := int64(0)
-	for place, name := range contract.Ordered("ramp/"+row.Name, names) {
+	portion := int64(0)
+	for position, name := range contract.Ordered("ramp/"+row.Name, names) {
 		if name == node {
-			part = open / count
-			if int64(place) < open%count {
-				part++
+			portion = available / count
+			if int64(position) < available%count {
+				portion++
 			}
 		}
 	}
-	part = min(part, max(0, open-others))
-	if held.shares[row.Name] == nil {
-		held.shares[row.Name] = map[string]int64{}
+	portion = min(portion, max(0, available-others))
+	if shard.rampShares[row.Name] == nil {
+		shard.rampShares[row.Name] = map[string]int64{}
 	}
-	held.shares[row.Name][node] = part
-	return part
+	shard.rampShares[row.Name][node] = portion
+	return portion
 }
 
-// part is what of a ramp an owner may hand out that hears so many of its region's data nodes: those that it does not hear may
-// have an owner of their own. Where the part is less than one call, the owner that hears most of them has it.
-func (owner *Owner) part(open int64, heard int) int64 {
+// portion returns how much of a ramp an owner may grant that hears from heard of its region's data nodes: in a partition the
+// others may have another owner. If the share is below one call, the owner that hears from a majority gets one.
+func (owner *Owner) portion(available int64, heard int) int64 {
 	roster := max(heard, len(owner.seen.Manifest.Regions[owner.self.Region].Machines))
-	share := open * int64(heard) / int64(roster)
+	share := available * int64(heard) / int64(roster)
 	if share == 0 && heard*2 > roster {
 		return 1
 	}
 	return share
 }
 
-// othersOn gives the nodes whose leases stand, and what all but one of them have, or may have, on a server. A node that is not
-// heard any more may run what it began under its last lease: that counts in full until a later report of the server, and then as
-// far as the report shows more than the others tell of. An owner that is new knows of no such nodes and goes by the report.
-func (owner *Owner) othersOn(now time.Duration, held *duty, server, node string) (names []string, others int64) {
-	known, told, unheard := owner.servers[server], int64(0), int64(0)
-	for _, name := range manifest.SortedKeys(held.words) {
-		lying := held.calls[name][server] + held.lingering[name][server]
-		most, lapses := max(held.shares[server][name], lying), held.words[name].Granted+owner.bounds.Lease()
+// otherNodesLoad returns the nodes with valid leases and the calls that all nodes but one may have on a server. A node that is not heard
+// any more may still run what it began under its last lease. That counts in full until a later report of the server, and then as far as
+// the report exceeds what the others report. A new owner does not know of such nodes and uses the report.
+func (owner *Owner) otherNodesLoad(now time.Duration, shard *shardState, server, node string) (names []string, others int64) {
+	known, reported, unheardLoad := owner.servers[server], int64(0), int64(0)
+	for _, name := range manifest.SortedKeys(shard.nodeAcks) {
+		outstanding := shard.callsByNode[name][server] + shard.lingeringByNode[name][server]
+		bound, expiry := max(shard.rampShares[server][name], outstanding), shard.nodeAcks[name].Granted+owner.bounds.Lease()
 		switch {
-		case now < lapses:
-			names, told = append(names, name), told+lying
+		case now < expiry:
+			names, reported = append(names, name), reported+outstanding
 			if name != node {
-				others += most
+				others += bound
 			}
-		case known.sampled <= lapses+owner.bounds.Ask():
-			others += most
+		case known.sampledAt <= expiry+owner.bounds.Ask():
+			others += bound
 		default:
-			unheard += most
+			unheardLoad += bound
 		}
 	}
-	if now-held.taken < owner.seen.Manifest.Retirement.Ramp {
-		unheard = known.report.Running + known.report.Waiting
+	if now-shard.takenAt < owner.seen.Manifest.Retirement.Ramp {
+		unheardLoad = known.report.Running + known.report.Waiting
 	}
-	return names, others + min(unheard, max(0, known.report.Running+known.report.Waiting-told))
+	return names, others + min(unheardLoad, max(0, known.report.Running+known.report.Waiting-reported))
 }
 
-func (owner *Owner) withdraw(now time.Duration, order Withdraw) {
+// withdrawZone takes a zone's servers off the lists ahead of the manifest that drains it, and confirms this for the shards owned here.
+func (owner *Owner) withdrawZone(now time.Duration, order ZoneWithdraw) {
 	if order.Region != owner.self.Region {
 		return
 	}
-	owner.withdrawn[order.Zone] = now + owner.bounds.Deliver()*2
-	answer := Withdrawn{Token: order.Token}
-	for _, index := range manifestOrder(owner.duties) {
-		held := owner.duties[index]
-		if held.owning && owner.first(index) == owner.self.Name {
-			owner.renumber(now, held)
+	owner.withdrawnZones[order.Zone] = now + owner.bounds.Deliver()*2
+	answer := ZoneWithdrawn{Token: order.Token}
+	for _, index := range sortedIndexes(owner.shardStates) {
+		shard := owner.shardStates[index]
+		if shard.isOwner && owner.preferredOwner(index) == owner.self.Name {
+			owner.refreshList(now, shard)
 			answer.Shards = append(answer.Shards, index)
 		}
 	}
-	owner.emit(contract.Send{To: order.Address, Kind: MessageWithdrawn, Body: answer})
+	owner.emit(contract.Send{To: order.Address, Kind: MessageZoneWithdrawn, Body: answer})
 }
--- a/shard/observed.go
+++ b/shard/observed.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// mergesPerAsk is how many times, in the time between two questions of one node, what all nodes tell is merged at most.
-	mergesPerAsk = 4
-	// lowPart is which of the nodes' reading times is taken, one in so many from the least: waiting behind other prompts only adds to what
-	// a node sees.
-	lowPart = 3
+	// mergesPerRequest is how often at most the nodes' observations are merged in the time between two requests of one node.
+	mergesPerRequest = 4
+	// readTimeDivisor selects the reading time at that fraction of the sorted times: waiting behind other prompts only adds to what
+	// a node measures, so a low value is closest to the real one.
+	readTimeDivisor = 3
 )
 
-// observations are what data nodes tell of the calls that they send, and what of it holds for all.
+// observations are measurements of calls that data nodes report, and their merged result for the whole shard.
 type observations struct {
-	byNode map[string]contract.Observed
-	merged contract.Observed
-	next   time.Duration
+	byNode    map[string]contract.Observed
+	merged    contract.Observed
+	nextMerge time.Duration
 }
 
-// tell takes what a node says of its own calls.
-func (all *observations) tell(node string, observed contract.Observed) {
+// record stores what a node reports of its own calls; an empty report removes it.
+func (all *observations) record(node string, observed contract.Observed) {
 	if len(observed.Short)+len(observed.Read) == 0 {
 		delete(all.byNode, node)
 		return
@@ -35,38 +35,38 @@
 	all.byNode[node] = observed
 }
 
-// observed merges what the nodes tell that asked within a lease's time.
-func (owner *Owner) observed(now time.Duration, held *duty) contract.Observed {
-	all := &held.observations
-	if now < all.next {
+// mergedObservations merges the reports of the nodes that asked within a lease's time.
+func (owner *Owner) mergedObservations(now time.Duration, shard *shardState) contract.Observed {
+	all := &shard.observations
+	if now < all.nextMerge {
 		return all.merged
 	}
-	all.next = now + owner.bounds.Withdraw()/8/mergesPerAsk
+	all.nextMerge = now + owner.bounds.Withdraw()/8/mergesPerRequest
 	for _, node := range slices.Collect(maps.Keys(all.byNode)) {
-		if now-held.words[node].Told >= owner.bounds.Lease() {
+		if now-shard.nodeAcks[node].Told >= owner.bounds.Lease() {
 			delete(all.byNode, node)
 		}
 	}
-	all.merged = contract.Observed{Short: all.leastPauses(), Read: all.readTimes()}
+	all.merged = contract.Observed{Short: all.shortestPauses(), Read: all.readTimes()}
 	return all.merged
 }
 
-// leastPauses gives the least pause that short calls of any node bear, by service.
-func (all *observations) leastPauses() map[string]int64 {
-	least := map[string]int64{}
+// shortestPauses returns, by service, the shortest pause that any node's short calls bear.
+func (all *observations) shortestPauses() map[string]int64 {
+	shortest := map[string]int64{}
 	for _, observed := range all.byNode {
 		for service, pause := range observed.Short {
-			if known, there := least[service]; pause > 0 && (!there || pause < known) {
-				least[service] = pause
+			if server, found := shortest[service]; pause > 0 && (!found || pause < server) {
+				shortest[service] = pause
 			}
 		}
 	}
-	return least
+	return shortest
 }
 
-// readTimes gives a low one of the nodes' reading times, by service.
+// readTimes returns, by service, a low quantile of the nodes' reading times.
 func (all *observations) readTimes() map[string]int64 {
-	times, low := map[string][]int64{}, map[string]int64{}
+	times, selected := map[string][]int64{}, map[string]int64{}
 	for _, observed := range all.byNode {
 		for service, read := range observed.Read {
 			if read > 0 {
@@ -76,7 +76,7 @@
 	}
 	for service, told := range times {
 		slices.Sort(told)
-		low[service] = told[len(told)/lowPart]
+		selected[service] = told[len(told)/readTimeDivisor]
 	}
-	return low
+	return selected
 }
--- a/shard/observed_test.go
+++ b/shard/observed_test.go
@@ -9,19 +9,19 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("short calls of all nodes", func() {
-	ginkgo.It("given nodes that send some, when others ask, then they are told the least pause, as long as those nodes ask and send", func() {
-		ward := warded(2, 3, 2)
+var _ = ginkgo.Describe("observations of all nodes", func() {
+	ginkgo.It("given nodes that report short calls, when others ask, then they get the shortest pause, as long as those nodes ask and report", func() {
+		fixture := newFixture(2, 3, 2)
 		ask := func(node string, short map[string]int64) map[string]int64 {
 			ginkgo.GinkgoHelper()
-			ward.now += ward.bounds.Withdraw() / 8
-			request := contract.LeaseRequest{Node: node, Address: node + ":1", Region: "east", Asked: ward.now, Shards: 1, Observed: contract.Observed{Short: short}}
-			ward.Handle(ward.now, ListingRead{Began: ward.now, Listing: ward.listing})
-			body, failure := json.Marshal(request)
-			Expect(failure).NotTo(HaveOccurred())
-			ward.Handle(ward.now, Seen{Members: ward.nodes, Manifest: ward.seen.Manifest})
-			for _, command := range ward.Handle(ward.now, contract.Message{Kind: MessageAsk, Body: body}) {
-				if lease, there := ward.lease(command); there {
+			fixture.now += fixture.bounds.Withdraw() / 8
+			request := contract.LeaseRequest{Node: node, Address: node + ":1", Region: "east", Asked: fixture.now, Shards: 1, Observed: contract.Observed{Short: short}}
+			fixture.Handle(fixture.now, ListingResult{Began: fixture.now, Listing: fixture.listing})
+			body, err := json.Marshal(request)
+			Expect(err).NotTo(HaveOccurred())
+			fixture.Handle(fixture.now, Seen{Members: fixture.nodes, Manifest: fixture.seen.Manifest})
+			for _, command := range fixture.Handle(fixture.now, contract.Message{Kind: MessageLeaseRequest, Body: body}) {
+				if lease, found := fixture.lease(command); found {
 					return lease.Short
 				}
 			}
@@ -32,31 +32,31 @@
 		ask("node01", map[string]int64{"s": 600, "t": 200})
 		Expect(ask("node00", map[string]int64{"s": 400})).To(Equal(map[string]int64{"s": 400, "t": 200}))
 		Expect(ask("node00", nil)).To(Equal(map[string]int64{"s": 600, "t": 200}))
-		for ends := ward.now + ward.bounds.Lease(); ward.now < ends; {
+		for ends := fixture.now + fixture.bounds.Lease(); fixture.now < ends; {
 			ask("node02", nil)
 		}
-		Expect(ask("node02", nil)).To(BeEmpty(), "a node that asks no more sends no more")
+		Expect(ask("node02", nil)).To(BeEmpty(), "a node that stopped asking no longer counts")
 	})
 
-	ginkgo.It("given many questions within a moment, when they are answered, then what nodes tell is merged once", func() {
-		held, owner := &duty{words: map[string]retire.Word{}}, warded(1, 1, 1)
-		held.observations.tell("node00", contract.Observed{Short: map[string]int64{"s": 5}})
-		held.words["node00"] = retire.Word{Told: owner.now}
-		Expect(owner.observed(owner.now, held).Short).To(Equal(map[string]int64{"s": 5}))
-		next := held.observations.next
-		Expect(next).To(BeNumerically(">", owner.now))
-		held.observations.tell("node00", contract.Observed{Short: map[string]int64{"s": 4}})
-		Expect(owner.observed(next-1, held).Short).To(Equal(map[string]int64{"s": 5}))
-		Expect(owner.observed(next, held).Short).To(Equal(map[string]int64{"s": 4}))
+	ginkgo.It("given many requests within a moment, when they are answered, then the nodes' reports are merged once", func() {
+		shard, owner := &shardState{nodeAcks: map[string]retire.Word{}}, newFixture(1, 1, 1)
+		shard.observations.record("node00", contract.Observed{Short: map[string]int64{"s": 5}})
+		shard.nodeAcks["node00"] = retire.Word{Told: owner.now}
+		Expect(owner.mergedObservations(owner.now, shard).Short).To(Equal(map[string]int64{"s": 5}))
+		nextMerge := shard.observations.nextMerge
+		Expect(nextMerge).To(BeNumerically(">", owner.now))
+		shard.observations.record("node00", contract.Observed{Short: map[string]int64{"s": 4}})
+		Expect(owner.mergedObservations(nextMerge-1, shard).Short).To(Equal(map[string]int64{"s": 5}))
+		Expect(owner.mergedObservations(nextMerge, shard).Short).To(Equal(map[string]int64{"s": 4}))
 	})
 
-	ginkgo.It("given nodes that saw prompts being read, some behind others and one that errs, when it is merged, then a low one of their times holds", func() {
+	ginkgo.It("given reading times with outliers on both sides, when they are merged, then a low quantile is used", func() {
 		all := &observations{}
 		for place, read := range []int64{90000, 31000, 30000, 1, 32000, 200000, 0} {
-			all.tell(string(rune('a'+place)), contract.Observed{Read: map[string]int64{"s": read}, Short: map[string]int64{"s": 1}})
+			all.record(string(rune('a'+place)), contract.Observed{Read: map[string]int64{"s": read}, Short: map[string]int64{"s": 1}})
 		}
 		Expect(all.readTimes()).To(Equal(map[string]int64{"s": 31000}))
-		all.tell("a", contract.Observed{})
+		all.record("a", contract.Observed{})
 		Expect(all.byNode).To(HaveLen(6))
 	})
 })
--- a/shard/reports.go
+++ b/shard/reports.go
@@ -6,43 +6,44 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-func (owner *Owner) reportRead(now time.Duration, event ReportRead) {
-	if event.For.Back != "" {
-		owner.emit(contract.Send{To: event.For.Back, Kind: MessageReadTold, Body: ReadTold{Server: event.Server, Asked: event.For.Asked, Report: event.Report, Error: event.Error}})
+// handleReport updates a server's state by its report, or forwards the report to the peer that asked for it.
+func (owner *Owner) handleReport(now time.Duration, event ReportResult) {
+	if event.Request.ReplyTo != "" {
+		owner.emit(contract.Send{To: event.Request.ReplyTo, Kind: MessageReportReply, Body: ReportReply{Server: event.Server, RequestedAt: event.Request.RequestedAt, Report: event.Report, Error: event.Error}})
 		return
 	}
-	known, there := owner.servers[event.Server]
-	if !there || event.Error != "" && !event.Around && owner.readAround(now, event.Server) {
+	server, found := owner.servers[event.Server]
+	if !found || event.Error != "" && !event.ViaPeer && owner.requestReportFromPeer(now, event.Server) {
 		return
 	}
-	known.reading = false
+	server.readPending = false
 	if event.Error == "" && !event.Report.Complete {
 		owner.emit(contract.Count{Name: "reports_partial", By: 1})
 	}
 	if event.Error != "" {
-		known.failures++
+		server.failures++
 		owner.emit(contract.Count{Name: "reports_broken", By: 1})
-	} else if event.Report.Incarnation == known.incarnation {
-		if !known.good {
-			known.good = true
-			known.ramping = event.Report.Running == 0 && len(event.Report.Prefixes) == 0
-			known.rampFrom = now
-			if !known.ramping && known.listedFrom >= 0 && now-known.listedFrom < owner.seen.Manifest.Retirement.Ramp {
-				known.ramping, known.rampFrom = true, known.listedFrom
+	} else if event.Report.Incarnation == server.incarnation {
+		if !server.reported {
+			server.reported = true
+			server.ramping = event.Report.Running == 0 && len(event.Report.Prefixes) == 0
+			server.rampStart = now
+			if !server.ramping && server.listedSince >= 0 && now-server.listedSince < owner.seen.Manifest.Retirement.Ramp {
+				server.ramping, server.rampStart = true, server.listedSince
 			}
 		}
-		if known.failures >= darkAfter {
-			known.ramping, known.rampFrom = true, now
+		if server.failures >= unreachableFailures {
+			server.ramping, server.rampStart = true, now
 		}
-		if event.Report.Number != known.report.Number {
-			known.sampled = event.Began - time.Duration(event.Report.AgeMs)*time.Millisecond
+		if event.Report.Number != server.report.Number {
+			server.sampledAt = event.Began - time.Duration(event.Report.AgeMs)*time.Millisecond
 		}
-		known.failures, known.report = 0, event.Report
+		server.failures, server.report = 0, event.Report
 	}
-	for _, index := range manifestOrder(owner.duties) {
-		if retirement, there := owner.duties[index].retirements[event.Server]; there && owner.duties[index].owning {
+	for _, index := range sortedIndexes(owner.shardStates) {
+		if retirement, found := owner.shardStates[index].retirements[event.Server]; found && owner.shardStates[index].isOwner {
 			if retirement.Read(now, event.Outcome) {
-				owner.release(now, owner.duties[index], retirement)
+				owner.releaseServer(now, owner.shardStates[index], retirement)
 			}
 		}
 	}
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -1,4 +1,4 @@
-// Package shard holds the duty of a shard's owner: it reads the platform and the reports and grants pick lists under an epoch.
+// Package shard runs the owner of a shard: it polls the platform and server reports and grants server lists as leases under an epoch.
 package shard
 
 import (
@@ -13,42 +13,44 @@
 )
 
 const (
-	MessageAsk       = "lease-request"
-	MessageLease     = "lease"
-	MessageNotOwner  = "lease-not-owner"
-	MessageNotices   = "server-notices"
-	MessageReadAsk   = "report-ask"
-	MessageReadTold  = "report-told"
-	MessageWithdraw  = "zone-withdraw"
-	MessageWithdrawn = "zone-withdrawn"
+	MessageLeaseRequest  = "lease-request"   // a data node asks for a list: contract.LeaseRequest
+	MessageLease         = "lease"           // the list that answers it: contract.Lease
+	MessageNotOwner      = "lease-not-owner" // the node asked does not own the shard: contract.NotOwner
+	MessageServerNotices = "server-notices"  // servers that are leaving: contract.Notices
+	MessageReportRequest = "report-ask"      // ask a peer to read a server's report: ReadReport
+	MessageReportReply   = "report-told"     // what the peer read: ReportReply
+	MessageZoneWithdraw  = "zone-withdraw"   // take a zone's servers off the lists: ZoneWithdraw
+	MessageZoneWithdrawn = "zone-withdrawn"  // confirmation per shard: ZoneWithdrawn
 )
 
+// ReadPlatform is a command to read the platform's listing of a region; a ListingResult answers it.
 type ReadPlatform struct{ Region string }
 
-// ListingRead with a Region is for the owners of that region alone.
-type ListingRead struct {
+// ListingResult is the outcome of a ReadPlatform. Only owners of its Region use it; an empty Region is for any owner.
+type ListingResult struct {
 	Region  string
 	Began   time.Duration
 	Listing contract.Listing
 	Error   string
 }
 
-// ReadReport reads a server's report; with Back it is read for the owner at that address, which asked at Asked on its own clock.
+// ReadReport is a command to read a server's report. If ReplyTo is set, the report is read for the owner at that address.
 type ReadReport struct {
-	Server  string        `json:"server"`
-	Address string        `json:"address"`
-	Back    string        `json:"back"`
-	Asked   time.Duration `json:"asked"`
+	Server      string        `json:"server"`
+	Address     string        `json:"address"`
+	ReplyTo     string        `json:"back"`  // address of the peer that asked; empty for this node's own reads
+	RequestedAt time.Duration `json:"asked"` // time of the request on the asking peer's clock
 }
 
-type ReportRead struct {
-	Server string
-	For    ReadReport
-	Around bool
+// ReportResult is the outcome of a ReadReport; its embedded Outcome has the report or the error.
+type ReportResult struct {
+	Server  string
+	Request ReadReport // the command that it answers
+	ViaPeer bool       // a peer read the report
 	retire.Outcome
 }
 
-// Order asks the platform to unload or to load a server, under the epoch of the shard's owner.
+// Order is a command to the platform to load or unload a server, under the epoch of the shard's owner.
 type Order struct {
 	Server string
 	Shard  int
@@ -56,122 +58,128 @@
 	Epoch  contract.Epoch
 }
 
-type Ordered struct {
+// OrderResult is the outcome of an Order; Error is empty if the platform accepted it.
+type OrderResult struct {
 	Server string
 	Load   bool
 	Error  string
 }
 
+// Seen is the control node's current view of live members and of the manifest in force at Revision.
 type Seen struct {
 	Members  []contract.Member
 	Manifest manifest.Manifest
 	Revision int64
 }
 
-type Withdraw struct {
+// ZoneWithdraw asks the owners of a region to stop listing a zone's servers before the manifest that drains it is committed.
+type ZoneWithdraw struct {
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
 	Token   int64  `json:"token"`
-	Address string `json:"address"`
+	Address string `json:"address"` // where the ZoneWithdrawn goes
 }
 
-type Withdrawn struct {
+// ZoneWithdrawn confirms a ZoneWithdraw for the shards that the sender owns.
+type ZoneWithdrawn struct {
 	Token  int64 `json:"token"`
 	Shards []int `json:"shards"`
 }
 
-type knowledge struct {
-	report      contract.Report
-	good        bool
-	sampled     time.Duration
-	reading     bool
-	failures    int
-	incarnation string
-	listedFrom  time.Duration
-	rampFrom    time.Duration
-	ramping     bool
-	nextRead    time.Duration
-	orderedAt   time.Duration
-	warmUntil   time.Duration
-	cache       int64
-	cacheAt     time.Duration
+type serverState struct {
+	report             contract.Report // last report that was read
+	reported           bool            // a report of this incarnation was read
+	sampledAt          time.Duration   // when the server took the last report
+	readPending        bool
+	failures           int // consecutive failed reads
+	incarnation        string
+	listedSince        time.Duration // first listing of this incarnation, -1 if it was listed when this node started
+	rampStart          time.Duration // start of the ramp, while ramping
+	ramping            bool          // the server is cold and gets a growing number of calls
+	nextRead           time.Duration
+	orderedAt          time.Duration // last order to the platform
+	warmUntil          time.Duration // end of the warm-up that the platform reports
+	cacheGeneration    int64         // raised when nodes must discard their cache index of the server
+	cacheInvalidatedAt time.Duration
 }
 
-type duty struct {
-	index        int
-	owning       bool
-	firstSince   time.Duration
-	epoch        contract.Epoch
-	highest      contract.Epoch
-	taken        time.Duration
-	number       int64
-	list         string
-	rows         []contract.ServerRow
-	numbered     int64
-	words        map[string]retire.Word
-	calls        map[string]map[string]int64
-	lingering    map[string]map[string]int64
-	shares       map[string]map[string]int64
-	retirements  map[string]*retire.Retirement
-	released     map[string]string
-	aborted      map[string]int64
-	tallies      map[string]map[string]contract.Tally
-	conditions   map[string]*condition
-	observations observations
-	nextJudge    time.Duration
-	past         []Retired
+type shardState struct {
+	index           int
+	isOwner         bool
+	preferredSince  time.Duration  // since when this node is the preferred owner, -1 if it is not
+	epoch           contract.Epoch // epoch of the leases granted here
+	highestEpoch    contract.Epoch // highest epoch that any node has reported
+	takenAt         time.Duration  // last take-over
+	listNumber      int64          // version of the list within the epoch
+	fingerprint     string         // servers on the list and their condition
+	listRows        []contract.ServerRow
+	listVersion     int64                       // Owner.stateVersion when the list was computed
+	nodeAcks        map[string]retire.Word      // by node: the list that it last confirmed
+	callsByNode     map[string]map[string]int64 // by node and server: running calls
+	lingeringByNode map[string]map[string]int64 // by node and server: calls begun under an earlier lease
+	rampShares      map[string]map[string]int64 // by server and node: calls granted during the ramp
+	retirements     map[string]*retire.Retirement
+	released        map[string]string // by server: the incarnation whose retirement ended in release
+	abortedScales   map[string]int64  // by server: the pool's scale when its retirement was aborted
+	tallies         map[string]map[string]contract.Tally
+	serverHealth    map[string]*healthRecord
+	observations    observations
+	nextEvaluation  time.Duration
+	finished        []Retired // the latest ended retirements
 }
 
+// Owner is the control node's part for the shards of its region: it handles events and returns commands, and does no I/O itself.
 type Owner struct {
-	self      contract.Member
-	bounds    env.Bounds
-	seen      Seen
-	duties    map[int]*duty
-	listing   contract.Listing
-	listed    bool
-	listedAt  time.Duration
-	polling   bool
-	nextPoll  time.Duration
-	servers   map[string]*knowledge
-	withdrawn map[string]time.Duration
-	sighted   time.Duration
-	blind     bool
-	turn      int
-	ages      map[string]time.Duration
-	nextAges  time.Duration
-	shards    int
-	changes   int64
-	started   time.Duration
-	begun     bool
-	prompt    bool
-	out       []contract.Command
+	self            contract.Member
+	bounds          env.Bounds
+	seen            Seen
+	shardStates     map[int]*shardState
+	listing         contract.Listing
+	hasListing      bool
+	listedAt        time.Duration
+	pollPending     bool // a listing is being read
+	nextPoll        time.Duration
+	servers         map[string]*serverState
+	withdrawnZones  map[string]time.Duration // by zone: until when its servers stay off the lists
+	visibleSince    time.Duration            // since when listings arrive again
+	blind           bool                     // the platform cannot be read from this node
+	nextPeer        int
+	rampStarts      map[string]time.Duration // by incarnationKey: ramp starts learned from peers
+	nextRampRequest time.Duration
+	shardCount      int
+	stateVersion    int64 // counts events that may change a list
+	startedAt       time.Duration
+	hasStarted      bool
+	advisoryLeases  bool
+	out             []contract.Command
 }
 
+// New returns an owner for the control node self that owns no shard yet.
 func New(self contract.Member, bounds env.Bounds) *Owner {
-	return &Owner{self: self, bounds: bounds, duties: map[int]*duty{}, servers: map[string]*knowledge{}, withdrawn: map[string]time.Duration{},
-		ages: map[string]time.Duration{}}
+	return &Owner{self: self, bounds: bounds, shardStates: map[int]*shardState{}, servers: map[string]*serverState{}, withdrawnZones: map[string]time.Duration{}, rampStarts: map[string]time.Duration{}}
 }
 
-// Prompt spares the wait for a former owner's leases: for nodes that go on by their last list whether a lease stands or not.
-func (owner *Owner) Prompt(prompt bool) { owner.prompt = prompt }
+// SetAdvisoryLeases is set where data nodes use their last list even after its lease expires: a take-over then need not wait for old leases.
+func (owner *Owner) SetAdvisoryLeases(advisoryLeases bool) { owner.advisoryLeases = advisoryLeases }
 
+// Handle processes one event at the time now, on this node's monotonic clock, and returns the resulting commands.
 func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
-	if !owner.begun {
-		owner.begun, owner.started = true, now
+	if !owner.hasStarted {
+		owner.hasStarted, owner.startedAt = true, now
 	}
 	owner.out = nil
-	if message, fine := event.(contract.Message); !fine || message.Kind != MessageAsk {
-		owner.changes++
+	if message, ok := event.(contract.Message); !ok || message.Kind != MessageLeaseRequest {
+		owner.stateVersion++
 	}
 	switch event := event.(type) {
 	case Seen:
 		owner.seen = event
 		owner.tick(now)
-	case ListingRead:
-		owner.listingRead(now, event)
-	case ReportRead:
-		owner.reportRead(now, event)
-	case Ordered:
+	case ListingResult:
+		owner.handleListing(now, event)
+	case ReportResult:
+		owner.handleReport(now, event)
+	case OrderResult:
 		if event.Error != "" {
 			owner.emit(contract.Count{Name: "orders_refused", By: 1})
 		}
@@ -185,116 +193,117 @@
 
 func (owner *Owner) emit(commands ...contract.Command) { owner.out = append(owner.out, commands...) }
 
-// Woke drops every duty: whoever froze may have been succeeded.
-func (owner *Owner) Woke(now time.Duration) {
-	for _, held := range owner.duties {
-		held.owning, held.firstSince = false, -1
+// ResumeAfterFreeze gives up all shards after this process was frozen, since another node may have taken them over.
+func (owner *Owner) ResumeAfterFreeze(now time.Duration) {
+	for _, shard := range owner.shardStates {
+		shard.isOwner, shard.preferredSince = false, -1
 	}
-	owner.listed, owner.polling = false, false
-	for _, known := range owner.servers {
-		known.reading = false
+	owner.hasListing, owner.pollPending = false, false
+	for _, server := range owner.servers {
+		server.readPending = false
 	}
 }
 
 func (owner *Owner) message(now time.Duration, message contract.Message) {
 	switch message.Kind {
-	case MessageAsk:
-		var ask contract.LeaseRequest
-		if json.Unmarshal(message.Body, &ask) == nil && ask.Region == owner.self.Region {
-			owner.ask(now, ask)
+	case MessageLeaseRequest:
+		var leaseRequest contract.LeaseRequest
+		if json.Unmarshal(message.Body, &leaseRequest) == nil && leaseRequest.Region == owner.self.Region {
+			owner.leaseRequest(now, leaseRequest)
 		}
-	case MessageAgesAsk, MessageAgesTold:
-		owner.tellAges(now, message)
-	case MessageReadAsk, MessageReadTold:
-		owner.readFor(now, message)
-	case MessageWithdraw:
-		var order Withdraw
+	case MessageRampRequest, MessageRampReply:
+		owner.handleRampAges(now, message)
+	case MessageReportRequest, MessageReportReply:
+		owner.handleReportExchange(now, message)
+	case MessageZoneWithdraw:
+		var order ZoneWithdraw
 		if json.Unmarshal(message.Body, &order) == nil {
-			owner.withdraw(now, order)
+			owner.withdrawZone(now, order)
 		}
 	}
 }
 
-func (owner *Owner) first(index int) string {
-	return First(owner.seen.Members, owner.self.Region, index)
+func (owner *Owner) preferredOwner(index int) string {
+	return PreferredOwner(owner.seen.Members, owner.self.Region, index)
 }
 
-func Subject(region string, index int) string { return fmt.Sprintf("shard/%s/%d", region, index) }
+// HashKey is the key under which a shard ranks the control nodes by rendezvous hashing.
+func HashKey(region string, index int) string { return fmt.Sprintf("shard/%s/%d", region, index) }
 
 func (owner *Owner) tick(now time.Duration) {
-	shards := owner.seen.Manifest.Regions[owner.self.Region].Shards
-	for index := 0; index < shards; index++ {
-		if _, there := owner.duties[index]; !there {
-			owner.duties[index] = &duty{index: index, firstSince: -1, words: map[string]retire.Word{}, calls: map[string]map[string]int64{}, lingering: map[string]map[string]int64{},
-				retirements: map[string]*retire.Retirement{}, released: map[string]string{}, aborted: map[string]int64{},
-				tallies: map[string]map[string]contract.Tally{}, conditions: map[string]*condition{}}
+	shardCount := owner.seen.Manifest.Regions[owner.self.Region].Shards
+	for index := 0; index < shardCount; index++ {
+		if _, found := owner.shardStates[index]; !found {
+			owner.shardStates[index] = &shardState{index: index, preferredSince: -1, nodeAcks: map[string]retire.Word{}, callsByNode: map[string]map[string]int64{}, lingeringByNode: map[string]map[string]int64{},
+				retirements: map[string]*retire.Retirement{}, released: map[string]string{}, abortedScales: map[string]int64{},
+				tallies: map[string]map[string]contract.Tally{}, serverHealth: map[string]*healthRecord{}}
 		}
 	}
-	if owner.shards != shards {
-		owner.divide(now, shards)
+	if owner.shardCount != shardCount {
+		owner.changeShardCount(now, shardCount)
 	}
-	owner.watchSight(now)
-	owner.askAges(now)
-	for zone, until := range owner.withdrawn {
+	owner.updateVisibility(now)
+	owner.requestRampAges(now)
+	for zone, until := range owner.withdrawnZones {
 		if now > until {
-			delete(owner.withdrawn, zone)
+			delete(owner.withdrawnZones, zone)
 		}
 	}
-	owner.poll(now)
+	owner.pollPlatform(now)
 	owned := int64(0)
-	for index := 0; index < shards; index++ {
-		owner.tickDuty(now, owner.duties[index])
-		if owner.duties[index].owning {
+	for index := 0; index < shardCount; index++ {
+		owner.tickShard(now, owner.shardStates[index])
+		if owner.shardStates[index].isOwner {
 			owned++
 		}
 	}
 	owner.emit(contract.Gauge{Name: "shards_owned", Value: owned})
 }
 
-func (owner *Owner) poll(now time.Duration) {
-	if len(owner.duties) == 0 || owner.polling && now < owner.nextPoll+owner.bounds.PlatformPoll() || now < owner.nextPoll && !owner.hurried(now) {
+func (owner *Owner) pollPlatform(now time.Duration) {
+	if len(owner.shardStates) == 0 || owner.pollPending && now < owner.nextPoll+owner.bounds.PlatformPoll() || now < owner.nextPoll && !owner.pollOverdue(now) {
 		return
 	}
-	owner.polling, owner.nextPoll = true, now+owner.pollEvery()
+	owner.pollPending, owner.nextPoll = true, now+owner.pollInterval()
 	owner.emit(ReadPlatform{Region: owner.self.Region})
 }
 
-func (owner *Owner) listingRead(now time.Duration, event ListingRead) {
+func (owner *Owner) handleListing(now time.Duration, event ListingResult) {
 	if event.Region != "" && event.Region != owner.self.Region {
 		return
 	}
-	owner.polling = false
+	owner.pollPending = false
 	if event.Error != "" {
 		owner.nextPoll = min(owner.nextPoll, now+owner.bounds.PlatformPoll())
 		owner.emit(contract.Count{Name: "listings_broken", By: 1})
 		return
 	}
-	if owner.listed && event.Began < owner.listedAt {
+	if owner.hasListing && event.Began < owner.listedAt {
 		return
 	}
-	former := owner.listed
-	if !owner.fresh(event.Began) {
-		owner.sighted = event.Began
+	hadListing := owner.hasListing
+	if !owner.listingFresh(event.Began) {
+		owner.visibleSince = event.Began
 	}
 	owner.listing, owner.listedAt = event.Listing, event.Began
-	owner.listed = true
+	owner.hasListing = true
 	present := map[string]bool{}
 	for _, row := range event.Listing.Servers {
 		present[row.Name] = true
-		known, there := owner.servers[row.Name]
-		if !there {
-			known = &knowledge{incarnation: row.Incarnation, orderedAt: -owner.bounds.Return(), listedFrom: -1}
-			if former {
-				known.listedFrom = now
+		server, found := owner.servers[row.Name]
+		if !found {
+			server = &serverState{incarnation: row.Incarnation, orderedAt: -owner.bounds.Return(), listedSince: -1}
+			if hadListing {
+				server.listedSince = now
 			}
-			owner.servers[row.Name] = known
+			owner.servers[row.Name] = server
 		}
-		if known.incarnation != row.Incarnation {
-			known.incarnation, known.good, known.ramping, known.failures = row.Incarnation, false, false, 0
-			known.listedFrom = now
+		if server.incarnation != row.Incarnation {
+			server.incarnation, server.reported, server.ramping, server.failures = row.Incarnation, false, false, 0
+			server.listedSince = now
 		}
-		known.warmUntil = event.Began + time.Duration(row.WarmMs)*time.Millisecond
-		owner.grow(now, row.Name)
+		server.warmUntil = event.Began + time.Duration(row.WarmMs)*time.Millisecond
+		owner.applyPeerRampStart(now, row.Name)
 	}
 	for name := range owner.servers {
 		if !present[name] {
@@ -303,87 +312,87 @@
 	}
 }
 
-func (owner *Owner) fresh(now time.Duration) bool {
-	return owner.listed && now-owner.listedAt < owner.bounds.PlatformGrace()
+func (owner *Owner) listingFresh(now time.Duration) bool {
+	return owner.hasListing && now-owner.listedAt < owner.bounds.PlatformGrace()
 }
 
-func (owner *Owner) tickDuty(now time.Duration, held *duty) {
-	if owner.first(held.index) != owner.self.Name {
-		if held.owning {
-			owner.emit(contract.Say{What: "shard given up", Detail: []any{"shard", held.index}})
+func (owner *Owner) tickShard(now time.Duration, shard *shardState) {
+	if owner.preferredOwner(shard.index) != owner.self.Name {
+		if shard.isOwner {
+			owner.emit(contract.Say{What: "shard ownership released", Detail: []any{"shard", shard.index}})
 		}
-		held.owning, held.firstSince = false, -1
+		shard.isOwner, shard.preferredSince = false, -1
 		return
 	}
-	if held.firstSince < 0 {
-		held.firstSince = now
+	if shard.preferredSince < 0 {
+		shard.preferredSince = now
 	}
-	if !held.owning {
-		settled := now-owner.started >= owner.bounds.Lease() && now-held.firstSince >= owner.bounds.Round()
-		if owner.prompt {
-			settled = now-held.firstSince >= owner.patience(now)
+	if !shard.isOwner {
+		waitedLongEnough := now-owner.startedAt >= owner.bounds.Lease() && now-shard.preferredSince >= owner.bounds.Round()
+		if owner.advisoryLeases {
+			waitedLongEnough = now-shard.preferredSince >= owner.takeOverDelay(now)
 		}
-		ready := settled && owner.fresh(now)
+		ready := waitedLongEnough && owner.listingFresh(now)
 		if !ready {
 			return
 		}
-		owner.takeOver(now, held)
+		owner.takeOver(now, shard)
 	}
-	owner.readReports(now, held)
-	if owner.listed {
-		owner.retireAll(now, held)
+	owner.requestReports(now, shard)
+	if owner.hasListing {
+		owner.updateRetirements(now, shard)
 	}
-	owner.judge(now, held)
-	owner.renumber(now, held)
+	owner.evaluateHealth(now, shard)
+	owner.refreshList(now, shard)
 }
 
-// patience is how long a prompt owner waits to hear of a former one's epoch: hardly at all where the whole fleet just started.
-func (owner *Owner) patience(now time.Duration) time.Duration {
-	if now-owner.started < 2*owner.bounds.Round() {
+// takeOverDelay is the wait for reports of a former owner's epoch under advisory leases; it is short while the whole fleet starts.
+func (owner *Owner) takeOverDelay(now time.Duration) time.Duration {
+	if now-owner.startedAt < 2*owner.bounds.Round() {
 		return owner.bounds.Round() / 5
 	}
 	return owner.bounds.Round()
 }
 
-func (owner *Owner) takeOver(now time.Duration, held *duty) {
-	held.owning, held.taken = true, now
-	held.epoch = contract.Epoch{Number: held.highest.Number + 1, Node: owner.self.Name, Life: owner.self.Boot}
-	held.highest, held.number, held.list = held.epoch, 0, ""
-	held.words, held.calls, held.lingering = map[string]retire.Word{}, map[string]map[string]int64{}, map[string]map[string]int64{}
-	held.tallies, held.conditions = map[string]map[string]contract.Tally{}, map[string]*condition{}
-	held.shares = map[string]map[string]int64{}
-	held.retirements, held.released = map[string]*retire.Retirement{}, map[string]string{}
-	owner.emit(contract.Count{Name: "take_overs", By: 1}, contract.Say{What: "shard taken", Detail: []any{"shard", held.index, "epoch", held.epoch.Number}})
+func (owner *Owner) takeOver(now time.Duration, shard *shardState) {
+	shard.isOwner, shard.takenAt = true, now
+	shard.epoch = contract.Epoch{Number: shard.highestEpoch.Number + 1, Node: owner.self.Name, Life: owner.self.Boot}
+	shard.highestEpoch, shard.listNumber, shard.fingerprint = shard.epoch, 0, ""
+	shard.nodeAcks, shard.callsByNode, shard.lingeringByNode = map[string]retire.Word{}, map[string]map[string]int64{}, map[string]map[string]int64{}
+	shard.tallies, shard.serverHealth = map[string]map[string]contract.Tally{}, map[string]*healthRecord{}
+	shard.rampShares = map[string]map[string]int64{}
+	shard.retirements, shard.released = map[string]*retire.Retirement{}, map[string]string{}
+	owner.emit(contract.Count{Name: "take_overs", By: 1}, contract.Say{What: "shard ownership acquired", Detail: []any{"shard", shard.index, "epoch", shard.epoch.Number}})
 }
 
-func (owner *Owner) mine(held *duty) []contract.ServerRow {
+func (owner *Owner) shardServers(shard *shardState) []contract.ServerRow {
 	rows := []contract.ServerRow{}
 	for _, row := range owner.listing.Servers {
-		if contract.ShardOf(row.Name, owner.shards) == held.index {
+		if contract.ShardOf(row.Name, owner.shardCount) == shard.index {
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-func (owner *Owner) readReports(now time.Duration, held *duty) {
-	for _, row := range owner.mine(held) {
-		known := owner.servers[row.Name]
-		_, retiring := held.retirements[row.Name]
-		if row.Unloaded || row.Unmeasured && !retiring || now < known.nextRead || known.reading && now < known.nextRead+owner.bounds.Lease() {
+func (owner *Owner) requestReports(now time.Duration, shard *shardState) {
+	for _, row := range owner.shardServers(shard) {
+		server := owner.servers[row.Name]
+		_, retiring := shard.retirements[row.Name]
+		if row.Unloaded || row.Unmeasured && !retiring || now < server.nextRead || server.readPending && now < server.nextRead+owner.bounds.Lease() {
 			continue
 		}
-		known.reading, known.nextRead = true, now+owner.bounds.PlatformPoll()
+		server.readPending, server.nextRead = true, now+owner.bounds.PlatformPoll()
 		owner.emit(ReadReport{Server: row.Name, Address: row.Address})
 	}
 }
 
-const darkAfter = 2
+const unreachableFailures = 2 // consecutive failed reads after which a server is taken off the list
 
-func manifestOrder(duties map[int]*duty) []int {
+func sortedIndexes(duties map[int]*shardState) []int {
 	indexes := []int{}
 	for index := 0; len(indexes) < len(duties); index++ {
-		if _, there := duties[index]; there {
+		if _, found := duties[index]; found {
 			indexes = append(indexes, index)
 		}
 	}
--- a/shard/sight.go
+++ b/shard/sight.go
@@ -8,9 +8,9 @@
 	"github.com/cedarreel/cedarreel/retire"
 )
 
-// First gives the control node of a region that owns a shard: the first live one in the agreed order. Those that say of
-// themselves that they cannot see come after all that can.
-func First(members []contract.Member, region string, index int) string {
+// PreferredOwner returns the control node that should own a shard: the first live one of the region by rendezvous hashing. Nodes that
+// cannot read the platform rank after all others. It is empty if no control node is alive.
+func PreferredOwner(members []contract.Member, region string, index int) string {
 	seeing, all := []string{}, []string{}
 	for _, member := range members {
 		if member.Kind == contract.KindControl && member.Region == region {
@@ -25,17 +25,17 @@
 	}
 	for _, member := range members {
 		if len(all) == 0 && member.Kind == contract.KindControl {
-			return First(members, nearest(members, region), index)
+			return PreferredOwner(members, standInRegion(members, region), index)
 		}
 	}
 	if len(all) == 0 {
 		return ""
 	}
-	return contract.Ordered(Subject(region, index), all)[0]
+	return contract.Ordered(HashKey(region, index), all)[0]
 }
 
-// nearest gives the region that stands in for one without control nodes: the first in the agreed order.
-func nearest(members []contract.Member, region string) string {
+// standInRegion returns the region whose control nodes serve a region that has none, by rendezvous hashing.
+func standInRegion(members []contract.Member, region string) string {
 	regions := []string{}
 	for _, member := range members {
 		if member.Kind == contract.KindControl {
@@ -45,71 +45,73 @@
 	return contract.Ordered("stand-in/"+region, regions)[0]
 }
 
-// idleTimes is how much more seldom than an owner of shards a prompt node without any reads the platform: each reading has its price, and
-// a take-over needs one that is younger than the grace.
-const idleTimes = 3
+// idlePollMultiple is how many times longer the poll interval of a node without shards is, under advisory leases: each poll has its
+// price, but a take-over needs a listing that is younger than the grace time.
+const idlePollMultiple = 3
 
-func (owner *Owner) pollEvery() time.Duration {
-	if !owner.prompt {
+// pollInterval is the time between two reads of the platform's listing.
+func (owner *Owner) pollInterval() time.Duration {
+	if !owner.advisoryLeases {
 		return owner.bounds.PlatformPoll()
 	}
-	for index, held := range owner.duties {
-		if held.owning || owner.first(index) == owner.self.Name {
+	for index, shard := range owner.shardStates {
+		if shard.isOwner || owner.preferredOwner(index) == owner.self.Name {
 			return owner.bounds.PlatformPoll()
 		}
 	}
-	return idleTimes * owner.bounds.PlatformPoll()
+	return idlePollMultiple * owner.bounds.PlatformPoll()
 }
 
-// hurried tells whether a shard is about to be taken over with a listing that an idle node read too long ago.
-func (owner *Owner) hurried(now time.Duration) bool {
-	return owner.pollEvery() == owner.bounds.PlatformPoll() && (!owner.listed || now-owner.listedAt > 2*owner.bounds.PlatformPoll()) &&
+// pollOverdue reports whether a shard is about to be taken over with a listing that was read too long ago while idle.
+func (owner *Owner) pollOverdue(now time.Duration) bool {
+	return owner.pollInterval() == owner.bounds.PlatformPoll() && (!owner.hasListing || now-owner.listedAt > 2*owner.bounds.PlatformPoll()) &&
 		owner.nextPoll-now > owner.bounds.PlatformPoll()
 }
 
-// watchSight makes a node blind after a lease's time without a good listing, and lets it see again only after a longer time
-// with them, so that duties do not flap.
-func (owner *Owner) watchSight(now time.Duration) {
-	late := now - max(owner.listedAt, owner.started)
+// updateVisibility marks this node blind after a lease's time without a good listing. It clears the mark only after a longer
+// time with good listings, so that ownership does not flap.
+func (owner *Owner) updateVisibility(now time.Duration) {
+	unreadFor := now - max(owner.listedAt, owner.startedAt)
 	switch {
-	case !owner.blind && late > owner.bounds.Lease()+owner.pollEvery()-owner.bounds.PlatformPoll():
-		owner.blind, owner.sighted = true, now
+	case !owner.blind && unreadFor > owner.bounds.Lease()+owner.pollInterval()-owner.bounds.PlatformPoll():
+		owner.blind, owner.visibleSince = true, now
 		owner.emit(contract.Count{Name: "blind", By: 1}, contract.Say{What: "the platform cannot be read here"})
-	case owner.blind && owner.fresh(now) && now-owner.sighted > owner.bounds.Refound():
+	case owner.blind && owner.listingFresh(now) && now-owner.visibleSince > owner.bounds.Refound():
 		owner.blind = false
 		owner.emit(contract.Say{What: "the platform can be read here again"})
 	}
 }
 
+// Blind reports whether this node cannot read the platform; the other nodes then prefer other owners.
 func (owner *Owner) Blind() bool { return owner.blind }
 
-// divide follows a change of the number of shards: every duty begins anew under a higher epoch, and its retirements with it.
-func (owner *Owner) divide(now time.Duration, shards int) {
-	for index := range owner.duties {
-		if index >= shards {
-			delete(owner.duties, index)
+// changeShardCount applies a new number of shards: each owned shard starts again under a higher epoch, without its retirements.
+func (owner *Owner) changeShardCount(now time.Duration, shardCount int) {
+	for index := range owner.shardStates {
+		if index >= shardCount {
+			delete(owner.shardStates, index)
 		}
 	}
-	if owner.shards > 0 {
-		for _, index := range manifestOrder(owner.duties) {
-			if held := owner.duties[index]; held.owning {
-				owner.takeOver(now, held)
+	if owner.shardCount > 0 {
+		for _, index := range sortedIndexes(owner.shardStates) {
+			if shard := owner.shardStates[index]; shard.isOwner {
+				owner.takeOver(now, shard)
 			}
 		}
 	}
-	owner.shards = shards
+	owner.shardCount = shardCount
 }
 
-// ReadTold is what a peer read for an owner that could not.
-type ReadTold struct {
-	Server string          `json:"server"`
-	Asked  time.Duration   `json:"asked"`
-	Report contract.Report `json:"report"`
-	Error  string          `json:"error,omitempty"`
+// ReportReply is what a peer read of a server for an owner that could not; Error is empty if the report was read.
+type ReportReply struct {
+	Server      string          `json:"server"`
+	RequestedAt time.Duration   `json:"asked"`
+	Report      contract.Report `json:"report"`
+	Error       string          `json:"error,omitempty"`
 }
 
-// readAround asks a peer of the region to read a report that this node could not read, in turn; it tells whether it could ask.
-func (owner *Owner) readAround(now time.Duration, server string) bool {
+// requestReportFromPeer asks the region's peers in turn to read a report that this node could not read. It returns false without peers.
+func (owner *Owner) requestReportFromPeer(now time.Duration, server string) bool {
 	peers := []contract.Member{}
 	for _, member := range owner.seen.Members {
 		if member.Kind == contract.KindControl && member.Region == owner.self.Region && member.Name != owner.self.Name {
@@ -127,22 +129,23 @@
 	}
 	known := owner.servers[server]
 	known.failures++
-	owner.turn++
-	owner.emit(contract.Count{Name: "reports_asked_around", By: 1}, contract.Send{To: peers[owner.turn%len(peers)].Address, Kind: MessageReadAsk,
-		Body: ReadReport{Server: server, Address: address, Back: owner.self.Address, Asked: now}})
+	owner.nextPeer++
+	owner.emit(contract.Count{Name: "reports_asked_around", By: 1}, contract.Send{To: peers[owner.nextPeer%len(peers)].Address, Kind: MessageReportRequest,
+		Body: ReadReport{Server: server, Address: address, ReplyTo: owner.self.Address, RequestedAt: now}})
 	return true
 }
 
-func (owner *Owner) readFor(now time.Duration, message contract.Message) {
-	if message.Kind == MessageReadAsk {
+// handleReportExchange reads a report for a peer, or handles the report that a peer has read.
+func (owner *Owner) handleReportExchange(now time.Duration, message contract.Message) {
+	if message.Kind == MessageReportRequest {
 		var ask ReadReport
-		if json.Unmarshal(message.Body, &ask) == nil && ask.Back != "" {
+		if json.Unmarshal(message.Body, &ask) == nil && ask.ReplyTo != "" {
 			owner.emit(ask)
 		}
 		return
 	}
-	var told ReadTold
-	if json.Unmarshal(message.Body, &told) == nil {
-		owner.reportRead(now, ReportRead{Server: told.Server, Around: true, Outcome: retire.Outcome{Began: told.Asked, Report: told.Report, Error: told.Error}})
+	var reply ReportReply
+	if json.Unmarshal(message.Body, &reply) == nil {
+		owner.handleReport(now, ReportResult{Server: reply.Server, ViaPeer: true, Outcome: retire.Outcome{Began: reply.RequestedAt, Report: reply.Report, Error: reply.Error}})
 	}
 }
