--- a/data/affinity.go
+++ b/data/affinity.go
@@ -1,18 +1,19 @@
 package data
 
-// affinity remembers which server a session's or a prefix's calls went to, for the keys that were set last.
+// affinity maps the most recently added session and prefix keys to the server that their calls were sent to.
 type affinity struct {
-	most   int
+	limit  int
 	server map[string]string
 	order  []string
 }
 
-func newAffinity(most int) *affinity { return &affinity{most: most, server: map[string]string{}} }
+func newAffinity(limit int) *affinity { return &affinity{limit: limit, server: map[string]string{}} }
 
+// set maps a key to a server and drops the oldest keys beyond the limit.
 func (affinity *affinity) set(key, server string) {
-	if _, there := affinity.server[key]; !there {
+	if _, exists := affinity.server[key]; !exists {
 		affinity.order = append(affinity.order, key)
-		for len(affinity.order) > affinity.most {
+		for len(affinity.order) > affinity.limit {
 			delete(affinity.server, affinity.order[0])
 			affinity.order = affinity.order[1:]
 		}
@@ -20,15 +21,15 @@
 	affinity.server[key] = server
 }
 
-// leave moves every session and prefix off a withdrawn server: the next turn goes where it is picked.
-func (affinity *affinity) leave(server string) {
-	kept := affinity.order[:0]
+// forgetServer removes every key that maps to a withdrawn server, so that their next calls choose a server anew.
+func (affinity *affinity) forgetServer(server string) {
+	retained := affinity.order[:0]
 	for _, key := range affinity.order {
 		if affinity.server[key] == server {
 			delete(affinity.server, key)
 			continue
 		}
-		kept = append(kept, key)
+		retained = append(retained, key)
 	}
-	affinity.order = kept
+	affinity.order = retained
 }
--- a/data/end.go
+++ b/data/end.go
@@ -9,19 +9,20 @@
 	"github.com/cedarreel/cedarreel/pick"
 )
 
-// dropAttempt takes an attempt out; one whose end at the server is not known lingers there.
-func (owner *Owner) dropAttempt(now time.Duration, job *job, number int, over bool) {
-	attempt, there := job.attempts[number]
-	if !there {
+// dropAttempt removes an attempt and updates the server's load. If it is not known to be finished at the server, it keeps counting
+// as lingering load there for the length of a lease.
+func (owner *Owner) dropAttempt(now time.Duration, job *job, attemptNumber int, finished bool) {
+	attempt, exists := job.attempts[attemptNumber]
+	if !exists {
 		return
 	}
-	delete(job.attempts, number)
+	delete(job.attempts, attemptNumber)
 	usage := owner.usages[attempt.server.Name]
 	usage.Own = max(0, usage.Own-1)
 	usage.AtReport = min(usage.AtReport, usage.Own)
-	if !over {
+	if !finished {
 		usage.Lingering++
-		owner.lingers = append(owner.lingers, linger{attempt.server.Name, now + owner.Bounds.Lease()})
+		owner.abandoned = append(owner.abandoned, abandonedAttempt{attempt.server.Name, now + owner.Bounds.Lease()})
 	}
 	owner.setUsage(attempt.server.Name, usage)
 }
@@ -34,104 +35,106 @@
 	owner.usages[server] = usage
 }
 
-// linger is a call that was given up here and that a server may still be at.
-type linger struct {
+// abandonedAttempt is an attempt that this node gave up and that the server may still be running.
+type abandonedAttempt struct {
 	server string
 	until  time.Duration
 }
 
-func (owner *Owner) tickLingers(now time.Duration) {
-	for len(owner.lingers) > 0 && now >= owner.lingers[0].until {
-		server := owner.lingers[0].server
-		owner.lingers = owner.lingers[1:]
+func (owner *Owner) expireAbandoned(now time.Duration) {
+	for len(owner.abandoned) > 0 && now >= owner.abandoned[0].until {
+		server := owner.abandoned[0].server
+		owner.abandoned = owner.abandoned[1:]
 		usage := owner.usages[server]
 		usage.Lingering = max(0, usage.Lingering-1)
 		owner.setUsage(server, usage)
 	}
 }
 
-func (owner *Owner) begun(now time.Duration, event Begun) {
-	if job, there := owner.jobs[event.Token]; there {
-		if attempt, there := job.attempts[event.Attempt]; there {
-			attempt.pieces = true
-			owner.emit(contract.Took{What: "first_piece", Class: job.route.Class, Span: now - job.arrived})
+// firstChunk handles the start of a reply, after which the attempt can't be recalled any more.
+func (owner *Owner) firstChunk(now time.Duration, event FirstChunk) {
+	if job, exists := owner.jobs[event.Token]; exists {
+		if attempt, exists := job.attempts[event.Attempt]; exists {
+			attempt.hasChunks = true
+			owner.emit(contract.Took{What: "first_piece", Class: job.route.Class, Span: now - job.arrivedAt})
 		}
 	}
 }
 
-// ended takes the end of one attempt: whole, proven not to have run, or not known.
-func (owner *Owner) ended(now time.Duration, event Ended) {
-	job, there := owner.jobs[event.Token]
-	if !there {
+// attemptEnded handles the end of an attempt. A complete reply ends the call; an attempt that provably did not run may be retried; any
+// other end is reported to the caller, since the call may have run. A lookup may also be retried if there was no reply.
+func (owner *Owner) attemptEnded(now time.Duration, event AttemptEnded) {
+	job, exists := owner.jobs[event.Token]
+	if !exists {
 		return
 	}
-	attempt, there := job.attempts[event.Attempt]
-	if !there {
+	attempt, exists := job.attempts[event.Attempt]
+	if !exists {
 		return
 	}
 	owner.dropAttempt(now, job, event.Attempt, event.Result == call.CompleteReply || event.Result.NeverRan())
-	if place := event.Attempt - 1; place < len(job.trace.Attempts) {
-		job.trace.Attempts[place].Result, job.trace.Attempts[place].Error = string(event.Result), event.Error
+	if index := event.Attempt - 1; index < len(job.trace.Attempts) {
+		job.trace.Attempts[index].Result, job.trace.Attempts[index].Error = string(event.Result), event.Error
 	}
 	owner.count("attempts_" + string(event.Result))
 	if event.Result == call.NotSent || event.Result == call.Refused || event.Result == call.NoReply || event.Result == call.BrokenReply {
-		owner.turnedAway(now, attempt.server.Name)
+		owner.backOff(now, attempt.server.Name)
 	}
 	switch {
 	case event.Result == call.CompleteReply:
-		delete(owner.turned, attempt.server.Name)
-		owner.lines.Served(job.call.Route, now-attempt.began)
+		delete(owner.backoffs, attempt.server.Name)
+		owner.queues.Served(job.call.Route, now-attempt.startedAt)
 		owner.succeed(now, job, attempt, event)
 	case event.Result.NeverRan() || job.call.IsLookup && event.Result == call.NoReply:
-		owner.again(now, job, event)
+		owner.retry(now, job, event)
 	case event.Result == call.BrokenReply:
 		owner.finish(now, job, call.Interrupted, nil)
 	case event.Result == call.CallerLeft:
 		owner.finish(now, job, call.Interrupted, nil)
 	default:
-		owner.trouble(now, job, 502, call.Unknown, "sent to a server, and no whole answer came: "+event.Error, 0)
+		owner.fail(now, job, 502, call.Unknown, "sent to a server, and no whole answer came: "+event.Error, 0)
 	}
-	owner.serve(now)
+	owner.dispatchQueued(now)
 }
 
-func (owner *Owner) succeed(now time.Duration, job *job, attempt *attempt, event Ended) {
-	owner.settleRecord(job, call.Done, event.Chunks)
+func (owner *Owner) succeed(now time.Duration, job *job, attempt *attempt, event AttemptEnded) {
+	owner.recordOutcome(job, call.Done, event.Chunks)
 	owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Chunks: event.Chunks, Server: attempt.server.Name}})
 }
 
-// again tries another server after a proven not-run, if the allowance and the deadline leave room for it.
-func (owner *Owner) again(now time.Duration, job *job, event Ended) {
+// retry queues the call for another server, if the number of attempts, the deadline and the retry budget allow it.
+func (owner *Owner) retry(now time.Duration, job *job, event AttemptEnded) {
 	if len(job.attempts) > 0 {
 		return
 	}
-	if job.tries >= mostAttempts || now >= job.deadline || !owner.repeats.TryWithdraw() {
+	if job.attemptCount >= maxAttempts || now >= job.deadline || !owner.retryBudget.TryWithdraw() {
 		if job.call.IsLookup && event.Result == call.NoReply {
-			owner.trouble(now, job, 502, call.Unknown, "no server answered the lookup: "+event.Error, owner.jitter(owner.Bounds.Round()))
+			owner.fail(now, job, 502, call.Unknown, "no server answered the lookup: "+event.Error, owner.jitter(owner.Bounds.Round()))
 			return
 		}
 		owner.refuse(now, job, 503, "the server did not take the call: "+event.Error, owner.jitter(owner.Bounds.Round()))
 		return
 	}
 	owner.count("repeats_after_not_run")
-	owner.enter(now, job)
+	owner.enqueue(now, job)
 }
 
-// left is a caller that went away: what waits is removed, what runs is cancelled and never run again.
-func (owner *Owner) left(now time.Duration, event Left) {
-	job, there := owner.jobs[event.Token]
-	if !there {
+// callerLeft handles a disconnected caller: a waiting call is dropped, and a running one is cancelled and not retried.
+func (owner *Owner) callerLeft(now time.Duration, event CallerLeft) {
+	job, exists := owner.jobs[event.Token]
+	if !exists {
 		return
 	}
-	job.silent = true
+	job.callerGone = true
 	owner.count("callers_left")
 	outcome := call.NotRun
-	if job.phase == phaseRunning || job.phase == phasePassed {
+	if job.phase == phaseRunning || job.phase == phaseForwarded {
 		outcome = call.Interrupted
 	}
 	owner.finish(now, job, outcome, nil)
 }
 
-// recall asks servers that are cut to give back calls that they never started.
+// recall asks servers that are being retired to give back calls that they have not started, so that they can run elsewhere.
 func (owner *Owner) recall(servers []string) {
 	if len(servers) == 0 {
 		return
@@ -141,24 +144,25 @@
 		if job.call.IsLookup {
 			continue
 		}
-		for _, number := range sortedAttempts(job.attempts) {
-			attempt := job.attempts[number]
-			if attempt.pieces || attempt.recalled || !slices.Contains(servers, attempt.server.Name) {
+		for _, attemptNumber := range sortedAttempts(job.attempts) {
+			attempt := job.attempts[attemptNumber]
+			if attempt.hasChunks || attempt.recallSent || !slices.Contains(servers, attempt.server.Name) {
 				continue
 			}
-			attempt.recalled = true
-			owner.emit(Recall{Token: token, Attempt: number, Identity: identity(owner.Self(), job, number), Server: attempt.server})
+			attempt.recallSent = true
+			owner.emit(RecallAttempt{Token: token, Attempt: attemptNumber, AttemptID: attemptID(owner.Self(), job, attemptNumber), Server: attempt.server})
 		}
 	}
 }
 
-func (owner *Owner) recalled(now time.Duration, event Recalled) {
-	job, there := owner.jobs[event.Token]
-	if !there || !event.Never {
+// recallAnswered ends an attempt that its server confirmed not to have started, so that the call can be retried elsewhere.
+func (owner *Owner) recallAnswered(now time.Duration, event RecallAnswered) {
+	job, exists := owner.jobs[event.Token]
+	if !exists || !event.Confirmed {
 		return
 	}
-	if attempt, there := job.attempts[event.Attempt]; there && !attempt.pieces {
-		owner.emit(Cancel{Token: event.Token, Attempt: event.Attempt})
-		owner.ended(now, Ended{Token: event.Token, Attempt: event.Attempt, Result: call.RecalledBeforeStart, Error: "recalled before it started"})
+	if attempt, exists := job.attempts[event.Attempt]; exists && !attempt.hasChunks {
+		owner.emit(CancelAttempt{Token: event.Token, Attempt: event.Attempt})
+		owner.attemptEnded(now, AttemptEnded{Token: event.Token, Attempt: event.Attempt, Result: call.RecalledBeforeStart, Error: "recalled before it started"})
 	}
 }
--- a/data/find.go
+++ b/data/find.go
@@ -10,134 +10,141 @@
 	mapset "github.com/deckarep/golang-set/v2"
 )
 
-// find asks every data node of the region that could know of a call, and those of the outer region.
-type find struct {
-	token    int64
-	scoped   string
-	until    time.Duration
-	waiting  mapset.Set[string]
-	firm     mapset.Set[string]
-	outer    mapset.Set[string]
-	vouched  int
-	voters   []string
-	record   *call.Record
-	complete func(now time.Duration, record *call.Record, never bool)
+// recordSearch asks the voters of a call in this region, and the data nodes of the witness region, for its idempotency record.
+// waiting and witness are the nodes of the two groups that have not answered. confirmed are the voters, and witnessed is the number of
+// witnesses, that have no record and would have one. complete is called once, with the record or whether the call is proven unseen.
+type recordSearch struct {
+	token     int64
+	scopedKey string
+	until     time.Duration
+	waiting   mapset.Set[string]
+	confirmed mapset.Set[string]
+	witness   mapset.Set[string]
+	witnessed int
+	voters    []string
+	record    *call.Record
+	complete  func(now time.Duration, record *call.Record, unseen bool)
 }
 
-func (owner *Owner) findAll(now time.Duration, scoped string, age time.Duration, complete func(time.Duration, *call.Record, bool)) {
+// searchRecord starts the search for the record of a call that was first sent age ago.
+func (owner *Owner) searchRecord(now time.Duration, scopedKey string, age time.Duration, complete func(time.Duration, *call.Record, bool)) {
 	owner.token++
-	voters := owner.votersOf(scoped)
-	search := &find{token: owner.token, scoped: scoped, until: now + owner.Bounds.Keep(), voters: voters, complete: complete,
-		waiting: mapset.NewThreadUnsafeSet[string](), firm: mapset.NewThreadUnsafeSet[string](), outer: mapset.NewThreadUnsafeSet[string]()}
-	owner.finds[owner.token] = search
-	ask := Find{Token: owner.token, ScopedKey: scoped, Age: age, Address: owner.Self().Address}
+	voters := owner.votersFor(scopedKey)
+	search := &recordSearch{token: owner.token, scopedKey: scopedKey, until: now + owner.Bounds.Keep(), voters: voters, complete: complete,
+		waiting: mapset.NewThreadUnsafeSet[string](), confirmed: mapset.NewThreadUnsafeSet[string](), witness: mapset.NewThreadUnsafeSet[string]()}
+	owner.searches[owner.token] = search
+	ask := Find{Token: owner.token, ScopedKey: scopedKey, Age: age, Address: owner.Self().Address}
 	for _, name := range voters {
 		if name == owner.Self().Name {
 			if owner.table.CoversAge(now, age) {
-				search.firm.Add(name)
+				search.confirmed.Add(name)
 			}
 			continue
 		}
-		if member, there := owner.Neighbours.Look(name); there {
+		if member, exists := owner.Neighbours.Look(name); exists {
 			search.waiting.Add(name)
 			owner.emit(contract.Send{To: member.Address, Kind: MessageFind, Body: ask})
 		}
 	}
-	outer := owner.outerNodes()
-	for _, name := range manifest.SortedKeys(outer) {
-		search.outer.Add(name)
-		owner.emit(contract.Send{To: outer[name].Address, Kind: MessageFind, Body: ask})
+	witness := owner.witnessNodes()
+	for _, name := range manifest.SortedKeys(witness) {
+		search.witness.Add(name)
+		owner.emit(contract.Send{To: witness[name].Address, Kind: MessageFind, Body: ask})
 	}
-	owner.concludeFind(now, search)
+	owner.concludeSearch(now, search)
 }
 
+// find answers a peer's search.
 func (owner *Owner) find(now time.Duration, ask Find) {
-	found := Found{Token: ask.Token, CoversAge: owner.table.CoversAge(now, ask.Age)}
-	if record, there := owner.table.Find(now, ask.ScopedKey); there {
+	found := FindReply{Token: ask.Token, CoversAge: owner.table.CoversAge(now, ask.Age)}
+	if record, exists := owner.table.Find(now, ask.ScopedKey); exists {
 		found.Record = &record
 	}
-	owner.emit(contract.Send{To: ask.Address, Kind: MessageFound, Body: found})
+	owner.emit(contract.Send{To: ask.Address, Kind: MessageFindReply, Body: found})
 }
 
-func (owner *Owner) found(now time.Duration, from string, found Found) {
-	search, there := owner.finds[found.Token]
-	outer := there && search.outer.Contains(from)
-	if !there || !outer && !search.waiting.Contains(from) {
+// findReply handles an answer to a search of this node. A record with a final outcome takes precedence over a running one.
+func (owner *Owner) findReply(now time.Duration, from string, findReply FindReply) {
+	search, exists := owner.searches[findReply.Token]
+	witness := exists && search.witness.Contains(from)
+	if !exists || !witness && !search.waiting.Contains(from) {
 		return
 	}
 	search.waiting.Remove(from)
-	search.outer.Remove(from)
-	if found.Record != nil && found.Record.ScopedKey == search.scoped {
+	search.witness.Remove(from)
+	if findReply.Record != nil && findReply.Record.ScopedKey == search.scopedKey {
 		if search.record == nil || search.record.Outcome == call.Running {
-			search.record = found.Record
+			search.record = findReply.Record
 		}
-	} else if found.CoversAge && outer {
-		search.vouched++
-	} else if found.CoversAge {
-		search.firm.Add(from)
+	} else if findReply.CoversAge && witness {
+		search.witnessed++
+	} else if findReply.CoversAge {
+		search.confirmed.Add(from)
 	}
-	owner.concludeFind(now, search)
+	owner.concludeSearch(now, search)
 }
 
-// concludeFind ends a search when its time is over, or all answered whose word it needs.
-func (owner *Owner) concludeFind(now time.Duration, search *find) {
-	settled := search.record != nil && search.record.Outcome != call.Running
-	waits := search.waiting.Cardinality() > 0 || search.outer.Cardinality() > 0 && search.record == nil && !owner.provesAlone(search)
-	if !settled && waits && now < search.until {
+// concludeSearch ends a search once a final record was found, all necessary answers came, or its time is over.
+func (owner *Owner) concludeSearch(now time.Duration, search *recordSearch) {
+	final := search.record != nil && search.record.Outcome != call.Running
+	pending := search.waiting.Cardinality() > 0 || search.witness.Cardinality() > 0 && search.record == nil && !owner.homeProvesUnseen(search)
+	if !final && pending && now < search.until {
 		return
 	}
-	delete(owner.finds, search.token)
-	search.complete(now, search.record, owner.provesAlone(search) || owner.proves(search))
+	delete(owner.searches, search.token)
+	search.complete(now, search.record, owner.homeProvesUnseen(search) || owner.witnessesProveUnseen(search))
 }
 
-// provesAlone tells whether the home region proves "never seen": every dispatch was granted by half of its voters at least, so more
-// than half of them will do.
-func (owner *Owner) provesAlone(search *find) bool {
-	return search.firm.Cardinality()*2 > len(search.voters)
+// homeProvesUnseen reports whether this region's voters alone prove that the call was never dispatched. Every dispatch needs grants
+// from at least half of them, so more than half without a record are proof.
+func (owner *Owner) homeProvesUnseen(search *recordSearch) bool {
+	return search.confirmed.Cardinality()*2 > len(search.voters)
 }
 
-// proves tells whether it does together with the outer region: a dispatch that was granted by just half had most of that too.
-func (owner *Owner) proves(search *find) bool {
-	return search.firm.Cardinality()*2 == len(search.voters) && owner.most(search.vouched)
+// witnessesProveUnseen reports whether exactly half of the voters and a majority of the witness region prove it together: a dispatch
+// with grants from just half of the voters needs a majority of the witness region too.
+func (owner *Owner) witnessesProveUnseen(search *recordSearch) bool {
+	return search.confirmed.Cardinality()*2 == len(search.voters) && owner.witnessMajority(search.witnessed)
 }
 
-func (owner *Owner) tickFinds(now time.Duration) {
+func (owner *Owner) expireSearches(now time.Duration) {
 	tokens := []int64{}
-	for token, search := range owner.finds {
+	for token, search := range owner.searches {
 		if now >= search.until {
 			tokens = append(tokens, token)
 		}
 	}
 	slices.Sort(tokens)
 	for _, token := range tokens {
-		owner.concludeFind(now, owner.finds[token])
+		owner.concludeSearch(now, owner.searches[token])
 	}
 }
 
-func (owner *Owner) startFind(now time.Duration, job *job) {
-	job.phase, job.searched = phaseFinding, true
-	owner.findAll(now, job.call.ScopedKey(), job.call.Age, func(now time.Duration, record *call.Record, never bool) {
+// startSearch looks for the record of a call that may have been sent before, and continues with what it finds.
+func (owner *Owner) startSearch(now time.Duration, job *job) {
+	job.phase, job.searched = phaseSearching, true
+	owner.searchRecord(now, job.call.ScopedKey(), job.call.Age, func(now time.Duration, record *call.Record, unseen bool) {
 		if owner.jobs[job.token] != job {
 			return
 		}
 		switch {
 		case record != nil:
-			owner.meet(now, job, *record)
-		case never:
-			owner.startHold(now, job)
+			owner.answerFromRecord(now, job, *record)
+		case unseen:
+			owner.startClaim(now, job)
 		default:
-			owner.trouble(now, job, 503, call.Unknown, "too few of those who could know of this repeat remember", owner.jitter(owner.Bounds.Round()))
+			owner.fail(now, job, 503, call.Unknown, "too few of those who could know of this repeat remember", owner.jitter(owner.Bounds.Round()))
 		}
 	})
 }
 
-// look tells a caller what became of a call.
-func (owner *Owner) look(now time.Duration, event Look) {
-	if owner.lookAway(now, event) {
+// look tells a caller what became of a call; the call's home region answers.
+func (owner *Owner) queryOutcome(now time.Duration, event Look) {
+	if owner.forwardQuery(now, event) {
 		return
 	}
-	scoped := call.Call{Caller: event.Caller, Key: event.Key}.ScopedKey()
-	answer := func(now time.Duration, record *call.Record, never bool) {
+	scopedKey := call.Call{Caller: event.Caller, Key: event.Key}.ScopedKey()
+	answer := func(now time.Duration, record *call.Record, unseen bool) {
 		body := map[string]any{"outcome": call.Unknown}
 		status := 200
 		switch {
@@ -149,14 +156,14 @@
 			if record.ReplyKept {
 				body["pieces"] = record.Chunks
 			}
-		case never:
+		case unseen:
 			status, body["outcome"] = 404, call.Unseen
 		}
 		owner.emit(contract.Answer{Token: event.Token, Status: status, Body: body})
 	}
-	if record, there := owner.table.Find(now, scoped); there && record.Outcome != call.Running {
+	if record, exists := owner.table.Find(now, scopedKey); exists && record.Outcome != call.Running {
 		answer(now, &record, false)
 		return
 	}
-	owner.findAll(now, scoped, 0, answer)
+	owner.searchRecord(now, scopedKey, 0, answer)
 }
--- a/data/handover.go
+++ b/data/handover.go
@@ -9,72 +9,76 @@
 )
 
 const (
-	shareMost  = 8192
-	shareBatch = 512
+	maxExportedRecords = 8192
+	// exportBatchSize is the number of records in one message.
+	exportBatchSize = 512
 )
 
-// Share asks for the records that a node that just started should have had: those of its region, and of a peer all, since both
-// keep calls of other regions too.
+// Export asks a peer for the idempotency records that a node lost by its restart: those of the node's region or, within the region,
+// all of them, since its nodes hold records of other regions' calls too.
 type Export struct {
-	Address string `json:"address"`
-	Region  string `json:"region"`
-	All     bool   `json:"all"`
+	Address    string `json:"address"`
+	Region     string `json:"region"`
+	AllRegions bool   `json:"all"`
 }
 
-type Exported struct {
+// ExportReply carries a batch of records to a restarted node. Last marks the final batch.
+type ExportReply struct {
 	Records []call.Record `json:"records"`
 	Last    bool          `json:"last"`
 }
 
-// askShares asks each live data node, of any region, until it answered, as long as this node is new.
-func (owner *Owner) askShares(now time.Duration) {
-	if owner.table.Uptime(now) > owner.Bounds.Return() || now < owner.nextShare {
+// requestExports asks the live data nodes of all regions for records until each has answered, for some time after a start.
+func (owner *Owner) requestExports(now time.Duration) {
+	if owner.table.Uptime(now) > owner.Bounds.Return() || now < owner.nextExport {
 		return
 	}
-	owner.nextShare = now + owner.Bounds.Round()
+	owner.nextExport = now + owner.Bounds.Round()
 	for _, member := range owner.Neighbours.Members(now) {
-		if owner.owes(member) {
-			ask := Export{Address: owner.Self().Address, Region: owner.Self().Region, All: member.Region == owner.Self().Region}
+		if owner.mayOweRecords(member) {
+			ask := Export{Address: owner.Self().Address, Region: owner.Self().Region, AllRegions: member.Region == owner.Self().Region}
 			owner.emit(contract.Send{To: member.Address, Kind: MessageExport, Body: ask})
 		}
 	}
 }
 
-// owes tells whether a member could have records for this node and has not handed them over.
-func (owner *Owner) owes(member contract.Member) bool {
-	return member.Kind == contract.KindData && member.Name != owner.Self().Name && owner.shared[member.Name] != member.Boot
+// mayOweRecords reports whether a member may have records for this node and has not exported them since its last start.
+func (owner *Owner) mayOweRecords(member contract.Member) bool {
+	return member.Kind == contract.KindData && member.Name != owner.Self().Name && owner.exported[member.Name] != member.Boot
 }
 
-// settled holds when this node knows what the others kept for it, or has waited long enough for that.
-func (owner *Owner) settled(now time.Duration) bool {
+// caughtUp reports whether this node has received its peers' records after its start, or has waited long enough for them. Until
+// then its grants do not count, since it may have forgotten a claim.
+func (owner *Owner) caughtUp(now time.Duration) bool {
 	uptime := owner.table.Uptime(now)
 	if uptime > owner.Bounds.Deliver() {
 		return true
 	}
-	return uptime > owner.Bounds.Deliver()/3 && !slices.ContainsFunc(owner.Neighbours.Members(now), owner.owes)
+	return uptime > owner.Bounds.Deliver()/3 && !slices.ContainsFunc(owner.Neighbours.Members(now), owner.mayOweRecords)
 }
 
-// backersOf gives nodes of other regions that keep a call too, and are not waited for: if every node of the home region is
-// lost at once, they hand the records back.
-func (owner *Owner) backersOf(now time.Duration, scoped string) []string {
-	return owner.dataNodes(now, "back/"+scoped, backersMost, func(region string) bool { return region != owner.Self().Region })
+// remoteReplicasFor returns the addresses of nodes in other regions that store a copy of a call's record. Their grants are not
+// waited for; they export the records again if all nodes of the home region restart at once.
+func (owner *Owner) remoteReplicasFor(now time.Duration, scopedKey string) []string {
+	return owner.dataNodes(now, "back/"+scopedKey, maxRemoteReplicas, func(region string) bool { return region != owner.Self().Region })
 }
 
-func (owner *Owner) share(now time.Duration, ask Export) {
-	records := owner.table.Export(now, ask.Region, ask.All, shareMost)
+// export sends a peer the records that it asks for, in batches. An empty result is sent too, as the last batch.
+func (owner *Owner) export(now time.Duration, ask Export) {
+	records := owner.table.Export(now, ask.Region, ask.AllRegions, maxExportedRecords)
 	for first := true; first || len(records) > 0; first = false {
-		count := min(shareBatch, len(records))
-		owner.emit(contract.Send{To: ask.Address, Kind: MessageExported, Body: Exported{Records: records[:count], Last: count == len(records)}})
+		count := min(exportBatchSize, len(records))
+		owner.emit(contract.Send{To: ask.Address, Kind: MessageExportReply, Body: ExportReply{Records: records[:count], Last: count == len(records)}})
 		records = records[count:]
 	}
 }
 
-func (owner *Owner) takeShare(now time.Duration, message contract.Message, shared Exported) {
-	for _, record := range shared.Records {
+func (owner *Owner) importRecords(now time.Duration, message contract.Message, exported ExportReply) {
+	for _, record := range exported.Records {
 		owner.table.Import(now, record)
 	}
-	owner.emit(contract.Count{Name: "records_handed_over", By: int64(len(shared.Records))})
-	if shared.Last {
-		owner.shared[message.From] = message.Boot
+	owner.emit(contract.Count{Name: "records_handed_over", By: int64(len(exported.Records))})
+	if exported.Last {
+		owner.exported[message.From] = message.Boot
 	}
 }
--- a/data/job.go
+++ b/data/job.go
@@ -11,73 +11,88 @@
 	"github.com/cedarreel/cedarreel/pick"
 )
 
+// phase is the stage of a job.
 type phase string
 
 const (
-	phaseFinding phase = "finding"
-	phaseHolding phase = "holding"
-	phaseLined   phase = "lined"
+	// phaseSearching: looking for an idempotency record of an earlier attempt of the caller.
+	phaseSearching phase = "finding"
+	// phaseClaiming: waiting for grants of the call's claim.
+	phaseClaiming phase = "holding"
+	// phaseQueued: waiting in the route's queue for a server.
+	phaseQueued phase = "lined"
+	// phaseRunning: sent to a server.
 	phaseRunning phase = "running"
-	phasePassed  phase = "passed on"
+	// phaseForwarded: forwarded to the call's home region.
+	phaseForwarded phase = "passed on"
 )
 
-const mostAttempts = 3
+// maxAttempts is the largest number of attempts of one call, including hedges.
+const maxAttempts = 3
 
+// attempt is one dispatch of a call to a server. hasChunks is set once a part of the reply arrived, and recallSent once the server was
+// asked to give the call back.
 type attempt struct {
-	server   contract.Candidate
-	began    time.Duration
-	pieces   bool
-	recalled bool
+	server     contract.Candidate
+	startedAt  time.Duration
+	hasChunks  bool
+	recallSent bool
 }
 
+// job is a call that this node is handling. Its claim is described by voters, the nodes whose grants count; replicas, those of them
+// that are alive; remoteReplicas, addresses in other regions that store a copy; and witness, the nodes of the witness region, if they
+// were asked. granted and witnessed are the nodes that granted the claim, refusals counts voters without room for the record, and
+// contested is set while another node's claim stands in the way. replicas is nil once the record has been released or has its outcome.
 type job struct {
-	token     int64
-	call      call.Call
-	route     manifest.Route
-	phase     phase
-	arrived   time.Duration
-	deadline  time.Duration
-	asked     time.Duration
-	keepers   map[string]contract.Member
-	backers   []string
-	outer     map[string]contract.Member
-	vouched   map[string]bool
-	granted   map[string]bool
-	voters    []string
-	contested bool
-	refused   int
-	attempts  map[int]*attempt
-	tries     int
-	tried     map[string]bool
-	hedged    bool
-	searched  bool
-	trace     *Trace
-	silent    bool
+	token          int64
+	call           call.Call
+	route          manifest.Route
+	phase          phase
+	arrivedAt      time.Duration
+	deadline       time.Duration
+	claimedAt      time.Duration
+	replicas       map[string]contract.Member
+	remoteReplicas []string
+	witness        map[string]contract.Member
+	witnessed      map[string]bool
+	granted        map[string]bool
+	voters         []string
+	contested      bool
+	refusals       int
+	attempts       map[int]*attempt
+	attemptCount   int
+	triedServers   map[string]bool
+	hedged         bool
+	searched       bool
+	trace          *Trace
+	callerGone     bool
 }
 
-func (owner *Owner) jitter(span time.Duration) time.Duration {
-	return span + time.Duration(owner.Random.Int64N(int64(span)+1))
+// jitter returns a random duration between delay and twice delay.
+func (owner *Owner) jitter(delay time.Duration) time.Duration {
+	return delay + time.Duration(owner.Random.Int64N(int64(delay)+1))
 }
 
+// arrive checks a new call and forwards it to its home region, answers it from a record, or starts to claim it.
 func (owner *Owner) arrive(now time.Duration, event Arrive) {
-	read, asked := owner.Feed.Manifest(), event.Call
-	home, fine := read.Home(asked.Caller, asked.Home, owner.Self().Region)
-	asked.Home = home
-	job := &job{token: event.Token, call: asked, arrived: now, tried: map[string]bool{}, attempts: map[int]*attempt{},
-		trace: &Trace{Call: asked.Key, Caller: asked.Caller, Route: asked.Route, Node: owner.Self().Name, Home: home, Revision: owner.Feed.Version().Place.Revision, arrived: now}}
+	config, request := owner.Feed.Manifest(), event.Call
+	home, ok := config.Home(request.Caller, request.Home, owner.Self().Region)
+	request.Home = home
+	job := &job{token: event.Token, call: request, arrivedAt: now, triedServers: map[string]bool{}, attempts: map[int]*attempt{},
+		trace: &Trace{Call: request.Key, Caller: request.Caller, Route: request.Route, Node: owner.Self().Name, Home: home, Revision: owner.Feed.Version().Place.Revision, arrivedAt: now}}
 	owner.traces.add(job.trace)
 	owner.count("calls")
 	if !owner.Feed.Known() || owner.stopping {
 		owner.refuse(now, job, 503, "this node does not serve now", owner.jitter(owner.Bounds.Round()))
 		return
 	}
-	route, there := read.Routes[asked.Route]
+	route, exists := config.Routes[request.Route]
 	job.route = route
 	switch {
-	case !there || asked.IsLookup != (route.Class == manifest.ClassLookup):
+	case !exists || request.IsLookup != (route.Class == manifest.ClassLookup):
 		owner.refuse(now, job, 404, "no such route", 0)
 		return
-	case !fine:
+	case !ok:
 		owner.refuse(now, job, 400, fmt.Sprintf("home %q is not this caller's, or no region", event.Call.Home), 0)
 		return
 	case route.Pools[home] == "":
@@ -87,86 +102,89 @@
 		owner.refuse(now, job, 503, "too many calls at this node", owner.jitter(owner.Bounds.Round()))
 		return
 	}
-	if asked.Deadline <= 0 {
-		asked.Deadline = route.Deadline
+	if request.Deadline <= 0 {
+		request.Deadline = route.Deadline
 	}
-	job.deadline = now + min(asked.Deadline, owner.Bounds.Deadline())
+	job.deadline = now + min(request.Deadline, owner.Bounds.Deadline())
 	if home != owner.Self().Region {
-		owner.passOn(now, job)
+		owner.forwardHome(now, job)
 		return
 	}
 	if job.call.Tokens == 0 {
 		job.call.Tokens = route.Tokens
 	}
 	owner.jobs[job.token] = job
-	if asked.IsLookup {
-		owner.enter(now, job)
+	if request.IsLookup {
+		owner.enqueue(now, job)
 		return
 	}
-	if record, known := owner.table.Find(now, asked.ScopedKey()); known {
-		owner.meet(now, job, record)
+	if record, known := owner.table.Find(now, request.ScopedKey()); known {
+		owner.answerFromRecord(now, job, record)
 		return
 	}
-	if asked.IsRetry {
-		owner.startFind(now, job)
+	if request.IsRetry {
+		owner.startSearch(now, job)
 		return
 	}
-	owner.startHold(now, job)
+	owner.startClaim(now, job)
 }
 
-// refuse ends a call that is proven not to run: it is out of our lines before the answer goes.
+// refuse answers a call that provably did not run. after is the time after which the caller may retry; 0 says nothing about it.
 func (owner *Owner) refuse(now time.Duration, job *job, status int, err string, after time.Duration) {
-	owner.trouble(now, job, status, call.NotRun, err, after)
+	owner.fail(now, job, status, call.NotRun, err, after)
 }
 
-func (owner *Owner) trouble(now time.Duration, job *job, status int, outcome call.Outcome, err string, after time.Duration) {
+// fail ends a call with an error answer.
+func (owner *Owner) fail(now time.Duration, job *job, status int, outcome call.Outcome, err string, after time.Duration) {
 	job.trace.Error = err
 	owner.count(fmt.Sprintf("answers_%d", status))
 	owner.finish(now, job, outcome, contract.Answer{Token: job.token, Status: status, After: after,
 		Body: contract.Trouble{Outcome: string(outcome), Error: err, RetryAfterMs: after.Milliseconds()}})
 }
 
-// finish takes a call out of every line and record that it must leave, and gives its one answer.
+// finish removes a call from its queue, records its outcome, cancels its attempts and emits its answer, if there is one to give.
 func (owner *Owner) finish(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
-	owner.lines.Leave(job.call.Route, job.token)
+	owner.queues.Leave(job.call.Route, job.token)
 	delete(owner.jobs, job.token)
-	owner.settleRecord(job, outcome, nil)
-	for _, number := range sortedAttempts(job.attempts) {
-		owner.dropAttempt(now, job, number, false)
-		owner.emit(Cancel{Token: job.token, Attempt: number})
+	owner.recordOutcome(job, outcome, nil)
+	for _, attemptNumber := range sortedAttempts(job.attempts) {
+		owner.dropAttempt(now, job, attemptNumber, false)
+		owner.emit(CancelAttempt{Token: job.token, Attempt: attemptNumber})
 	}
 	owner.closeTrace(now, job, outcome, answer)
-	if answer != nil && !job.silent {
+	if answer != nil && !job.callerGone {
 		owner.emit(answer)
 	}
 }
 
+// closeTrace completes a call's trace and counts its outcome.
 func (owner *Owner) closeTrace(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
-	job.trace.Outcome, job.trace.TookMs = string(outcome), (now - job.arrived).Milliseconds()
-	if given, fine := answer.(contract.Answer); fine {
+	job.trace.Outcome, job.trace.TookMs = string(outcome), (now - job.arrivedAt).Milliseconds()
+	if given, ok := answer.(contract.Answer); ok {
 		job.trace.Status = given.Status
 	}
 	owner.count("outcomes_" + string(outcome))
 	if outcome == call.Done {
-		owner.emit(contract.Took{What: "call", Class: job.route.Class, Span: now - job.arrived})
+		owner.emit(contract.Took{What: "call", Class: job.route.Class, Span: now - job.arrivedAt})
 	}
 }
 
+// sortedAttempts returns the numbers of the attempts in ascending order.
 func sortedAttempts(attempts map[int]*attempt) []int {
 	numbers := []int{}
-	for number := 1; len(numbers) < len(attempts); number++ {
-		if _, there := attempts[number]; there {
-			numbers = append(numbers, number)
+	for attemptNumber := 1; len(numbers) < len(attempts); attemptNumber++ {
+		if _, exists := attempts[attemptNumber]; exists {
+			numbers = append(numbers, attemptNumber)
 		}
 	}
 	return numbers
 }
 
-// enter puts a recorded call into its line, or refuses it at once when it could not be served in time.
-func (owner *Owner) enter(now time.Duration, job *job) {
-	wait := owner.lines.Wait(job.call.Route, owner.lines.Ahead(job.call.Route, job.call.Caller), owner.running(job.call.Route))
-	joined, displaced := owner.lines.Join(job.call.Route, job.call.Caller, job.token, job.route.Line)
-	if other, there := owner.jobs[displaced]; there {
+// enqueue puts a claimed call into its route's queue, or refuses it at once if it can't be expected to be served before its deadline.
+func (owner *Owner) enqueue(now time.Duration, job *job) {
+	wait := owner.queues.Wait(job.call.Route, owner.queues.Ahead(job.call.Route, job.call.Caller), owner.runningCalls(job.call.Route))
+	joined, displaced := owner.queues.Join(job.call.Route, job.call.Caller, job.token, job.route.Line)
+	if other, exists := owner.jobs[displaced]; exists {
 		owner.count("calls_displaced")
 		owner.refuse(now, other, 429, "the line is full, and most of it is of this caller", owner.jitter(max(wait/2, owner.Bounds.Round())))
 	}
@@ -174,18 +192,19 @@
 		owner.refuse(now, job, 429, "the line is full", owner.jitter(max(wait/2, owner.Bounds.Round())))
 		return
 	}
-	job.phase = phaseLined
-	owner.serve(now)
-	if job.phase == phaseLined && owner.allRest(now, job) {
+	job.phase = phaseQueued
+	owner.dispatchQueued(now)
+	if job.phase == phaseQueued && owner.allBackedOff(now, job) {
 		owner.refuse(now, job, 503, "its servers turn calls away; the call did not run", owner.jitter(owner.Bounds.Lease()))
 		return
 	}
-	if job.phase == phaseLined && now+wait+owner.lines.Service(job.call.Route) > job.deadline {
+	if job.phase == phaseQueued && now+wait+owner.queues.Service(job.call.Route) > job.deadline {
 		owner.refuse(now, job, 429, "it cannot be served before its deadline", owner.jitter(max(wait/2, owner.Bounds.Round())))
 	}
 }
 
-func (owner *Owner) running(route string) int {
+// runningCalls counts the calls of a route that are at servers.
+func (owner *Owner) runningCalls(route string) int {
 	count := 0
 	for _, job := range owner.jobs {
 		if job.phase == phaseRunning && job.call.Route == route {
@@ -195,84 +214,90 @@
 	return count
 }
 
-func (owner *Owner) serve(now time.Duration) {
-	if owner.lines.Total() == 0 {
+// dispatchQueued sends queued calls to servers while there are servers for them.
+func (owner *Owner) dispatchQueued(now time.Duration) {
+	if owner.queues.Total() == 0 {
 		return
 	}
 	candidates, lapsed := owner.candidates(now)
-	owner.lines.Serve(func(token int64) bool {
-		job, there := owner.jobs[token]
-		return !there || owner.dispatch(now, job, candidates, lapsed)
+	owner.queues.Serve(func(token int64) bool {
+		job, exists := owner.jobs[token]
+		return !exists || owner.dispatch(now, job, candidates, lapsed)
 	})
 }
 
+// dispatch picks a server for a call and emits the attempt. It reports whether it did; a call past its deadline is left to tickJobs.
 func (owner *Owner) dispatch(now time.Duration, job *job, candidates []contract.Candidate, lapsed []int) bool {
 	if now >= job.deadline {
 		return false
 	}
-	want := pick.Want{Pool: job.route.Pools[job.call.Home], Class: job.route.Class, Zone: owner.Self().Zone, Prefix: job.call.Prefix, Avoid: job.tried, Resting: owner.resting(now)}
+	want := pick.Want{Pool: job.route.Pools[job.call.Home], Class: job.route.Class, Zone: owner.Self().Zone, Prefix: job.call.Prefix, Avoid: job.triedServers, Resting: owner.inBackoff(now)}
 	if job.call.Session != "" {
 		want.Session = job.call.Caller + "\x1f" + job.call.Session
 	}
-	chosen, verdicts, fine := pick.Choose(want, candidates, owner.usages, owner.sessions.server, owner.Random)
-	if !fine {
+	chosen, verdicts, ok := pick.Choose(want, candidates, owner.usages, owner.affinities.server, owner.Random)
+	if !ok {
 		return false
 	}
-	if job.tries == 0 {
-		owner.repeats.Deposit()
+	if job.attemptCount == 0 {
+		owner.retryBudget.Deposit()
 	}
 	job.phase = phaseRunning
-	job.tries++
-	job.tried[chosen.Name] = true
-	job.attempts[job.tries] = &attempt{server: chosen, began: now}
+	job.attemptCount++
+	job.triedServers[chosen.Name] = true
+	job.attempts[job.attemptCount] = &attempt{server: chosen, startedAt: now}
 	usage := owner.usages[chosen.Name]
 	usage.Own++
 	owner.usages[chosen.Name] = usage
 	if want.Session != "" {
-		owner.sessions.set(want.Session, chosen.Name)
+		owner.affinities.set(want.Session, chosen.Name)
 	}
 	if want.Prefix != "" {
-		owner.sessions.set("prefix/"+want.Prefix, chosen.Name)
+		owner.affinities.set("prefix/"+want.Prefix, chosen.Name)
 	}
 	owner.fillTrace(job, chosen, verdicts, lapsed)
-	owner.emit(Dispatch{Token: job.token, Attempt: job.tries, Identity: identity(owner.Self(), job, job.tries), Server: chosen,
-		Limit: job.deadline - now, Until: min(owner.leasedUntil(now, chosen.Name), job.deadline)})
+	owner.emit(Dispatch{Token: job.token, Attempt: job.attemptCount, AttemptID: attemptID(owner.Self(), job, job.attemptCount), Server: chosen,
+		Timeout: job.deadline - now, SendBefore: min(owner.leaseExpiry(now, chosen.Name), job.deadline)})
 	return true
 }
 
-func identity(self contract.Member, job *job, number int) string {
-	return fmt.Sprintf("%s-%s-%d-%d", machine.Name(self), self.Boot, job.token, number)
+// attemptID returns the identity of one attempt at a server, which is unique across nodes and their restarts.
+func attemptID(self contract.Member, job *job, attemptNumber int) string {
+	return fmt.Sprintf("%s-%s-%d-%d", machine.Name(self), self.Boot, job.token, attemptNumber)
 }
 
-const mostVerdicts = 32
+// maxTraceVerdicts bounds the candidates that the trace of one attempt lists.
+const maxTraceVerdicts = 32
 
+// fillTrace adds an attempt to a call's trace, with the leases that the choice of its server was based on.
 func (owner *Owner) fillTrace(job *job, chosen contract.Candidate, verdicts []pick.Verdict, lapsed []int) {
-	if len(verdicts) > mostVerdicts {
-		verdicts = verdicts[:mostVerdicts]
+	if len(verdicts) > maxTraceVerdicts {
+		verdicts = verdicts[:maxTraceVerdicts]
 	}
 	job.trace.Attempts = append(job.trace.Attempts, TraceAttempt{Server: chosen.Name, Verdicts: verdicts})
-	job.trace.Lists = nil
+	job.trace.Leases = nil
 	for _, index := range owner.shardIndexes() {
-		held := owner.grants[index]
-		list := TraceList{Shard: index, Epoch: held.lease.Epoch, Number: held.lease.Number}
+		current := owner.shardLeases[index]
+		entry := TraceLease{Shard: index, Epoch: current.lease.Epoch, Number: current.lease.Number}
 		for _, other := range lapsed {
-			list.Lapsed = list.Lapsed || other == index
+			entry.Lapsed = entry.Lapsed || other == index
 		}
-		job.trace.Lists = append(job.trace.Lists, list)
+		job.trace.Leases = append(job.trace.Leases, entry)
 	}
 }
 
+// tickJobs handles the time limits of all calls: claims, queueing and hedging.
 func (owner *Owner) tickJobs(now time.Duration) {
 	for _, token := range owner.tokens() {
 		job := owner.jobs[token]
 		switch {
-		case job.phase == phaseHolding && now-job.asked > owner.Bounds.Keep():
+		case job.phase == phaseClaiming && now-job.claimedAt > owner.Bounds.Keep():
 			owner.refuse(now, job, 503, "too few keepers answered; the call did not run", owner.jitter(owner.Bounds.Round()))
-		case job.phase == phaseHolding && job.contested:
-			owner.holdAgain(job)
-		case job.phase == phaseHolding:
-			owner.checkHold(now, job)
-		case job.phase == phaseLined && now+owner.lines.Service(job.call.Route)/2 >= job.deadline:
+		case job.phase == phaseClaiming && job.contested:
+			owner.claimAgain(job)
+		case job.phase == phaseClaiming:
+			owner.checkClaim(now, job)
+		case job.phase == phaseQueued && now+owner.queues.Service(job.call.Route)/2 >= job.deadline:
 			owner.refuse(now, job, 503, "no server was free in time; the call did not run", owner.jitter(owner.Bounds.Round()))
 		case job.phase == phaseRunning && job.call.IsLookup && !job.hedged:
 			owner.hedge(now, job)
@@ -280,17 +305,18 @@
 	}
 }
 
-const hedgeAfter = 3
+// hedgeFactor is how many mean service times a lookup may take before it is hedged.
+const hedgeFactor = 3
 
-// hedge sends a slow lookup to a second server, out of the allowance of repeats.
+// hedge sends a slow lookup to a second server as well, if the retry budget allows it.
 func (owner *Owner) hedge(now time.Duration, job *job) {
-	patience := max(owner.lines.Service(job.call.Route)*hedgeAfter, owner.Bounds.Ask())
-	first, there := job.attempts[job.tries]
-	if !there || now-first.began < patience || job.tries >= mostAttempts {
+	hedgeDelay := max(owner.queues.Service(job.call.Route)*hedgeFactor, owner.Bounds.Ask())
+	first, exists := job.attempts[job.attemptCount]
+	if !exists || now-first.startedAt < hedgeDelay || job.attemptCount >= maxAttempts {
 		return
 	}
 	job.hedged = true
-	if !owner.repeats.TryWithdraw() {
+	if !owner.retryBudget.TryWithdraw() {
 		return
 	}
 	candidates, lapsed := owner.candidates(now)
--- a/data/leases.go
+++ b/data/leases.go
@@ -11,61 +11,65 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// grant is what this node holds of one shard: the newest lease and the highest epoch ever seen.
-type grant struct {
-	lease   contract.Lease
-	highest contract.Epoch
-	asked   time.Duration
-	expires time.Duration
-	hint    string
-	detour  machine.Detour
+// shardLease is this node's state for one shard of its region's servers: the newest lease, which lists the servers to pick from, and the
+// highest epoch ever seen. requestedAt is when that lease was requested, and hint the owner that another node named.
+type shardLease struct {
+	lease       contract.Lease
+	highest     contract.Epoch
+	requestedAt time.Duration
+	expiresAt   time.Duration
+	hint        string
+	detour      machine.Detour
 }
 
-func (owner *Owner) askLeases(now time.Duration) {
-	if now < owner.nextAsk || !owner.Feed.Known() {
+// requestLeases asks for a new lease of every shard in each interval. It asks the shard's first owner, the node of the last lease and
+// the hinted owner.
+func (owner *Owner) requestLeases(now time.Duration) {
+	if now < owner.nextLeaseRequest || !owner.Feed.Known() {
 		return
 	}
-	owner.nextAsk = now + owner.Bounds.Ask()
+	owner.nextLeaseRequest = now + owner.Bounds.Ask()
 	region := owner.Self().Region
 	members, shards := owner.Neighbours.Members(now), owner.shards()
 	for index := 0; index < shards; index++ {
-		held, there := owner.grants[index]
-		if !there {
-			held = &grant{}
-			owner.grants[index] = held
+		current, exists := owner.shardLeases[index]
+		if !exists {
+			current = &shardLease{}
+			owner.shardLeases[index] = current
 		}
-		targets := map[string]bool{held.hint: true, held.lease.Epoch.Node: true}
+		targets := map[string]bool{current.hint: true, current.lease.Epoch.Node: true}
 		first := shard.First(members, region, index)
 		targets[first] = true
-		ask := contract.LeaseRequest{Node: owner.Self().Name, Address: owner.Self().Address, Region: region, Shard: index,
-			Asked: now, Highest: held.highest, Number: held.lease.Number, Shards: shards}
-		ask.Calls, ask.Lingering = owner.callsOn(index)
+		request := contract.LeaseRequest{Node: owner.Self().Name, Address: owner.Self().Address, Region: region, Shard: index,
+			Asked: now, Highest: current.highest, Number: current.lease.Number, Shards: shards}
+		request.Calls, request.Lingering = owner.callsOnShard(index)
 		for _, name := range manifest.SortedKeys(targets) {
-			if member, there := owner.Neighbours.Look(name); there && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
-				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageAsk, Body: ask})
+			if member, exists := owner.Neighbours.Look(name); exists && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
+				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageAsk, Body: request})
 			}
 		}
-		owner.askByRelay(now, held, first, ask)
+		owner.requestByRelay(now, current, first, request)
 	}
 }
 
-// askByRelay asks a shard's first owner by way of other members when it has been silent for a third of a lease: a cut link between the
-// two must not stop a shard.
-func (owner *Owner) askByRelay(now time.Duration, held *grant, first string, ask contract.LeaseRequest) {
-	silent := now-held.asked > owner.Bounds.Lease()/3
-	target, there := owner.Neighbours.Look(first)
-	if !there {
+// requestByRelay asks a shard's first owner through other members after it was silent for a third of a lease, so that a broken link
+// between the two nodes does not stop the shard.
+func (owner *Owner) requestByRelay(now time.Duration, current *shardLease, first string, request contract.LeaseRequest) {
+	silent := now-current.requestedAt > owner.Bounds.Lease()/3
+	target, exists := owner.Neighbours.Look(first)
+	if !exists {
 		return
 	}
-	if route, tried, needed := held.detour.Next(silent); needed {
-		owner.emit(owner.ByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageAsk, Body: ask}, route, tried)...)
+	if route, tried, needed := current.detour.Next(silent); needed {
+		owner.emit(owner.ByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageAsk, Body: request}, route, tried)...)
 	}
 }
 
+// shards returns the number of shards of this node's region.
 func (owner *Owner) shards() int { return owner.Feed.Manifest().Regions[owner.Self().Region].Shards }
 
-// callsOn counts what lies on the servers of a shard: this node's calls, and those that it gave up and that linger.
-func (owner *Owner) callsOn(index int) (calls, lingering map[string]int64) {
+// callsOnShard counts this node's calls per server of a shard: those that run, and abandoned ones that may still run.
+func (owner *Owner) callsOnShard(index int) (calls, lingering map[string]int64) {
 	shards := owner.shards()
 	calls, lingering = map[string]int64{}, map[string]int64{}
 	for name, usage := range owner.usages {
@@ -82,28 +86,29 @@
 	return calls, lingering
 }
 
-// lease takes a pick list unless a higher epoch was seen; its life counts from this node's own asking.
+// lease takes up a shard's lease unless a higher epoch was seen. It expires Life after this node requested it, so that no clocks are
+// compared. For each new load report of a server it notes how many of this node's calls the report already includes.
 func (owner *Owner) lease(now time.Duration, message contract.Message, lease contract.Lease) {
-	held, there := owner.grants[lease.Shard]
-	if !there || lease.Region != owner.Self().Region {
+	current, exists := owner.shardLeases[lease.Shard]
+	if !exists || lease.Region != owner.Self().Region {
 		return
 	}
-	if lease.Epoch.Before(held.highest) || lease.Shards != owner.shards() {
+	if lease.Epoch.Before(current.highest) || lease.Shards != owner.shards() {
 		owner.count("leases_refused")
 		return
 	}
-	same := lease.Epoch == held.highest
-	if lease.Asked > now || same && (lease.Number < held.lease.Number || lease.Asked < held.asked) {
+	same := lease.Epoch == current.highest
+	if lease.Asked > now || same && (lease.Number < current.lease.Number || lease.Asked < current.requestedAt) {
 		owner.count("leases_late")
 		return
 	}
-	if now >= held.expires {
-		owner.turned = map[string]rest{}
+	if now >= current.expiresAt {
+		owner.backoffs = map[string]backoff{}
 	}
-	former := held.lease.Withdraw
-	held.detour.Answered(message.Via, held.asked == lease.Asked)
-	held.highest, held.lease, held.asked, held.hint = lease.Epoch, lease, lease.Asked, ""
-	held.expires = lease.Asked + lease.Life
+	previous := current.lease.Withdraw
+	current.detour.Answered(message.Via, current.requestedAt == lease.Asked)
+	current.highest, current.lease, current.requestedAt, current.hint = lease.Epoch, lease, lease.Asked, ""
+	current.expiresAt = lease.Asked + lease.Life
 	for _, candidate := range lease.Servers {
 		usage := owner.usages[candidate.Name]
 		if usage.Report != candidate.Report {
@@ -112,36 +117,37 @@
 		}
 	}
 	for _, name := range lease.Withdraw {
-		if !slices.Contains(former, name) {
-			owner.sessions.leave(name)
+		if !slices.Contains(previous, name) {
+			owner.affinities.forgetServer(name)
 		}
 	}
 	owner.recall(lease.Recall)
-	owner.serve(now)
+	owner.dispatchQueued(now)
 }
 
+// notOwner remembers the owner that a control-plane node named in place of itself.
 func (owner *Owner) notOwner(hint contract.NotOwner) {
-	if held, there := owner.grants[hint.Shard]; there && hint.Region == owner.Self().Region {
-		held.hint = hint.Owner
+	if current, exists := owner.shardLeases[hint.Shard]; exists && hint.Region == owner.Self().Region {
+		current.hint = hint.Owner
 	}
 }
 
-// candidates gives the servers under leases that have not lapsed, and the shards that cannot be picked from now.
+// candidates returns the servers of all unexpired leases, and the shards whose lease has expired, whose servers can't be picked.
 func (owner *Owner) candidates(now time.Duration) ([]contract.Candidate, []int) {
-	candidates, lapsed, shards, former := []contract.Candidate{}, []int{}, owner.shards(), false
-	for _, held := range owner.grants {
-		former = former || now < held.expires && held.lease.Shards != shards
+	candidates, lapsed, shards, previous := []contract.Candidate{}, []int{}, owner.shards(), false
+	for _, current := range owner.shardLeases {
+		previous = previous || now < current.expiresAt && current.lease.Shards != shards
 	}
 	for _, index := range owner.shardIndexes() {
-		held := owner.grants[index]
-		if now >= held.expires {
-			if index < shards && !former {
+		current := owner.shardLeases[index]
+		if now >= current.expiresAt {
+			if index < shards && !previous {
 				lapsed = append(lapsed, index)
 			}
 			continue
 		}
-		for _, candidate := range held.lease.Servers {
-			if owner.grantOf(now, candidate.Name) == held {
+		for _, candidate := range current.lease.Servers {
+			if owner.shardLeaseOf(now, candidate.Name) == current {
 				candidates = append(candidates, candidate)
 			}
 		}
@@ -149,34 +155,35 @@
 	return candidates, lapsed
 }
 
-// grantOf gives the grant that a server is picked under: that of the present division, or while there is none yet, what is
-// left of a lease of the former one.
-func (owner *Owner) grantOf(now time.Duration, server string) *grant {
+// shardLeaseOf returns the lease that a server is picked under. After a change of the number of shards, leases of the previous number
+// stay in use until they expire or are replaced.
+func (owner *Owner) shardLeaseOf(now time.Duration, server string) *shardLease {
 	shards := owner.shards()
-	held, there := owner.grants[contract.ShardOf(server, shards)]
-	if there && now < held.expires && held.lease.Shards == shards {
-		return held
+	current, exists := owner.shardLeases[contract.ShardOf(server, shards)]
+	if exists && now < current.expiresAt && current.lease.Shards == shards {
+		return current
 	}
 	for _, index := range owner.shardIndexes() {
-		former := owner.grants[index]
-		if now < former.expires && former.lease.Shards != shards && contract.ShardOf(server, former.lease.Shards) == index {
-			return former
+		previous := owner.shardLeases[index]
+		if now < previous.expiresAt && previous.lease.Shards != shards && contract.ShardOf(server, previous.lease.Shards) == index {
+			return previous
 		}
 	}
-	return held
+	return current
 }
 
-// leasedUntil tells until when a server may be sent what was picked for it.
-func (owner *Owner) leasedUntil(now time.Duration, server string) time.Duration {
-	if held := owner.grantOf(now, server); held != nil {
-		return held.expires
+// leaseExpiry returns until when a call may be sent to a server; 0 if there is no lease.
+func (owner *Owner) leaseExpiry(now time.Duration, server string) time.Duration {
+	if current := owner.shardLeaseOf(now, server); current != nil {
+		return current.expiresAt
 	}
 	return 0
 }
 
+// shardIndexes returns the numbers of all known shards in ascending order.
 func (owner *Owner) shardIndexes() []int {
 	indexes := []int{}
-	for index := range owner.grants {
+	for index := range owner.shardLeases {
 		indexes = append(indexes, index)
 	}
 	sort.Ints(indexes)
--- a/data/outer.go
+++ b/data/outer.go
@@ -7,8 +7,9 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// outer names the region whose word decides when just half of a home region's voters can be asked: the first other one, for all alike.
-func (owner *Owner) outer() string {
+// witnessRegion names the region that breaks the tie when exactly half of this region's voters can be reached: the first other one in
+// order of names, so that all nodes of this region choose the same. It is empty if there is no other region.
+func (owner *Owner) witnessRegion() string {
 	for _, name := range manifest.SortedKeys(owner.Feed.Manifest().Regions) {
 		if name != owner.Self().Region {
 			return name
@@ -17,47 +18,47 @@
 	return ""
 }
 
-// outerNodes gives the data nodes of that region's roster that are known here.
-func (owner *Owner) outerNodes() map[string]contract.Member {
+// witnessNodes returns the data nodes of the witness region's roster that are known here, by name.
+func (owner *Owner) witnessNodes() map[string]contract.Member {
 	nodes := map[string]contract.Member{}
-	for _, name := range owner.roster(owner.outer()) {
-		if member, there := owner.Neighbours.Look(name); there {
+	for _, name := range owner.roster(owner.witnessRegion()) {
+		if member, exists := owner.Neighbours.Look(name); exists {
 			nodes[name] = member
 		}
 	}
 	return nodes
 }
 
-// most tells whether so many are a majority of the outer region's roster, so that any two majorities share a node.
-func (owner *Owner) most(count int) bool {
-	roster := len(owner.roster(owner.outer()))
+// witnessMajority reports whether count is a majority of the witness region's roster; any two majorities share a node.
+func (owner *Owner) witnessMajority(count int) bool {
+	roster := len(owner.roster(owner.witnessRegion()))
 	return roster > 0 && count*2 > roster
 }
 
-// widen asks the outer region to keep a call too, when just half of the voters have granted it.
-func (owner *Owner) widen(job *job) {
-	if job.outer != nil {
+// askWitnesses asks the witness region to grant the claim as well, once exactly half of the voters have granted it.
+func (owner *Owner) askWitnesses(job *job) {
+	if job.witness != nil {
 		return
 	}
 	owner.count("calls_widened")
-	job.outer = owner.outerNodes()
-	hold := Claim{Record: owner.record(job), Address: owner.Self().Address}
-	for _, name := range manifest.SortedKeys(job.outer) {
-		owner.emit(contract.Send{To: job.outer[name].Address, Kind: MessageClaim, Body: hold})
+	job.witness = owner.witnessNodes()
+	claim := Claim{Record: owner.record(job), Address: owner.Self().Address}
+	for _, name := range manifest.SortedKeys(job.witness) {
+		owner.emit(contract.Send{To: job.witness[name].Address, Kind: MessageClaim, Body: claim})
 	}
 }
 
-// vouched takes the word of a node of the outer region; one that may have forgotten vouches for nothing.
-func (owner *Owner) vouched(now time.Duration, job *job, from string, held Claimed) {
-	if _, asked := job.outer[from]; asked && held.Fine && held.Settled {
-		job.vouched[from] = true
-		owner.checkHold(now, job)
+// witnessed handles a witness's answer to a claim. The grant of one that may have forgotten records after a restart does not count.
+func (owner *Owner) witnessed(now time.Duration, job *job, from string, claimReply ClaimReply) {
+	if _, asked := job.witness[from]; asked && claimReply.Granted && claimReply.CaughtUp {
+		job.witnessed[from] = true
+		owner.checkClaim(now, job)
 	}
 }
 
-// quorum holds when more than half of the voters granted, or half of them and most of the outer region vouch. Any two of these share a
-// node, so whoever else asks for the same call meets one that knows of it.
+// quorum reports whether more than half of the voters granted the claim, or exactly half of them and a majority of the witness region.
+// Any two such sets share a node, so a second claim of the same call reaches a node that knows of the first.
 func (owner *Owner) quorum(job *job) bool {
 	granted := len(job.granted) * 2
-	return granted > len(job.voters) || granted == len(job.voters) && owner.most(len(job.vouched))
+	return granted > len(job.voters) || granted == len(job.voters) && owner.witnessMajority(len(job.witnessed))
 }
--- a/data/pass.go
+++ b/data/pass.go
@@ -7,64 +7,66 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// Pass is the body of an answer that a data node of the call's home gives: it is asked there once, and decides. The nodes are
-// tried in turn as long as no byte of the call can have reached one.
-type Pass struct {
-	Home  string
-	Nodes []string
-	Limit time.Duration
+// HomeForward is the body of a contract.Answer that tells the process to forward a call or a question to one of its home region's Nodes
+// and to relay that node's answer. The nodes are tried in turn as long as no byte can have reached one. Timeout is the time left.
+type HomeForward struct {
+	Home    string
+	Nodes   []string
+	Timeout time.Duration
 }
 
-// Passed tells how a call that was passed on ended, by the status that was given to its caller; none if no node was reached.
-type Passed struct {
+// HomeForwardEnded is the event that a forwarded call ended. Status is what its caller was given, or 0 if no node was reached.
+type HomeForwardEnded struct {
 	Token  int64
 	Node   string
 	Status int
 	Error  string
 }
 
-const passMost = 3
+// maxForwardNodes bounds the nodes of the home region that a call may be forwarded to.
+const maxForwardNodes = 3
 
-// homeNodes gives live data nodes of a region, in an order of the call's own.
+// homeNodes returns addresses of live data nodes of a call's home region, in an order that depends on the call.
 func (owner *Owner) homeNodes(now time.Duration, home, subject string) []string {
-	return owner.dataNodes(now, "pass/"+subject, passMost, func(region string) bool { return region == home })
+	return owner.dataNodes(now, "pass/"+subject, maxForwardNodes, func(region string) bool { return region == home })
 }
 
-// dataNodes gives the addresses of live data nodes in fitting regions, at most so many, in an order of the subject's own.
-func (owner *Owner) dataNodes(now time.Duration, subject string, most int, fits func(region string) bool) []string {
+// dataNodes returns the addresses of at most limit live data nodes in accepted regions, in an order that depends on the subject.
+func (owner *Owner) dataNodes(now time.Duration, subject string, limit int, accepts func(region string) bool) []string {
 	addresses, names := map[string]string{}, []string{}
 	for _, member := range owner.Neighbours.Members(now) {
-		if member.Kind == contract.KindData && fits(member.Region) {
+		if member.Kind == contract.KindData && accepts(member.Region) {
 			names, addresses[member.Name] = append(names, member.Name), member.Address
 		}
 	}
 	nodes := []string{}
 	for _, name := range contract.Ordered(subject, names) {
-		if len(nodes) < most {
+		if len(nodes) < limit {
 			nodes = append(nodes, addresses[name])
 		}
 	}
 	return nodes
 }
 
-// passOn gives a call to its home: no server outside it is ever a candidate here. A home that cannot be reached is a refusal.
-func (owner *Owner) passOn(now time.Duration, job *job) {
+// forwardHome has a call forwarded to its home region, the only one whose servers may run it. It is refused if no node there is known.
+func (owner *Owner) forwardHome(now time.Duration, job *job) {
 	if job.call.Forwarded {
 		owner.refuse(now, job, 400, "a call that was passed on arrived outside its home", 0)
 		return
 	}
 	nodes := owner.homeNodes(now, job.call.Home, job.call.ScopedKey())
 	if len(nodes) == 0 {
-		owner.away(now, job, "no node of the call's home can be reached; it did not run")
+		owner.refuseUnreachable(now, job, "no node of the call's home can be reached; it did not run")
 		return
 	}
 	owner.count("calls_passed_on")
-	job.phase = phasePassed
+	job.phase = phaseForwarded
 	owner.jobs[job.token] = job
-	owner.emit(contract.Answer{Token: job.token, Body: Pass{Home: job.call.Home, Nodes: nodes, Limit: job.deadline - now}})
+	owner.emit(contract.Answer{Token: job.token, Body: HomeForward{Home: job.call.Home, Nodes: nodes, Timeout: job.deadline - now}})
 }
 
-func (owner *Owner) away(now time.Duration, job *job, err string) {
+// refuseUnreachable refuses a call whose home region can't be reached.
+func (owner *Owner) refuseUnreachable(now time.Duration, job *job, err string) {
 	after := owner.jitter(owner.Bounds.Round())
 	job.trace.Error = err
 	owner.count("answers_503")
@@ -72,9 +74,9 @@
 		Error: err, Home: job.call.Home, RetryAfterMs: after.Milliseconds()}})
 }
 
-func (owner *Owner) passed(now time.Duration, event Passed) {
-	job, there := owner.jobs[event.Token]
-	if !there {
+func (owner *Owner) forwardEnded(now time.Duration, event HomeForwardEnded) {
+	job, exists := owner.jobs[event.Token]
+	if !exists {
 		return
 	}
 	proof, outcome := "answered there", call.Outcome("passed on")
@@ -87,20 +89,20 @@
 	owner.finish(now, job, outcome, nil)
 }
 
-// lookAway passes a question about a call on to the call's home; it tells whether it did.
-func (owner *Owner) lookAway(now time.Duration, event Look) bool {
-	home, fine := owner.Feed.Manifest().Home(event.Caller, event.Home, owner.Self().Region)
+// forwardQuery has a question about a call forwarded to the call's home region, or refuses it. It reports false if this region is home.
+func (owner *Owner) forwardQuery(now time.Duration, event Look) bool {
+	home, ok := owner.Feed.Manifest().Home(event.Caller, event.Home, owner.Self().Region)
 	answer := contract.Answer{Token: event.Token, Status: 400, Body: contract.Trouble{Error: "the home is not this caller's, or no region"}}
 	switch {
-	case fine && home == owner.Self().Region:
+	case ok && home == owner.Self().Region:
 		return false
-	case fine && event.Forwarded:
+	case ok && event.Forwarded:
 		answer.Body = contract.Trouble{Error: "a question that was passed on arrived outside its home"}
-	case fine:
+	case ok:
 		nodes := owner.homeNodes(now, home, event.Key)
 		answer = contract.Refuse(event.Token, 503, "no node of the call's home can be reached", owner.jitter(owner.Bounds.Round()))
 		if len(nodes) > 0 {
-			answer = contract.Answer{Token: event.Token, Body: Pass{Home: home, Nodes: nodes, Limit: owner.Bounds.Deliver()}}
+			answer = contract.Answer{Token: event.Token, Body: HomeForward{Home: home, Nodes: nodes, Timeout: owner.Bounds.Deliver()}}
 		}
 	}
 	owner.emit(answer)
--- a/data/rest.go
+++ b/data/rest.go
@@ -4,49 +4,51 @@
 	"time"
 )
 
-// rest is how long a server that turned a call away is left alone; it doubles while it goes on doing so.
-type rest struct {
+// backoff is the time for which a server that rejected a call is not picked. The delay doubles while the server keeps rejecting calls.
+type backoff struct {
 	until time.Duration
-	span  time.Duration
+	delay time.Duration
 }
 
-const mostRests = 4
+// maxBackoffFactor is the longest delay in lengths of a lease.
+const maxBackoffFactor = 4
 
-func (owner *Owner) turnedAway(now time.Duration, server string) {
-	former, there := owner.turned[server]
-	span := owner.Bounds.Lease()
-	if there {
-		span = min(former.span*2, owner.Bounds.Lease()*mostRests)
+// backOff starts or extends the backoff of a server.
+func (owner *Owner) backOff(now time.Duration, server string) {
+	previous, exists := owner.backoffs[server]
+	delay := owner.Bounds.Lease()
+	if exists {
+		delay = min(previous.delay*2, owner.Bounds.Lease()*maxBackoffFactor)
 	}
-	if there && now < former.until {
-		span = former.span
+	if exists && now < previous.until {
+		delay = previous.delay
 	}
-	owner.turned[server] = rest{until: now + span, span: span}
+	owner.backoffs[server] = backoff{until: now + delay, delay: delay}
 }
 
-// resting names the servers that are left alone now; long after its rest a server is like any other.
-func (owner *Owner) resting(now time.Duration) map[string]bool {
-	resting := map[string]bool{}
-	for name, known := range owner.turned {
-		if now > known.until+owner.Bounds.Lease()*mostRests {
-			delete(owner.turned, name)
+// inBackoff returns the servers that must not be picked now. It forgets a backoff some time after its end, which resets the delay.
+func (owner *Owner) inBackoff(now time.Duration) map[string]bool {
+	inBackoff := map[string]bool{}
+	for name, backoff := range owner.backoffs {
+		if now > backoff.until+owner.Bounds.Lease()*maxBackoffFactor {
+			delete(owner.backoffs, name)
 		}
-		if now < known.until {
-			resting[name] = true
+		if now < backoff.until {
+			inBackoff[name] = true
 		}
 	}
-	return resting
+	return inBackoff
 }
 
-// allRest holds when there are servers for a call and every one of them turned a call away a moment ago.
-func (owner *Owner) allRest(now time.Duration, job *job) bool {
-	resting, count := owner.resting(now), 0
+// allBackedOff reports whether there are servers for a call and all of them are in backoff.
+func (owner *Owner) allBackedOff(now time.Duration, job *job) bool {
+	inBackoff, count := owner.inBackoff(now), 0
 	candidates, _ := owner.candidates(now)
 	for _, candidate := range candidates {
 		if candidate.Pool != job.route.Pools[job.call.Home] {
 			continue
 		}
-		if count++; !resting[candidate.Name] {
+		if count++; !inBackoff[candidate.Name] {
 			return false
 		}
 	}
--- a/fleet/caller.go
+++ b/fleet/caller.go
@@ -125,7 +125,7 @@
 	try.visit.fleet.Ledger.Answered(try.visit.scoped, try.index, try.visit.fleet.World.Now, try.reply)
 	open.process.Do(func() {
 		if !open.over {
-			open.process.handle(data.Left{Token: open.token})
+			open.process.handle(data.CallerLeft{Token: open.token})
 			open.close()
 		}
 	})
@@ -192,7 +192,7 @@
 	if open := try.session; outcome == ledger.Silence && open != nil && !open.over {
 		open.process.Do(func() {
 			if !open.over {
-				open.process.handle(data.Left{Token: open.token})
+				open.process.handle(data.CallerLeft{Token: open.token})
 				open.close()
 			}
 		})
--- a/fleet/passage.go
+++ b/fleet/passage.go
@@ -7,16 +7,16 @@
 )
 
 // pass carries a call on to a node of its home, to the next one only while nothing of it can have reached one.
-func (session *session) pass(pass data.Pass, nodes []string) {
+func (session *session) pass(pass data.HomeForward, nodes []string) {
 	process, fleet, asked := session.process, session.process.machine.fleet, session.asked
 	if len(nodes) == 0 {
-		process.handle(data.Passed{Token: session.token, Error: "no node of the home was reached"})
+		process.handle(data.HomeForwardEnded{Token: session.token, Error: "no node of the home was reached"})
 		refusal := contract.Trouble{Outcome: string(call.NotRun), Error: "no node of the call's home was reached"}
 		session.towards(func() { session.try.refused(503, refusal, process.machine.env.Bounds.Round()) })
 		session.close()
 		return
 	}
-	asked.Forwarded, asked.Deadline = true, pass.Limit
+	asked.Forwarded, asked.Deadline = true, pass.Timeout
 	reached, given := false, false
 	next := func() {
 		process.Do(func() {
@@ -27,7 +27,7 @@
 		})
 	}
 	process.after(process.machine.env.Bounds.Round(), next)
-	process.after(pass.Limit+process.machine.env.Bounds.Round()/2, func() { process.Do(session.lost) })
+	process.after(pass.Timeout+process.machine.env.Bounds.Round()/2, func() { process.Do(session.lost) })
 	target := fleet.processes[nodes[0]]
 	fleet.World.travel(process.machine.place(), target.machine.place(), false, func() {
 		if !target.Up {
@@ -67,7 +67,7 @@
 		session.process.machine.fleet.World.At(session.last, func() {
 			outer.process.Do(func() {
 				if !outer.over && !session.stuck {
-					outer.process.handle(data.Passed{Token: outer.token, Node: session.process.machine.Name, Status: status})
+					outer.process.handle(data.HomeForwardEnded{Token: outer.token, Node: session.process.machine.Name, Status: status})
 					outer.close()
 				}
 			})
@@ -87,7 +87,7 @@
 	if outer.over {
 		return
 	}
-	outer.process.handle(data.Passed{Token: outer.token, Status: 502, Error: "the home's answer was lost"})
+	outer.process.handle(data.HomeForwardEnded{Token: outer.token, Status: 502, Error: "the home's answer was lost"})
 	if outer.written > 0 {
 		outer.towards(outer.try.broke)
 	} else {
@@ -102,7 +102,7 @@
 	world.travel(outer.process.machine.place(), session.process.machine.place(), false, func() {
 		session.process.Do(func() {
 			if !session.over {
-				session.process.handle(data.Left{Token: session.token})
+				session.process.handle(data.CallerLeft{Token: session.token})
 				session.close()
 			}
 		})
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -90,7 +90,7 @@
 	process.asks[token] = func(answer contract.Answer) { given = answer }
 	process.handle(data.Look{Token: token, Caller: caller, Key: key, Home: home})
 	fleet.Until(5*time.Second, func() bool { return given.Status != 0 || given.Body != nil })
-	if pass, away := given.Body.(data.Pass); away {
+	if pass, away := given.Body.(data.HomeForward); away {
 		process = fleet.processes[pass.Nodes[0]]
 		given = contract.Answer{}
 		process.token++
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -123,9 +123,9 @@
 		process.forward(command)
 	case data.Dispatch:
 		process.dispatch(command)
-	case data.Cancel:
+	case data.CancelAttempt:
 		process.cancel(command)
-	case data.Recall:
+	case data.RecallAttempt:
 		process.recall(command)
 	case chain.Persist:
 		process.persist(command)
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -142,7 +142,7 @@
 		attempt.turnedAway()
 		return
 	}
-	next := &run{attempt: attempt, identity: attempt.command.Identity, scoped: visit.scoped}
+	next := &run{attempt: attempt, identity: attempt.command.AttemptID, scoped: visit.scoped}
 	server.waiting = append(server.waiting, next)
 	server.start()
 }
--- a/fleet/session.go
+++ b/fleet/session.go
@@ -116,7 +116,7 @@
 }
 
 func (session *session) answered(answer contract.Answer) {
-	if pass, away := answer.Body.(data.Pass); away {
+	if pass, away := answer.Body.(data.HomeForward); away {
 		session.pass(pass, pass.Nodes)
 		return
 	}
@@ -143,10 +143,10 @@
 	if open == nil {
 		return
 	}
-	next := &attempt{session: open, command: command, server: fleet.Server(command.Server.Name), relay: stream.New(command.Identity, process.machine.env.Bounds.ReplyBytes)}
+	next := &attempt{session: open, command: command, server: fleet.Server(command.Server.Name), relay: stream.New(command.AttemptID, process.machine.env.Bounds.ReplyBytes)}
 	open.attempts[command.Attempt] = next
 	connected := false
-	process.after(command.Limit, func() {
+	process.after(command.Timeout, func() {
 		proof := call.NotSent
 		if connected {
 			proof = call.NoReply
@@ -179,7 +179,7 @@
 		proof = call.BrokenReply
 	}
 	process, open := attempt.session.process, attempt.session
-	process.handle(data.Ended{Token: open.token, Attempt: attempt.command.Attempt, Result: proof, Chunks: attempt.pieces, Error: err})
+	process.handle(data.AttemptEnded{Token: open.token, Attempt: attempt.command.Attempt, Result: proof, Chunks: attempt.pieces, Error: err})
 	if proof == call.BrokenReply {
 		open.towards(func() { open.try.err() })
 		open.inform(502)
@@ -220,7 +220,7 @@
 		}
 		for _, piece := range attempt.relay.Feed([]byte(content)) {
 			if len(attempt.pieces) == 0 {
-				attempt.session.process.handle(data.Begun{Token: attempt.session.token, Attempt: attempt.command.Attempt})
+				attempt.session.process.handle(data.FirstChunk{Token: attempt.session.token, Attempt: attempt.command.Attempt})
 			}
 			attempt.pieces = append(attempt.pieces, piece)
 			attempt.session.piece(piece)
@@ -240,7 +240,7 @@
 		}
 		if attempt.session.try.visit.kind.Class == "lookup" {
 			var read struct{ ID, Key string }
-			if json.Unmarshal(content, &read) != nil || read.ID != attempt.command.Identity || read.Key != attempt.session.try.visit.scoped {
+			if json.Unmarshal(content, &read) != nil || read.ID != attempt.command.AttemptID || read.Key != attempt.session.try.visit.scoped {
 				attempt.end(call.NoReply, "another lookup's reply")
 				return
 			}
@@ -248,7 +248,7 @@
 			attempt.end(call.CompleteReply, "")
 			return
 		}
-		pieces, err := stream.CompleteReply(content, attempt.command.Identity)
+		pieces, err := stream.CompleteReply(content, attempt.command.AttemptID)
 		if err != nil {
 			attempt.end(call.NoReply, err.Error())
 			return
@@ -258,7 +258,7 @@
 	})
 }
 
-func (process *Process) cancel(command data.Cancel) {
+func (process *Process) cancel(command data.CancelAttempt) {
 	if open := process.sessions[command.Token]; open != nil {
 		if attempt := open.attempts[command.Attempt]; attempt != nil {
 			attempt.close()
@@ -266,12 +266,12 @@
 	}
 }
 
-func (process *Process) recall(command data.Recall) {
+func (process *Process) recall(command data.RecallAttempt) {
 	fleet, server := process.machine.fleet, process.machine.fleet.Server(command.Server.Name)
 	fleet.World.travel(process.machine.place(), server.place(), false, func() {
-		never := server.recall(command.Identity)
+		never := server.recall(command.AttemptID)
 		fleet.World.travel(server.place(), process.machine.place(), false, func() {
-			process.Event(data.Recalled{Token: command.Token, Attempt: command.Attempt, Never: never})
+			process.Event(data.RecallAnswered{Token: command.Token, Attempt: command.Attempt, Confirmed: never})
 		})
 	})
 }
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -170,7 +170,7 @@
 		}
 		select {
 		case answer := <-answers:
-			if pass, away := answer.Body.(data.Pass); away {
+			if pass, away := answer.Body.(data.HomeForward); away {
 				return &passage{shell: shell, pass: pass, method: http.MethodGet, path: "/v1/calls/" + url.PathEscape(look.Key),
 					headers: map[string]string{"Cedar-Caller": look.Caller}}, nil
 			}
@@ -183,7 +183,7 @@
 
 func encodeAnswer(ctx context.Context, writer http.ResponseWriter, response any) error {
 	if away, fine := response.(*passage); fine {
-		if status, _ := away.carry(ctx, writer, away.shell.Loop.Now()+away.pass.Limit); status < 0 {
+		if status, _ := away.carry(ctx, writer, away.shell.Loop.Now()+away.pass.Timeout); status < 0 {
 			panic(http.ErrAbortHandler)
 		}
 		return nil
--- a/serve/data.go
+++ b/serve/data.go
@@ -42,16 +42,16 @@
 	shell.Mux.Handle("POST /v1/chat/completions", kithttp.NewServer(shell.serve(), shell.decodeCall, encodeCall, options...))
 	shell.Mux.Handle("GET /v1/lookups/{route}/{key}", kithttp.NewServer(shell.serve(), shell.decodeLookup, encodeCall, options...))
 	shell.Mux.Handle("GET /v1/calls/{key}", kithttp.NewServer(shell.look(), decodeLook, encodeAnswer, options...))
-	return shell.run(settings.Data, func() { shell.Loop.Post(data.Stop{}) })
+	return shell.run(settings.Data, func() { shell.Loop.Post(data.Shutdown{}) })
 }
 
 func (shell *dataShell) act(command contract.Command) bool {
 	switch command := command.(type) {
 	case data.Dispatch:
 		shell.dispatch(command)
-	case data.Cancel:
+	case data.CancelAttempt:
 		shell.cancel(attemptKey{command.Token, command.Attempt})
-	case data.Recall:
+	case data.RecallAttempt:
 		go shell.recall(command)
 	case contract.Forward:
 		go shell.forward.Forward(command)
--- a/serve/dispatch.go
+++ b/serve/dispatch.go
@@ -70,12 +70,12 @@
 // dispatch runs one attempt in its own goroutine; it ends with one Ended event.
 func (shell *dataShell) dispatch(command data.Dispatch) {
 	session := shell.session(command.Token)
-	ctx, cancel := context.WithTimeout(context.Background(), command.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), command.Timeout)
 	key := attemptKey{command.Token, command.Attempt}
 	shell.keep(key, cancel)
 	go func() {
 		defer shell.cancel(key)
-		ended := data.Ended{Token: command.Token, Attempt: command.Attempt, Result: call.CallerLeft}
+		ended := data.AttemptEnded{Token: command.Token, Attempt: command.Attempt, Result: call.CallerLeft}
 		if session != nil {
 			ended = shell.attempt(ctx, session, command)
 		}
@@ -83,9 +83,9 @@
 	}()
 }
 
-func (shell *dataShell) attempt(ctx context.Context, session *session, command data.Dispatch) data.Ended {
-	ended := data.Ended{Token: command.Token, Attempt: command.Attempt, Result: call.NotSent}
-	sending := &sending{shell: shell, until: command.Until}
+func (shell *dataShell) attempt(ctx context.Context, session *session, command data.Dispatch) data.AttemptEnded {
+	ended := data.AttemptEnded{Token: command.Token, Attempt: command.Attempt, Result: call.NotSent}
+	sending := &sending{shell: shell, until: command.SendBefore}
 	request, err := session.request(context.WithValue(ctx, sendingKey{}, sending), command)
 	if err != nil {
 		ended.Error = err.Error()
@@ -102,7 +102,7 @@
 	defer response.Body.Close()
 	ended.Result = call.NoReply
 	switch {
-	case response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Cedar-Not-Run") == command.Identity:
+	case response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Cedar-Not-Run") == command.AttemptID:
 		ended.Result, ended.Error = call.Refused, "the server refused the call"
 	case response.StatusCode != http.StatusOK:
 		ended.Error = "the server answered " + response.Status
@@ -129,24 +129,24 @@
 		request.ContentLength = int64(len(session.caller.body))
 		request.Header.Set("Content-Type", "application/json")
 	}
-	request.Header.Set("Cedar-Call", command.Identity)
+	request.Header.Set("Cedar-Call", command.AttemptID)
 	request.Header.Set("Cedar-Incarnation", command.Server.Incarnation)
 	request.Header.Set("Cedar-Prefix", session.caller.call.Prefix)
 	return request, nil
 }
 
-func (shell *dataShell) relay(ctx context.Context, session *session, response *http.Response, command data.Dispatch, ended *data.Ended) {
+func (shell *dataShell) relay(ctx context.Context, session *session, response *http.Response, command data.Dispatch, ended *data.AttemptEnded) {
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		ended.Error = "the server did not stream"
 		return
 	}
-	relay := stream.New(command.Identity, shell.Settings.Bounds.ReplyBytes)
+	relay := stream.New(command.AttemptID, shell.Settings.Bounds.ReplyBytes)
 	buffer := make([]byte, 16<<10)
 	for !relay.Finished() && relay.Err() == nil {
 		count, err := response.Body.Read(buffer)
 		for _, piece := range relay.Feed(buffer[:count]) {
 			if len(ended.Chunks) == 0 {
-				shell.Loop.Post(data.Begun{Token: command.Token, Attempt: command.Attempt})
+				shell.Loop.Post(data.FirstChunk{Token: command.Token, Attempt: command.Attempt})
 			}
 			ended.Chunks = append(ended.Chunks, piece)
 			if !session.box.put(item{piece: piece}) {
@@ -187,17 +187,17 @@
 	}
 }
 
-func (shell *dataShell) whole(session *session, response *http.Response, command data.Dispatch, ended *data.Ended) {
+func (shell *dataShell) whole(session *session, response *http.Response, command data.Dispatch, ended *data.AttemptEnded) {
 	bound := shell.Settings.Bounds.ReplyBytes
 	content, err := io.ReadAll(io.LimitReader(response.Body, bound+1))
 	if err == nil && int64(len(content)) > bound {
 		err = eris.New("the reply is larger than its bound")
 	}
 	if err == nil && session.caller.call.IsLookup {
-		err = wholeLookup(content, command.Identity, session.caller.call.Key)
+		err = wholeLookup(content, command.AttemptID, session.caller.call.Key)
 		ended.Chunks = []string{string(content)}
 	} else if err == nil {
-		ended.Chunks, err = stream.CompleteReply(content, command.Identity)
+		ended.Chunks, err = stream.CompleteReply(content, command.AttemptID)
 	}
 	if err != nil {
 		ended.Chunks, ended.Error = nil, err.Error()
@@ -222,9 +222,9 @@
 }
 
 // recall asks a server to give back a call that it never started; only its clear yes counts.
-func (shell *dataShell) recall(command data.Recall) {
-	recalled := data.Recalled{Token: command.Token, Attempt: command.Attempt}
-	address := "http://" + command.Server.Address + "/calls/" + command.Identity + "/recall"
+func (shell *dataShell) recall(command data.RecallAttempt) {
+	recalled := data.RecallAnswered{Token: command.Token, Attempt: command.Attempt}
+	address := "http://" + command.Server.Address + "/calls/" + command.AttemptID + "/recall"
 	response, err := shell.asks.Post(address, "application/json", nil)
 	if err == nil {
 		var answer struct {
@@ -233,7 +233,7 @@
 		}
 		err = json.NewDecoder(io.LimitReader(response.Body, 4096)).Decode(&answer)
 		_ = response.Body.Close()
-		recalled.Never = err == nil && response.StatusCode == http.StatusOK && answer.Call == command.Identity && answer.NeverStarted
+		recalled.Confirmed = err == nil && response.StatusCode == http.StatusOK && answer.Call == command.AttemptID && answer.NeverStarted
 	}
 	shell.Loop.Post(recalled)
 }
--- a/serve/pass.go
+++ b/serve/pass.go
@@ -23,7 +23,7 @@
 // one only if no link to it was made.
 type passage struct {
 	shell   *dataShell
-	pass    data.Pass
+	pass    data.HomeForward
 	method  string
 	path    string
 	headers map[string]string
@@ -32,7 +32,7 @@
 	node    string
 }
 
-func (session *session) passage(pass data.Pass) *passage {
+func (session *session) passage(pass data.HomeForward) *passage {
 	asked := session.caller.call
 	made := &passage{shell: session.shell, pass: pass, method: http.MethodPost, path: "/v1/chat/completions", body: session.caller.body, headers: map[string]string{
 		"Content-Type": "application/json", "Cedar-Caller": asked.Caller, "Cedar-Route": asked.Route, "Cedar-Session": asked.Session, "Idempotency-Key": asked.Key}}
@@ -68,7 +68,7 @@
 			}
 		}
 		request.Header.Set("Cedar-Home", passage.pass.Home)
-		request.Header.Set("Cedar-Deadline-Ms", strconv.FormatInt(max(1, passage.pass.Limit.Milliseconds()), 10))
+		request.Header.Set("Cedar-Deadline-Ms", strconv.FormatInt(max(1, passage.pass.Timeout.Milliseconds()), 10))
 		request.Header.Set(hopHeader, "1")
 		passage.node = node
 		response, err := passage.shell.client.Do(request)
@@ -90,7 +90,7 @@
 // carry writes the home's answer out and tells its status; a status of none says that no node was reached.
 func (passage *passage) carry(ctx context.Context, writer http.ResponseWriter, until time.Duration) (int, string) {
 	bounds := passage.shell.Settings.Bounds
-	limited, cancel := context.WithTimeout(ctx, passage.pass.Limit+bounds.Round()/2)
+	limited, cancel := context.WithTimeout(ctx, passage.pass.Timeout+bounds.Round()/2)
 	defer cancel()
 	response, err := passage.ask(limited)
 	if !passage.sent {
@@ -146,11 +146,11 @@
 }
 
 // passOn is a call's whole answer by way of its home; a break is passed on as a break.
-func (out *writerOf) passOn(ctx context.Context, pass data.Pass) error {
+func (out *writerOf) passOn(ctx context.Context, pass data.HomeForward) error {
 	session := out.session
 	made := session.passage(pass)
 	status, err := made.carry(ctx, out.writer, session.until)
-	session.shell.Loop.Post(data.Passed{Token: session.token, Node: made.node, Status: max(status, -status), Error: err})
+	session.shell.Loop.Post(data.HomeForwardEnded{Token: session.token, Node: made.node, Status: max(status, -status), Error: err})
 	if status < 0 {
 		panic(http.ErrAbortHandler)
 	}
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -32,7 +32,7 @@
 func (deaf) Handle(time.Duration, contract.Event) []contract.Command { return nil }
 
 // attempted sends one call to a server of the test's making and gives its end.
-func attempted(handler http.HandlerFunc, until time.Duration) (data.Ended, int64) {
+func attempted(handler http.HandlerFunc, until time.Duration) (data.AttemptEnded, int64) {
 	var seen atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		seen.Add(1)
@@ -45,7 +45,7 @@
 	shell := &dataShell{Process: process, sessions: map[int64]*session{}, cancels: map[attemptKey]context.CancelFunc{}}
 	shell.client = &http.Client{Transport: shell.transport(), CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	open := &session{shell: shell, caller: caller{path: "/v1/chat/completions", body: []byte(`{"messages":[{}]}`)}, box: newOutbox(&shell.held, 1<<20), gone: make(chan struct{})}
-	command := data.Dispatch{Token: 1, Attempt: 1, Identity: "identity", Until: until, Limit: time.Minute,
+	command := data.Dispatch{Token: 1, Attempt: 1, AttemptID: "identity", SendBefore: until, Timeout: time.Minute,
 		Server: contract.Candidate{Name: "s", Address: strings.TrimPrefix(server.URL, "http://")}}
 	ended := shell.attempt(context.Background(), open, command)
 	return ended, seen.Load()
@@ -117,9 +117,9 @@
 	}
 	server := httptest.NewServer(http.HandlerFunc(stream))
 	defer server.Close()
-	unread := func(most int64) data.Ended {
+	unread := func(most int64) data.AttemptEnded {
 		open := &session{shell: shell, caller: caller{path: "/", stream: true}, box: newOutbox(&shell.held, most), gone: make(chan struct{})}
-		return shell.attempt(context.Background(), open, data.Dispatch{Token: 1, Attempt: 1, Identity: "identity", Until: time.Hour, Limit: time.Minute,
+		return shell.attempt(context.Background(), open, data.Dispatch{Token: 1, Attempt: 1, AttemptID: "identity", SendBefore: time.Hour, Timeout: time.Minute,
 			Server: contract.Candidate{Address: strings.TrimPrefix(server.URL, "http://")}})
 	}
 	Expect(unread(1<<20).Result).To(Equal(call.CompleteReply), "the server's end does not wait for the reader")
--- a/serve/session.go
+++ b/serve/session.go
@@ -66,18 +66,18 @@
 	for {
 		select {
 		case <-ctx.Done():
-			session.shell.Loop.Post(data.Left{Token: session.token})
+			session.shell.Loop.Post(data.CallerLeft{Token: session.token})
 			return ctx.Err()
 		case <-session.box.ready:
 			if err := out.drain(); err != nil {
-				session.shell.Loop.Post(data.Left{Token: session.token})
+				session.shell.Loop.Post(data.CallerLeft{Token: session.token})
 				return err
 			}
 		case answer := <-session.answer:
 			if err := out.drain(); err != nil {
 				return err
 			}
-			if pass, away := answer.Body.(data.Pass); away {
+			if pass, away := answer.Body.(data.HomeForward); away {
 				return out.passOn(ctx, pass)
 			}
 			return out.end(answer)
