--- a/chain/found_test.go
+++ b/chain/found_test.go
@@ -25,12 +25,12 @@
 }
 
 // core runs three core machines that see each other, for a while, and gives them and what was counted.
-func core(founds []bool, shelves []Recovered, span time.Duration) ([]*Owner, map[string]int64) {
-	bounds, owners, members, counts := env.DefaultBounds(), []*Owner{}, []contract.Member{}, map[string]int64{}
+func core(founds []bool, shelves []Recovered, span time.Duration) ([]*Replica, map[string]int64) {
+	bounds, owners, members, counts := env.DefaultBounds(), []*Replica{}, []contract.Member{}, map[string]int64{}
 	for place := range founds {
 		self := contract.CoreNode{Name: fmt.Sprintf("m%d-control", place), ID: "boot", Address: fmt.Sprint("address", place)}
 		owner := New(self, "start", len(founds), bounds, shelves[place], rand.New(rand.NewPCG(uint64(place), 1)))
-		owner.Bootstraps(founds[place])
+		owner.AllowBootstrap(founds[place])
 		owners = append(owners, owner)
 		members = append(members, contract.Member{Name: self.Name, Boot: self.ID, CoreID: self.ID, Kind: contract.KindControl, Core: true, Address: self.Address})
 	}
@@ -39,7 +39,7 @@
 		events := waiting
 		waiting = make([][]contract.Event, len(owners))
 		for place, owner := range owners {
-			for _, event := range append(events[place], Seen{Members: members}) {
+			for _, event := range append(events[place], Membership{Members: members}) {
 				for _, command := range owner.Handle(now, event) {
 					switch command := command.(type) {
 					case contract.Send:
@@ -52,8 +52,8 @@
 						}
 					case Persist:
 						waiting[place] = append(waiting[place], Persisted{Token: command.Token})
-					case contract.Count:
-						counts[command.Name] += command.By
+					case contract.AddCounter:
+						counts[command.Name] += command.Delta
 					}
 				}
 			}
@@ -97,7 +97,7 @@
 	}
 
 	It("given a machine whose folder holds a version, when it may found but has no view, then it never founds a blank fleet", func() {
-		held := Recovered{Versions: []contract.Version{{Place: contract.Place{View: 1, Revision: 4}}}}
+		held := Recovered{Versions: []contract.Version{{Position: contract.Position{View: 1, Revision: 4}}}}
 		owners, counts := core([]bool{true, true, true}, []Recovered{held, {}, {}}, 5*time.Minute)
 		for _, owner := range owners {
 			Expect(owner.View().Number).To(BeZero())
--- a/contract/version.go
+++ b/contract/version.go
@@ -7,39 +7,39 @@
 	"github.com/rotisserie/eris"
 )
 
-// Version is one configuration of all regions: numbered, immutable, and made by one operation. Versions share the parts that they have in
-// common.
+// Version is an entry of the replicated log: a manifest, which configures all regions. It is immutable and was created by one operation.
+// Versions share the parts of their content that are equal.
 type Version struct {
-	Place     Place
+	Position  Position
 	Operation string
-	// Digest is that of the content.
+	// Digest is the hash of the content.
 	Digest  string
 	Content *document.Document
-	// Base is the version that Change made this one out of; it is zero where that is not known.
-	Base   Place
+	// Base is the position of the version that Change was applied to. It is zero where that is not known.
+	Base   Position
 	Change document.Change
 }
 
-// FirstVersion is a version whose content was not made out of another one's.
-func FirstVersion(place Place, operation string, content *document.Document) Version {
-	return Version{Place: place, Operation: operation, Digest: content.Digest(), Content: content}
+// NewVersion returns a version with the given content and no base.
+func NewVersion(position Position, operation string, content *document.Document) Version {
+	return Version{Position: position, Operation: operation, Digest: content.Digest(), Content: content}
 }
 
-// Next is the version that a change makes of this one.
-func (version Version) Next(place Place, operation string, change document.Change) Version {
+// Next returns the version that results from applying a change to this one.
+func (version Version) Next(position Position, operation string, change document.Change) Version {
 	content := version.Document().Apply(change)
-	return Version{Place: place, Operation: operation, Digest: content.Digest(), Content: content, Base: version.Place, Change: change}
+	return Version{Position: position, Operation: operation, Digest: content.Digest(), Content: content, Base: version.Position, Change: change}
 }
 
-// Weight is what a version adds to those that it shares its parts with, in bytes.
-func (version Version) Weight() int64 {
+// RetainedBytes estimates the memory that the version takes beyond the parts that it shares with its base.
+func (version Version) RetainedBytes() int64 {
 	if version.Base.Revision > 0 {
 		return int64(version.Change.Size())
 	}
 	return int64(version.Document().Size())
 }
 
-// Document gives the content, which is empty where there is no version.
+// Document returns the content. The zero version has an empty one.
 func (version Version) Document() *document.Document {
 	if version.Content == nil {
 		return document.Empty()
@@ -47,28 +47,29 @@
 	return version.Content
 }
 
-// PastOperation is a committed operation whose version is no longer kept.
+// PastOperation is a committed operation whose version has been removed from the log. It keeps retries of the operation idempotent.
 type PastOperation struct {
-	Place     Place  `json:"place"`
-	Operation string `json:"operation"`
+	Position  Position `json:"place"`
+	Operation string   `json:"operation"`
 }
 
-// Record is a version as it travels between nodes and lies on disk: whole, or as the change of a version that the reader must hold.
+// Record is the encoded form of a version in messages and on disk: either full, with the whole Manifest, or a delta, with the Change to a
+// Base version that the reader must hold.
 type Record struct {
-	Place     Place            `json:"place"`
+	Position  Position         `json:"place"`
 	Operation string           `json:"operation"`
 	Digest    string           `json:"digest"`
-	Base      *Place           `json:"base,omitempty"`
+	Base      *Position        `json:"base,omitempty"`
 	Change    *document.Change `json:"change,omitempty"`
 	Manifest  json.RawMessage  `json:"manifest,omitempty"`
-	// content stands for the manifest where it was read from a stream.
+	// content replaces Manifest in a record that was read from a stream.
 	content *document.Document
 }
 
-// Whole tells whether a record can be opened by itself.
-func (record Record) Whole() bool { return record.Base == nil }
+// IsFull reports whether the record can be decoded without a base version.
+func (record Record) IsFull() bool { return record.Base == nil }
 
-// Size is about how many bytes a record takes.
+// Size is the approximate encoded size of the record in bytes.
 func (record Record) Size() int {
 	if record.Change == nil {
 		return len(record.Manifest)
@@ -76,34 +77,35 @@
 	return record.Change.Size()
 }
 
-// WholeRecord gives the record of a version with all of its content.
-func (version Version) WholeRecord() Record {
-	return Record{Place: version.Place, Operation: version.Operation, Digest: version.Digest, Manifest: version.Document().JSON()}
+// FullRecord returns the record that holds the whole content of the version.
+func (version Version) FullRecord() Record {
+	return Record{Position: version.Position, Operation: version.Operation, Digest: version.Digest, Manifest: version.Document().JSON()}
 }
 
-// RecordFrom gives the record of a version as the change of a base, or whole where there is no base or that is no larger.
-func (version Version) RecordFrom(base Version) Record {
-	if base.Place.Revision <= 0 {
-		return version.WholeRecord()
+// RecordRelativeTo returns the record of the version as a delta to a base. The record is full if the base is the zero version or if the
+// delta would not be smaller.
+func (version Version) RecordRelativeTo(base Version) Record {
+	if base.Position.Revision <= 0 {
+		return version.FullRecord()
 	}
 	change := version.Change
-	if version.Base != base.Place {
+	if version.Base != base.Position {
 		change = document.Diff(base.Document(), version.Document())
 	}
 	if change.Size() >= version.Document().Size() {
-		return version.WholeRecord()
+		return version.FullRecord()
 	}
-	place := base.Place
-	return Record{Place: version.Place, Operation: version.Operation, Digest: version.Digest, Base: &place, Change: &change}
+	position := base.Position
+	return Record{Position: version.Position, Operation: version.Operation, Digest: version.Digest, Base: &position, Change: &change}
 }
 
-// Records gives the records of versions in order, the first one as the change of a base and each other one as that of the one before it,
-// as many as fit into so many bytes, but at least one.
-func Records(base Version, versions []Version, most int) []Record {
+// EncodeRecords returns the records of versions in order: the first one relative to base, each other one relative to its predecessor. It
+// stops before the records exceed maxBytes, but always returns the first one.
+func EncodeRecords(base Version, versions []Version, maxBytes int) []Record {
 	records, size := []Record{}, 0
 	for _, version := range versions {
-		record := version.RecordFrom(base)
-		if size += record.Size(); size > most && len(records) > 0 {
+		record := version.RecordRelativeTo(base)
+		if size += record.Size(); size > maxBytes && len(records) > 0 {
 			break
 		}
 		records, base = append(records, record), version
@@ -111,79 +113,80 @@
 	return records
 }
 
-// Held finds a version that the reader of records holds.
-type Held func(Place) (Version, bool)
+// VersionLookup finds a version that the reader of records holds.
+type VersionLookup func(Position) (Version, bool)
 
-// OpenRecords reads versions in order; each record may be the change of one before it or of one that is held. It ends with an error at the
-// first one that can't be put together or does not have its digest; the versions before that are given all the same.
-func OpenRecords(records []Record, held Held) ([]Version, error) {
+// DecodeRecords decodes records in order. The base of a record is looked up among the versions decoded before it and then by lookup, which
+// may be nil. It fails at the first record whose base is missing or whose content does not have its digest, and returns the versions decoded
+// until then beside the error.
+func DecodeRecords(records []Record, lookup VersionLookup) ([]Version, error) {
 	versions := []Version{}
 	for _, record := range records {
-		version, failure := record.open(versions, held)
-		if failure != nil {
-			return versions, failure
+		version, err := record.decode(versions, lookup)
+		if err != nil {
+			return versions, err
 		}
 		versions = append(versions, version)
 	}
 	return versions, nil
 }
 
-// Open reads a version; the record may be the change of one of some others.
-func (record Record) Open(before []Version) (Version, error) { return record.open(before, nil) }
+// Decode decodes the record, whose base may be one of the given versions.
+func (record Record) Decode(before []Version) (Version, error) { return record.decode(before, nil) }
 
-func (record Record) open(before []Version, held Held) (Version, error) {
-	version := Version{Place: record.Place, Operation: record.Operation, Digest: record.Digest}
+func (record Record) decode(before []Version, lookup VersionLookup) (Version, error) {
+	version := Version{Position: record.Position, Operation: record.Operation, Digest: record.Digest}
 	switch {
-	case record.Whole():
-		content, failure := record.content, error(nil)
+	case record.IsFull():
+		content, err := record.content, error(nil)
 		if content == nil {
-			content, failure = document.Parse(record.Manifest)
+			content, err = document.Parse(record.Manifest)
 		}
-		if failure != nil {
-			return version, eris.Wrapf(failure, "version %d", record.Place.Revision)
+		if err != nil {
+			return version, eris.Wrapf(err, "version %d", record.Position.Revision)
 		}
 		if len(before) > 0 {
 			content = content.Rebase(before[len(before)-1].Document())
 		}
 		version.Content = content
 	case record.Change == nil:
-		return version, eris.Errorf("version %d has neither a change nor a manifest", record.Place.Revision)
+		return version, eris.Errorf("version %d has neither a change nor a manifest", record.Position.Revision)
 	default:
-		base, there := findVersion(*record.Base, before, held)
-		if !there {
-			return version, eris.Errorf("version %d: its base %v is not held", record.Place.Revision, *record.Base)
+		base, found := findVersion(*record.Base, before, lookup)
+		if !found {
+			return version, eris.Errorf("version %d: its base %v is not held", record.Position.Revision, *record.Base)
 		}
-		version.Base, version.Change = base.Place, *record.Change
+		version.Base, version.Change = base.Position, *record.Change
 		version.Content = base.Document().Apply(version.Change)
 	}
 	if version.Content.Digest() != record.Digest {
-		return version, eris.Errorf("version %d does not have its digest", record.Place.Revision)
+		return version, eris.Errorf("version %d does not have its digest", record.Position.Revision)
 	}
 	return version, nil
 }
 
-func findVersion(place Place, before []Version, held Held) (Version, bool) {
+func findVersion(position Position, before []Version, lookup VersionLookup) (Version, bool) {
 	for index := len(before) - 1; index >= 0; index-- {
-		if before[index].Place == place {
+		if before[index].Position == position {
 			return before[index], true
 		}
 	}
-	if held == nil {
+	if lookup == nil {
 		return Version{}, false
 	}
-	return held(place)
+	return lookup(position)
 }
 
-// MarshalJSON writes a version whole.
-func (version Version) MarshalJSON() ([]byte, error) { return json.Marshal(version.WholeRecord()) }
+// MarshalJSON encodes the version as a full record.
+func (version Version) MarshalJSON() ([]byte, error) { return json.Marshal(version.FullRecord()) }
 
-// UnmarshalJSON reads a version that was written whole.
+// UnmarshalJSON decodes a version from a full record. It fails on a delta.
 func (version *Version) UnmarshalJSON(content []byte) error {
 	var record Record
-	if failure := json.Unmarshal(content, &record); failure != nil {
-		return failure
+	if err := json.Unmarshal(content, &record); err != nil {
+		return err
 	}
-	opened, failure := record.open(nil, nil)
-	*version = opened
-	return failure
+	decoded, err := record.decode(nil, nil)
+	*version = decoded
+	return err
 }
--- a/data/data.go
+++ b/data/data.go
@@ -143,22 +143,22 @@
 // emit adds commands to those that Handle returns.
 func (owner *Owner) emit(commands ...contract.Command) { owner.out = append(owner.out, commands...) }
 
-func (owner *Owner) count(name string) { owner.emit(contract.Count{Name: name, By: 1}) }
+func (owner *Owner) count(name string) { owner.emit(contract.AddCounter{Name: name, Delta: 1}) }
 
 // Handle processes one event at time now, on the process's monotonic clock, and returns the commands to carry out.
 func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
-	return owner.Relayed(now, event, owner.handle)
+	return owner.HandleRelayed(now, event, owner.handle)
 }
 
 func (owner *Owner) handle(now time.Duration, event contract.Event) []contract.Command {
 	owner.out = nil
-	if gap := owner.Woke(now); gap > 0 {
+	if gap := owner.DetectFreeze(now); gap > 0 {
 		owner.afterFreeze(now, gap)
 	}
 	for _, command := range owner.Node.Handle(now, event) {
-		if adopted, ok := command.(contract.Adopted); ok {
+		if adopted, ok := command.(contract.VersionAdopted); ok {
 			owner.retryBudget.Configure(owner.Feed.Manifest().RepeatShare, owner.Feed.Manifest().RepeatAtOnce)
-			command = contract.Say{What: "manifest in force", Detail: []any{"revision", adopted.Version.Place.Revision}}
+			command = contract.Log{Message: "manifest in force", Attributes: []any{"revision", adopted.Version.Position.Revision}}
 		}
 		owner.emit(command)
 	}
@@ -183,7 +183,7 @@
 		owner.recallAnswered(now, event)
 	case Look:
 		owner.queryOutcome(now, event)
-	case contract.Ask:
+	case contract.OperatorRequest:
 		owner.ask(now, event)
 	}
 	out := owner.out
@@ -194,7 +194,7 @@
 // afterFreeze runs when the process resumes after it was paused for gap: leases from before no longer count, and calls that were not
 // dispatched are refused.
 func (owner *Owner) afterFreeze(now, gap time.Duration) {
-	owner.emit(contract.Count{Name: "woken", By: 1}, contract.Say{What: "woken from a freeze", Detail: []any{"ms", gap.Milliseconds()}})
+	owner.emit(contract.AddCounter{Name: "woken", Delta: 1}, contract.Log{Message: "woken from a freeze", Attributes: []any{"ms", gap.Milliseconds()}})
 	for _, current := range owner.shardLeases {
 		current.expiresAt = 0
 	}
@@ -269,8 +269,8 @@
 
 // ask forwards an operator's request to the control-plane node that decides it. Why and gone requests can be answered by any
 // control-plane node.
-func (owner *Owner) ask(now time.Duration, ask contract.Ask) {
-	node, exists := ask.Authority(owner.Feed.View())
+func (owner *Owner) ask(now time.Duration, ask contract.OperatorRequest) {
+	node, exists := ask.AuthoritativeNode(owner.Feed.View())
 	address := node.Address
 	if ask.Verb == contract.VerbWhy || ask.Verb == contract.VerbGone {
 		for _, member := range owner.Neighbours.Members(now) {
@@ -280,16 +280,16 @@
 		}
 	}
 	if !exists || ask.Forwarded {
-		owner.emit(contract.Refuse(ask.Token, 503, "no authority is known here yet; nothing was done", owner.Bounds.Round()))
+		owner.emit(contract.ErrorResponse(ask.Token, 503, "no authority is known here yet; nothing was done", owner.Bounds.Round()))
 		return
 	}
 	ask.Forwarded = true
-	owner.emit(contract.Forward{Ask: ask, Address: address})
+	owner.emit(contract.Forward{Request: ask, Address: address})
 }
 
 func (owner *Owner) reportGauges() {
 	_, lapsed := owner.candidates(owner.nextLeaseRequest)
 	for name, value := range map[string]int{"calls_now": len(owner.jobs), "calls_in_line": owner.queues.Total(), "records": owner.table.Len(), "shards_lapsed": len(lapsed)} {
-		owner.emit(contract.Gauge{Name: name, Value: int64(value)})
+		owner.emit(contract.SetGauge{Name: name, Value: int64(value)})
 	}
 }
--- a/data/end.go
+++ b/data/end.go
@@ -56,7 +56,7 @@
 	if job, exists := owner.jobs[event.Token]; exists {
 		if attempt, exists := job.attempts[event.Attempt]; exists {
 			attempt.hasChunks = true
-			owner.emit(contract.Took{What: "first_piece", Class: job.route.Class, Span: now - job.arrivedAt})
+			owner.emit(contract.ObserveDuration{Name: "first_piece", Class: job.route.Class, Duration: now - job.arrivedAt})
 		}
 	}
 }
@@ -99,7 +99,7 @@
 
 func (owner *Owner) succeed(now time.Duration, job *job, attempt *attempt, event AttemptEnded) {
 	owner.recordOutcome(job, call.Done, event.Chunks)
-	owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Chunks: event.Chunks, Server: attempt.server.Name}})
+	owner.finish(now, job, call.Done, contract.Response{Token: job.token, Status: 200, Body: Reply{Chunks: event.Chunks, Server: attempt.server.Name}})
 }
 
 // retry queues the call for another server, if the number of attempts, the deadline and the retry budget allow it.
--- a/data/find.go
+++ b/data/find.go
@@ -159,7 +159,7 @@
 		case unseen:
 			status, body["outcome"] = 404, call.Unseen
 		}
-		owner.emit(contract.Answer{Token: event.Token, Status: status, Body: body})
+		owner.emit(contract.Response{Token: event.Token, Status: status, Body: body})
 	}
 	if record, exists := owner.table.Find(now, scopedKey); exists && record.Outcome != call.Running {
 		answer(now, &record, false)
--- a/data/handover.go
+++ b/data/handover.go
@@ -77,7 +77,7 @@
 	for _, record := range exported.Records {
 		owner.table.Import(now, record)
 	}
-	owner.emit(contract.Count{Name: "records_handed_over", By: int64(len(exported.Records))})
+	owner.emit(contract.AddCounter{Name: "records_handed_over", Delta: int64(len(exported.Records))})
 	if exported.Last {
 		owner.exported[message.From] = message.Boot
 	}
--- a/data/job.go
+++ b/data/job.go
@@ -79,7 +79,7 @@
 	home, ok := config.Home(request.Caller, request.Home, owner.Self().Region)
 	request.Home = home
 	job := &job{token: event.Token, call: request, arrivedAt: now, triedServers: map[string]bool{}, attempts: map[int]*attempt{},
-		trace: &Trace{Call: request.Key, Caller: request.Caller, Route: request.Route, Node: owner.Self().Name, Home: home, Revision: owner.Feed.Version().Place.Revision, arrivedAt: now}}
+		trace: &Trace{Call: request.Key, Caller: request.Caller, Route: request.Route, Node: owner.Self().Name, Home: home, Revision: owner.Feed.Version().Position.Revision, arrivedAt: now}}
 	owner.traces.add(job.trace)
 	owner.count("calls")
 	if !owner.Feed.Known() || owner.stopping {
@@ -138,8 +138,8 @@
 func (owner *Owner) fail(now time.Duration, job *job, status int, outcome call.Outcome, err string, after time.Duration) {
 	job.trace.Error = err
 	owner.count(fmt.Sprintf("answers_%d", status))
-	owner.finish(now, job, outcome, contract.Answer{Token: job.token, Status: status, After: after,
-		Body: contract.Trouble{Outcome: string(outcome), Error: err, RetryAfterMs: after.Milliseconds()}})
+	owner.finish(now, job, outcome, contract.Response{Token: job.token, Status: status, RetryAfter: after,
+		Body: contract.ErrorBody{Outcome: string(outcome), Error: err, RetryAfterMs: after.Milliseconds()}})
 }
 
 // finish removes a call from its queue, records its outcome, cancels its attempts and emits its answer, if there is one to give.
@@ -160,12 +160,12 @@
 // closeTrace completes a call's trace and counts its outcome.
 func (owner *Owner) closeTrace(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
 	job.trace.Outcome, job.trace.TookMs = string(outcome), (now - job.arrivedAt).Milliseconds()
-	if given, ok := answer.(contract.Answer); ok {
+	if given, ok := answer.(contract.Response); ok {
 		job.trace.Status = given.Status
 	}
 	owner.count("outcomes_" + string(outcome))
 	if outcome == call.Done {
-		owner.emit(contract.Took{What: "call", Class: job.route.Class, Span: now - job.arrivedAt})
+		owner.emit(contract.ObserveDuration{Name: "call", Class: job.route.Class, Duration: now - job.arrivedAt})
 	}
 }
 
--- a/data/keep.go
+++ b/data/keep.go
@@ -70,7 +70,7 @@
 // votersFor names the data nodes whose grants allow the dispatch of a call: those of this region's roster, or in a large region
 // maxVoters of them, chosen by the key. Every node computes the same voters for a call.
 func (owner *Owner) votersFor(scopedKey string) []string {
-	ordered := contract.Ordered("keep/"+scopedKey, owner.roster(owner.Self().Region))
+	ordered := contract.RendezvousOrder("keep/"+scopedKey, owner.roster(owner.Self().Region))
 	return ordered[:min(maxVoters, len(ordered))]
 }
 
@@ -234,7 +234,7 @@
 	job.trace.Error = "met the record of " + record.Node + ": " + string(record.Outcome)
 	switch {
 	case record.Outcome == call.Done && record.ReplyKept:
-		owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Chunks: record.Chunks}})
+		owner.finish(now, job, call.Done, contract.Response{Token: job.token, Status: 200, Body: Reply{Chunks: record.Chunks}})
 	case record.Outcome == call.Done:
 		owner.fail(now, job, 410, call.Done, "the call was done; its reply is no longer kept", 0)
 	case record.Outcome == call.Interrupted:
--- a/data/leases.go
+++ b/data/leases.go
@@ -19,7 +19,7 @@
 	requestedAt time.Duration
 	expiresAt   time.Duration
 	hint        string
-	detour      machine.Detour
+	detour      machine.RelayPath
 }
 
 // requestLeases asks for a new lease of every shard in each interval. It asks the shard's first owner, the node of the last lease and
@@ -41,8 +41,8 @@
 		first := shard.First(members, region, index)
 		targets[first] = true
 		request := contract.LeaseRequest{Node: owner.Self().Name, Address: owner.Self().Address, Region: region, Shard: index,
-			Asked: now, Highest: current.highest, Number: current.lease.Number, Shards: shards}
-		request.Calls, request.Lingering = owner.callsOnShard(index)
+			SentAt: now, HighestEpoch: current.highest, Number: current.lease.Number, ShardCount: shards}
+		request.Calls, request.Abandoned = owner.callsOnShard(index)
 		for _, name := range manifest.SortedKeys(targets) {
 			if member, exists := owner.Neighbours.Look(name); exists && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
 				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageAsk, Body: request})
@@ -61,7 +61,7 @@
 		return
 	}
 	if route, tried, needed := current.detour.Next(silent); needed {
-		owner.emit(owner.ByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageAsk, Body: request}, route, tried)...)
+		owner.emit(owner.SendByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageAsk, Body: request}, route, tried)...)
 	}
 }
 
@@ -93,12 +93,12 @@
 	if !exists || lease.Region != owner.Self().Region {
 		return
 	}
-	if lease.Epoch.Before(current.highest) || lease.Shards != owner.shards() {
+	if lease.Epoch.Before(current.highest) || lease.ShardCount != owner.shards() {
 		owner.count("leases_refused")
 		return
 	}
 	same := lease.Epoch == current.highest
-	if lease.Asked > now || same && (lease.Number < current.lease.Number || lease.Asked < current.requestedAt) {
+	if lease.RequestSentAt > now || same && (lease.Number < current.lease.Number || lease.RequestSentAt < current.requestedAt) {
 		owner.count("leases_late")
 		return
 	}
@@ -106,13 +106,13 @@
 		owner.backoffs = map[string]backoff{}
 	}
 	previous := current.lease.Withdraw
-	current.detour.Answered(message.Via, current.requestedAt == lease.Asked)
-	current.highest, current.lease, current.requestedAt, current.hint = lease.Epoch, lease, lease.Asked, ""
-	current.expiresAt = lease.Asked + lease.Life
+	current.detour.RecordAnswer(message.ReturnRoute, current.requestedAt == lease.RequestSentAt)
+	current.highest, current.lease, current.requestedAt, current.hint = lease.Epoch, lease, lease.RequestSentAt, ""
+	current.expiresAt = lease.RequestSentAt + lease.Duration
 	for _, candidate := range lease.Servers {
 		usage := owner.usages[candidate.Name]
-		if usage.Report != candidate.Report {
-			usage.Report, usage.AtReport = candidate.Report, usage.Own
+		if usage.Report != candidate.ReportNumber {
+			usage.Report, usage.AtReport = candidate.ReportNumber, usage.Own
 			owner.usages[candidate.Name] = usage
 		}
 	}
@@ -136,7 +136,7 @@
 func (owner *Owner) candidates(now time.Duration) ([]contract.Candidate, []int) {
 	candidates, lapsed, shards, previous := []contract.Candidate{}, []int{}, owner.shards(), false
 	for _, current := range owner.shardLeases {
-		previous = previous || now < current.expiresAt && current.lease.Shards != shards
+		previous = previous || now < current.expiresAt && current.lease.ShardCount != shards
 	}
 	for _, index := range owner.shardIndexes() {
 		current := owner.shardLeases[index]
@@ -160,12 +160,12 @@
 func (owner *Owner) shardLeaseOf(now time.Duration, server string) *shardLease {
 	shards := owner.shards()
 	current, exists := owner.shardLeases[contract.ShardOf(server, shards)]
-	if exists && now < current.expiresAt && current.lease.Shards == shards {
+	if exists && now < current.expiresAt && current.lease.ShardCount == shards {
 		return current
 	}
 	for _, index := range owner.shardIndexes() {
 		previous := owner.shardLeases[index]
-		if now < previous.expiresAt && previous.lease.Shards != shards && contract.ShardOf(server, previous.lease.Shards) == index {
+		if now < previous.expiresAt && previous.lease.ShardCount != shards && contract.ShardOf(server, previous.lease.ShardCount) == index {
 			return previous
 		}
 	}
--- a/data/pass.go
+++ b/data/pass.go
@@ -40,7 +40,7 @@
 		}
 	}
 	nodes := []string{}
-	for _, name := range contract.Ordered(subject, names) {
+	for _, name := range contract.RendezvousOrder(subject, names) {
 		if len(nodes) < limit {
 			nodes = append(nodes, addresses[name])
 		}
@@ -62,7 +62,7 @@
 	owner.count("calls_passed_on")
 	job.phase = phaseForwarded
 	owner.jobs[job.token] = job
-	owner.emit(contract.Answer{Token: job.token, Body: HomeForward{Home: job.call.Home, Nodes: nodes, Timeout: job.deadline - now}})
+	owner.emit(contract.Response{Token: job.token, Body: HomeForward{Home: job.call.Home, Nodes: nodes, Timeout: job.deadline - now}})
 }
 
 // refuseUnreachable refuses a call whose home region can't be reached.
@@ -70,7 +70,7 @@
 	after := owner.jitter(owner.Bounds.Round())
 	job.trace.Error = err
 	owner.count("answers_503")
-	owner.finish(now, job, call.NotRun, contract.Answer{Token: job.token, Status: 503, After: after, Body: contract.Trouble{Outcome: string(call.NotRun),
+	owner.finish(now, job, call.NotRun, contract.Response{Token: job.token, Status: 503, RetryAfter: after, Body: contract.ErrorBody{Outcome: string(call.NotRun),
 		Error: err, Home: job.call.Home, RetryAfterMs: after.Milliseconds()}})
 }
 
@@ -92,17 +92,17 @@
 // forwardQuery has a question about a call forwarded to the call's home region, or refuses it. It reports false if this region is home.
 func (owner *Owner) forwardQuery(now time.Duration, event Look) bool {
 	home, ok := owner.Feed.Manifest().Home(event.Caller, event.Home, owner.Self().Region)
-	answer := contract.Answer{Token: event.Token, Status: 400, Body: contract.Trouble{Error: "the home is not this caller's, or no region"}}
+	answer := contract.Response{Token: event.Token, Status: 400, Body: contract.ErrorBody{Error: "the home is not this caller's, or no region"}}
 	switch {
 	case ok && home == owner.Self().Region:
 		return false
 	case ok && event.Forwarded:
-		answer.Body = contract.Trouble{Error: "a question that was passed on arrived outside its home"}
+		answer.Body = contract.ErrorBody{Error: "a question that was passed on arrived outside its home"}
 	case ok:
 		nodes := owner.homeNodes(now, home, event.Key)
-		answer = contract.Refuse(event.Token, 503, "no node of the call's home can be reached", owner.jitter(owner.Bounds.Round()))
+		answer = contract.ErrorResponse(event.Token, 503, "no node of the call's home can be reached", owner.jitter(owner.Bounds.Round()))
 		if len(nodes) > 0 {
-			answer = contract.Answer{Token: event.Token, Body: HomeForward{Home: home, Nodes: nodes, Timeout: owner.Bounds.Deliver()}}
+			answer = contract.Response{Token: event.Token, Body: HomeForward{Home: home, Nodes: nodes, Timeout: owner.Bounds.Deliver()}}
 		}
 	}
 	owner.emit(answer)
