--- a/control/write.go
+++ b/control/write.go
@@ -38,7 +38,7 @@
 	case contract.VerbScale:
 		return map[string]any{"pools": map[string]any{ask.Subject: map[string]any{"scale": json.Number(strings.TrimSpace(string(ask.Body)))}}}, nil
 	}
-	return manifest.Tree(ask.Body)
+	return manifest.ParseObject(ask.Body)
 }
 
 func (owner *Owner) refuse(ask contract.Ask, status int, err string) []contract.Command {
@@ -135,7 +135,7 @@
 	case ask.Verb == contract.VerbReplace || ask.Verb == contract.VerbUpdate:
 		return manifest.GatewayChange(latest.Document(), patch, ask.Verb == contract.VerbReplace || !latest.there())
 	case ask.Verb == contract.VerbPut || !latest.there():
-		whole, err := document.FromTree(patch)
+		whole, err := document.FromObject(patch)
 		if err != nil {
 			return document.Change{}, err
 		}
--- a/data/data.go
+++ b/data/data.go
@@ -135,7 +135,7 @@
 	}
 	for _, command := range owner.Node.Handle(now, event) {
 		if adopted, fine := command.(contract.Adopted); fine {
-			owner.repeats.Set(owner.Feed.Manifest().RepeatShare, owner.Feed.Manifest().RepeatAtOnce)
+			owner.repeats.Set(owner.Feed.Manifest().RepeatPercent, owner.Feed.Manifest().RepeatAtOnce)
 			command = contract.Say{What: "manifest in force", Detail: []any{"revision", adopted.Version.Place.Revision}}
 		}
 		owner.emit(command)
--- a/data/job.go
+++ b/data/job.go
@@ -165,7 +165,7 @@
 // enter puts a recorded call into its line, or refuses it at once when it could not be served in time.
 func (owner *Owner) enter(now time.Duration, job *job) {
 	wait := owner.lines.Wait(job.call.Route, owner.lines.Ahead(job.call.Route, job.call.Caller), owner.running(job.call.Route))
-	joined, displaced := owner.lines.Join(job.call.Route, job.call.Caller, job.token, job.route.Line)
+	joined, displaced := owner.lines.Join(job.call.Route, job.call.Caller, job.token, job.route.QueueLimit)
 	if other, there := owner.jobs[displaced]; there {
 		owner.count("calls_displaced")
 		owner.refuse(now, other, 429, "the line is full, and most of it is of this caller", owner.jitter(max(wait/2, owner.Bounds.Round())))
--- a/document/document.go
+++ b/document/document.go
@@ -193,7 +193,7 @@
 }
 
 // FromTree makes a document of a JSON object as Tree reads it.
-func FromTree(tree map[string]any) (*Document, error) {
+func FromObject(tree map[string]any) (*Document, error) {
 	edit := editNew()
 	if failure := edit.split("", tree, 1); failure != nil {
 		return nil, failure
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -22,7 +22,7 @@
 
 func tree(t *testing.T, content string) map[string]any {
 	t.Helper()
-	read, failure := Tree([]byte(content))
+	read, failure := ParseObject([]byte(content))
 	if failure != nil {
 		t.Fatal(content, failure)
 	}
@@ -31,7 +31,7 @@
 
 func parsed(t *testing.T, content string) *Document {
 	t.Helper()
-	made, failure := FromTree(tree(t, content))
+	made, failure := FromObject(tree(t, content))
 	if failure != nil {
 		t.Fatal(failure)
 	}
@@ -87,7 +87,7 @@
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		held := model(drawnObject(random, 5))
-		document, failure := FromTree(held)
+		document, failure := FromObject(held)
 		if failure != nil {
 			t.Fatal(failure)
 		}
@@ -103,7 +103,7 @@
 				t.Fatalf("seed %d: after %s: got %s, want %s", seed, text(t, patch), document.JSON(), text(t, held))
 			}
 		}
-		whole, failure := FromTree(held)
+		whole, failure := FromObject(held)
 		if failure != nil || whole.Digest() != document.Digest() || whole.Size() != document.Size() || whole.Len() != document.Len() {
 			t.Fatalf("seed %d: the same content made in another way has another digest or size: %v", seed, failure)
 		}
@@ -113,7 +113,7 @@
 func TestWhatIsWrittenIsReadBack(t *testing.T) {
 	for seed := range uint64(1000) {
 		random := rand.New(rand.NewPCG(seed, 2))
-		made, failure := FromTree(drawnObject(random, 5))
+		made, failure := FromObject(drawnObject(random, 5))
 		if failure != nil {
 			t.Fatal(failure)
 		}
@@ -130,8 +130,8 @@
 func TestDifferencesAndReplacements(t *testing.T) {
 	for seed := range uint64(1000) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		former, _ := FromTree(drawnObject(random, 5))
-		next, _ := FromTree(drawnObject(random, 5))
+		former, _ := FromObject(drawnObject(random, 5))
+		next, _ := FromObject(drawnObject(random, 5))
 		if made := former.Apply(Diff(former, next)); made.Digest() != next.Digest() || text(t, made) != text(t, next) {
 			t.Fatalf("seed %d: %s and %s give %s", seed, text(t, former), text(t, next), text(t, made))
 		}
--- a/document/merge.go
+++ b/document/merge.go
@@ -74,7 +74,7 @@
 func (document *Document) mergePart(change *Change, pointer string, value any) error {
 	held, there := document.Part(pointer)
 	if object, isObject := value.(map[string]any); isObject {
-		former, failure := Tree([]byte(held))
+		former, failure := ParseObject([]byte(held))
 		if !there || failure != nil {
 			former = nil
 		}
@@ -99,7 +99,7 @@
 	for place := len(names) - 2; place >= 0; place-- {
 		tree = map[string]any{names[place]: tree}
 	}
-	next, failure := FromTree(tree)
+	next, failure := FromObject(tree)
 	if failure != nil {
 		return Change{}, failure
 	}
--- a/document/tree.go
+++ b/document/tree.go
@@ -13,7 +13,7 @@
 const deepest = 32
 
 // Tree reads one JSON object: duplicate keys, trailing data and too deep nesting are refused, numbers stay exact.
-func Tree(content []byte) (map[string]any, error) {
+func ParseObject(content []byte) (map[string]any, error) {
 	decoder := jsontext.NewDecoder(bytes.NewBuffer(content), jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
 	value, err := branch(decoder, nil)
 	if err != nil {
--- a/emulator/found_test.go
+++ b/emulator/found_test.go
@@ -44,8 +44,8 @@
 		It("a server that was doubted is tried again after a trial that ended as "+string(outcome), func() {
 			settings := env.Env{Region: "near", Zone: "a", Gateway: env.Gateway{Contact: 4 * time.Second, RepeatWindow: 10 * time.Second, RepeatRatio: 0.2, RepeatAllowance: 64}}
 			traffic := gateway.NewTraffic(settings, rand.New(rand.NewPCG(1, 1)))
-			route := manifest.GatewayRoute{Name: "a", Host: "h", Prefix: "/", Kind: manifest.KindMutating, Timeout: 8 * time.Second, Aim: time.Second, Attempts: 1,
-				Split: []manifest.Share{{Service: "s", Weight: 1}}}
+			route := manifest.GatewayRoute{Name: "a", Host: "h", Prefix: "/", Kind: manifest.KindMutating, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxAttempts: 1,
+				Split: []manifest.WeightedService{{Service: "s", Weight: 1}}}
 			read := manifest.Manifest{Gateway: manifest.Gateway{Revision: 1, Routes: manifest.Routes{}.With(route), Services: map[string]manifest.Service{"s": {}}}}
 			traffic.Handle(0, gateway.Configured{Manifest: read})
 			traffic.Handle(0, gateway.Listed{Region: "near", Servers: []contract.Candidate{{Name: "one", Pool: "s", Zone: "a", Slots: 100}, {Name: "two", Pool: "s", Zone: "a", Slots: 100}}})
--- a/env/env.go
+++ b/env/env.go
@@ -115,14 +115,14 @@
 }
 
 func Parse(content []byte) (Env, error) {
-	tree, err := manifest.Tree(content)
+	tree, err := manifest.ParseObject(content)
 	if err != nil {
 		return Env{}, eris.Wrap(err, "settings")
 	}
 	reader := manifest.NewReader(tree)
 	settings := New()
 	known := []string{"name", "zone", "region", "control", "data", "seeds", "folder", "platform", "coreSize", "bounds"}
-	reader.Only("", known...)
+	reader.AllowOnly("", known...)
 	settings.Name = reader.Text("name", "")
 	settings.Zone = reader.Text("zone", "")
 	settings.Region = reader.Text("region", "")
@@ -154,7 +154,7 @@
 		*field.target = reader.Number("bounds."+field.name, *field.target, field.least, field.top)
 		names = append(names, field.name)
 	}
-	reader.Only("bounds", names...)
+	reader.AllowOnly("bounds", names...)
 }
 
 func (settings Env) Check() error {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -51,7 +51,7 @@
 	for _, option := range options {
 		option(fleet)
 	}
-	read, err := manifest.Read(described.Manifest)
+	read, err := manifest.Parse(described.Manifest)
 	if err != nil {
 		panic(err)
 	}
--- a/fleet/readback.go
+++ b/fleet/readback.go
@@ -34,7 +34,7 @@
 			digest = fmt.Sprintf("status %d", answer.Status)
 		}
 		fleet.Ledger.ReadBack(revision, digest, fleet.World.Now)
-		if tree, err := manifest.Tree(version.Document().JSON()); err == nil && answer.Status == 200 {
+		if tree, err := manifest.ParseObject(version.Document().JSON()); err == nil && answer.Status == 200 {
 			trees[revision] = tree
 		}
 	}
@@ -73,7 +73,7 @@
 	case contract.VerbScale:
 		return under("pools", "scale", json.Number(strings.TrimSpace(string(ask.Body))))
 	}
-	tree, _ := manifest.Tree(ask.Body)
+	tree, _ := manifest.ParseObject(ask.Body)
 	return tree
 }
 
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -98,7 +98,7 @@
 
 	// bearing has short calls of the east bear no longer pause than a gap.
 	bearing := func(bench *bench, gap time.Duration) {
-		bench.note(bench.now, &job{service: "s", route: manifest.GatewayRoute{Aim: 800 * time.Millisecond, Gap: gap}}, "east", false)
+		bench.note(bench.now, &job{service: "s", route: manifest.GatewayRoute{LatencyTarget: 800 * time.Millisecond, TokenGap: gap}}, "east", false)
 	}
 
 	DescribeTable("given short calls that bear a pause, when a prompt that takes 280 ms to read is new beside them, then it goes to the region without short ones unless they bear it", func(gap time.Duration, own int) {
@@ -146,7 +146,7 @@
 		bearing(bench, 400*time.Millisecond)
 		bench.Handle(bench.now, config(func(read *manifest.Manifest) {
 			engines(read)
-			changeRoute("stream", func(route *manifest.GatewayRoute) { route.Regions = []string{"east"} })(read)
+			changeRoute("stream", func(route *manifest.GatewayRoute) { route.AllowedRegions = []string{"east"} })(read)
 		}))
 		own, others := offered(bench)
 		Expect(own).To(HaveLen(4))
--- a/gateway/cache_test.go
+++ b/gateway/cache_test.go
@@ -10,7 +10,7 @@
 
 // engines makes every server of the service a model server that keeps prompts.
 func engines(read *manifest.Manifest) {
-	read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, Stride: 5}}
+	read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, TokensPerStep: 5}}
 }
 
 func contractText(own string) engine.Prompt {
--- a/gateway/condition_test.go
+++ b/gateway/condition_test.go
@@ -12,7 +12,7 @@
 
 // warming lets the servers of the service begin cold.
 func warming(read *manifest.Manifest) {
-	read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
+	read.Gateway.Services["s"] = manifest.Service{WarmupDuration: 3 * time.Second, WarmupRate: 10}
 }
 
 // told gives the list of servers a and b, with what it says of a.
--- a/gateway/cost_test.go
+++ b/gateway/cost_test.go
@@ -24,7 +24,7 @@
 }
 
 func read(b *testing.B, routes int, warmup bool) manifest.Manifest {
-	read, failure := manifest.Read(planned.Fleet{Routes: routes, Warmup: warmup}.Configuration())
+	read, failure := manifest.Parse(planned.Fleet{Routes: routes, Warmup: warmup}.Configuration())
 	if failure != nil {
 		b.Fatal(failure)
 	}
--- a/gateway/flow.go
+++ b/gateway/flow.go
@@ -71,11 +71,11 @@
 	chosen, wait := traffic.pick(now, work)
 	if chosen == nil {
 		traffic.drop(work)
-		return one(traffic.later(work.Token, work.route.Aim, "no server can take it now"))
+		return one(traffic.later(work.Token, work.route.LatencyTarget, "no server can take it now"))
 	}
 	if wait > work.ends-now {
 		traffic.drop(work)
-		return one(traffic.later(work.Token, work.route.Aim, "no server can answer it in time"))
+		return one(traffic.later(work.Token, work.route.LatencyTarget, "no server can answer it in time"))
 	}
 	return one(traffic.send(now, work, chosen))
 }
@@ -195,7 +195,7 @@
 // of which nothing was sent, that is one more attempt, and the budget is used only when there is a server.
 func (traffic *Traffic) elsewhere(now time.Duration, work *job, former *server, free bool) (sent []contract.Command, none bool) {
 	work.avoid[former.Name] = true
-	if !free && work.sent >= work.route.Attempts {
+	if !free && work.sent >= work.route.MaxAttempts {
 		return nil, false
 	}
 	chosen, wait := traffic.pick(now, work)
@@ -279,5 +279,5 @@
 	if work.begun || event.Outcome == Broken && !none {
 		return one(Fail{Token: work.Token, Status: 502, Reason: event.Reason})
 	}
-	return one(traffic.later(work.Token, work.route.Aim, event.Reason))
+	return one(traffic.later(work.Token, work.route.LatencyTarget, event.Reason))
 }
--- a/gateway/flow_test.go
+++ b/gateway/flow_test.go
@@ -10,7 +10,7 @@
 
 var _ = Describe("a call whose server did not get it", func() {
 	It("given nothing was sent, when it ends, then another server gets it, within one attempt", func() {
-		bench := started(changeRoute("write", func(route *manifest.GatewayRoute) { route.Attempts = 1 }), eastList("a", "b"))
+		bench := started(changeRoute("write", func(route *manifest.GatewayRoute) { route.MaxAttempts = 1 }), eastList("a", "b"))
 		first := bench.sent("/write/x")
 		second := dispatched(bench.ends(first, Unsent))
 		Expect(second.Server.Name).NotTo(Equal(first.Server.Name))
@@ -57,7 +57,7 @@
 		})
 
 		It("given one attempt, when a server says "+string(outcome)+", then the call is refused with a time to come back", func() {
-			bench := started(changeRoute("write", func(route *manifest.GatewayRoute) { route.Attempts = 1 }), eastList("a", "b"))
+			bench := started(changeRoute("write", func(route *manifest.GatewayRoute) { route.MaxAttempts = 1 }), eastList("a", "b"))
 			refusal := refused(bench.ends(bench.sent("/write/x"), outcome))
 			Expect(refusal.Status).To(Equal(503))
 			Expect(refusal.After).To(BeNumerically(">", 0))
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -42,7 +42,7 @@
 		if server.moved || work.avoid[server.Name] || traffic.read.Drained(server.Zone) || server.own >= most || traffic.closed(now, server, resting && len(work.avoid) == 0) {
 			continue
 		}
-		if len(work.route.Regions) > 0 && !slices.Contains(work.route.Regions, server.region) {
+		if len(work.route.AllowedRegions) > 0 && !slices.Contains(work.route.AllowedRegions, server.region) {
 			continue
 		}
 		if !resting && (now < server.until || server.trial || traffic.rests(now, server)) {
@@ -181,7 +181,7 @@
 
 // patience is how long nothing may come before the server is doubted.
 func (traffic *Traffic) patience(now time.Duration, work *job) time.Duration {
-	usual := max(work.route.Aim, traffic.terms.Contact/8)
+	usual := max(work.route.LatencyTarget, traffic.terms.Contact/8)
 	return min(max(usual, traffic.readTime(work.service, work.unread)*2), max(time.Millisecond, work.ends-now))
 }
 
@@ -202,10 +202,10 @@
 
 // connections is this node's part of what a server takes from all callers together.
 func (traffic *Traffic) connections(service manifest.Service) int64 {
-	if service.Connections <= 0 {
+	if service.MaxConnections <= 0 {
 		return 1 << 20
 	}
-	return max(2, service.Connections*9/10/int64(traffic.nodes()))
+	return max(2, service.MaxConnections*9/10/int64(traffic.nodes()))
 }
 
 func (traffic *Traffic) priority(work *job) int {
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -60,7 +60,7 @@
 }
 
 func keyOf(work *job) index.Key {
-	return index.Key{Scope: work.service + "\x00" + strings.Join(work.route.Regions, ","), Anchor: work.Prompt.Anchor()}
+	return index.Key{Scope: work.service + "\x00" + strings.Join(work.route.AllowedRegions, ","), Anchor: work.Prompt.Anchor()}
 }
 
 // place gives the question that a call with a long shared prompt has to ask before it is sent, if any.
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -272,7 +272,7 @@
 	It("given a route that is bound to its home, when its calls share a prompt with others, then they have a place of their own", func() {
 		bench := indexed(func(read *manifest.Manifest) {
 			engines(read)
-			changeRoute("resumed", func(route *manifest.GatewayRoute) { route.Regions = []string{"east"} })(read)
+			changeRoute("resumed", func(route *manifest.GatewayRoute) { route.AllowedRegions = []string{"east"} })(read)
 		})
 		bench.Handle(bench.now, listOf("west", candidate("w1", "west-a"), candidate("w2", "west-a")))
 		free := askedFor(bench.long("one"))
--- a/gateway/sizes.go
+++ b/gateway/sizes.go
@@ -106,10 +106,10 @@
 
 // bears gives the longest time without a piece that a call bears: its first one has an aim, the later ones a gap.
 func bears(work *job) time.Duration {
-	if work.route.Gap > 0 && (work.route.Aim == 0 || work.route.Gap < work.route.Aim) {
-		return work.route.Gap
+	if work.route.TokenGap > 0 && (work.route.LatencyTarget == 0 || work.route.TokenGap < work.route.LatencyTarget) {
+		return work.route.TokenGap
 	}
-	return work.route.Aim
+	return work.route.LatencyTarget
 }
 
 // disturbs tells whether reading a prompt takes more of a server than the short calls that go to its region bear.
--- a/gateway/suite_test.go
+++ b/gateway/suite_test.go
@@ -43,8 +43,8 @@
 		Gateway: manifest.Gateway{Revision: 1, Services: map[string]manifest.Service{"s": {}}}}
 	for _, route := range []manifest.GatewayRoute{{Name: "read", Kind: manifest.KindReadOnly}, {Name: "write", Kind: manifest.KindMutating},
 		{Name: "stream", Kind: manifest.KindStreaming}, {Name: "resumed", Kind: manifest.KindStreaming, Resumable: true}} {
-		route.Host, route.Prefix, route.Timeout, route.Aim, route.Attempts = "h.example", "/"+route.Name+"/", 8*time.Second, time.Second, 3
-		route.Split = []manifest.Share{{Service: "s", Weight: 1}}
+		route.Host, route.Prefix, route.Timeout, route.LatencyTarget, route.MaxAttempts = "h.example", "/"+route.Name+"/", 8*time.Second, time.Second, 3
+		route.Split = []manifest.WeightedService{{Service: "s", Weight: 1}}
 		read.Gateway.Routes = read.Gateway.Routes.With(route)
 	}
 	if change != nil {
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -19,7 +19,7 @@
 func (traffic *Traffic) tenantOf(route manifest.GatewayRoute, key *manifest.KeyDigest) (manifest.Tenant, bool) {
 	tenants := traffic.read.Gateway.Tenants
 	if key != nil {
-		if tenant, held := tenants.Holder(*key); held {
+		if tenant, held := tenants.ByKey(*key); held {
 			return tenant, true
 		}
 	}
@@ -46,11 +46,11 @@
 	if !known {
 		return nil, &Refuse{Token: event.Token, Status: statusNoTenant, Reason: "no tenant holds the key"}
 	}
-	regions, allowed := boundTo(route.Regions, tenant.Regions)
+	regions, allowed := boundTo(route.AllowedRegions, tenant.AllowedRegions)
 	if !allowed {
 		return nil, &Refuse{Token: event.Token, Status: statusNoRegion, Reason: "no region is allowed by both route and tenant"}
 	}
-	route.Regions = regions
+	route.AllowedRegions = regions
 	left := event.Left
 	if left <= 0 || left > route.Timeout {
 		left = route.Timeout
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -145,7 +145,7 @@
 }
 
 func (traffic *Traffic) warmup(server *server) time.Duration {
-	return traffic.read.Gateway.Services[server.Pool].Warmup
+	return traffic.read.Gateway.Services[server.Pool].WarmupDuration
 }
 
 // doubt takes a server for cold that may have begun anew, unless the servers of its service are never cold.
--- a/gateway/traffic_test.go
+++ b/gateway/traffic_test.go
@@ -72,7 +72,7 @@
 		split := func(read *manifest.Manifest) {
 			read.Gateway.Services["t"], read.Gateway.Services["u"] = manifest.Service{}, manifest.Service{}
 			changeRoute("read", func(route *manifest.GatewayRoute) {
-				route.Split = []manifest.Share{{Service: "s", Weight: 75}, {Service: "t", Weight: 25}, {Service: "u", Weight: 0}}
+				route.Split = []manifest.WeightedService{{Service: "s", Weight: 75}, {Service: "t", Weight: 25}, {Service: "u", Weight: 0}}
 			})(read)
 		}
 		servers := []contract.Candidate{}
@@ -94,12 +94,12 @@
 
 var _ = Describe("the pick of a server", func() {
 	engines := func(read *manifest.Manifest) {
-		read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 16, Tokens: 200000, Stride: 1}}
+		read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 16, Tokens: 200000, TokensPerStep: 1}}
 	}
 	west := listOf("west", candidate("w1", "west-a"), candidate("w2", "west-a"))
 
 	It("given a route with homes, when no server there can take it, then it is refused rather than sent abroad", func() {
-		bench := started(changeRoute("read", func(route *manifest.GatewayRoute) { route.Regions = []string{"east"} }), eastList("a", "b"), west)
+		bench := started(changeRoute("read", func(route *manifest.GatewayRoute) { route.AllowedRegions = []string{"east"} }), eastList("a", "b"), west)
 		for range 200 {
 			command := bench.asked("/read/x", nil)
 			for _, outcome := range []Outcome{Broken, Unsent, NotRun} {
@@ -130,7 +130,7 @@
 	It("given a drain that is withdrawn, when calls press, then the zone's cold servers get no more than their bound", func() {
 		cold := func(drained bool) Configured {
 			return config(func(read *manifest.Manifest) {
-				read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
+				read.Gateway.Services["s"] = manifest.Service{WarmupDuration: 3 * time.Second, WarmupRate: 10}
 				read.Zones["east-a"] = manifest.Zone{Region: "east", Drained: drained}
 			})
 		}
@@ -142,7 +142,7 @@
 
 	It("given a server that is new on the list, when calls press, then it gets no more than its bound and is not left alone", func() {
 		bench := started(func(read *manifest.Manifest) {
-			read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
+			read.Gateway.Services["s"] = manifest.Service{WarmupDuration: 3 * time.Second, WarmupRate: 10}
 		}, eastList())
 		bench.Handle(bench.now, eastList("a"))
 		count := pressed(bench, time.Second)
@@ -152,7 +152,7 @@
 
 	It("given a server that says it is warming, when calls press, then it gets no more than its bound", func() {
 		bench := started(func(read *manifest.Manifest) {
-			read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
+			read.Gateway.Services["s"] = manifest.Service{WarmupDuration: 3 * time.Second, WarmupRate: 10}
 		})
 		warming := candidate("a", "east-a")
 		warming.WarmMs = 2000
@@ -167,7 +167,7 @@
 	})
 
 	It("given servers with a bound of connections, when calls press, then this node's part of it holds", func() {
-		bench := started(func(read *manifest.Manifest) { read.Gateway.Services["s"] = manifest.Service{Connections: 100} }, eastList("a", "b"))
+		bench := started(func(read *manifest.Manifest) { read.Gateway.Services["s"] = manifest.Service{MaxConnections: 100} }, eastList("a", "b"))
 		bench.Handle(bench.now, Fleet{Self: "node000-data", Names: fleetOf(10)})
 		sent := map[string]int{}
 		for range 100 {
--- a/listing/platform.go
+++ b/listing/platform.go
@@ -15,7 +15,7 @@
 // ReadListing refuses whatever is not a whole, well-formed listing: a broken one is never an empty one.
 func ReadListing(content []byte, region string) (contract.Listing, error) {
 	listing := contract.Listing{}
-	tree, err := manifest.Tree(content)
+	tree, err := manifest.ParseObject(content)
 	if err != nil {
 		return listing, eris.Wrap(err, "listing")
 	}
@@ -32,13 +32,13 @@
 		}
 		reader := manifest.NewReader(row)
 		for _, must := range []string{"name", "address", "zone", "pool", "incarnation"} {
-			reader.Must(must)
+			reader.Require(must)
 		}
 		server := contract.ServerRow{Name: reader.Text("name", ""), Address: reader.Text("address", ""), Region: region,
 			Zone: reader.Text("zone", ""), Pool: reader.Text("pool", ""), Incarnation: reader.Text("incarnation", ""),
-			Leaving: reader.Truth("leaving"), Unloaded: reader.Truth("unloaded"), RemainingMs: reader.Number("remainingMs", 0, 0, 1<<40)}
+			Leaving: reader.Bool("leaving"), Unloaded: reader.Bool("unloaded"), RemainingMs: reader.Number("remainingMs", 0, 0, 1<<40)}
 		if names[server.Name] || server.Name == "" {
-			reader.Wrong("name", "%q is empty or listed twice", server.Name)
+			reader.Errorf("name", "%q is empty or listed twice", server.Name)
 		}
 		names[server.Name] = true
 		if err := reader.Err(); err != nil {
@@ -52,12 +52,12 @@
 // ReadReport gives a report only when every figure in it is there; a partial one comes back as not complete.
 func ReadReport(content []byte, server string) (contract.Report, error) {
 	report := contract.Report{Server: server}
-	tree, err := manifest.Tree(content)
+	tree, err := manifest.ParseObject(content)
 	if err != nil {
 		return report, eris.Wrap(err, "report")
 	}
 	reader := manifest.NewReader(tree)
-	reader.Must("incarnation")
+	reader.Require("incarnation")
 	report.Incarnation = reader.Text("incarnation", "")
 	report.Number = reader.Number("number", 0, 0, 1<<60)
 	report.Running = reader.Number("running", 0, 0, 1<<30)
@@ -67,14 +67,14 @@
 	if len(report.Prefixes) > mostPrefixes {
 		report.Prefixes = report.Prefixes[:mostPrefixes]
 	}
-	report.Complete = reader.Truth("complete")
+	report.Complete = reader.Bool("complete")
 	for _, field := range []string{"number", "running", "waiting", "ageMs"} {
 		if _, there := tree[field].(json.Number); !there {
 			report.Complete = false
 		}
 	}
 	if tree["server"] != server {
-		reader.Wrong("server", "another server's report")
+		reader.Errorf("server", "another server's report")
 	}
 	return report, reader.Err()
 }
--- a/manifest/document.go
+++ b/manifest/document.go
@@ -8,40 +8,41 @@
 	"github.com/rotisserie/eris"
 )
 
+// JSON Pointers of the parts of the gateway section that are read one by one.
 const (
-	revisionPart   = "/gateway/revision"
-	routePrefix    = "/gateway/routes/"
-	servicesPrefix = "/gateway/services/"
-	tenantPrefix   = "/gateway/tenants/"
-	// morePart is what the gateway section carries without knowing it.
-	morePart = "/gateway/more"
+	revisionPointer = "/gateway/revision"
+	routePrefix     = "/gateway/routes/"
+	servicePrefix   = "/gateway/services/"
+	tenantPrefix    = "/gateway/tenants/"
+	// extraPointer holds the fields of a platform's configuration that have no counterpart here. They are stored and given back unread.
+	extraPointer = "/gateway/more"
 )
 
-// FromDocument reads and checks a whole document and gives every error at once.
+// FromDocument reads and validates a whole document. The error lists everything that is wrong, with paths.
 func FromDocument(content *document.Document) (Manifest, error) {
-	reader := headReader(content)
-	read := reader.readHead()
+	reader := baseReader(content)
+	manifest := reader.readBase()
 	content.Under(routePrefix, func(pointer, value string) bool {
-		read.Gateway.Routes = reader.addRoute(read.Gateway, pointer, value)
+		manifest.Gateway.Routes = reader.addRoute(manifest.Gateway, pointer, value)
 		return false
 	})
 	content.Under(tenantPrefix, func(pointer, value string) bool {
-		read.Gateway.Tenants = reader.addTenant(read.Gateway.Tenants, pointer, value)
+		manifest.Gateway.Tenants = reader.addTenant(manifest.Gateway.Tenants, pointer, value)
 		return false
 	})
-	return read, reader.Err()
+	return manifest, reader.Err()
 }
 
-// Next gives the manifest that a change made of this one; content is the document with the change. Only what the change touches is read
-// again and checked; this manifest has to be that of the document before.
-func (read Manifest) Next(content *document.Document, change document.Change) (Manifest, error) {
-	reader, next := NewReader(nil), read
-	touched := touchedBy(change)
+// Next returns the manifest after a change. It must be called on the manifest of the document before the change; content is the document
+// after it. Only what the change touches is read and validated again.
+func (manifest Manifest) Next(content *document.Document, change document.Change) (Manifest, error) {
+	reader, next := NewReader(nil), manifest
+	touched := scopeOf(change)
 	switch {
-	case touched.head:
-		reader = headReader(content)
-		next = reader.readHead()
-		next.Gateway.Routes, next.Gateway.Tenants = read.Gateway.Routes, read.Gateway.Tenants
+	case touched.base:
+		reader = baseReader(content)
+		next = reader.readBase()
+		next.Gateway.Routes, next.Gateway.Tenants = manifest.Gateway.Routes, manifest.Gateway.Tenants
 	case touched.revision:
 		next.Gateway.Revision = reader.revision(content)
 	}
@@ -49,192 +50,195 @@
 		next.Gateway.Routes = next.Gateway.Routes.Without(itemName(pointer, routePrefix))
 	}
 	for _, pointer := range touched.routes {
-		if value, there := content.Part(pointer); there {
+		if value, found := content.Part(pointer); found {
 			next.Gateway.Routes = reader.addRoute(next.Gateway, pointer, value)
 		}
 	}
-	next.Gateway.Tenants = reader.nextTenants(next.Gateway.Tenants, content, touched.tenants)
+	next.Gateway.Tenants = reader.updateTenants(next.Gateway.Tenants, content, touched.tenants)
 	if touched.services {
 		reader.checkServices(next.Gateway)
 	}
 	return next, reader.Err()
 }
 
-// nextTenants reads the tenants that a change touches. All of them go first, so that a key may move from one to another.
-func (reader *Reader) nextTenants(tenants Tenants, content *document.Document, pointers []string) Tenants {
+// updateTenants reads the tenants that a change touches. All of them are removed first, so that a key may move from one to another.
+func (reader *Reader) updateTenants(tenants Tenants, content *document.Document, pointers []string) Tenants {
 	for _, pointer := range pointers {
 		tenants = tenants.Without(itemName(pointer, tenantPrefix))
 	}
 	for _, pointer := range pointers {
-		if value, there := content.Part(pointer); there {
+		if value, found := content.Part(pointer); found {
 			tenants = reader.addTenant(tenants, pointer, value)
 		}
 	}
 	return tenants
 }
 
-// touched is what a change touches: routes and tenants by their pointers, the gateway's revision, services, or anything else.
-type touched struct {
-	head, revision, services bool
+// changeScope is what a change touches: routes and tenants by their pointers, the gateway's revision, its services, or, as base, anything
+// other than routes, tenants and the revision.
+type changeScope struct {
+	base, revision, services bool
 	routes, tenants          []string
 }
 
-func touchedBy(change document.Change) touched {
-	found := touched{}
+func scopeOf(change document.Change) changeScope {
+	found := changeScope{}
 	for _, pointer := range change.Pointers() {
 		switch {
 		case strings.HasPrefix(pointer, routePrefix):
 			found.routes = append(found.routes, pointer)
 		case strings.HasPrefix(pointer, tenantPrefix):
 			found.tenants = append(found.tenants, pointer)
-		case pointer == revisionPart:
+		case pointer == revisionPointer:
 			found.revision = true
 		default:
-			found.head = true
-			found.services = found.services || strings.HasPrefix(pointer, servicesPrefix)
+			found.base = true
+			found.services = found.services || strings.HasPrefix(pointer, servicePrefix)
 		}
 	}
 	return found
 }
 
-// itemName gives the name of a route or tenant whose part has a pointer under a prefix.
+// itemName returns the name of the route or tenant that a pointer under a prefix refers to.
 func itemName(pointer, prefix string) string {
 	return document.Unescape(strings.TrimPrefix(pointer, prefix))
 }
 
-// afterAll gives the least name that comes after all that begin with a prefix, which ends with a slash.
-func afterAll(prefix string) string { return strings.TrimSuffix(prefix, "/") + "0" }
+// prefixEnd returns the least pointer that sorts after all pointers with a prefix that ends with a slash: "0" follows "/" in ASCII.
+func prefixEnd(prefix string) string { return strings.TrimSuffix(prefix, "/") + "0" }
 
-// headReader reads a document without its gateway's routes and tenants; what makes it no object shows as an error there.
-func headReader(content *document.Document) *Reader {
-	head := content.Without(routePrefix, afterAll(routePrefix)).Without(tenantPrefix, afterAll(tenantPrefix))
-	tree, failure := Tree(head.JSON())
+// baseReader returns a reader of a document without its gateway's routes and tenants. A document that is not an object adds an error.
+func baseReader(content *document.Document) *Reader {
+	head := content.Without(routePrefix, prefixEnd(routePrefix)).Without(tenantPrefix, prefixEnd(tenantPrefix))
+	tree, err := ParseObject(head.JSON())
 	reader := NewReader(tree)
-	if failure != nil {
-		reader.Wrong("", "%s", failure)
+	if err != nil {
+		reader.Errorf("", "%s", err)
 	}
 	return reader
 }
 
-// item gives a reader of one route or tenant, or false where its part is no object.
-func (reader *Reader) item(kind, name, value string) (*Reader, bool) {
-	under := &Reader{prefix: "gateway." + kind + "." + name, errs: reader.errs}
+// itemReader returns a reader of one route or tenant, or false if its value is not an object.
+func (reader *Reader) itemReader(kind, name, value string) (*Reader, bool) {
+	nested := &Reader{prefix: "gateway." + kind + "." + name, errs: reader.errs}
 	if !validName(name) {
-		under.Wrong("", "%s", nameRule)
+		nested.Errorf("", "%s", invalidName)
 	}
-	tree, failure := Tree([]byte(value))
-	if failure != nil {
-		under.Wrong("", "want an object")
+	tree, err := ParseObject([]byte(value))
+	if err != nil {
+		nested.Errorf("", "want an object")
 		return nil, false
 	}
-	under.tree = tree
-	return under, true
+	nested.tree = tree
+	return nested, true
 }
 
-// addRoute reads one route and gives a gateway's routes with it.
+// addRoute reads one route and returns the gateway's routes with it. A route whose host and prefix are in use is an error and left out.
 func (reader *Reader) addRoute(gateway Gateway, pointer, value string) Routes {
 	name := itemName(pointer, routePrefix)
-	under, fine := reader.item("routes", name, value)
-	if !fine {
+	routeReader, ok := reader.itemReader("routes", name, value)
+	if !ok {
 		return gateway.Routes
 	}
-	route := under.gatewayRoute(name, gateway.Services)
-	if other, double := gateway.Routes.taken(route); double {
-		under.Wrong("prefix", "route %q has the same host and prefix", other)
+	route := routeReader.gatewayRoute(name, gateway.Services)
+	if other, conflict := gateway.Routes.matchConflict(route); conflict {
+		routeReader.Errorf("prefix", "route %q has the same host and prefix", other)
 		return gateway.Routes
 	}
 	return gateway.Routes.With(route)
 }
 
-// addTenant reads one tenant and gives tenants with it.
+// addTenant reads one tenant and returns the tenants with it. A tenant with a key of another one is an error and left out.
 func (reader *Reader) addTenant(tenants Tenants, pointer, value string) Tenants {
 	name := itemName(pointer, tenantPrefix)
-	under, fine := reader.item("tenants", name, value)
-	if !fine {
+	tenantReader, ok := reader.itemReader("tenants", name, value)
+	if !ok {
 		return tenants
 	}
-	tenant := under.tenant(name)
-	if other, shared := tenants.sharer(tenant); shared {
-		under.Wrong("keys", "tenant %q has the same key", other)
+	tenant := tenantReader.tenant(name)
+	if other, conflict := tenants.keyConflict(tenant); conflict {
+		tenantReader.Errorf("keys", "tenant %q has the same key", other)
 		return tenants
 	}
 	return tenants.With(tenant)
 }
 
-// checkServices wants every service that a route names to be there.
+// checkServices adds an error for each route that names an unknown service.
 func (reader *Reader) checkServices(gateway Gateway) {
 	gateway.Routes.All(func(route GatewayRoute) bool {
 		for _, share := range route.Split {
-			if _, there := gateway.Services[share.Service]; !there {
-				reader.Wrong("gateway.routes."+route.Name, "no such service %q", share.Service)
+			if _, found := gateway.Services[share.Service]; !found {
+				reader.Errorf("gateway.routes."+route.Name, "no such service %q", share.Service)
 			}
 		}
 		return false
 	})
 }
 
-// revision reads the operators' own revision number of a document's gateway section, 0 without one.
+// revision reads the operators' own revision number of a document's gateway section, or 0 if it has none.
 func (reader *Reader) revision(content *document.Document) int64 {
-	value, there := content.Part(revisionPart)
-	if !there {
+	value, found := content.Part(revisionPointer)
+	if !found {
 		return 0
 	}
-	under := &Reader{prefix: "gateway", errs: reader.errs}
-	tree, failure := Tree([]byte(`{"revision":` + value + `}`))
-	if failure != nil {
-		under.Wrong("revision", "%s", failure)
+	sectionReader := &Reader{prefix: "gateway", errs: reader.errs}
+	tree, err := ParseObject([]byte(`{"revision":` + value + `}`))
+	if err != nil {
+		sectionReader.Errorf("revision", "%s", err)
 		return 0
 	}
-	under.tree = tree
-	return under.Number("revision", 0, 0, mostWhole)
+	sectionReader.tree = tree
+	return sectionReader.Number("revision", 0, 0, maxInteger)
 }
 
-// GatewayRevision gives the operators' own revision number of a document's gateway section, or 0.
+// GatewayRevision returns the operators' own revision number of a document's gateway section, or 0 if it has none or an invalid one.
 func GatewayRevision(content *document.Document) int64 { return NewReader(nil).revision(content) }
 
-// GatewayChange gives the change that an operator's change of the gateway section makes of a document: the whole section of the order,
-// or the former one with the items of "upsert" put in, each whole but in the place of the one that it replaces, and those that "remove"
-// names taken out. The rest of a first order is kept, later ones only add to it.
-func GatewayChange(former *document.Document, order map[string]any, whole bool) (document.Change, error) {
+// GatewayChange returns the change that an operator's order makes to a document. With replaceAll the order's gateway section replaces the
+// former one. Otherwise the items under "upsert" are inserted, each as a whole and at the list position of the item that it replaces, and
+// those named under "remove" are deleted. Top-level members of the order other than "gateway" are only added where the document lacks them.
+func GatewayChange(former *document.Document, order map[string]any, replaceAll bool) (document.Change, error) {
 	change := document.Change{}
 	for name, value := range order {
 		if name == "gateway" || former.Has(document.Pointer(name)) {
 			continue
 		}
-		part, failure := former.Replace(value, name)
-		if failure != nil {
-			return change, failure
+		part, err := former.Replace(value, name)
+		if err != nil {
+			return change, err
 		}
 		change.Join(part)
 	}
-	section, fine := order["gateway"].(map[string]any)
-	if !fine {
+	section, ok := order["gateway"].(map[string]any)
+	if !ok {
 		return change, eris.New("gateway: want an object")
 	}
-	part, failure := document.Change{}, error(nil)
-	if whole {
-		part, failure = former.Replace(section, "gateway")
+	part, err := document.Change{}, error(nil)
+	if replaceAll {
+		part, err = former.Replace(section, "gateway")
 	} else {
-		part, failure = updateGateway(former, section)
+		part, err = updateGateway(former, section)
 	}
 	change.Join(part)
-	return change, failure
+	return change, err
 }
 
-const moreName = "more"
+// extraField is the field of the gateway section, and of "upsert" and "remove", under extraPointer.
+const extraField = "more"
 
 // itemKinds are the kinds of named items of a gateway section.
 var itemKinds = []string{"routes", "services", "tenants"}
 
+// updateGateway returns the change that the "upsert" and "remove" objects of an order make to the gateway section.
 func updateGateway(former *document.Document, section map[string]any) (document.Change, error) {
 	change := document.Change{}
 	replace := func(value any, names ...string) error {
-		part, failure := former.Replace(value, names...)
+		part, err := former.Replace(value, names...)
 		change.Join(part)
-		return failure
+		return err
 	}
-	if failure := replace(section["revision"], "gateway", "revision"); failure != nil {
-		return change, failure
+	if err := replace(section["revision"], "gateway", "revision"); err != nil {
+		return change, err
 	}
 	upsert, _ := section["upsert"].(map[string]any)
 	remove, _ := section["remove"].(map[string]any)
@@ -245,56 +249,56 @@
 		change.Join(removed)
 		added, _ := upsert[kind].(map[string]any)
 		for name, item := range added {
-			item = placed(item, rest, document.Pointer("gateway", kind, name))
-			part, failure := rest.Replace(item, "gateway", kind, name)
-			if failure != nil {
-				return change, failure
+			item = withFormerPosition(item, rest, document.Pointer("gateway", kind, name))
+			part, err := rest.Replace(item, "gateway", kind, name)
+			if err != nil {
+				return change, err
 			}
 			change.Join(part)
 		}
 	}
 	for name, value := range upsert {
-		if slices.Contains(itemKinds, name) || name == moreName {
+		if slices.Contains(itemKinds, name) || name == extraField {
 			continue
 		}
-		if failure := replace(value, "gateway", name); failure != nil {
-			return change, failure
+		if err := replace(value, "gateway", name); err != nil {
+			return change, err
 		}
 	}
-	more, failure := nextMore(former, upsert[moreName], remove[moreName])
-	if failure == nil && more != nil {
-		failure = replace(more, "gateway", moreName)
+	more, err := updateExtra(former, upsert[extraField], remove[extraField])
+	if err == nil && more != nil {
+		err = replace(more, "gateway", extraField)
 	}
-	return change, failure
+	return change, err
 }
 
-// removeItems gives the change that takes named items of a kind out.
+// removeItems returns the change that deletes named items of a kind. Unknown names are ignored.
 func removeItems(former *document.Document, kind string, names []any) document.Change {
 	change := document.Change{}
 	for _, name := range names {
-		text, fine := name.(string)
+		text, ok := name.(string)
 		pointer := document.Pointer("gateway", kind, text)
-		if fine && former.Has(pointer) && !slices.Contains(change.Remove, pointer) {
+		if ok && former.Has(pointer) && !slices.Contains(change.Remove, pointer) {
 			change.Remove = append(change.Remove, pointer)
 		}
 	}
 	return change
 }
 
-// placed gives an item with the place of the one that it replaces.
-func placed(item any, former *document.Document, pointer string) any {
-	text, there := former.Part(pointer)
-	fresh, fine := item.(map[string]any)
-	if !there || !fine {
+// withFormerPosition returns an item with the list position ("place") of the item that it replaces, if there is one.
+func withFormerPosition(item any, former *document.Document, pointer string) any {
+	text, found := former.Part(pointer)
+	replacement, ok := item.(map[string]any)
+	if !found || !ok {
 		return item
 	}
-	held, failure := Tree([]byte(text))
-	place, known := held["place"]
-	if failure != nil || !known {
+	formerObject, err := ParseObject([]byte(text))
+	position, known := formerObject["place"]
+	if err != nil || !known {
 		return item
 	}
-	moved := map[string]any{"place": place}
-	for key, value := range fresh {
+	moved := map[string]any{"place": position}
+	for key, value := range replacement {
 		if key != "place" {
 			moved[key] = value
 		}
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -6,170 +6,196 @@
 	"github.com/cedarreel/cedarreel/document"
 )
 
+// Classes of routes of completion calls, as they are written in the manifest.
 const (
 	ClassLong   = "long"
 	ClassShort  = "short"
 	ClassLookup = "lookup"
 )
 
+// Region is a region of the fleet. Its servers are divided into shards, each of which is owned by one of its machines.
 type Region struct {
 	Shards   int
 	Machines []string
 }
 
+// Zone is a failure domain of a region. A drained zone takes no new calls.
 type Zone struct {
 	Region  string
 	Drained bool
 }
 
+// Pool is a group of servers of a region that serve the same routes.
 type Pool struct {
 	Region string
-	Slots  int64
-	Scale  int64
+	// Slots is how many calls one server runs at a time.
+	Slots int64
+	// Scale is how many servers the pool should have; -1 means all that the platform lists.
+	Scale int64
 }
 
+// Route is a kind of completion calls or lookups.
 type Route struct {
-	Class    string
+	// Class is one of ClassLong, ClassShort and ClassLookup.
+	Class string
+	// Deadline is the time limit of calls that name none.
 	Deadline time.Duration
-	Line     int64
-	Tokens   int64
-	Pools    map[string]string
+	// QueueLimit is how many calls may wait for a server at one node.
+	QueueLimit int64
+	// Tokens is the estimated size of a call that tells no size.
+	Tokens int64
+	// Pools is the pool that serves the route, by region.
+	Pools map[string]string
 }
 
+// Retirement bounds the removal of a server from service: traffic is withdrawn, running calls finish or are cut, and the server is released.
 type Retirement struct {
-	Window     time.Duration
-	Poll       time.Duration
-	Hold       time.Duration
-	Drain      time.Duration
+	// Window is the least time after the withdrawal before reports of an idle server count.
+	Window time.Duration
+	// Poll is the time between two reads of the server's report.
+	Poll time.Duration
+	// Hold is how long a scale-down waits for the server to become idle.
+	Hold time.Duration
+	// Drain is how long calls may run on a server that the platform reclaims.
+	Drain time.Duration
+	// Evacuation is how long calls may run on a server of a drained zone before they are no longer waited for.
 	Evacuation time.Duration
-	Ramp       time.Duration
+	// Ramp is how long a server that is new, or back in service, takes a growing share of the calls.
+	Ramp time.Duration
 }
 
+// Manifest is the operators' validated configuration. It is immutable; all maps are shared and must not be changed.
 type Manifest struct {
-	Regions      map[string]Region
-	Zones        map[string]Zone
-	Pools        map[string]Pool
-	Routes       map[string]Route
-	Homes        map[string]string
-	Retirement   Retirement
-	RepeatShare  int64
-	RepeatAtOnce int64
-	Gateway      Gateway
+	Regions map[string]Region
+	Zones   map[string]Zone
+	Pools   map[string]Pool
+	Routes  map[string]Route
+	// Homes is the region that a caller is bound to, by caller.
+	Homes      map[string]string
+	Retirement Retirement
+	// RepeatPercent of the recent calls, and RepeatAtOnce calls in addition, may be sent to a second server.
+	RepeatPercent int64
+	RepeatAtOnce  int64
+	Gateway       Gateway
 }
 
-// Read reads a whole manifest; see FromDocument.
-func Read(content []byte) (Manifest, error) {
-	tree, err := Tree(content)
+// Parse reads and validates a whole manifest; see FromDocument.
+func Parse(content []byte) (Manifest, error) {
+	tree, err := ParseObject(content)
 	if err != nil {
 		return Manifest{}, err
 	}
-	return FromTree(tree)
+	return FromObject(tree)
 }
 
-// FromTree checks the whole tree and gives every error at once.
-func FromTree(tree map[string]any) (Manifest, error) {
-	content, failure := document.FromTree(tree)
-	if failure != nil {
-		return Manifest{}, failure
+// FromObject validates a manifest that ParseObject has read; see FromDocument.
+func FromObject(tree map[string]any) (Manifest, error) {
+	content, err := document.FromObject(tree)
+	if err != nil {
+		return Manifest{}, err
 	}
 	return FromDocument(content)
 }
 
-// readHead reads all but the gateway's routes.
-func (reader *Reader) readHead() Manifest {
-	reader.Only("", "regions", "zones", "pools", "routes", "homes", "retirement", "repeats", "gateway")
-	read := Manifest{Regions: map[string]Region{}, Zones: map[string]Zone{}, Pools: map[string]Pool{}, Routes: map[string]Route{}, Homes: map[string]string{}}
-	reader.Must("regions")
-	reader.Must("zones")
+// readBase reads everything but the gateway's routes and tenants.
+func (reader *Reader) readBase() Manifest {
+	reader.AllowOnly("", "regions", "zones", "pools", "routes", "homes", "retirement", "repeats", "gateway")
+	manifest := Manifest{Regions: map[string]Region{}, Zones: map[string]Zone{}, Pools: map[string]Pool{}, Routes: map[string]Route{}, Homes: map[string]string{}}
+	reader.Require("regions")
+	reader.Require("zones")
 	for _, name := range reader.Keys("regions") {
 		path := "regions." + name
-		reader.Only(path, "shards", "machines")
-		reader.Must(path + ".machines")
-		read.Regions[name] = Region{Shards: int(reader.Number(path+".shards", 1, 1, 64)), Machines: reader.Texts(path + ".machines")}
+		reader.AllowOnly(path, "shards", "machines")
+		reader.Require(path + ".machines")
+		manifest.Regions[name] = Region{Shards: int(reader.Number(path+".shards", 1, 1, 64)), Machines: reader.Texts(path + ".machines")}
 	}
 	for _, name := range reader.Keys("zones") {
 		path := "zones." + name
-		reader.Only(path, "region", "drained")
-		reader.Must(path + ".region")
-		read.Zones[name] = Zone{Region: reader.regionAt(path+".region", read), Drained: reader.Truth(path + ".drained")}
+		reader.AllowOnly(path, "region", "drained")
+		reader.Require(path + ".region")
+		manifest.Zones[name] = Zone{Region: reader.regionName(path+".region", manifest), Drained: reader.Bool(path + ".drained")}
 	}
 	for _, name := range reader.Keys("pools") {
 		path := "pools." + name
-		reader.Only(path, "region", "slots", "scale")
-		reader.Must(path + ".region")
-		read.Pools[name] = Pool{Region: reader.regionAt(path+".region", read), Slots: reader.Number(path+".slots", 4, 1, 4096), Scale: reader.Number(path+".scale", -1, 0, 100000)}
+		reader.AllowOnly(path, "region", "slots", "scale")
+		reader.Require(path + ".region")
+		manifest.Pools[name] = Pool{Region: reader.regionName(path+".region", manifest), Slots: reader.Number(path+".slots", 4, 1, 4096), Scale: reader.Number(path+".scale", -1, 0, 100000)}
 	}
 	for _, name := range reader.Keys("routes") {
-		read.Routes[name] = reader.route("routes."+name, read)
+		manifest.Routes[name] = reader.route("routes."+name, manifest)
 	}
 	for _, name := range reader.Keys("homes") {
-		read.Homes[name] = reader.regionAt("homes."+name, read)
+		manifest.Homes[name] = reader.regionName("homes."+name, manifest)
 	}
-	reader.Only("repeats", "share", "atOnce")
-	read.RepeatShare = reader.Number("repeats.share", 5, 0, 20)
-	read.RepeatAtOnce = reader.Number("repeats.atOnce", 10, 0, 1000)
-	read.Retirement = reader.retirement()
-	read.Gateway = reader.gateway()
-	return read
+	reader.AllowOnly("repeats", "share", "atOnce")
+	manifest.RepeatPercent = reader.Number("repeats.share", 5, 0, 20)
+	manifest.RepeatAtOnce = reader.Number("repeats.atOnce", 10, 0, 1000)
+	manifest.Retirement = reader.retirement()
+	manifest.Gateway = reader.gatewayBase()
+	return manifest
 }
 
-func (reader *Reader) regionAt(path string, read Manifest) string {
+// regionName reads the name of a region that must exist.
+func (reader *Reader) regionName(path string, base Manifest) string {
 	name := reader.Text(path, "")
-	if _, there := read.Regions[name]; !there {
-		reader.Wrong(path, "no such region %q", name)
+	if _, found := base.Regions[name]; !found {
+		reader.Errorf(path, "no such region %q", name)
 	}
 	return name
 }
 
-func (reader *Reader) route(path string, read Manifest) Route {
-	reader.Only(path, "class", "deadlineMs", "line", "tokens", "pools")
-	reader.Must(path + ".pools")
+func (reader *Reader) route(path string, base Manifest) Route {
+	reader.AllowOnly(path, "class", "deadlineMs", "line", "tokens", "pools")
+	reader.Require(path + ".pools")
 	route := Route{Class: reader.Text(path+".class", ClassShort), Pools: map[string]string{},
-		Deadline: reader.span(path+".deadlineMs", 30000, 100, 3600000),
-		Line:     reader.Number(path+".line", 64, 1, 100000), Tokens: reader.Number(path+".tokens", 256, 1, 1000000)}
+		Deadline:   reader.duration(path+".deadlineMs", 30000, 100, 3600000),
+		QueueLimit: reader.Number(path+".line", 64, 1, 100000), Tokens: reader.Number(path+".tokens", 256, 1, 1000000)}
 	if route.Class != ClassLong && route.Class != ClassShort && route.Class != ClassLookup {
-		reader.Wrong(path+".class", "want long, short or lookup, got %q", route.Class)
+		reader.Errorf(path+".class", "want long, short or lookup, got %q", route.Class)
 	}
 	for _, region := range reader.Keys(path + ".pools") {
 		name := reader.Text(path+".pools."+region, "")
-		pool, there := read.Pools[name]
-		if !there {
-			reader.Wrong(path+".pools."+region, "no such pool %q", name)
+		pool, found := base.Pools[name]
+		if !found {
+			reader.Errorf(path+".pools."+region, "no such pool %q", name)
 		} else if pool.Region != region {
-			reader.Wrong(path+".pools."+region, "pool %q is in region %q", name, pool.Region)
+			reader.Errorf(path+".pools."+region, "pool %q is in region %q", name, pool.Region)
 		}
 		route.Pools[region] = name
 	}
 	return route
 }
 
-func (reader *Reader) span(path string, fallback, least, most int64) time.Duration {
-	return time.Duration(reader.Number(path, fallback, least, most)) * time.Millisecond
+// duration reads a whole number of milliseconds.
+func (reader *Reader) duration(path string, fallback, minimum, maximum int64) time.Duration {
+	return time.Duration(reader.Number(path, fallback, minimum, maximum)) * time.Millisecond
 }
 
 func (reader *Reader) retirement() Retirement {
-	reader.Only("retirement", "windowMs", "pollMs", "holdMs", "drainMs", "evacuationMs", "rampMs")
+	reader.AllowOnly("retirement", "windowMs", "pollMs", "holdMs", "drainMs", "evacuationMs", "rampMs")
 	return Retirement{
-		Window:     reader.span("retirement.windowMs", 5000, 2000, 600000),
-		Poll:       reader.span("retirement.pollMs", 1000, 100, 60000),
-		Hold:       reader.span("retirement.holdMs", 30000, 1000, 3600000),
-		Drain:      reader.span("retirement.drainMs", 8000, 100, 600000),
-		Evacuation: reader.span("retirement.evacuationMs", 5000, 1000, 600000),
-		Ramp:       reader.span("retirement.rampMs", 8000, 100, 600000),
+		Window:     reader.duration("retirement.windowMs", 5000, 2000, 600000),
+		Poll:       reader.duration("retirement.pollMs", 1000, 100, 60000),
+		Hold:       reader.duration("retirement.holdMs", 30000, 1000, 3600000),
+		Drain:      reader.duration("retirement.drainMs", 8000, 100, 600000),
+		Evacuation: reader.duration("retirement.evacuationMs", 5000, 1000, 600000),
+		Ramp:       reader.duration("retirement.rampMs", 8000, 100, 600000),
 	}
 }
 
-func (read Manifest) Drained(zone string) bool { return read.Zones[zone].Drained }
+// Drained reports whether operators have taken a zone out of service. An unknown zone is not drained.
+func (manifest Manifest) Drained(zone string) bool { return manifest.Zones[zone].Drained }
 
-// Home tells where a call is bound: the caller's home if the manifest names one, else what it asked for, else here.
-func (read Manifest) Home(caller, asked, here string) (string, bool) {
-	bound, there := read.Homes[caller]
-	if there {
-		return bound, asked == "" || asked == bound
+// Home returns the home region of a call: the caller's if the manifest binds it to one, else the requested one, else the local one. It
+// returns false if the requested region is unknown or not the one that the caller is bound to.
+func (manifest Manifest) Home(caller, requested, local string) (string, bool) {
+	bound, found := manifest.Homes[caller]
+	if found {
+		return bound, requested == "" || requested == bound
 	}
-	if asked == "" {
-		return here, true
+	if requested == "" {
+		return local, true
 	}
-	_, there = read.Regions[asked]
-	return asked, there
+	_, found = manifest.Regions[requested]
+	return requested, found
 }
--- a/manifest/manifest_test.go
+++ b/manifest/manifest_test.go
@@ -15,11 +15,11 @@
 	RunSpecs(t, "manifest")
 }
 
-const good = `{"regions":{"r":{"shards":2,"machines":["m1"]}},"zones":{"h":{"region":"r"}},
+const validManifest = `{"regions":{"r":{"shards":2,"machines":["m1"]}},"zones":{"h":{"region":"r"}},
 "pools":{"p":{"region":"r","slots":4,"scale":3}},"routes":{"c":{"class":"short","pools":{"r":"p"}}},"homes":{"desk":"r"}}`
 
-var _ = DescribeTable("a wrong manifest is refused with the path of what is wrong", func(from, to, path string) {
-	_, err := Read([]byte(strings.Replace(good, from, to, 1)))
+var _ = DescribeTable("an invalid manifest is refused with the path of what is wrong", func(from, to, path string) {
+	_, err := Parse([]byte(strings.Replace(validManifest, from, to, 1)))
 	Expect(err).To(MatchError(ContainSubstring(path)))
 },
 	Entry("unknown field", `"slots":4`, `"slotz":4`, "pools.p.slotz: unknown field"),
@@ -33,26 +33,26 @@
 	Entry("a zone of no region", `"zones":{"h":{"region":"r"}}`, `"zones":{"h":{"region":"x"}}`, `zones.h.region: no such region "x"`),
 	Entry("a route to no pool", `{"r":"p"}`, `{"r":"q"}`, `routes.c.pools.r: no such pool "q"`),
 	Entry("a home that is no region", `{"desk":"r"}`, `{"desk":"x"}`, "homes.desk: no such region"),
-	Entry("not an object", good, `[]`, "want a JSON object"),
-	Entry("not JSON", good, `{"regions":`, "not JSON"),
-	Entry("a class that is none", `"short"`, `"tiny"`, "routes.c.class"),
+	Entry("not an object", validManifest, `[]`, "want a JSON object"),
+	Entry("not JSON", validManifest, `{"regions":`, "not JSON"),
+	Entry("an unknown class", `"short"`, `"tiny"`, "routes.c.class"),
 	Entry("a name with a dot", `"desk"`, `"de.sk"`, "homes.de.sk"),
 	Entry("missing machines", `,"machines":["m1"]`, ``, "regions.r.machines: is missing"),
 )
 
 var _ = Describe("a manifest", func() {
-	It("gives every error at once", func() {
-		_, err := Read([]byte(strings.NewReplacer(`"slots":4`, `"slots":0`, `"desk":"r"`, `"desk":"x"`).Replace(good)))
+	It("returns all errors at once", func() {
+		_, err := Parse([]byte(strings.NewReplacer(`"slots":4`, `"slots":0`, `"desk":"r"`, `"desk":"x"`).Replace(validManifest)))
 		Expect(err.Error()).To(ContainSubstring("pools.p.slots"))
 		Expect(err.Error()).To(ContainSubstring("homes.desk"))
 	})
 
-	It("keeps numbers exact and merges by path, so two patches both hold", func() {
-		tree, err := Tree([]byte(`{"a":{"b":12345678901234567890,"c":1},"d":1}`))
+	It("keeps numbers exact and applies merge patches one after the other", func() {
+		tree, err := ParseObject([]byte(`{"a":{"b":12345678901234567890,"c":1},"d":1}`))
 		Expect(err).NotTo(HaveOccurred())
-		first, _ := Tree([]byte(`{"a":{"c":2}}`))
-		second, _ := Tree([]byte(`{"d":null,"a":{"e":{"f":true}}}`))
-		former, err := document.FromTree(tree)
+		first, _ := ParseObject([]byte(`{"a":{"c":2}}`))
+		second, _ := ParseObject([]byte(`{"d":null,"a":{"e":{"f":true}}}`))
+		former, err := document.FromObject(tree)
 		Expect(err).NotTo(HaveOccurred())
 		change, err := former.MergePatch(first)
 		Expect(err).NotTo(HaveOccurred())
@@ -60,57 +60,57 @@
 		change, err = next.MergePatch(second)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(next.Apply(change).JSON())).To(Equal(`{"a":{"b":12345678901234567890,"c":2,"e":{"f":true}}}`))
-		Expect(string(former.JSON())).To(ContainSubstring(`"c":1`), "the former one is untouched")
+		Expect(string(former.JSON())).To(ContainSubstring(`"c":1`), "the former document is unchanged")
 	})
 
 	for _, name := range []string{"brazos", "seri"} {
-		It("of "+name+" is shipped and right", func() {
+		It("of the deployment "+name+" is valid", func() {
 			content, err := os.ReadFile("../deploy/" + name + "/manifest.json")
 			Expect(err).NotTo(HaveOccurred())
-			read, err := Read(content)
+			parsed, err := Parse(content)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(read.Zones).To(HaveLen(3))
-			Expect(read.Routes).To(HaveLen(3))
+			Expect(parsed.Zones).To(HaveLen(3))
+			Expect(parsed.Routes).To(HaveLen(3))
 		})
 	}
 
-	It("binds a caller to its home, and refuses another", func() {
-		read, err := Read([]byte(good))
+	It("binds a caller to its home region and refuses another", func() {
+		parsed, err := Parse([]byte(validManifest))
 		Expect(err).NotTo(HaveOccurred())
-		home, fine := read.Home("desk", "", "elsewhere")
-		Expect([]any{home, fine}).To(Equal([]any{"r", true}))
-		_, fine = read.Home("desk", "moon", "r")
-		Expect(fine).To(BeFalse())
-		_, fine = read.Home("other", "moon", "r")
-		Expect(fine).To(BeFalse())
+		home, ok := parsed.Home("desk", "", "elsewhere")
+		Expect([]any{home, ok}).To(Equal([]any{"r", true}))
+		_, ok = parsed.Home("desk", "moon", "r")
+		Expect(ok).To(BeFalse())
+		_, ok = parsed.Home("other", "moon", "r")
+		Expect(ok).To(BeFalse())
 	})
 })
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validManifest))
 	f.Add([]byte(`{"regions":{"":{}},"zones":null}`))
 	f.Add([]byte(strings.Repeat(`{"a":`, 40)))
 	f.Add([]byte(`{"a":1,"a":2}`))
 	f.Fuzz(func(t *testing.T, content []byte) {
-		read, err := Read(content)
+		parsed, err := Parse(content)
 		if err != nil {
 			return
 		}
-		for _, pool := range read.Pools {
-			if _, there := read.Regions[pool.Region]; !there || pool.Slots < 1 {
-				t.Fatal("a manifest that is wrong was taken")
+		for _, pool := range parsed.Pools {
+			if _, found := parsed.Regions[pool.Region]; !found || pool.Slots < 1 {
+				t.Fatal("an invalid manifest was accepted")
 			}
 		}
-		tree, err := Tree(content)
+		tree, err := ParseObject(content)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := document.FromTree(tree)
+		again, err := document.FromObject(tree)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err = Read(again.JSON()); err != nil {
-			t.Fatal("what was taken is refused when it is written back:", err)
+		if _, err = Parse(again.JSON()); err != nil {
+			t.Fatal("an accepted manifest is refused after it was written and read again:", err)
 		}
 	})
 }
--- a/manifest/routes.go
+++ b/manifest/routes.go
@@ -6,43 +6,45 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Routes are a gateway's routes, by name and by host and prefix. They are immutable: With and Without give other ones that share all
-// routes they have in common. The zero value holds none.
+// Routes is a gateway's set of routes, indexed by name and by host and prefix. It is immutable: With and Without return another set that
+// shares the routes that both have. The zero value is the empty set.
 type Routes struct {
-	byName  *immutable.SortedMap[string, *GatewayRoute]
-	byPlace *immutable.SortedMap[string, *GatewayRoute]
+	byName     *immutable.SortedMap[string, *GatewayRoute]
+	byMatchKey *immutable.SortedMap[string, *GatewayRoute]
 }
 
-// hostEnd parts host and prefix in the key of a place.
-const hostEnd = "\x00"
+// hostSeparator separates host and prefix in a match key.
+const hostSeparator = "\x00"
 
-var noRoutes = immutable.NewSortedMap[string, *GatewayRoute](nil)
+var emptyRoutes = immutable.NewSortedMap[string, *GatewayRoute](nil)
 
-func (routes Routes) trees() (byName, byPlace *immutable.SortedMap[string, *GatewayRoute]) {
+// trees returns both indexes, which the zero value lacks.
+func (routes Routes) trees() (byName, byMatchKey *immutable.SortedMap[string, *GatewayRoute]) {
 	if routes.byName == nil {
-		return noRoutes, noRoutes
+		return emptyRoutes, emptyRoutes
 	}
-	return routes.byName, routes.byPlace
+	return routes.byName, routes.byMatchKey
 }
 
-func (route GatewayRoute) place() string { return route.Host + hostEnd + route.Prefix }
+// matchKey is the key of a route in the index by host and prefix.
+func (route GatewayRoute) matchKey() string { return route.Host + hostSeparator + route.Prefix }
 
-// Len is how many routes there are.
+// Len returns the number of routes.
 func (routes Routes) Len() int {
 	byName, _ := routes.trees()
 	return byName.Len()
 }
 
-// Get gives the route of a name.
+// Get returns the route with a name.
 func (routes Routes) Get(name string) (GatewayRoute, bool) {
 	byName, _ := routes.trees()
-	if route, there := byName.Get(name); there {
+	if route, found := byName.Get(name); found {
 		return *route, true
 	}
 	return GatewayRoute{}, false
 }
 
-// All calls visit for each route, in the order of names, until visit returns true.
+// All calls visit for each route in the order of names, until visit returns true.
 func (routes Routes) All(visit func(route GatewayRoute) bool) {
 	byName, _ := routes.trees()
 	for iterator := byName.Iterator(); !iterator.Done(); {
@@ -52,77 +54,79 @@
 	}
 }
 
-// With gives routes with another one, in the place of one of the same name.
+// With returns the set with a route added, in place of one of the same name.
 func (routes Routes) With(route GatewayRoute) Routes {
 	routes = routes.Without(route.Name)
-	byName, byPlace := routes.trees()
-	return Routes{byName: byName.Set(route.Name, &route), byPlace: byPlace.Set(route.place(), &route)}
+	byName, byMatchKey := routes.trees()
+	return Routes{byName: byName.Set(route.Name, &route), byMatchKey: byMatchKey.Set(route.matchKey(), &route)}
 }
 
-// Without gives routes without one.
+// Without returns the set without the route of a name.
 func (routes Routes) Without(name string) Routes {
-	byName, byPlace := routes.trees()
-	former, there := byName.Get(name)
-	if !there {
+	byName, byMatchKey := routes.trees()
+	former, found := byName.Get(name)
+	if !found {
 		return routes
 	}
-	if held, _ := byPlace.Get(former.place()); held == former {
-		byPlace = byPlace.Delete(former.place())
+	if holder, _ := byMatchKey.Get(former.matchKey()); holder == former {
+		byMatchKey = byMatchKey.Delete(former.matchKey())
 	}
-	return Routes{byName: byName.Delete(name), byPlace: byPlace}
+	return Routes{byName: byName.Delete(name), byMatchKey: byMatchKey}
 }
 
-// taken gives the name of another route that has the host and prefix of a route.
-func (routes Routes) taken(route GatewayRoute) (string, bool) {
-	_, byPlace := routes.trees()
-	held, there := byPlace.Get(route.place())
-	if !there || held.Name == route.Name {
+// matchConflict returns the name of another route that has the host and prefix of a route.
+func (routes Routes) matchConflict(route GatewayRoute) (string, bool) {
+	_, byMatchKey := routes.trees()
+	holder, found := byMatchKey.Get(route.matchKey())
+	if !found || holder.Name == route.Name {
 		return "", false
 	}
-	return held.Name, true
+	return holder.Name, true
 }
 
-// Find gives the route of a host with the longest prefix of a path. The host may carry a port, as callers send it; the path is without
-// its query.
+// Find returns the route of a host with the longest prefix of a path. The host may carry a port, as callers send it: routes that are
+// configured with that port win over those of the bare host. The path is without its query.
 func (routes Routes) Find(host, path string) (GatewayRoute, bool) {
-	_, byPlace := routes.trees()
+	_, byMatchKey := routes.trees()
 	host = strings.ToLower(host)
-	route, there := longestPrefix(byPlace, host, path)
-	if bare, _ := SplitAddress(host); !there && bare != host && !knowsHost(byPlace, host) {
-		route, there = longestPrefix(byPlace, bare, path)
+	route, found := longestPrefix(byMatchKey, host, path)
+	if bare, _ := SplitAddress(host); !found && bare != host && !hasHost(byMatchKey, host) {
+		route, found = longestPrefix(byMatchKey, bare, path)
 	}
-	if !there {
+	if !found {
 		return GatewayRoute{}, false
 	}
 	return *route, true
 }
 
-func longestPrefix(byPlace *immutable.SortedMap[string, *GatewayRoute], host, path string) (*GatewayRoute, bool) {
-	key := host + hostEnd + path
-	first := len(host) + len(hostEnd)
+// longestPrefix tries each prefix of a path that ends with a slash, the longest first.
+func longestPrefix(byMatchKey *immutable.SortedMap[string, *GatewayRoute], host, path string) (*GatewayRoute, bool) {
+	key := host + hostSeparator + path
+	first := len(host) + len(hostSeparator)
 	for end := strings.LastIndexByte(key, '/'); end >= first; end = strings.LastIndexByte(key[:end], '/') {
-		if route, there := byPlace.Get(key[:end+1]); there {
+		if route, found := byMatchKey.Get(key[:end+1]); found {
 			return route, true
 		}
 	}
 	return nil, false
 }
 
-func knowsHost(byPlace *immutable.SortedMap[string, *GatewayRoute], host string) bool {
-	if byPlace.Len() == 0 {
+// hasHost reports whether any route has a host.
+func hasHost(byMatchKey *immutable.SortedMap[string, *GatewayRoute], host string) bool {
+	if byMatchKey.Len() == 0 {
 		return false
 	}
-	iterator := byPlace.Iterator()
-	iterator.Seek(host + hostEnd)
-	place, _, there := iterator.Next()
-	return there && strings.HasPrefix(place, host+hostEnd)
+	iterator := byMatchKey.Iterator()
+	iterator.Seek(host + hostSeparator)
+	key, _, found := iterator.Next()
+	return found && strings.HasPrefix(key, host+hostSeparator)
 }
 
-// SplitAddress gives host and port of an address; an address in brackets loses them.
+// SplitAddress splits an address into host and port, which is empty if there is none. An IPv6 address loses its brackets.
 func SplitAddress(address string) (host, port string) {
-	place := strings.LastIndexByte(address, ':')
-	if place < 0 || strings.HasSuffix(address, "]") {
+	colon := strings.LastIndexByte(address, ':')
+	if colon < 0 || strings.HasSuffix(address, "]") {
 		return strings.Trim(address, "[]"), ""
 	}
-	return strings.Trim(address[:place], "[]"), address[place+1:]
+	return strings.Trim(address[:colon], "[]"), address[colon+1:]
 }
--- a/manifest/routes_test.go
+++ b/manifest/routes_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = DescribeTable("given routes of a host, when a call comes, then the longest prefix that begins its path has it", func(host, path, route string) {
+var _ = DescribeTable("a call gets the route of its host with the longest prefix of its path", func(host, path, route string) {
 	routes := manifest.Routes{}
 	for name, place := range map[string][2]string{"root": {"h.example", "/"}, "a": {"h.example", "/a/"}, "ab": {"h.example", "/a/b/"}, "port": {"p.example:8080", "/"},
 		"other": {"other.example", "/x/"}} {
@@ -19,8 +19,8 @@
 	Entry("a path below two prefixes", "h.example", "/a/b/c", "ab"),
 	Entry("the prefix itself", "h.example", "/a/b/", "ab"),
 	Entry("a path without the prefix's last slash", "h.example", "/a/b", "a"),
-	Entry("a name that only begins alike", "h.example", "/a/bc/d", "a"),
-	Entry("a path with an empty step", "h.example", "/a//b/c", "a"),
+	Entry("a segment that only starts like a prefix", "h.example", "/a/bc/d", "a"),
+	Entry("a path with an empty segment", "h.example", "/a//b/c", "a"),
 	Entry("any other path", "h.example", "/c", "root"),
 	Entry("an empty path", "h.example", "", ""),
 	Entry("a host in capitals", "H.Example", "/a/x", "a"),
@@ -31,5 +31,5 @@
 	Entry("a path above the only prefix", "other.example", "/x", ""),
 	Entry("an unknown host", "none.example", "/a/x", ""),
 	Entry("no host", "", "/a/x", ""),
-	Entry("a path in other messages", "other.example", "/X/z", ""),
+	Entry("a path in another case", "other.example", "/X/z", ""),
 )
--- a/manifest/tree.go
+++ b/manifest/tree.go
@@ -1,4 +1,4 @@
-// Package manifest reads, checks and merges the operators' configuration.
+// Package manifest parses, validates and updates the operators' configuration.
 package manifest
 
 import (
@@ -11,10 +11,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Tree reads one JSON object: duplicate keys, trailing data and too deep nesting are refused, numbers stay exact.
-func Tree(content []byte) (map[string]any, error) { return document.Tree(content) }
+// ParseObject reads one JSON object. Duplicate keys, trailing data and too deep nesting are errors; numbers stay exact as json.Number.
+func ParseObject(content []byte) (map[string]any, error) { return document.ParseObject(content) }
 
-func Join(path, key string) string {
+// JoinPath joins two parts of a dotted path, either of which may be empty.
+func JoinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
@@ -24,6 +25,7 @@
 	return path + "." + key
 }
 
+// SortedKeys returns the keys of a map in ascending order, for output and iteration that must not vary between runs.
 func SortedKeys[Value any](tree map[string]Value) []string {
 	keys := make([]string, 0, len(tree))
 	for key := range tree {
@@ -33,29 +35,34 @@
 	return keys
 }
 
-// Reader walks a tree by dotted paths and collects every error it meets.
+// Reader reads values of a JSON object by dotted paths. It collects all errors instead of stopping at the first, and returns the fallback or
+// a zero value in place of what is missing or wrong; callers use the values only if Err returns nil.
 type Reader struct {
 	tree   map[string]any
 	prefix string
-	errs   *[]string
+	// errs is shared with the readers of nested objects.
+	errs *[]string
 }
 
+// NewReader returns a reader of an object from ParseObject.
 func NewReader(tree map[string]any) *Reader { return &Reader{tree: tree, errs: &[]string{}} }
 
-// Under reads one object below; what it finds wrong is told with the whole path.
-func (reader *Reader) Under(path string) *Reader {
-	value, _ := reader.at(path)
-	tree, fine := value.(map[string]any)
-	if !fine {
-		reader.Wrong(path, "want an object")
+// Object returns a reader of a nested object. It shares the list of errors, whose paths start at the outermost object.
+func (reader *Reader) Object(path string) *Reader {
+	value, _ := reader.lookup(path)
+	tree, ok := value.(map[string]any)
+	if !ok {
+		reader.Errorf(path, "want an object")
 	}
-	return &Reader{tree: tree, prefix: Join(reader.prefix, path), errs: reader.errs}
+	return &Reader{tree: tree, prefix: JoinPath(reader.prefix, path), errs: reader.errs}
 }
 
-func (reader *Reader) Wrong(path, format string, detail ...any) {
-	*reader.errs = append(*reader.errs, Join(reader.prefix, path)+": "+fmt.Sprintf(format, detail...))
+// Errorf adds an error at a path.
+func (reader *Reader) Errorf(path, format string, detail ...any) {
+	*reader.errs = append(*reader.errs, JoinPath(reader.prefix, path)+": "+fmt.Sprintf(format, detail...))
 }
 
+// Err returns all errors so far as one, or nil.
 func (reader *Reader) Err() error {
 	if len(*reader.errs) == 0 {
 		return nil
@@ -63,7 +70,8 @@
 	return eris.New(strings.Join(*reader.errs, "; "))
 }
 
-func (reader *Reader) at(path string) (any, bool) {
+// lookup returns the value at a path, and whether there is one. The empty path is the whole object.
+func (reader *Reader) lookup(path string) (any, bool) {
 	var value any = reader.tree
 	if path == "" {
 		return value, true
@@ -71,11 +79,11 @@
 	for rest, more := path, true; more; {
 		var key string
 		key, rest, more = strings.Cut(rest, ".")
-		tree, fine := value.(map[string]any)
-		if !fine {
+		tree, ok := value.(map[string]any)
+		if !ok {
 			return nil, false
 		}
-		if value, fine = tree[key]; !fine {
+		if value, ok = tree[key]; !ok {
 			return nil, false
 		}
 	}
@@ -83,143 +91,151 @@
 }
 
 const (
-	nameLength = 64
-	nameRule   = "a name has 1 to 64 characters without dots, blanks, slashes or quotes"
+	maxNameLength = 64
+	invalidName   = "a name has 1 to 64 characters without dots, blanks, slashes or quotes"
 )
 
+// validName reports whether a name can be used in dotted paths, JSON pointers and URLs without escapes.
 func validName(name string) bool {
-	return name != "" && len(name) <= nameLength && !strings.ContainsAny(name, ". /\\\"")
+	return name != "" && len(name) <= maxNameLength && !strings.ContainsAny(name, ". /\\\"")
 }
 
+// Keys returns the sorted keys of an object of named items. A key that is not a valid name is an error; a missing object has no keys.
 func (reader *Reader) Keys(path string) []string {
-	value, there := reader.at(path)
-	if !there {
+	value, found := reader.lookup(path)
+	if !found {
 		return nil
 	}
-	tree, fine := value.(map[string]any)
-	if !fine {
-		reader.Wrong(path, "want an object")
+	tree, ok := value.(map[string]any)
+	if !ok {
+		reader.Errorf(path, "want an object")
 		return nil
 	}
 	for key := range tree {
 		if !validName(key) {
-			reader.Wrong(Join(path, key), "%s", nameRule)
+			reader.Errorf(JoinPath(path, key), "%s", invalidName)
 		}
 	}
 	return SortedKeys(tree)
 }
 
-// renamedFields are names of former versions, with those of today.
+// renamedFields maps field names of former versions to the current ones.
 var renamedFields = map[string]string{"hall": "zone", "halls": "zones"}
 
 func unknownField(name string) string {
-	if renamed, there := renamedFields[name]; there {
+	if renamed, found := renamedFields[name]; found {
 		return "renamed, write " + renamed
 	}
 	return "unknown field"
 }
 
-func (reader *Reader) Only(path string, known ...string) {
+// AllowOnly adds an error for each key of an object that is not among the known ones.
+func (reader *Reader) AllowOnly(path string, known ...string) {
 	for _, key := range reader.Keys(path) {
 		found := false
 		for _, name := range known {
 			found = found || name == key
 		}
 		if !found {
-			reader.Wrong(Join(path, key), "%s", unknownField(key))
+			reader.Errorf(JoinPath(path, key), "%s", unknownField(key))
 		}
 	}
 }
 
+// Text reads a string.
 func (reader *Reader) Text(path, fallback string) string {
-	value, there := reader.at(path)
-	if !there {
+	value, found := reader.lookup(path)
+	if !found {
 		return fallback
 	}
-	text, fine := value.(string)
-	if !fine {
-		reader.Wrong(path, "want text")
+	text, ok := value.(string)
+	if !ok {
+		reader.Errorf(path, "want text")
 	}
 	return text
 }
 
+// Texts reads a list of strings.
 func (reader *Reader) Texts(path string) []string {
-	value, there := reader.at(path)
-	if !there {
+	value, found := reader.lookup(path)
+	if !found {
 		return nil
 	}
-	items, fine := value.([]any)
-	if !fine {
-		reader.Wrong(path, "want a list of text")
+	items, ok := value.([]any)
+	if !ok {
+		reader.Errorf(path, "want a list of text")
 	}
 	texts := []string{}
 	for index, item := range items {
-		text, fine := item.(string)
-		if !fine {
-			reader.Wrong(fmt.Sprintf("%s[%d]", path, index), "want text")
+		text, ok := item.(string)
+		if !ok {
+			reader.Errorf(fmt.Sprintf("%s[%d]", path, index), "want text")
 		}
 		texts = append(texts, text)
 	}
 	return texts
 }
 
-func (reader *Reader) Truth(path string) bool {
-	value, there := reader.at(path)
-	if !there {
+// Bool reads a boolean; a missing one is false.
+func (reader *Reader) Bool(path string) bool {
+	value, found := reader.lookup(path)
+	if !found {
 		return false
 	}
-	truth, fine := value.(bool)
-	if !fine {
-		reader.Wrong(path, "want true or false")
+	boolean, ok := value.(bool)
+	if !ok {
+		reader.Errorf(path, "want true or false")
 	}
-	return truth
+	return boolean
 }
 
-func (reader *Reader) Number(path string, fallback, least, most int64) int64 {
-	value, there := reader.at(path)
-	if !there {
+// Number reads an integer within bounds. A number like 4.0 is an integer, too.
+func (reader *Reader) Number(path string, fallback, minimum, maximum int64) int64 {
+	value, found := reader.lookup(path)
+	if !found {
 		return fallback
 	}
-	number, fine := value.(json.Number)
-	if !fine {
-		reader.Wrong(path, "want a whole number")
+	number, ok := value.(json.Number)
+	if !ok {
+		reader.Errorf(path, "want a whole number")
 		return fallback
 	}
-	whole, err := number.Int64()
+	integer, err := number.Int64()
 	if real, other := number.Float64(); err != nil && other == nil && real == float64(int64(real)) {
-		whole, err = int64(real), nil
+		integer, err = int64(real), nil
 	}
 	if err != nil {
-		reader.Wrong(path, "want a whole number, got %s", number)
+		reader.Errorf(path, "want a whole number, got %s", number)
 		return fallback
 	}
-	if whole < least || whole > most {
-		reader.Wrong(path, "want %d to %d, got %d", least, most, whole)
+	if integer < minimum || integer > maximum {
+		reader.Errorf(path, "want %d to %d, got %d", minimum, maximum, integer)
 	}
-	return whole
+	return integer
 }
 
-// Real reads a number that need not be whole.
-func (reader *Reader) Real(path string, fallback, least, most float64) float64 {
-	value, there := reader.at(path)
-	if !there {
+// Float reads a number within bounds.
+func (reader *Reader) Float(path string, fallback, minimum, maximum float64) float64 {
+	value, found := reader.lookup(path)
+	if !found {
 		return fallback
 	}
-	number, fine := value.(json.Number)
-	if !fine {
-		reader.Wrong(path, "want a number")
+	number, ok := value.(json.Number)
+	if !ok {
+		reader.Errorf(path, "want a number")
 		return fallback
 	}
-	real, failure := number.Float64()
-	if failure != nil || real < least || real > most {
-		reader.Wrong(path, "want %v to %v, got %s", least, most, number)
+	real, err := number.Float64()
+	if err != nil || real < minimum || real > maximum {
+		reader.Errorf(path, "want %v to %v, got %s", minimum, maximum, number)
 		return fallback
 	}
 	return real
 }
 
-func (reader *Reader) Must(path string) {
-	if _, there := reader.at(path); !there {
-		reader.Wrong(path, "is missing")
+// Require adds an error if there is no value at a path.
+func (reader *Reader) Require(path string) {
+	if _, found := reader.lookup(path); !found {
+		reader.Errorf(path, "is missing")
 	}
 }
--- a/nodecheck/operator.go
+++ b/nodecheck/operator.go
@@ -98,7 +98,7 @@
 	}
 	section := map[string]any{"revision": made.revision, "upsert": map[string]any{"routes": upsert}, "remove": map[string]any{"routes": []any{fmt.Sprintf("r%d", world.random.IntN(2*routesAtFirst))}}}
 	made.ask.Body, _ = json.Marshal(map[string]any{"gateway": section})
-	tree, failure := manifest.Tree(made.ask.Body)
+	tree, failure := manifest.ParseObject(made.ask.Body)
 	if failure != nil {
 		panic(failure)
 	}
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -59,7 +59,7 @@
 
 func New(described site.Site, bin, folder string, seed uint64) (*Rig, error) {
 	bounds := env.DefaultBounds()
-	read, err := manifest.Read(described.Manifest)
+	read, err := manifest.Parse(described.Manifest)
 	if err != nil {
 		return nil, err
 	}
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -110,15 +110,15 @@
 	if int64(len(body)) > bound {
 		return nil, badCall{status: 413, text: fmt.Sprintf("the body is larger than %d bytes", bound)}
 	}
-	tree, err := manifest.Tree(body)
+	tree, err := manifest.ParseObject(body)
 	if err != nil {
 		return nil, badCall{status: 400, text: "body: " + err.Error()}
 	}
 	reader := manifest.NewReader(tree)
-	streamed := reader.Truth("stream")
+	streamed := reader.Bool("stream")
 	messages, fine := tree["messages"].([]any)
 	if !fine || len(messages) == 0 {
-		reader.Wrong("messages", "want a list that is not empty")
+		reader.Errorf("messages", "want a list that is not empty")
 	}
 	if err = reader.Err(); err != nil {
 		return nil, badCall{status: 400, text: "body: " + err.Error()}
--- a/serve/place_test.go
+++ b/serve/place_test.go
@@ -65,7 +65,7 @@
 	})
 	made.shell.AskAt(strings.TrimPrefix(control.URL, "http://"), stop)
 	configured := routes(3)
-	configured.Manifest.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, Stride: 5}}
+	configured.Manifest.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, TokensPerStep: 5}}
 	made.shell.Learn(configured)
 	made.shell.Learn(gateway.Indexed{Known: true})
 	return made, keeper
--- a/serve/relay_test.go
+++ b/serve/relay_test.go
@@ -137,7 +137,7 @@
 	impatient := routes(3)
 	patient := impatient.Manifest.Gateway.Routes
 	patient.All(func(route manifest.GatewayRoute) bool {
-		route.Aim = 0
+		route.LatencyTarget = 0
 		impatient.Manifest.Gateway.Routes = impatient.Manifest.Gateway.Routes.With(route)
 		return false
 	})
--- a/serve/standin_test.go
+++ b/serve/standin_test.go
@@ -100,8 +100,8 @@
 			Limits: manifest.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20}}}
 	for _, route := range []manifest.GatewayRoute{{Name: "read", Kind: manifest.KindReadOnly}, {Name: "write", Kind: manifest.KindMutating},
 		{Name: "stream", Kind: manifest.KindStreaming}, {Name: "resumed", Kind: manifest.KindStreaming, Resumable: true}} {
-		route.Host, route.Prefix, route.Timeout, route.Aim, route.Attempts = "h.example", "/"+route.Name+"/", 20*time.Second, aim, attempts
-		route.Split = []manifest.Share{{Service: "s", Weight: 1}}
+		route.Host, route.Prefix, route.Timeout, route.LatencyTarget, route.MaxAttempts = "h.example", "/"+route.Name+"/", 20*time.Second, aim, attempts
+		route.Split = []manifest.WeightedService{{Service: "s", Weight: 1}}
 		read.Gateway.Routes = read.Gateway.Routes.With(route)
 	}
 	return gateway.Configured{Manifest: read}
--- a/serve/tenants_test.go
+++ b/serve/tenants_test.go
@@ -29,7 +29,7 @@
 	whole := strings.NewReplacer("REVISION", revision, "TENANTS", strings.Join(tenants, ",")).Replace(withTenants)
 	content, failure := platform.ReplaceIn([]byte(whole), map[string]string{"north-1": "north", "south-1": "south"})
 	Expect(failure).NotTo(HaveOccurred())
-	read, failure := manifest.Read(content)
+	read, failure := manifest.Parse(content)
 	Expect(failure).NotTo(HaveOccurred())
 	return gateway.Configured{Manifest: read}
 }
--- a/site/grown.go
+++ b/site/grown.go
@@ -11,7 +11,7 @@
 // Grown gives the site with so many machines: the ones that are added hold nothing of the core and are spread over the zones in turn. The
 // manifest names them in their regions.
 func (site Site) Grown(machines int) (Site, error) {
-	tree, failure := manifest.Tree(site.Manifest)
+	tree, failure := manifest.ParseObject(site.Manifest)
 	if failure != nil {
 		return Site{}, eris.Wrap(failure, "site")
 	}
--- a/site/grown_test.go
+++ b/site/grown_test.go
@@ -31,7 +31,7 @@
 		}
 		Expect(core).To(Equal(3))
 		Expect(zones).To(Equal(map[string]int{"klang-a": 12, "klang-b": 12, "penang-a": 12}))
-		adopted, failure := manifest.Read(grown.Manifest)
+		adopted, failure := manifest.Parse(grown.Manifest)
 		Expect(failure).NotTo(HaveOccurred())
 		Expect(adopted.Regions["klang"].Machines).To(HaveLen(24))
 		Expect(adopted.Regions["penang"].Machines).To(ContainElement("m36"))
--- a/site/site.go
+++ b/site/site.go
@@ -44,15 +44,15 @@
 	if err != nil {
 		return Site{}, eris.Wrap(err, "site")
 	}
-	tree, err := manifest.Tree(content)
+	tree, err := manifest.ParseObject(content)
 	if err != nil {
 		return Site{}, eris.Wrap(err, "site")
 	}
 	reader := manifest.NewReader(tree)
-	reader.Only("", "name", "regionGapMs", "machines", "servers", "callers")
+	reader.AllowOnly("", "name", "regionGapMs", "machines", "servers", "callers")
 	read := Site{Name: reader.Text("name", ""), GapMs: reader.Number("regionGapMs", 10, 0, 1000)}
 	each(tree["machines"], func(row *manifest.Reader) {
-		read.Machines = append(read.Machines, Machine{row.Text("name", ""), row.Text("zone", ""), row.Text("region", ""), row.Truth("core")})
+		read.Machines = append(read.Machines, Machine{row.Text("name", ""), row.Text("zone", ""), row.Text("region", ""), row.Bool("core")})
 	})
 	each(tree["servers"], func(row *manifest.Reader) {
 		zones, pool := row.Texts("zones"), row.Text("pool", "")
@@ -64,7 +64,7 @@
 	each(tree["callers"], func(row *manifest.Reader) {
 		read.Callers = append(read.Callers, Caller{Route: row.Text("route", ""), Class: row.Text("class", ""), Kind: row.Text("kind", ""),
 			PerSecond: row.Number("perSecond", 1, 0, 10000), Pieces: row.Number("pieces", 1, 1, 10000), Tokens: row.Number("tokens", 1, 1, 1000000),
-			Prefixes: row.Number("prefixes", 0, 0, 1000), DeadlineMs: row.Number("deadlineMs", 10000, 1, 3600000), Unary: row.Truth("unary")})
+			Prefixes: row.Number("prefixes", 0, 0, 1000), DeadlineMs: row.Number("deadlineMs", 10000, 1, 3600000), Unary: row.Bool("unary")})
 	})
 	if err = reader.Err(); err != nil {
 		return Site{}, err
