--- a/chain/agree.go
+++ b/chain/agree.go
@@ -136,7 +136,7 @@
 // doubtSuccessor has the head leave its successor out when versions are held up and no other reason shows. A member that is silent or has a
 // disk in trouble shows by itself within a suspicion; until then the successor is not to blame.
 func (owner *Owner) doubtSuccessor(now time.Duration) {
-	if owner.stuck < 0 || now-owner.stuck < owner.bounds.Suspicion()+owner.bounds.Round() || len(owner.view.Chain) < 2 {
+	if owner.stuck < 0 || now-owner.stuck < owner.bounds.SuspicionTimeout()+owner.bounds.Round() || len(owner.view.Chain) < 2 {
 		return
 	}
 	for _, identity := range owner.view.Chain {
--- a/chain/persist.go
+++ b/chain/persist.go
@@ -190,7 +190,7 @@
 }
 
 func (owner *Owner) watchDisk(now time.Duration) {
-	if owner.writing != nil && now-owner.writingSince > owner.bounds.Commit()/2 {
+	if owner.writing != nil && now-owner.writingSince > owner.bounds.CommitTimeout()/2 {
 		owner.setFit(false, "write stalled")
 	}
 	if !owner.fit && owner.writing == nil && now-owner.writingSince > owner.bounds.Round() {
--- a/chain/reach.go
+++ b/chain/reach.go
@@ -66,7 +66,7 @@
 
 // hears tells whether a member's own heartbeats come.
 func (owner *Owner) hears(identity string) bool {
-	return identity == owner.self.Identity() || owner.ticked-owner.contacts[identity].at <= owner.bounds.Suspicion()
+	return identity == owner.self.Identity() || owner.ticked-owner.contacts[identity].at <= owner.bounds.SuspicionTimeout()
 }
 
 // direct tells whether messages pass both ways between this member and another one, by their heartbeats.
--- a/control/refuse.go
+++ b/control/refuse.go
@@ -21,7 +21,7 @@
 
 // refuseSurely refuses an order for what a version says.
 func (owner *Owner) refuseSurely(now time.Duration, ask contract.Ask, rests contract.Version, status int, reason string) []contract.Command {
-	pending := refusal{ask: ask, status: status, reason: reason, revision: rests.Place.Revision, until: now + owner.Bounds.Commit()}
+	pending := refusal{ask: ask, status: status, reason: reason, revision: rests.Place.Revision, until: now + owner.Bounds.CommitTimeout()}
 	token := owner.whenVouched(func(_ time.Duration, fine bool) []contract.Command {
 		switch {
 		case !fine:
--- a/control/stale_test.go
+++ b/control/stale_test.go
@@ -118,7 +118,7 @@
 		owner := staleHead()
 		commands := owner.Handle(2*time.Millisecond, order(contract.VerbReplace, 5, 6))
 		given := []contract.Answer{}
-		for now := 10 * time.Millisecond; now < owner.Bounds.Commit(); now += owner.Bounds.Tick() {
+		for now := 10 * time.Millisecond; now < owner.Bounds.CommitTimeout(); now += owner.Bounds.Tick() {
 			commands = append(commands, owner.Handle(now, contract.Tick{})...)
 			for len(commands) > 0 {
 				command := commands[0]
--- a/control/write.go
+++ b/control/write.go
@@ -246,7 +246,7 @@
 func (owner *Owner) outcome(now time.Duration, pending *write) (int, contract.Accepted) {
 	accepted := contract.Accepted{Revision: pending.revision, Operation: pending.ask.Operation, View: owner.Feed.View().Number}
 	if !pending.committed {
-		if now-pending.began <= owner.Bounds.Commit() && !owner.chain.OutOfContact(now) {
+		if now-pending.began <= owner.Bounds.CommitTimeout() && !owner.chain.OutOfContact(now) {
 			return 0, accepted
 		}
 		accepted.Outcome, accepted.Error = "unknown", "not yet acknowledged by the whole chain; ask by the operation key"
--- a/data/data.go
+++ b/data/data.go
@@ -116,7 +116,7 @@
 	bounds := settings.Bounds
 	return &Owner{Node: machine.New(settings, contract.KindData, boot, random), settings: settings,
 		grants: map[int]*grant{}, jobs: map[int64]*job{}, finds: map[int64]*find{}, turned: map[string]rest{}, shared: map[string]string{}, lines: line.New(), usages: map[string]pick.Usage{},
-		table:    call.NewTable(bounds.Record(), bounds.Records, bounds.ReplyBytes*replyMemory),
+		table:    call.NewTable(bounds.RecordRetention(), bounds.Records, bounds.ReplyBytes*replyMemory),
 		sessions: newAffinity(affinitySize), traces: newTraces(tracesSize)}
 }
 
--- a/data/find.go
+++ b/data/find.go
@@ -27,7 +27,7 @@
 func (owner *Owner) findAll(now time.Duration, scoped string, age time.Duration, complete func(time.Duration, *call.Record, bool)) {
 	owner.token++
 	voters := owner.votersOf(scoped)
-	search := &find{token: owner.token, scoped: scoped, until: now + owner.Bounds.Keep(), voters: voters, complete: complete,
+	search := &find{token: owner.token, scoped: scoped, until: now + owner.Bounds.ReplicationTimeout(), voters: voters, complete: complete,
 		waiting: mapset.NewThreadUnsafeSet[string](), firm: mapset.NewThreadUnsafeSet[string](), outer: mapset.NewThreadUnsafeSet[string]()}
 	owner.finds[owner.token] = search
 	ask := Find{Token: owner.token, ScopedKey: scoped, Age: age, Address: owner.Self().Address}
--- a/data/job.go
+++ b/data/job.go
@@ -266,7 +266,7 @@
 	for _, token := range owner.tokens() {
 		job := owner.jobs[token]
 		switch {
-		case job.phase == phaseHolding && now-job.asked > owner.Bounds.Keep():
+		case job.phase == phaseHolding && now-job.asked > owner.Bounds.ReplicationTimeout():
 			owner.refuse(now, job, 503, "too few keepers answered; the call did not run", owner.jitter(owner.Bounds.Round()))
 		case job.phase == phaseHolding && job.contested:
 			owner.holdAgain(job)
@@ -284,7 +284,7 @@
 
 // hedge sends a slow lookup to a second server, out of the allowance of repeats.
 func (owner *Owner) hedge(now time.Duration, job *job) {
-	patience := max(owner.lines.Service(job.call.Route)*hedgeAfter, owner.Bounds.Ask())
+	patience := max(owner.lines.Service(job.call.Route)*hedgeAfter, owner.Bounds.LeaseRenewal())
 	first, there := job.attempts[job.tries]
 	if !there || now-first.began < patience || job.tries >= mostAttempts {
 		return
--- a/data/keep.go
+++ b/data/keep.go
@@ -161,7 +161,7 @@
 // precedes holds for a call that another node asked to hold at the same moment: the node first by name asks on, the other
 // gives way, so that one of the two runs.
 func (owner *Owner) precedes(now time.Duration, job *job, other call.Record) bool {
-	brief := owner.Bounds.Keep() / 2
+	brief := owner.Bounds.ReplicationTimeout() / 2
 	return other.Outcome == call.Running && other.Age < brief && now-job.asked < brief && owner.Self().Name < other.Node
 }
 
@@ -171,7 +171,7 @@
 func (owner *Owner) checkHold(now time.Duration, job *job) {
 	all := len(job.granted)+job.refused >= len(job.keepers)
 	half := len(job.granted)*2 >= len(job.voters) && len(job.granted) > 0
-	if job.contested || !half || !all && now-job.asked < owner.Bounds.Keep()/4 {
+	if job.contested || !half || !all && now-job.asked < owner.Bounds.ReplicationTimeout()/4 {
 		return
 	}
 	if !owner.quorum(job) {
@@ -185,7 +185,7 @@
 
 // remembered holds when a grant is of a keeper up for longer than a record lives, or there is none such.
 func (owner *Owner) remembered(job *job) bool {
-	old := int64(owner.Bounds.Record() / owner.Bounds.Gossip())
+	old := int64(owner.Bounds.RecordRetention() / owner.Bounds.GossipInterval())
 	any := false
 	for name, keeper := range job.keepers {
 		if keeper.Heartbeat >= old {
--- a/data/leases.go
+++ b/data/leases.go
@@ -25,7 +25,7 @@
 	if now < owner.nextAsk || !owner.Feed.Known() {
 		return
 	}
-	owner.nextAsk = now + owner.Bounds.Ask()
+	owner.nextAsk = now + owner.Bounds.LeaseRenewal()
 	region := owner.Self().Region
 	members, shards := owner.Neighbours.Members(now), owner.shards()
 	for index := 0; index < shards; index++ {
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -212,5 +212,5 @@
 // leave tells the others, and ends after the time that this takes.
 func (shell *controlShell) leave(then func()) {
 	shell.event(control.Leave{})
-	shell.after(shell.settings.Bounds.Gossip(), then)
+	shell.after(shell.settings.Bounds.GossipInterval(), then)
 }
--- a/emulator/machine.go
+++ b/emulator/machine.go
@@ -98,7 +98,7 @@
 	if machine.controls() {
 		machine.control = newControlShell(machine, settings)
 	}
-	settings.Bounds.History = env.HistoryOfNodes
+	settings.Bounds.History = env.FollowerHistory
 	machine.data = newDataShell(machine, settings)
 	for _, process := range machine.processes() {
 		process.after(time.Duration(machine.day.world.random.Int64N(int64(settings.Bounds.Tick()))), func() { process.tick(settings.Bounds.Tick()) })
--- a/env/env.go
+++ b/env/env.go
@@ -1,4 +1,4 @@
-// Package env reads a node's settings and derives every period from their bounds.
+// Package env reads a node's settings and derives all of its periods and timeouts from a few bounds.
 package env
 
 import (
@@ -13,46 +13,63 @@
 	"github.com/rotisserie/eris"
 )
 
+// Bounds are the times and sizes that a node guarantees or accepts.
 type Bounds struct {
-	WithdrawMs  int64
-	EvacuateMs  int64
-	DeliverMs   int64
-	ReturnMs    int64
-	DeadlineMs  int64
+	// WithdrawMs is the time within which no node sends new calls to a server that was withdrawn.
+	WithdrawMs int64
+	// EvacuateMs is the time within which the calls of a drained zone have ended or moved.
+	EvacuateMs int64
+	// DeliverMs is the time within which a change of configuration or membership reaches all nodes that can be reached.
+	DeliverMs int64
+	// ReturnMs is the time within which service is back after a fault has ended.
+	ReturnMs int64
+	// DeadlineMs is the longest time that a call may ask for.
+	DeadlineMs int64
+	// BodyBytes, ReplyBytes and ReportBytes bound a request's body, a server's reply, and a listing or report of the platform.
 	BodyBytes   int64
 	ReplyBytes  int64
 	ReportBytes int64
-	Calls       int64
-	Records     int64
-	// History is how many versions of the configuration are kept, HistoryBytes how many bytes of changes of them.
+	// Calls is how many calls a data node handles at a time, Records how many records of past calls it keeps to recognise retries.
+	Calls   int64
+	Records int64
+	// History is how many versions of the configuration are kept, HistoryBytes how many bytes of their changes.
 	History      int64
 	HistoryBytes int64
 }
 
-// HistoryOfNodes is how many versions are kept by a node that only follows the configuration, where a platform tells no other number.
-const HistoryOfNodes = 32
+// FollowerHistory is the History of nodes outside the control plane that a platform starts: they only follow the configuration.
+const FollowerHistory = 32
 
+// Env holds the settings of one node.
 type Env struct {
-	Name     string
-	Zone     string
-	Region   string
-	Control  string
-	Data     string
-	Seeds    []string
-	Folder   string
+	// Name is the name of the machine, which is unique in the fleet.
+	Name   string
+	Zone   string
+	Region string
+	// Control and Data are the addresses, IP and port, of the machine's control-plane and data-plane processes.
+	Control string
+	Data    string
+	// Seeds are the addresses of the nodes that a starting node contacts first.
+	Seeds []string
+	// Folder is where a core member stores its data; empty on other nodes, which store nothing.
+	Folder string
+	// Platform is the http:// address of the platform that lists the servers.
 	Platform string
+	// CoreSize is how many members the replicated core of the control plane has.
 	CoreSize int64
 	Bounds   Bounds
-	// Joins marks a machine that must not found a blank fleet. Wide lets the control nodes of one region own the shards of another
-	// that has none alive. Zones gives the region of each zone, for a platform that tells it to its processes.
+	// Joins marks a machine that must not take part in the bootstrap of an empty fleet and only joins an existing core.
 	Joins bool
-	// Founders are the core machines that found a blank fleet, where not all core machines do.
+	// Founders are the addresses of the core machines that bootstrap an empty fleet; empty means all core machines.
 	Founders []string
-	Wide     bool
-	Zones    map[string]string
-	Gateway  Gateway
+	// Wide lets the control nodes of one region own the shards of another region that has none alive.
+	Wide bool
+	// Zones is the region of each zone, on a platform that tells it to its processes.
+	Zones   map[string]string
+	Gateway Gateway
 }
 
+// DefaultBounds returns the bounds that apply where the settings name no others.
 func DefaultBounds() Bounds {
 	return Bounds{
 		WithdrawMs: 4000, EvacuateMs: 5000, DeliverMs: 3000, ReturnMs: 12000, DeadlineMs: 60000,
@@ -60,23 +77,39 @@
 	}
 }
 
+// Option changes settings, such as a command-line flag that overrides the file. Empty values leave the settings as they are.
 type Option func(*Env)
 
+// WithName sets the machine's name.
 func WithName(name string) Option { return func(settings *Env) { setText(&settings.Name, name) } }
+
+// WithZone sets the machine's zone.
 func WithZone(zone string) Option { return func(settings *Env) { setText(&settings.Zone, zone) } }
+
+// WithRegion sets the machine's region.
 func WithRegion(region string) Option {
 	return func(settings *Env) { setText(&settings.Region, region) }
 }
+
+// WithControl sets the address of the control-plane process.
 func WithControl(address string) Option {
 	return func(settings *Env) { setText(&settings.Control, address) }
 }
+
+// WithData sets the address of the data-plane process.
 func WithData(address string) Option { return func(settings *Env) { setText(&settings.Data, address) } }
+
+// WithFolder sets the data folder.
 func WithFolder(folder string) Option {
 	return func(settings *Env) { setText(&settings.Folder, folder) }
 }
+
+// WithPlatform sets the address of the platform.
 func WithPlatform(address string) Option {
 	return func(settings *Env) { setText(&settings.Platform, address) }
 }
+
+// WithSeeds sets the addresses to contact first.
 func WithSeeds(seeds []string) Option {
 	return func(settings *Env) {
 		if len(seeds) > 0 {
@@ -91,6 +124,7 @@
 	}
 }
 
+// New returns default settings with options applied.
 func New(options ...Option) Env {
 	settings := Env{CoreSize: 3, Bounds: DefaultBounds()}
 	for _, option := range options {
@@ -99,6 +133,7 @@
 	return settings
 }
 
+// Load reads and validates a settings file. Options override what the file says.
 func Load(path string, options ...Option) (Env, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -114,6 +149,7 @@
 	return settings, settings.Check()
 }
 
+// Parse reads settings from JSON without checking that they are complete; see Validate.
 func Parse(content []byte) (Env, error) {
 	tree, err := manifest.ParseObject(content)
 	if err != nil {
@@ -132,11 +168,12 @@
 	settings.Platform = reader.Text("platform", "")
 	settings.CoreSize = reader.Number("coreSize", 3, 1, 9)
 	settings.Seeds = reader.Texts("seeds")
-	settings.Bounds.read(reader)
+	settings.Bounds.parse(reader)
 	return settings, reader.Err()
 }
 
-func (bounds *Bounds) read(reader *manifest.Reader) {
+// parse reads the bounds that are given and leaves the others as they are.
+func (bounds *Bounds) parse(reader *manifest.Reader) {
 	fields := []struct {
 		name       string
 		target     *int64
@@ -157,11 +194,12 @@
 	reader.AllowOnly("bounds", names...)
 }
 
+// Check returns an error that lists all settings that are missing or malformed, or nil.
 func (settings Env) Check() error {
-	wrong := []string{}
+	problems := []string{}
 	for _, field := range [][2]string{{"name", settings.Name}, {"zone", settings.Zone}, {"region", settings.Region}} {
 		if field[1] == "" {
-			wrong = append(wrong, field[0]+": is missing")
+			problems = append(problems, field[0]+": is missing")
 		}
 	}
 	addresses := map[string]string{"control": settings.Control, "data": settings.Data}
@@ -171,22 +209,23 @@
 	for _, path := range manifest.SortedKeys(addresses) {
 		host, _, err := net.SplitHostPort(addresses[path])
 		if err != nil || net.ParseIP(host) == nil {
-			wrong = append(wrong, fmt.Sprintf("%s: %q is not an IP number and port", path, addresses[path]))
+			problems = append(problems, fmt.Sprintf("%s: %q is not an IP number and port", path, addresses[path]))
 		}
 	}
 	if len(settings.Seeds) != 3 {
-		wrong = append(wrong, fmt.Sprintf("seeds: want 3, got %d", len(settings.Seeds)))
+		problems = append(problems, fmt.Sprintf("seeds: want 3, got %d", len(settings.Seeds)))
 	}
 	if !strings.HasPrefix(settings.Platform, "http://") {
-		wrong = append(wrong, fmt.Sprintf("platform: %q is not an http:// address", settings.Platform))
+		problems = append(problems, fmt.Sprintf("platform: %q is not an http:// address", settings.Platform))
 	}
-	if len(wrong) > 0 {
-		return eris.New("settings: " + strings.Join(wrong, "; "))
+	if len(problems) > 0 {
+		return eris.New("settings: " + strings.Join(problems, "; "))
 	}
 	return nil
 }
 
-func (settings Env) Text() []byte {
+// JSON writes the settings in the form that Parse reads.
+func (settings Env) JSON() []byte {
 	bounds := settings.Bounds
 	content, _ := json.MarshalIndent(map[string]any{
 		"name": settings.Name, "zone": settings.Zone, "region": settings.Region, "control": settings.Control,
--- a/env/env_test.go
+++ b/env/env_test.go
@@ -15,7 +15,7 @@
 }
 
 var _ = Describe("settings", func() {
-	It("shipped for both deployments are right", func() {
+	It("of both deployments are valid", func() {
 		for _, name := range []string{"brazos", "seri"} {
 			settings, err := Load("../deploy/" + name + "/env.json")
 			Expect(err).NotTo(HaveOccurred())
@@ -23,10 +23,10 @@
 		}
 	})
 
-	It("are written so that they read back the same", func() {
+	It("read back as they were written", func() {
 		settings, err := Load("../deploy/brazos/env.json")
 		Expect(err).NotTo(HaveOccurred())
-		again, err := Parse(settings.Text())
+		again, err := Parse(settings.JSON())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again).To(Equal(settings))
 	})
@@ -36,30 +36,30 @@
 		Expect(os.WriteFile(path, []byte(`{"name":"m1","control":"localhost:1","data":"10.0.0.1:2","seeds":["10.0.0.1:3"]}`), 0o600)).To(Succeed())
 		settings, err := Load(path, WithName("m2"))
 		Expect(settings.Name).To(Equal("m2"))
-		for _, part := range []string{"zone: is missing", "region: is missing", "control:", "seeds: want 3", "platform:"} {
-			Expect(err).To(MatchError(ContainSubstring(part)))
+		for _, message := range []string{"zone: is missing", "region: is missing", "control:", "seeds: want 3", "platform:"} {
+			Expect(err).To(MatchError(ContainSubstring(message)))
 		}
 	})
 
-	DescribeTable("that are wrong are refused", func(content, part string) {
+	DescribeTable("that are invalid are refused", func(content, message string) {
 		_, err := Parse([]byte(content))
-		Expect(err).To(MatchError(ContainSubstring(part)))
+		Expect(err).To(MatchError(ContainSubstring(message)))
 	},
-		Entry("unknown", `{"nane":"m"}`, "nane: unknown field"),
-		Entry("of a former name", `{"hall":"a"}`, "hall: renamed, write zone"),
+		Entry("unknown field", `{"nane":"m"}`, "nane: unknown field"),
+		Entry("field with a former name", `{"hall":"a"}`, "hall: renamed, write zone"),
 		Entry("unknown bound", `{"bounds":{"slow":1}}`, "bounds.slow: unknown field"),
-		Entry("range", `{"bounds":{"withdrawMs":1}}`, "bounds.withdrawMs: want 400"),
-		Entry("type", `{"seeds":"x"}`, "seeds: want a list"),
-		Entry("twice", `{"name":"a","name":"b"}`, "key given twice"),
+		Entry("out of range", `{"bounds":{"withdrawMs":1}}`, "bounds.withdrawMs: want 400"),
+		Entry("wrong type", `{"seeds":"x"}`, "seeds: want a list"),
+		Entry("key given twice", `{"name":"a","name":"b"}`, "key given twice"),
 	)
 
-	It("keep the withdrawal budget below its bound: platform reading, lease, link", func() {
+	It("keep the sum of the periods of a withdrawal below its bound", func() {
 		bounds := DefaultBounds()
-		cut := bounds.PlatformPoll() + bounds.PlatformPoll() + bounds.Ask() + bounds.Lease()
+		cut := bounds.PlatformPoll() + bounds.PlatformPoll() + bounds.LeaseRenewal() + bounds.Lease()
 		blind := bounds.PlatformGrace() + bounds.Lease()
 		frozen := bounds.Lease()
 		Expect(max(cut, blind, frozen)).To(BeNumerically("<", bounds.Withdraw()))
-		Expect(bounds.Lease()).To(BeNumerically("<", bounds.Suspicion()))
-		Expect(bounds.Suspicion() + bounds.Round() + bounds.Ask()*2 + bounds.PlatformPoll()*2).To(BeNumerically("<", 5*time.Second))
+		Expect(bounds.Lease()).To(BeNumerically("<", bounds.SuspicionTimeout()))
+		Expect(bounds.SuspicionTimeout() + bounds.Round() + bounds.LeaseRenewal()*2 + bounds.PlatformPoll()*2).To(BeNumerically("<", 5*time.Second))
 	})
 })
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -84,7 +84,7 @@
 }
 
 func New(address string, bounds env.Bounds) *Owner {
-	return &Owner{address: address, bounds: bounds, kept: map[int64]contract.Version{}, asked: -bounds.Gossip(), told: -bounds.Gossip(), began: -bounds.Gossip()}
+	return &Owner{address: address, bounds: bounds, kept: map[int64]contract.Version{}, asked: -bounds.GossipInterval(), told: -bounds.GossipInterval(), began: -bounds.GossipInterval()}
 }
 
 func (owner *Owner) Version() contract.Version   { return owner.version }
@@ -105,7 +105,7 @@
 	switch message.Kind {
 	case MessageNews:
 		var news News
-		if json.Unmarshal(message.Body, &news) == nil && owner.behind(news.Place, news.View) && now-owner.told >= owner.bounds.Gossip() {
+		if json.Unmarshal(message.Body, &news) == nil && owner.behind(news.Place, news.View) && now-owner.told >= owner.bounds.GossipInterval() {
 			owner.told = now
 			return []contract.Command{owner.ask(news.From, false)}
 		}
@@ -127,7 +127,7 @@
 	case MessageChange:
 		var delivery Delivery
 		if json.Unmarshal(message.Body, &delivery) == nil {
-			owner.told = now - owner.bounds.Gossip()
+			owner.told = now - owner.bounds.GossipInterval()
 			return owner.receive(message, delivery, neighbours)
 		}
 	}
@@ -161,7 +161,7 @@
 // Catch asks two of the members that are seen to hold more, others each time: one of those that speak with this node, and
 // one of all, for links may be cut either way.
 func (owner *Owner) Catch(now time.Duration, members, near []contract.Member, random *rand.Rand) []contract.Command {
-	if now-owner.asked < owner.bounds.Gossip() {
+	if now-owner.asked < owner.bounds.GossipInterval() {
 		return nil
 	}
 	commands := owner.lack(now, near, random)
@@ -242,7 +242,7 @@
 
 // Begin asks all the given for what there is: a node that knows nothing need not wait until it hears who knows more.
 func (owner *Owner) Begin(now time.Duration, addresses []string) []contract.Command {
-	if owner.Known() || now-owner.began < owner.bounds.Gossip() {
+	if owner.Known() || now-owner.began < owner.bounds.GossipInterval() {
 		return nil
 	}
 	owner.began = now
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -55,7 +55,7 @@
 	}
 	restarted.Take(Change{Versions: []contract.Version{version(140)}}, nil)
 	near := []contract.Member{{Name: "keeper", Address: "keeper", Place: contract.Place{View: 1, Revision: 140}}}
-	for now := time.Second; now < 10*time.Minute; now += bounds.Gossip() {
+	for now := time.Second; now < 10*time.Minute; now += bounds.GossipInterval() {
 		for _, command := range restarted.Catch(now, near, near, random) {
 			asked := command.(contract.Send)
 			for _, told := range keeper.Handle(now, message(asked.Kind, asked.Body), nil) {
@@ -179,7 +179,7 @@
 		node.Take(Change{Versions: []contract.Version{version(40)}}, nil)
 		near := []contract.Member{{Name: "keeper", Address: "keeper", Place: contract.Place{View: 1, Revision: 40}}}
 		first := time.Duration(0)
-		for now := time.Second; first == 0 && now < time.Minute; now += bounds.Gossip() {
+		for now := time.Second; first == 0 && now < time.Minute; now += bounds.GossipInterval() {
 			if len(node.Catch(now, near, near, random)) > 0 {
 				first = now
 			}
--- a/machine/relays_test.go
+++ b/machine/relays_test.go
@@ -54,7 +54,7 @@
 
 	It("given suspected members, when relays are drawn, then they are left out", func() {
 		node := nodeWithMembers([2]string{"near-data", "b"}, [2]string{"owner-control", "b"})
-		Expect(node.ChooseRelays(time.Second+node.Bounds.Suspicion(), target, 3)).To(BeEmpty())
+		Expect(node.ChooseRelays(time.Second+node.Bounds.SuspicionTimeout(), target, 3)).To(BeEmpty())
 	})
 
 	It("given members of both zones, when single relays failed, then routes over two are drawn: one of the own zone, then one of the target's", func() {
--- a/neighbour/look.go
+++ b/neighbour/look.go
@@ -31,7 +31,7 @@
 func (owner *Owner) Near(now time.Duration) []contract.Member {
 	return owner.Live(now, func(member contract.Member) bool {
 		known, there := owner.table[member.Name]
-		return there && known.heard > 0 && now-known.heard < owner.bounds.Suspicion()
+		return there && known.heard > 0 && now-known.heard < owner.bounds.SuspicionTimeout()
 	})
 }
 
@@ -55,7 +55,7 @@
 
 // Deaf holds when others are known and none of another machine has been heard for the time after which they are suspected.
 func (owner *Owner) Deaf(now time.Duration) bool {
-	return len(owner.table) > 1 && owner.spoken > 0 && now-owner.spoken > owner.bounds.Suspicion()
+	return len(owner.table) > 1 && owner.spoken > 0 && now-owner.spoken > owner.bounds.SuspicionTimeout()
 }
 
 // Left tells whether this node has said goodbye: it tells nobody of itself any more.
--- a/neighbour/near.go
+++ b/neighbour/near.go
@@ -35,7 +35,7 @@
 	}
 	heard := among(fitting, func(name string) bool {
 		known := owner.table[name]
-		return known.heard > 0 && now-known.heard < owner.bounds.Suspicion()
+		return known.heard > 0 && now-known.heard < owner.bounds.SuspicionTimeout()
 	})
 	if len(heard) > 0 && owner.random.IntN(2) == 0 {
 		fitting = heard
--- a/neighbour/near_test.go
+++ b/neighbour/near_test.go
@@ -33,7 +33,7 @@
 func shares(owner *Owner, rounds int) (zone, region, other, seeds int) {
 	now := time.Duration(0)
 	for range rounds {
-		now += owner.bounds.Gossip()
+		now += owner.bounds.GossipInterval()
 		owner.spoken = now
 		for _, known := range owner.table {
 			known.advanced, known.heard = now, now
@@ -88,7 +88,7 @@
 	It("given a whole region that falls silent, when it gossips, then the silent ones leave its view", func() {
 		owner := knowing(3, 6)
 		shares(owner, 10)
-		now := 10*owner.bounds.Gossip() + owner.bounds.Suspicion()
+		now := 10*owner.bounds.GossipInterval() + owner.bounds.SuspicionTimeout()
 		for _, known := range owner.table {
 			if known.member.Region == "a" {
 				known.advanced, known.heard = now, now
--- a/neighbour/neighbour.go
+++ b/neighbour/neighbour.go
@@ -122,7 +122,7 @@
 // Woke forgives the silence that a freeze of this process made of everybody else.
 func (owner *Owner) Woke(now, gap time.Duration) {
 	for _, known := range owner.table {
-		if now-known.advanced < owner.bounds.Suspicion()+gap {
+		if now-known.advanced < owner.bounds.SuspicionTimeout()+gap {
 			known.advanced = now
 		}
 	}
@@ -143,7 +143,7 @@
 	if now < owner.next || owner.left {
 		return nil
 	}
-	owner.next = now + owner.bounds.Gossip()
+	owner.next = now + owner.bounds.GossipInterval()
 	owner.self.Heartbeat++
 	owner.forget(now)
 	owner.renewActive(now)
@@ -157,7 +157,7 @@
 			targets[owner.seeds[owner.random.IntN(len(owner.seeds))]] = true
 		}
 	}
-	lonely := now-owner.spoken > owner.bounds.Suspicion()/4
+	lonely := now-owner.spoken > owner.bounds.SuspicionTimeout()/4
 	if names := owner.names(); len(names) > 0 && (lonely || owner.random.IntN(owner.healOdds()) == 0) {
 		targets[owner.table[names[owner.random.IntN(len(names))]].member.Address] = true
 	}
@@ -181,7 +181,7 @@
 
 func (owner *Owner) forget(now time.Duration) {
 	for name, known := range owner.table {
-		if now-known.advanced > owner.bounds.Forget() {
+		if now-known.advanced > owner.bounds.MemberExpiry() {
 			delete(owner.table, name)
 			owner.ordered = nil
 		}
@@ -191,7 +191,7 @@
 func (owner *Owner) renewActive(now time.Duration) {
 	kept := owner.active[:0]
 	for _, name := range owner.active {
-		if known := owner.table[name]; owner.Alive(now, name) && now-max(known.heard, known.joined) < owner.bounds.Suspicion() {
+		if known := owner.table[name]; owner.Alive(now, name) && now-max(known.heard, known.joined) < owner.bounds.SuspicionTimeout() {
 			kept = append(kept, name)
 		}
 	}
@@ -229,7 +229,7 @@
 	}
 	for place, name := range names {
 		known := owner.table[name]
-		here, lately := known.member.Place == owner.self.Place, owner.bounds.Suspicion()/2
+		here, lately := known.member.Place == owner.self.Place, owner.bounds.SuspicionTimeout()/2
 		if newcomer || place < wholeRows || now-known.changed < lately || now-known.moved < lately && !here {
 			shuffle.Members = append(shuffle.Members, known.member)
 			continue
@@ -246,7 +246,7 @@
 func (owner *Owner) shuffled(now time.Duration, from string, shuffle Shuffle) []contract.Command {
 	address, boot, newcomer, told := "", "", true, contract.Place{}
 	if known, there := owner.table[from]; there {
-		newcomer = now-known.changed < owner.bounds.Suspicion()
+		newcomer = now-known.changed < owner.bounds.SuspicionTimeout()
 	}
 	for index, member := range shuffle.Members {
 		if index > shuffleSize {
@@ -349,7 +349,7 @@
 		return true
 	}
 	known, there := owner.table[name]
-	return there && !known.gone && now-known.advanced < owner.bounds.Suspicion()
+	return there && !known.gone && now-known.advanced < owner.bounds.SuspicionTimeout()
 }
 
 // Members gives the live members, this node among them, in the order of their names.
--- a/neighbour/sample_test.go
+++ b/neighbour/sample_test.go
@@ -23,7 +23,7 @@
 	}
 	add(contract.KindData, data)
 	add(contract.KindControl, controls)
-	now := owner.bounds.Suspicion()
+	now := owner.bounds.SuspicionTimeout()
 	for _, known := range owner.table {
 		known.advanced = now
 	}
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -190,7 +190,7 @@
 		return err
 	}
 	path := filepath.Join(node.folder, "env.json")
-	if err := os.WriteFile(path, node.Settings.Text(), 0o600); err != nil {
+	if err := os.WriteFile(path, node.Settings.JSON(), 0o600); err != nil {
 		return err
 	}
 	started := []*program{}
--- a/rig/rig_test.go
+++ b/rig/rig_test.go
@@ -268,7 +268,7 @@
 			command, settings := starting(name)
 			Expect(command.Process.Signal(syscall.SIGHUP)).To(Succeed())
 			Expect(command.Process.Signal(syscall.SIGTERM)).To(Succeed())
-			_, failure = settings.Write(fresh.Settings.Text())
+			_, failure = settings.Write(fresh.Settings.JSON())
 			Expect(failure).NotTo(HaveOccurred())
 			Expect(settings.Close()).To(Succeed())
 			Expect(command.Wait()).To(Succeed())
--- a/serve/control.go
+++ b/serve/control.go
@@ -87,7 +87,7 @@
 	}
 	return shell.run(settings.Control, func() {
 		shell.Loop.Post(control.Leave{})
-		settle(settings.Bounds.Gossip())
+		settle(settings.Bounds.GossipInterval())
 	})
 }
 
--- a/shard/condition.go
+++ b/shard/condition.go
@@ -110,7 +110,7 @@
 	if now < held.nextJudge {
 		return
 	}
-	held.nextJudge = now + owner.bounds.Ask()
+	held.nextJudge = now + owner.bounds.LeaseRenewal()
 	joined, nodes, zones := owner.witnesses(now, held)
 	pools, present := map[string][]contract.ServerRow{}, map[string]bool{}
 	for _, row := range owner.eligible(now, held) {
--- a/shard/duty.go
+++ b/shard/duty.go
@@ -126,7 +126,7 @@
 	if running {
 		owner.end(now, held, retirement, "a stronger cause came")
 	}
-	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), Link: owner.bounds.Ask(), Remaining: remaining}
+	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), Link: owner.bounds.LeaseRenewal(), Remaining: remaining}
 	held.retirements[row.Name] = retire.New(now, row.Name, row.Incarnation, cause, held.number+1, terms)
 	owner.emit(contract.Count{Name: "retirements", By: 1}, contract.Say{What: "withdrawn", Detail: []any{"server", row.Name, "cause", cause}})
 	owner.renumber(now, held)
--- a/shard/list.go
+++ b/shard/list.go
@@ -221,7 +221,7 @@
 			if name != node {
 				others += most
 			}
-		case known.sampled <= lapses+owner.bounds.Ask():
+		case known.sampled <= lapses+owner.bounds.LeaseRenewal():
 			others += most
 		default:
 			unheard += most
--- a/shard/sight.go
+++ b/shard/sight.go
@@ -75,7 +75,7 @@
 	case !owner.blind && late > owner.bounds.Lease()+owner.pollEvery()-owner.bounds.PlatformPoll():
 		owner.blind, owner.sighted = true, now
 		owner.emit(contract.Count{Name: "blind", By: 1}, contract.Say{What: "the platform cannot be read here"})
-	case owner.blind && owner.fresh(now) && now-owner.sighted > owner.bounds.Refound():
+	case owner.blind && owner.fresh(now) && now-owner.sighted > owner.bounds.RecoveryDelay():
 		owner.blind = false
 		owner.emit(contract.Say{What: "the platform can be read here again"})
 	}
