--- a/chain/agree.go
+++ b/chain/agree.go
@@ -136,7 +136,7 @@
 // doubtSuccessor has the head leave its successor out when versions are held up and no other reason shows. A member that is silent or has a
 // disk in trouble shows by itself within a suspicion; until then the successor is not to blame.
 func (owner *Replica) excludeStalledSuccessor(now time.Duration) {
-	if owner.stalledSince < 0 || now-owner.stalledSince < owner.bounds.Suspicion()+owner.bounds.Round() || len(owner.view.Chain) < 2 {
+	if owner.stalledSince < 0 || now-owner.stalledSince < owner.bounds.SuspicionTimeout()+owner.bounds.Round() || len(owner.view.Chain) < 2 {
 		return
 	}
 	for _, identity := range owner.view.Chain {
--- a/chain/reach.go
+++ b/chain/reach.go
@@ -66,7 +66,7 @@
 
 // hears tells whether a member's own heartbeats come.
 func (owner *Replica) hears(identity string) bool {
-	return identity == owner.self.Identity() || owner.lastTick-owner.peers[identity].lastHeartbeat <= owner.bounds.Suspicion()
+	return identity == owner.self.Identity() || owner.lastTick-owner.peers[identity].lastHeartbeat <= owner.bounds.SuspicionTimeout()
 }
 
 // direct tells whether messages pass both ways between this member and another one, by their heartbeats.
--- a/control/write.go
+++ b/control/write.go
@@ -38,7 +38,7 @@
 	case contract.VerbScale:
 		return map[string]any{"pools": map[string]any{ask.Subject: map[string]any{"scale": json.Number(strings.TrimSpace(string(ask.Body)))}}}, nil
 	}
-	return manifest.Tree(ask.Body)
+	return manifest.ParseObject(ask.Body)
 }
 
 func (owner *Owner) refuse(ask contract.OperatorRequest, status int, err string) []contract.Command {
@@ -135,7 +135,7 @@
 	case ask.Verb == contract.VerbReplace || ask.Verb == contract.VerbUpdate:
 		return manifest.GatewayChange(latest.Document(), patch, ask.Verb == contract.VerbReplace || !latest.there())
 	case ask.Verb == contract.VerbPut || !latest.there():
-		whole, err := document.FromTree(patch)
+		whole, err := document.FromObject(patch)
 		if err != nil {
 			return document.Change{}, err
 		}
@@ -246,7 +246,7 @@
 func (owner *Owner) outcome(now time.Duration, pending *write) (int, contract.WriteResult) {
 	accepted := contract.WriteResult{Revision: pending.revision, Operation: pending.ask.Operation, View: owner.Feed.View().Number}
 	if !pending.committed {
-		if now-pending.began <= owner.Bounds.Commit() && !owner.chain.MajorityUnreachable(now) {
+		if now-pending.began <= owner.Bounds.CommitTimeout() && !owner.chain.MajorityUnreachable(now) {
 			return 0, accepted
 		}
 		accepted.Outcome, accepted.Error = "unknown", "not yet acknowledged by the whole chain; ask by the operation key"
--- a/data/data.go
+++ b/data/data.go
@@ -136,7 +136,7 @@
 	bounds := settings.Bounds
 	return &Owner{Node: machine.New(settings, contract.KindData, boot, random), settings: settings,
 		shardLeases: map[int]*shardLease{}, jobs: map[int64]*job{}, searches: map[int64]*recordSearch{}, backoffs: map[string]backoff{}, exported: map[string]string{}, queues: line.New(), usages: map[string]pick.Usage{},
-		table:      call.NewTable(bounds.Record(), bounds.Records, bounds.ReplyBytes*maxKeptReplies),
+		table:      call.NewTable(bounds.RecordRetention(), bounds.Records, bounds.ReplyBytes*maxKeptReplies),
 		affinities: newAffinity(maxAffinityEntries), traces: newTraces(maxTraces)}
 }
 
@@ -157,7 +157,7 @@
 	}
 	for _, command := range owner.Node.Handle(now, event) {
 		if adopted, ok := command.(contract.VersionAdopted); ok {
-			owner.retryBudget.Configure(owner.Feed.Manifest().RepeatShare, owner.Feed.Manifest().RepeatAtOnce)
+			owner.retryBudget.Configure(owner.Feed.Manifest().RepeatPercent, owner.Feed.Manifest().RepeatAtOnce)
 			command = contract.Log{Message: "manifest in force", Attributes: []any{"revision", adopted.Version.Position.Revision}}
 		}
 		owner.emit(command)
--- a/data/keep.go
+++ b/data/keep.go
@@ -181,7 +181,7 @@
 // takesPrecedence reports whether this node persists with its claim against another node's concurrent claim of the same call. The node
 // with the lower name persists and the other gives way, so that one of the two calls runs.
 func (owner *Owner) takesPrecedence(now time.Duration, job *job, other call.Record) bool {
-	window := owner.Bounds.Keep() / 2
+	window := owner.Bounds.ReplicationTimeout() / 2
 	return other.Outcome == call.Running && other.Age < window && now-job.claimedAt < window && owner.Self().Name < other.Node
 }
 
@@ -191,7 +191,7 @@
 func (owner *Owner) checkClaim(now time.Duration, job *job) {
 	all := len(job.granted)+job.refusals >= len(job.replicas)
 	half := len(job.granted)*2 >= len(job.voters) && len(job.granted) > 0
-	if job.contested || !half || !all && now-job.claimedAt < owner.Bounds.Keep()/4 {
+	if job.contested || !half || !all && now-job.claimedAt < owner.Bounds.ReplicationTimeout()/4 {
 		return
 	}
 	if !owner.quorum(job) {
@@ -205,7 +205,7 @@
 
 // grantedByOldReplica reports whether a replica that was up for longer than a record lives granted the claim, or there is no such replica.
 func (owner *Owner) grantedByOldReplica(job *job) bool {
-	old := int64(owner.Bounds.Record() / owner.Bounds.Gossip())
+	old := int64(owner.Bounds.RecordRetention() / owner.Bounds.GossipInterval())
 	any := false
 	for name, keeper := range job.replicas {
 		if keeper.Heartbeat >= old {
--- a/data/leases.go
+++ b/data/leases.go
@@ -28,7 +28,7 @@
 	if now < owner.nextLeaseRequest || !owner.Feed.Known() {
 		return
 	}
-	owner.nextLeaseRequest = now + owner.Bounds.Ask()
+	owner.nextLeaseRequest = now + owner.Bounds.LeaseRenewal()
 	region := owner.Self().Region
 	members, shards := owner.Neighbours.Members(now), owner.shards()
 	for index := 0; index < shards; index++ {
--- a/shard/condition.go
+++ b/shard/condition.go
@@ -114,7 +114,7 @@
 	if now < shard.nextEvaluation {
 		return
 	}
-	shard.nextEvaluation = now + owner.bounds.Ask()
+	shard.nextEvaluation = now + owner.bounds.LeaseRenewal()
 	evidenceByServer, nodes, zones := owner.collectEvidence(now, shard)
 	pools, present := map[string][]contract.ListedServer{}, map[string]bool{}
 	for _, row := range owner.eligibleServers(now, shard) {
--- a/shard/list.go
+++ b/shard/list.go
@@ -222,7 +222,7 @@
 			if name != node {
 				others += bound
 			}
-		case known.sampledAt <= expiry+owner.bounds.Ask():
+		case known.sampledAt <= expiry+owner.bounds.LeaseRenewal():
 			others += bound
 		default:
 			unheardLoad += bound
--- a/shard/sight.go
+++ b/shard/sight.go
@@ -76,7 +76,7 @@
 	case !owner.blind && unreadFor > owner.bounds.Lease()+owner.pollInterval()-owner.bounds.PlatformPoll():
 		owner.blind, owner.visibleSince = true, now
 		owner.emit(contract.AddCounter{Name: "blind", Delta: 1}, contract.Log{Message: "the platform cannot be read here"})
-	case owner.blind && owner.listingFresh(now) && now-owner.visibleSince > owner.bounds.Refound():
+	case owner.blind && owner.listingFresh(now) && now-owner.visibleSince > owner.bounds.RecoveryDelay():
 		owner.blind = false
 		owner.emit(contract.Log{Message: "the platform can be read here again"})
 	}
