--- a/chain/agree.go
+++ b/chain/agree.go
@@ -150,7 +150,7 @@
 // excludeStalledSuccessor makes the head exclude its successor when versions are not committed and no other cause is visible. A member that
 // is silent or has a failing disk is detected within the suspicion time, so the successor is excluded only after that.
 func (replica *Replica) excludeStalledSuccessor(now time.Duration) {
-	if replica.stalledSince < 0 || now-replica.stalledSince < replica.bounds.Suspicion()+replica.bounds.Round() || len(replica.view.Chain) < 2 {
+	if replica.stalledSince < 0 || now-replica.stalledSince < replica.bounds.SuspicionTimeout()+replica.bounds.Round() || len(replica.view.Chain) < 2 {
 		return
 	}
 	for _, identity := range replica.view.Chain {
--- a/chain/persist.go
+++ b/chain/persist.go
@@ -192,7 +192,7 @@
 
 // watchDisk marks the disk as failing when a write takes too long. While the disk is failing it retries, if need be with the member record.
 func (replica *Replica) watchDisk(now time.Duration) {
-	if replica.writing != nil && now-replica.writingSince > replica.bounds.Commit()/2 {
+	if replica.writing != nil && now-replica.writingSince > replica.bounds.CommitTimeout()/2 {
 		replica.setDiskHealth(false, "write stalled")
 	}
 	if !replica.diskHealthy && replica.writing == nil && now-replica.writingSince > replica.bounds.Round() {
--- a/chain/reach.go
+++ b/chain/reach.go
@@ -66,7 +66,7 @@
 
 // hears reports whether this member received a heartbeat of a member within the suspicion time.
 func (replica *Replica) hears(identity string) bool {
-	return identity == replica.self.Identity() || replica.lastTick-replica.peers[identity].lastHeartbeat <= replica.bounds.Suspicion()
+	return identity == replica.self.Identity() || replica.lastTick-replica.peers[identity].lastHeartbeat <= replica.bounds.SuspicionTimeout()
 }
 
 // linkedBothWays reports whether messages pass in both directions between this member and another one, by their heartbeats.
--- a/gateway/condition_test.go
+++ b/gateway/condition_test.go
@@ -12,7 +12,7 @@
 
 // warming lets the servers of the service begin cold.
 func warming(read *manifest.Manifest) {
-	read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
+	read.Gateway.Services["s"] = manifest.Service{WarmupDuration: 3 * time.Second, WarmupRate: 10}
 }
 
 // told gives the list of servers a and b, with what it says of a.
@@ -129,7 +129,7 @@
 		node.now += node.askEvery()
 		asked := 0
 		for _, command := range node.take(contract.Tick{}) {
-			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).Region == "east" {
+			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageLeaseRequest && send.Body.(contract.LeaseRequest).Region == "east" {
 				asked++
 				Expect(send.Body.(contract.LeaseRequest).Tallies).To(Equal(map[string]contract.CallTally{"a": {Failed: 1}}))
 			}
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -110,15 +110,15 @@
 	if int64(len(body)) > bound {
 		return nil, badCall{status: 413, text: fmt.Sprintf("the body is larger than %d bytes", bound)}
 	}
-	tree, err := manifest.Tree(body)
+	tree, err := manifest.ParseObject(body)
 	if err != nil {
 		return nil, badCall{status: 400, text: "body: " + err.Error()}
 	}
 	reader := manifest.NewReader(tree)
-	streamed := reader.Truth("stream")
+	streamed := reader.Bool("stream")
 	messages, fine := tree["messages"].([]any)
 	if !fine || len(messages) == 0 {
-		reader.Wrong("messages", "want a list that is not empty")
+		reader.Errorf("messages", "want a list that is not empty")
 	}
 	if err = reader.Err(); err != nil {
 		return nil, badCall{status: 400, text: "body: " + err.Error()}
@@ -170,7 +170,7 @@
 		}
 		select {
 		case answer := <-answers:
-			if pass, away := answer.Body.(data.Pass); away {
+			if pass, away := answer.Body.(data.HomeForward); away {
 				return &passage{shell: shell, pass: pass, method: http.MethodGet, path: "/v1/calls/" + url.PathEscape(look.Key),
 					headers: map[string]string{"Cedar-Caller": look.Caller}}, nil
 			}
@@ -183,7 +183,7 @@
 
 func encodeAnswer(ctx context.Context, writer http.ResponseWriter, response any) error {
 	if away, fine := response.(*passage); fine {
-		if status, _ := away.carry(ctx, writer, away.shell.Loop.Now()+away.pass.Limit); status < 0 {
+		if status, _ := away.carry(ctx, writer, away.shell.Loop.Now()+away.pass.Timeout); status < 0 {
 			panic(http.ErrAbortHandler)
 		}
 		return nil
