--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -100,11 +100,11 @@
 // countingDisk keeps nothing and tells how large the last file was.
 type countingDisk struct{ written int }
 
-func (disk *countingDisk) WriteAside(_ string, content []byte) error {
+func (disk *countingDisk) WriteTemp(_ string, content []byte) error {
 	disk.written = len(content)
 	return nil
 }
-func (*countingDisk) Settle(string, string) error { return nil }
+func (*countingDisk) Rename(string, string) error { return nil }
 func (*countingDisk) SyncFolder() error           { return nil }
 func (*countingDisk) Read(string) ([]byte, error) { return nil, nil }
 func (*countingDisk) List() ([]string, error)     { return nil, nil }
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -156,7 +156,7 @@
 }
 
 func (shell *controlShell) readReport(command shard.ReadReport) {
-	read := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: shell.now()}}
+	read := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: shell.now()}}
 	server := shell.day.at(command.Address)
 	if server == nil {
 		read.Error = "nobody is there"
--- a/fleet/platform.go
+++ b/fleet/platform.go
@@ -86,7 +86,7 @@
 	case shard.ReadReport:
 		server := fleet.Server(command.Server)
 		fleet.question(process, server.place(), limit, server.report, func(content []byte) {
-			read := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: began}}
+			read := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: began}}
 			var err error
 			if read.Report, err = listing.ReadReport(content, command.Server); err != nil {
 				read.Error = err.Error()
--- a/image/image.go
+++ b/image/image.go
@@ -1,4 +1,6 @@
-// Package image keeps manifest versions as files: one a version, written aside, synced, renamed, the folder synced.
+// Package image stores the durable state of a core member in a data folder: one file per manifest version, the member record, the past
+// operations and the committed position, and snapshots of the cache index. A file is written under a temporary name, synced and renamed, and
+// then the folder is synced. Each file carries a digest of its content.
 package image
 
 import (
@@ -16,46 +18,50 @@
 	"github.com/rotisserie/eris"
 )
 
-// Files is the seam to a disk.
+// Files is the interface to the data folder on a disk. WriteTemp writes and syncs a file, Rename replaces one file by another, and SyncFolder
+// makes renames and removals durable.
 type Files interface {
-	WriteAside(name string, content []byte) error
-	Settle(aside, name string) error
+	WriteTemp(name string, content []byte) error
+	Rename(aside, name string) error
 	SyncFolder() error
 	Read(name string) ([]byte, error)
 	List() ([]string, error)
 	Remove(name string) error
 }
 
+// Names of files in the data folder.
 const (
-	prefix     = "manifest-"
-	memberName = "member.json"
-	markName   = "committed.json"
-	pastName   = "operations.json"
-	aside      = ".aside"
-	damaged    = ".damaged"
+	versionPrefix      = "manifest-"
+	memberFileName     = "member.json"
+	committedFileName  = "committed.json"
+	operationsFileName = "operations.json"
+	tempSuffix         = ".aside"
+	damagedSuffix      = ".damaged"
 )
 
-type sealed struct {
+// envelope is the content of a file with the digest of its body.
+type envelope struct {
 	Digest string          `json:"digest"`
 	Body   json.RawMessage `json:"body"`
 }
 
-func nameOf(place contract.Position) string {
-	return fmt.Sprintf("%s%016d-%010d.json", prefix, place.Revision, place.View)
+// versionFileName returns the file name of a version. Names sort by revision, then by view.
+func versionFileName(position contract.Position) string {
+	return fmt.Sprintf("%s%016d-%010d.json", versionPrefix, position.Revision, position.View)
 }
 
-func wrap(value any) ([]byte, error) {
-	body, failure := json.Marshal(value)
-	if failure != nil {
-		return nil, eris.Wrap(failure, "image cannot be written as JSON")
+func encodeEnvelope(value any) ([]byte, error) {
+	body, err := json.Marshal(value)
+	if err != nil {
+		return nil, eris.Wrap(err, "image cannot be written as JSON")
 	}
-	return json.Marshal(sealed{Digest: contract.Digest(body), Body: body})
+	return json.Marshal(envelope{Digest: contract.Digest(body), Body: body})
 }
 
-func unwrap(content []byte, value any) error {
-	var wrapped sealed
-	if failure := json.Unmarshal(content, &wrapped); failure != nil {
-		return eris.Wrap(failure, "image is not JSON")
+func decodeEnvelope(content []byte, value any) error {
+	var wrapped envelope
+	if err := json.Unmarshal(content, &wrapped); err != nil {
+		return eris.Wrap(err, "image is not JSON")
 	}
 	if contract.Digest(wrapped.Body) != wrapped.Digest {
 		return eris.New("image does not match its digest")
@@ -63,128 +69,128 @@
 	return json.Unmarshal(wrapped.Body, value)
 }
 
-// Save carries a change out. What is dropped is gone for good before anything else is written: a version that was left behind must never
-// be found beside the record of a newer view.
+// Save carries out an update of the data folder. Removals are synced before anything else is written, since an abandoned version must never
+// be found next to the record of a newer view.
 func Save(files Files, work chain.Persist) error {
-	if failure := drop(files, work.Remove); failure != nil {
-		return failure
+	if err := removeVersions(files, work.Remove); err != nil {
+		return err
 	}
 	names := []string{}
 	write := func(name string, value any) error {
-		content, failure := wrap(value)
-		if failure == nil {
-			failure = files.WriteAside(name+aside, content)
+		content, err := encodeEnvelope(value)
+		if err == nil {
+			err = files.WriteTemp(name+tempSuffix, content)
 		}
 		names = append(names, name)
-		return failure
+		return err
 	}
-	for _, one := range work.Writes {
-		if failure := write(nameOf(one.Version.Position), one.Record()); failure != nil {
-			return eris.Wrap(failure, "version not written")
+	for _, entry := range work.Writes {
+		if err := write(versionFileName(entry.Version.Position), entry.Record()); err != nil {
+			return eris.Wrap(err, "version not written")
 		}
 	}
 	slices.Sort(names)
 	names = slices.Compact(names)
 	if work.Member != nil {
-		if failure := write(memberName, *work.Member); failure != nil {
-			return eris.Wrap(failure, "member record not written")
+		if err := write(memberFileName, *work.Member); err != nil {
+			return eris.Wrap(err, "member record not written")
 		}
 	}
 	if work.PastOperations != nil {
-		if failure := write(pastName, *work.PastOperations); failure != nil {
-			return eris.Wrap(failure, "past operations not written")
+		if err := write(operationsFileName, *work.PastOperations); err != nil {
+			return eris.Wrap(err, "past operations not written")
 		}
 	}
 	if work.Committed != nil {
-		if failure := write(markName, *work.Committed); failure != nil {
-			return eris.Wrap(failure, "commit mark not written")
+		if err := write(committedFileName, *work.Committed); err != nil {
+			return eris.Wrap(err, "commit mark not written")
 		}
 	}
 	for _, name := range names {
-		if failure := files.Settle(name+aside, name); failure != nil {
-			return eris.Wrap(failure, "file not renamed")
+		if err := files.Rename(name+tempSuffix, name); err != nil {
+			return eris.Wrap(err, "file not renamed")
 		}
 	}
 	return eris.Wrap(files.SyncFolder(), "folder not synced")
 }
 
-func drop(files Files, places []contract.Position) error {
-	if len(places) == 0 {
+func removeVersions(files Files, positions []contract.Position) error {
+	if len(positions) == 0 {
 		return nil
 	}
-	for _, place := range places {
-		if failure := files.Remove(nameOf(place)); failure != nil && !os.IsNotExist(failure) {
-			return eris.Wrap(failure, "old version not removed")
+	for _, position := range positions {
+		if err := files.Remove(versionFileName(position)); err != nil && !os.IsNotExist(err) {
+			return eris.Wrap(err, "old version not removed")
 		}
 	}
 	return eris.Wrap(files.SyncFolder(), "folder not synced")
 }
 
-// Load reads what a folder holds. A file that doesn't match its digest or its name, or is the change of a version that isn't there, is put
-// aside and named with the reason. The folder is synced before anything in it is relied on: a process that was killed may have renamed
-// files without syncing that.
+// Load reads the content of a data folder. A file that does not match its digest or name, or is a delta to a version that is missing, is set
+// aside under another name and listed in Recovered.Damaged with the reason. The folder is synced before its content is relied on, since a
+// process that was killed may have renamed files without syncing the folder.
 func Load(files Files) (chain.Recovered, error) {
 	recovered := chain.Recovered{}
-	names, failure := files.List()
-	if failure != nil {
-		return recovered, eris.Wrap(failure, "folder not read")
+	names, err := files.List()
+	if err != nil {
+		return recovered, eris.Wrap(err, "folder not read")
 	}
-	// Names of versions are in the order of their revisions, so that a version comes after the one that it is a change of.
+	// Names of versions sort by revision, so that a version is decoded after the base of its delta.
 	sort.Strings(names)
 	for _, name := range names {
-		if strings.HasSuffix(name, aside) {
+		if strings.HasSuffix(name, tempSuffix) {
 			_ = files.Remove(name)
 			continue
 		}
-		if failure := loadFile(files, name, &recovered); failure != nil {
-			recovered.Damaged = append(recovered.Damaged, name+": "+failure.Error())
-			_ = files.Settle(name, name+damaged)
+		if err := loadFile(files, name, &recovered); err != nil {
+			recovered.Damaged = append(recovered.Damaged, name+": "+err.Error())
+			_ = files.Rename(name, name+damagedSuffix)
 		}
 	}
-	if failure := files.SyncFolder(); failure != nil {
-		recovered.Damaged = append(recovered.Damaged, "folder not synced at the start: "+failure.Error())
+	if err := files.SyncFolder(); err != nil {
+		recovered.Damaged = append(recovered.Damaged, "folder not synced at the start: "+err.Error())
 	}
 	return recovered, nil
 }
 
 func loadFile(files Files, name string, recovered *chain.Recovered) error {
-	isVersion := strings.HasPrefix(name, prefix) && strings.HasSuffix(name, ".json")
-	if !isVersion && name != memberName && name != markName && name != pastName {
+	isVersion := strings.HasPrefix(name, versionPrefix) && strings.HasSuffix(name, ".json")
+	if !isVersion && name != memberFileName && name != committedFileName && name != operationsFileName {
 		return nil
 	}
-	content, failure := files.Read(name)
-	if failure != nil {
-		return failure
+	content, err := files.Read(name)
+	if err != nil {
+		return err
 	}
 	switch name {
-	case memberName:
+	case memberFileName:
 		record := chain.MemberRecord{}
-		if failure = unwrap(content, &record); failure == nil {
+		if err = decodeEnvelope(content, &record); err == nil {
 			recovered.Member = record
 		}
-		return failure
-	case pastName:
-		return unwrap(content, &recovered.PastOperations)
-	case markName:
-		return unwrap(content, &recovered.Committed)
+		return err
+	case operationsFileName:
+		return decodeEnvelope(content, &recovered.PastOperations)
+	case committedFileName:
+		return decodeEnvelope(content, &recovered.Committed)
 	}
 	return loadVersion(name, content, recovered)
 }
 
 func loadVersion(name string, content []byte, recovered *chain.Recovered) error {
 	record := contract.Record{}
-	if failure := unwrap(content, &record); failure != nil {
-		return failure
+	if err := decodeEnvelope(content, &record); err != nil {
+		return err
 	}
-	if nameOf(record.Position) != name {
+	if versionFileName(record.Position) != name {
 		return eris.New("version does not match its name")
 	}
 	if record.IsFull() && contract.Digest(record.Manifest) == record.Digest {
-		record = formerRecord(record)
+		record = upgradeRecord(record)
 	}
-	version, failure := record.Decode(recovered.Versions)
-	if failure != nil {
-		return failure
+	version, err := record.Decode(recovered.Versions)
+	if err != nil {
+		return err
 	}
 	stored := chain.StoredVersion{Position: record.Position, Size: record.Size()}
 	if record.Base != nil {
@@ -194,63 +200,70 @@
 	return nil
 }
 
-// formerRecord gives a record of earlier releases, whose digest was that of the text, the digest of the content.
-func formerRecord(record contract.Record) contract.Record {
-	if content, failure := document.Parse(record.Manifest); failure == nil {
+// upgradeRecord converts a record of an earlier release, whose digest was that of the JSON text, to the digest of the content.
+func upgradeRecord(record contract.Record) contract.Record {
+	if content, err := document.Parse(record.Manifest); err == nil {
 		record.Digest = content.Digest()
 	}
 	return record
 }
 
-// Folder is a real folder on a disk.
+// Folder is a data folder in the file system. It implements Files.
 type Folder struct{ Path string }
 
+// Open returns the folder at a path and creates it if it does not exist.
 func Open(path string) (Folder, error) {
 	return Folder{path}, eris.Wrap(os.MkdirAll(path, 0o700), "data folder")
 }
 
-func (folder Folder) WriteAside(name string, content []byte) error {
-	file, failure := os.OpenFile(filepath.Join(folder.Path, name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
-	if failure != nil {
-		return failure
+// WriteTemp writes a file and syncs it.
+func (folder Folder) WriteTemp(name string, content []byte) error {
+	file, err := os.OpenFile(filepath.Join(folder.Path, name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	if err != nil {
+		return err
 	}
-	_, failure = file.Write(content)
-	if synced := file.Sync(); failure == nil {
-		failure = synced
+	_, err = file.Write(content)
+	if synced := file.Sync(); err == nil {
+		err = synced
 	}
-	if closed := file.Close(); failure == nil {
-		failure = closed
+	if closed := file.Close(); err == nil {
+		err = closed
 	}
-	return failure
+	return err
 }
 
-func (folder Folder) Settle(from, name string) error {
+// Rename renames a file and replaces an existing one under the new name.
+func (folder Folder) Rename(from, name string) error {
 	return os.Rename(filepath.Join(folder.Path, from), filepath.Join(folder.Path, name))
 }
 
+// SyncFolder makes the renames and removals of files durable.
 func (folder Folder) SyncFolder() error {
-	file, failure := os.Open(folder.Path)
-	if failure != nil {
-		return failure
+	file, err := os.Open(folder.Path)
+	if err != nil {
+		return err
 	}
-	failure = file.Sync()
-	if closed := file.Close(); failure == nil {
-		failure = closed
+	err = file.Sync()
+	if closed := file.Close(); err == nil {
+		err = closed
 	}
-	return failure
+	return err
 }
 
+// Read returns the content of a file.
 func (folder Folder) Read(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(folder.Path, name))
 }
 
+// Remove removes a file.
 func (folder Folder) Remove(name string) error { return os.Remove(filepath.Join(folder.Path, name)) }
 
+// List returns the names of all files, those of temporary files included.
 func (folder Folder) List() ([]string, error) {
-	entries, failure := os.ReadDir(folder.Path)
+	entries, err := os.ReadDir(folder.Path)
 	names := []string{}
 	for _, entry := range entries {
 		names = append(names, entry.Name())
 	}
-	return names, failure
+	return names, err
 }
--- a/image/index.go
+++ b/image/index.go
@@ -11,71 +11,71 @@
 
 const (
 	indexPrefix = "index-"
-	// indexKept is how many snapshots stay, so that a damaged one has another behind it.
-	indexKept = 2
+	// keptIndexSnapshots is the number of snapshots that are kept, so that there is another one if the newest is damaged.
+	keptIndexSnapshots = 2
 )
 
-func indexName(number int64) string { return fmt.Sprintf("%s%016d.json", indexPrefix, number) }
+func indexFileName(number int64) string { return fmt.Sprintf("%s%016d.json", indexPrefix, number) }
 
-// indexNumbers gives the numbers of the snapshots in a folder, the last one at the end.
+// indexNumbers returns the numbers of the snapshots in a folder in ascending order.
 func indexNumbers(files Files) ([]int64, error) {
-	names, failure := files.List()
+	names, err := files.List()
 	numbers := []int64{}
 	for _, name := range names {
 		number := int64(0)
-		if _, odd := fmt.Sscanf(name, indexPrefix+"%d.json", &number); odd == nil && name == indexName(number) {
+		if _, err := fmt.Sscanf(name, indexPrefix+"%d.json", &number); err == nil && name == indexFileName(number) {
 			numbers = append(numbers, number)
 		}
 	}
 	slices.Sort(numbers)
-	return numbers, eris.Wrap(failure, "folder not read")
+	return numbers, eris.Wrap(err, "folder not read")
 }
 
-// SaveIndex writes a snapshot as the next file and removes all but the last few.
+// SaveIndex writes a snapshot of the cache index under the next number and removes all but the newest ones.
 func SaveIndex(files Files, snapshot index.Snapshot) error {
-	numbers, failure := indexNumbers(files)
-	if failure != nil {
-		return failure
+	numbers, err := indexNumbers(files)
+	if err != nil {
+		return err
 	}
 	next := int64(1)
 	if len(numbers) > 0 {
 		next = numbers[len(numbers)-1] + 1
 	}
-	name := indexName(next)
-	content, failure := wrap(snapshot)
-	if failure == nil {
-		failure = files.WriteAside(name+aside, content)
+	name := indexFileName(next)
+	content, err := encodeEnvelope(snapshot)
+	if err == nil {
+		err = files.WriteTemp(name+tempSuffix, content)
 	}
-	if failure == nil {
-		failure = files.Settle(name+aside, name)
+	if err == nil {
+		err = files.Rename(name+tempSuffix, name)
 	}
-	if failure != nil {
-		_ = files.Remove(name + aside)
-		return eris.Wrap(failure, "index not written")
+	if err != nil {
+		_ = files.Remove(name + tempSuffix)
+		return eris.Wrap(err, "index not written")
 	}
 	numbers = append(numbers, next)
-	for _, former := range numbers[:max(0, len(numbers)-indexKept)] {
-		if failure := files.Remove(indexName(former)); failure != nil && !os.IsNotExist(failure) {
-			return eris.Wrap(failure, "old index not removed")
+	for _, outdated := range numbers[:max(0, len(numbers)-keptIndexSnapshots)] {
+		if err := files.Remove(indexFileName(outdated)); err != nil && !os.IsNotExist(err) {
+			return eris.Wrap(err, "old index not removed")
 		}
 	}
 	return eris.Wrap(files.SyncFolder(), "folder not synced")
 }
 
-// LoadIndex gives the last snapshot that is whole, and how many were not.
+// LoadIndex returns the newest intact snapshot, or an empty one, and the number of damaged snapshots that it skipped.
 func LoadIndex(files Files) (index.Snapshot, int) {
-	numbers, failure := indexNumbers(files)
-	if failure != nil {
+	numbers, err := indexNumbers(files)
+	if err != nil {
 		return index.Snapshot{}, 1
 	}
 	damaged := 0
 	for _, number := range slices.Backward(numbers) {
 		snapshot := index.Snapshot{}
-		content, failure := files.Read(indexName(number))
-		if failure == nil {
-			failure = unwrap(content, &snapshot)
+		content, err := files.Read(indexFileName(number))
+		if err == nil {
+			err = decodeEnvelope(content, &snapshot)
 		}
-		if failure == nil {
+		if err == nil {
 			return snapshot, damaged
 		}
 		damaged++
--- a/image/index_test.go
+++ b/image/index_test.go
@@ -12,56 +12,56 @@
 	. "github.com/onsi/gomega"
 )
 
-// refusing is a disk that fails at one step.
-type refusing struct {
+// failingDisk fails at one step of a save.
+type failingDisk struct {
 	Files
 	step string
 }
 
-func (disk refusing) WriteAside(name string, content []byte) error {
+func (disk failingDisk) WriteTemp(name string, content []byte) error {
 	if disk.step == "write" {
-		_ = disk.Files.WriteAside(name, content[:len(content)/2])
+		_ = disk.Files.WriteTemp(name, content[:len(content)/2])
 		return os.ErrInvalid
 	}
-	return disk.Files.WriteAside(name, content)
+	return disk.Files.WriteTemp(name, content)
 }
 
-func (disk refusing) Settle(aside, name string) error {
+func (disk failingDisk) Rename(from, name string) error {
 	if disk.step == "rename" {
 		return os.ErrInvalid
 	}
-	return disk.Files.Settle(aside, name)
+	return disk.Files.Rename(from, name)
 }
 
-func (disk refusing) SyncFolder() error {
+func (disk failingDisk) SyncFolder() error {
 	if disk.step == "sync" {
 		return os.ErrInvalid
 	}
 	return disk.Files.SyncFolder()
 }
 
-func (disk refusing) List() ([]string, error) {
+func (disk failingDisk) List() ([]string, error) {
 	if disk.step == "list" {
 		return nil, os.ErrInvalid
 	}
 	return disk.Files.List()
 }
 
-var _ = Describe("the saved index", func() {
+var _ = Describe("a saved cache index", func() {
 	var folder Folder
 	snapshot := func(server string) index.Snapshot {
 		return index.Snapshot{Places: []index.Place{{Key: index.Key{Scope: "s\x00east", Anchor: 1<<64 - 1}, Server: server}}}
 	}
 	names := func() []string {
-		names, failure := folder.List()
-		Expect(failure).NotTo(HaveOccurred())
+		names, err := folder.List()
+		Expect(err).NotTo(HaveOccurred())
 		return names
 	}
 	load := func() (index.Snapshot, int) { return LoadIndex(folder) }
 
 	BeforeEach(func() {
-		opened, failure := Open(filepath.Join(GinkgoT().TempDir(), "data"))
-		Expect(failure).NotTo(HaveOccurred())
+		opened, err := Open(filepath.Join(GinkgoT().TempDir(), "data"))
+		Expect(err).NotTo(HaveOccurred())
 		folder = opened
 	})
 
@@ -71,7 +71,7 @@
 		Expect(damaged).To(BeZero())
 	})
 
-	It("given many saves, when it is loaded, then it is the last one, and two files stay", func() {
+	It("given many saves, when it is loaded, then it is the newest one, and two files are kept", func() {
 		for _, server := range strings.Split("a b c d e f g h i j k l", " ") {
 			Expect(SaveIndex(folder, snapshot(server))).To(Succeed())
 		}
@@ -81,12 +81,12 @@
 		Expect(names()).To(Equal([]string{"index-0000000000000011.json", "index-0000000000000012.json"}))
 	})
 
-	DescribeTable("given a damaged last file, when it is loaded, then the one before is used and the damage counted", func(damage func([]byte) []byte) {
+	DescribeTable("given a damaged newest file, when it is loaded, then the previous one is used and the damage is counted", func(damage func([]byte) []byte) {
 		Expect(SaveIndex(folder, snapshot("a"))).To(Succeed())
 		Expect(SaveIndex(folder, snapshot("b"))).To(Succeed())
 		path := filepath.Join(folder.Path, names()[1])
-		content, failure := os.ReadFile(path)
-		Expect(failure).NotTo(HaveOccurred())
+		content, err := os.ReadFile(path)
+		Expect(err).NotTo(HaveOccurred())
 		Expect(os.WriteFile(path, damage(content), 0o600)).To(Succeed())
 		loaded, damaged := load()
 		Expect(loaded).To(Equal(snapshot("a")))
@@ -100,7 +100,7 @@
 		Entry("emptied", func([]byte) []byte { return nil }),
 	)
 
-	It("given files under odd names, when the next is saved, then they do not matter", func() {
+	It("given files with other names, when the next snapshot is saved, then they are ignored", func() {
 		for _, name := range []string{"index-odd.json", "index-77.json", "index-0000000000000009.json.aside"} {
 			Expect(os.WriteFile(filepath.Join(folder.Path, name), []byte("{}"), 0o600)).To(Succeed())
 		}
@@ -113,12 +113,12 @@
 	})
 
 	for _, step := range []string{"write", "rename", "sync", "list"} {
-		It("given a disk that fails to "+step+", when it is saved, then that is told, the former is still there and nothing half stays", func() {
+		It("given a disk that fails to "+step+", when it is saved, then an error is returned, the previous one is kept and no partial file remains", func() {
 			Expect(SaveIndex(folder, snapshot("a"))).To(Succeed())
-			Expect(SaveIndex(refusing{folder, step}, snapshot("b"))).NotTo(Succeed())
+			Expect(SaveIndex(failingDisk{folder, step}, snapshot("b"))).NotTo(Succeed())
 			all, _ := folder.List()
 			for _, name := range all {
-				Expect(name).NotTo(HaveSuffix(aside))
+				Expect(name).NotTo(HaveSuffix(tempSuffix))
 			}
 			Expect(all).To(ContainElement("index-0000000000000001.json"))
 			Expect(SaveIndex(folder, snapshot("c"))).To(Succeed())
@@ -131,8 +131,8 @@
 		Expect(Save(folder, chain.Persist{Member: &chain.MemberRecord{View: contract.View{Number: 3}}})).To(Succeed())
 		Expect(SaveIndex(folder, snapshot("a"))).To(Succeed())
 		Expect(Save(folder, chain.Persist{})).To(Succeed())
-		recovered, failure := Load(folder)
-		Expect(failure).NotTo(HaveOccurred())
+		recovered, err := Load(folder)
+		Expect(err).NotTo(HaveOccurred())
 		Expect(recovered.Damaged).To(BeEmpty())
 		Expect(recovered.Member.View.Number).To(Equal(int64(3)))
 		loaded, damaged := load()
--- a/link/disk.go
+++ b/link/disk.go
@@ -20,7 +20,7 @@
 	return faultyDisk{files, faults}
 }
 
-func (disk faultyDisk) WriteAside(name string, content []byte) error {
+func (disk faultyDisk) WriteTemp(name string, content []byte) error {
 	for disk.faults.Disk() == "stalled" {
 		time.Sleep(faultPeriod)
 	}
@@ -30,5 +30,5 @@
 	if disk.faults.Disk() == "full" {
 		return eris.New("no space left")
 	}
-	return disk.Files.WriteAside(name, content)
+	return disk.Files.WriteTemp(name, content)
 }
--- a/modelcheck/disk.go
+++ b/modelcheck/disk.go
@@ -46,20 +46,20 @@
 }
 
 // WriteAside leaves half of the file where the process ends in it.
-func (disk *disk) WriteAside(name string, content []byte) error {
+func (disk *disk) WriteTemp(name string, content []byte) error {
 	if failure := disk.spend(); failure != nil {
-		_ = disk.Disk.WriteAside(name, content[:len(content)/2])
+		_ = disk.Disk.WriteTemp(name, content[:len(content)/2])
 		return failure
 	}
-	return disk.Disk.WriteAside(name, content)
+	return disk.Disk.WriteTemp(name, content)
 }
 
 // Settle renames a file, unless the process has ended.
-func (disk *disk) Settle(aside, name string) error {
+func (disk *disk) Rename(aside, name string) error {
 	if failure := disk.spend(); failure != nil {
 		return failure
 	}
-	return disk.Disk.Settle(aside, name)
+	return disk.Disk.Rename(aside, name)
 }
 
 // SyncFolder makes the names last, unless the process has ended.
--- a/retire/retire.go
+++ b/retire/retire.go
@@ -1,4 +1,5 @@
-// Package retire decides when a withdrawn server is empty: withdrawal, window, two complete idle reports, release or hold.
+// Package retire decides when a server that gets no new calls is idle and can be given back to the platform. A retirement withdraws the server,
+// waits until every data node has stopped picking it, and then reads its load reports. Two complete idle reports in a row release it.
 package retire
 
 import (
@@ -8,29 +9,35 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
+// Cause is why a server is retired.
 type Cause string
 
+// Causes of a retirement.
 const (
-	ScaleDown Cause = "scale-down"
-	ScaleZero Cause = "scale-to-zero"
-	Reclaim   Cause = "reclaim"
-	Drain     Cause = "drain"
+	ScaleDown Cause = "scale-down"    // the pool has more servers than its scale
+	ScaleZero Cause = "scale-to-zero" // the scale of the pool is zero
+	Reclaim   Cause = "reclaim"       // the platform takes the server back within a time limit
+	Drain     Cause = "drain"         // an operator drained its zone
 )
 
+// State is the phase of a retirement.
 type State string
 
+// States of a retirement. Released and Aborted are final.
 const (
-	Withdrawn State = "withdrawn"
-	Reading   State = "reading"
-	Held      State = "held"
-	Cutting   State = "cutting"
-	Released  State = "released"
-	Aborted   State = "aborted"
+	Withdrawn State = "withdrawn" // gets no new calls; the window has not ended
+	Reading   State = "reading"   // load reports are read and were idle so far
+	Held      State = "held"      // the last check did not show the server to be idle
+	Cutting   State = "cutting"   // the evacuation time of a drain is over; calls that still run have the hold time left
+	Released  State = "released"  // the server can be stopped
+	Aborted   State = "aborted"   // the server returns to service
 )
 
-const idleReads = 2
+// requiredIdleReports is the number of complete idle reports in a row that release a server.
+const requiredIdleReports = 2
 
-// Terms are the bounds of one retirement, from the manifest and the settings.
+// Terms are the time limits of a retirement. The embedded ones are from the manifest, Lease (the duration of a data node's lease) and Link (the
+// maximum delay of a message) from the settings. Remaining is the time that the platform leaves for a Reclaim, or 0 if it is unknown.
 type Terms struct {
 	manifest.Retirement
 	Lease     time.Duration
@@ -38,49 +45,55 @@
 	Remaining time.Duration
 }
 
-// Outcome is one try to read a server's report; a failed one has a Error.
-type Outcome struct {
-	Began  time.Duration
-	Report contract.LoadReport
-	Error  string
+// ReadResult is the result of reading a server's load report at StartedAt. Error is empty if the read succeeded.
+type ReadResult struct {
+	StartedAt time.Duration
+	Report    contract.LoadReport
+	Error     string
 }
 
-// Word is what a data node last told of its pick list and of its own calls on the server.
-type Word struct {
-	Number  int64
-	Calls   int64
-	Told    time.Duration
-	Granted time.Duration
+// NodeStatus is what a data node last reported: the number of the server list that it uses and how many of its calls run on the server. It
+// reported this at ReportedAt and last got a lease at GrantedAt.
+type NodeStatus struct {
+	ListNumber int64
+	Calls      int64
+	ReportedAt time.Duration
+	GrantedAt  time.Duration
 }
 
-type Facts struct {
-	Words map[string]Word
+// Evidence is the status of all data nodes that can send calls to the server, by name.
+type Evidence struct {
+	Nodes map[string]NodeStatus
 }
 
+// Retirement is the retirement of one server. ListNumber is the number of the first server list without the server. Reason explains the current
+// state. WindowEnd is the earliest time at which a load report counts, IdleReports the number of idle reports in a row, and Attempts how often
+// the retirement was begun.
 type Retirement struct {
-	Server      string
-	Cause       Cause
-	State       State
-	Reason      string
-	Number      int64
-	Incarnation string
-	Since       time.Duration
-	Ready       time.Duration
-	Idle        int
-	Tries       int
-	terms       Terms
-	confirmed   bool
-	confirmedAt time.Duration
-	lastReport  int64
-	nextRead    time.Duration
-	asked       time.Duration
-	asking      bool
-	deadline    time.Duration
+	Server        string
+	Cause         Cause
+	State         State
+	Reason        string
+	ListNumber    int64
+	Incarnation   string
+	WithdrawnAt   time.Duration
+	WindowEnd     time.Duration
+	IdleReports   int
+	Attempts      int
+	terms         Terms
+	confirmed     bool
+	confirmedAt   time.Duration
+	lastReport    int64
+	nextRead      time.Duration
+	readStartedAt time.Duration
+	readPending   bool
+	deadline      time.Duration
 }
 
+// New starts the retirement of a server. Only reports of the given incarnation of the server count.
 func New(now time.Duration, server, incarnation string, cause Cause, number int64, terms Terms) *Retirement {
-	retirement := &Retirement{Server: server, Cause: cause, Number: number, Incarnation: incarnation, State: Withdrawn, terms: terms}
-	retirement.restart(now)
+	retirement := &Retirement{Server: server, Cause: cause, ListNumber: number, Incarnation: incarnation, State: Withdrawn, terms: terms}
+	retirement.beginAttempt(now)
 	switch cause {
 	case Reclaim:
 		limit := terms.Drain
@@ -96,64 +109,68 @@
 	return retirement
 }
 
-func (retirement *Retirement) restart(now time.Duration) {
+// beginAttempt starts the window anew. It lasts at least until a data node that got its lease just before can no longer send a call.
+func (retirement *Retirement) beginAttempt(now time.Duration) {
 	window := max(retirement.terms.Window, retirement.terms.Lease+retirement.terms.Link)
-	retirement.Since, retirement.Ready, retirement.State = now, now+window, Withdrawn
-	retirement.confirmed, retirement.Idle, retirement.lastReport, retirement.asking = false, 0, 0, false
-	retirement.Tries++
+	retirement.WithdrawnAt, retirement.WindowEnd, retirement.State = now, now+window, Withdrawn
+	retirement.confirmed, retirement.IdleReports, retirement.lastReport, retirement.readPending = false, 0, 0, false
+	retirement.Attempts++
 }
 
-// Shorten takes a nearer end that the platform has set.
-func (retirement *Retirement) Shorten(end time.Duration) {
+// ShortenDeadline moves the deadline of a Reclaim to an earlier end announced by the platform.
+func (retirement *Retirement) ShortenDeadline(end time.Duration) {
 	if retirement.Cause == Reclaim {
 		retirement.deadline = min(retirement.deadline, end)
 	}
 }
 
-// Step looks at the data nodes' words and the time; it tells whether to read the server's report now and whether it is over.
-func (retirement *Retirement) Step(now time.Duration, facts Facts) (read bool, over bool) {
+// Step advances the retirement on each tick. It reports whether the server's load report should be read now and whether the retirement is
+// over.
+func (retirement *Retirement) Step(now time.Duration, evidence Evidence) (read bool, over bool) {
 	if retirement.State == Released || retirement.State == Aborted {
 		return false, true
 	}
-	retirement.confirm(now, facts)
-	if now >= retirement.deadline && retirement.pastDeadline(now) {
+	retirement.confirm(now, evidence)
+	if now >= retirement.deadline && retirement.handleDeadline(now) {
 		return false, true
 	}
-	if now < retirement.Ready || !retirement.confirmed || now < retirement.nextRead {
+	if now < retirement.WindowEnd || !retirement.confirmed || now < retirement.nextRead {
 		return false, false
 	}
 	if retirement.State == Withdrawn {
 		retirement.State = Reading
 	}
-	for _, word := range facts.Words {
-		if word.Calls > 0 && now-word.Told < retirement.terms.Lease {
+	for _, node := range evidence.Nodes {
+		if node.Calls > 0 && now-node.ReportedAt < retirement.terms.Lease {
 			retirement.hold("a data node has a call there")
 			retirement.nextRead = now + retirement.terms.Poll
 			return false, false
 		}
 	}
-	if retirement.asking {
+	if retirement.readPending {
 		retirement.hold("the last read had no answer")
 	}
 	retirement.nextRead = now + retirement.terms.Poll
-	retirement.asked, retirement.asking = now, true
+	retirement.readStartedAt, retirement.readPending = now, true
 	return true, false
 }
 
-func (retirement *Retirement) confirm(now time.Duration, facts Facts) {
+// confirm checks that every data node uses a list without the server, or has lost its lease.
+func (retirement *Retirement) confirm(now time.Duration, evidence Evidence) {
 	if retirement.confirmed {
 		return
 	}
-	for _, word := range facts.Words {
-		lapsed := now > word.Granted+retirement.terms.Lease+retirement.terms.Link
-		if word.Number < retirement.Number && !lapsed {
+	for _, node := range evidence.Nodes {
+		lapsed := now > node.GrantedAt+retirement.terms.Lease+retirement.terms.Link
+		if node.ListNumber < retirement.ListNumber && !lapsed {
 			return
 		}
 	}
 	retirement.confirmed, retirement.confirmedAt = true, now
 }
 
-func (retirement *Retirement) pastDeadline(now time.Duration) bool {
+// handleDeadline applies the rule of the cause when the deadline has passed, and reports whether the retirement is over.
+func (retirement *Retirement) handleDeadline(now time.Duration) bool {
 	switch retirement.Cause {
 	case ScaleDown:
 		retirement.State, retirement.Reason = Aborted, "hold budget over; back in the picks"
@@ -161,7 +178,7 @@
 	case ScaleZero:
 		retirement.State, retirement.Reason = Held, "hold budget over; counted, not picked, tried again"
 		retirement.deadline = now + retirement.terms.Hold
-		retirement.restart(now)
+		retirement.beginAttempt(now)
 		retirement.State = Held
 		return false
 	case Reclaim:
@@ -177,42 +194,43 @@
 	return true
 }
 
+// hold starts the count of idle reports anew.
 func (retirement *Retirement) hold(reason string) {
-	retirement.Idle, retirement.Reason = 0, reason
+	retirement.IdleReports, retirement.Reason = 0, reason
 	if retirement.State != Cutting {
 		retirement.State = Held
 	}
 }
 
-// Read takes the end of one read; only the second idle one in a row releases.
-func (retirement *Retirement) Read(now time.Duration, outcome Outcome) bool {
+// Read processes the result of a read and reports whether it released the server. Only the second complete idle report in a row does.
+func (retirement *Retirement) Read(now time.Duration, result ReadResult) bool {
 	over := retirement.State == Released || retirement.State == Aborted
-	if over || !retirement.asking || outcome.Began < retirement.asked {
+	if over || !retirement.readPending || result.StartedAt < retirement.readStartedAt {
 		return false
 	}
-	retirement.asking = false
-	report := outcome.Report
-	sampled := outcome.Began - time.Duration(report.AgeMs)*time.Millisecond
+	retirement.readPending = false
+	report := result.Report
+	sampledAt := result.StartedAt - time.Duration(report.AgeMs)*time.Millisecond
 	switch {
-	case outcome.Error != "":
-		retirement.hold("read failed: " + outcome.Error)
+	case result.Error != "":
+		retirement.hold("read failed: " + result.Error)
 	case report.Incarnation != retirement.Incarnation:
 		retirement.hold("the server restarted")
 	case !report.Complete:
 		retirement.hold("the report is partial")
 	case !report.Idle():
 		retirement.hold("the server is busy")
-	case sampled < retirement.Ready || sampled < retirement.confirmedAt:
+	case sampledAt < retirement.WindowEnd || sampledAt < retirement.confirmedAt:
 		retirement.hold("the report was sampled before the window ended")
 	case report.Number <= retirement.lastReport:
 		retirement.hold("the report is not a new one")
 	default:
 		retirement.lastReport = report.Number
-		retirement.Idle++
+		retirement.IdleReports++
 		if retirement.State != Cutting {
 			retirement.State = Reading
 		}
-		if retirement.Idle >= idleReads {
+		if retirement.IdleReports >= requiredIdleReports {
 			retirement.State, retirement.Reason = Released, "two complete idle reports"
 			return true
 		}
@@ -220,10 +238,10 @@
 	return false
 }
 
-// Returns tells whether the server goes back to the picks when the retirement is over.
-func (retirement *Retirement) Returns() bool { return retirement.State == Aborted }
+// ReturnsToService reports whether the server gets calls again when the retirement is over.
+func (retirement *Retirement) ReturnsToService() bool { return retirement.State == Aborted }
 
-// Recalls tells whether calls that never started there should be called back.
-func (retirement *Retirement) Recalls() bool {
+// RecallsCalls reports whether calls that have not started on the server are recalled and sent to another one.
+func (retirement *Retirement) RecallsCalls() bool {
 	return retirement.Cause == Reclaim || retirement.Cause == Drain
 }
--- a/retire/retire_test.go
+++ b/retire/retire_test.go
@@ -22,167 +22,167 @@
 		Lease: 1500 * time.Millisecond, Link: 250 * time.Millisecond}
 }
 
-// played drives one retirement through time, with a report for each second and the words of the data nodes.
-type played struct {
+// retirementScenario steps a retirement through time, with the evidence and load reports that its functions supply.
+type retirementScenario struct {
 	*Retirement
 	number int64
-	facts  func(at time.Duration) Facts
-	report func(at time.Duration) Outcome
+	facts  func(at time.Duration) Evidence
+	report func(at time.Duration) ReadResult
 	reads  []time.Duration
 }
 
-func play(cause Cause) *played {
-	story := &played{Retirement: New(0, "server", "1", cause, 7, terms())}
-	story.facts = func(at time.Duration) Facts { return word(7, 0, at) }
-	story.report = story.idle
-	return story
+func newScenario(cause Cause) *retirementScenario {
+	scenario := &retirementScenario{Retirement: New(0, "server", "1", cause, 7, terms())}
+	scenario.facts = func(at time.Duration) Evidence { return evidenceOf(7, 0, at) }
+	scenario.report = scenario.idle
+	return scenario
 }
 
-func word(number, calls int64, at time.Duration) Facts {
-	return Facts{Words: map[string]Word{"m01": {Number: number, Calls: calls, Told: at, Granted: at}}}
+func evidenceOf(number, calls int64, at time.Duration) Evidence {
+	return Evidence{Nodes: map[string]NodeStatus{"m01": {ListNumber: number, Calls: calls, ReportedAt: at, GrantedAt: at}}}
 }
 
-func (story *played) idle(at time.Duration) Outcome {
-	story.number++
-	return Outcome{Began: at, Report: contract.LoadReport{Server: "server", Incarnation: "1", Number: story.number, Complete: true}}
+func (scenario *retirementScenario) idle(at time.Duration) ReadResult {
+	scenario.number++
+	return ReadResult{StartedAt: at, Report: contract.LoadReport{Server: "server", Incarnation: "1", Number: scenario.number, Complete: true}}
 }
 
-func (story *played) busy(at time.Duration) Outcome {
-	outcome := story.idle(at)
-	outcome.Report.Running = 1
-	return outcome
+func (scenario *retirementScenario) busy(at time.Duration) ReadResult {
+	result := scenario.idle(at)
+	result.Report.Running = 1
+	return result
 }
 
-func (story *played) until(end time.Duration) *played {
+func (scenario *retirementScenario) until(end time.Duration) *retirementScenario {
 	for at := time.Duration(0); at <= end; at += 100 * time.Millisecond {
-		read, over := story.Step(at, story.facts(at))
+		read, over := scenario.Step(at, scenario.facts(at))
 		if over {
-			return story
+			return scenario
 		}
 		if read {
-			story.reads = append(story.reads, at)
-			if story.Read(at, story.report(at)) {
-				return story
+			scenario.reads = append(scenario.reads, at)
+			if scenario.Read(at, scenario.report(at)) {
+				return scenario
 			}
 		}
 	}
-	return story
+	return scenario
 }
 
-var _ = Describe("the ordinary path", func() {
-	It("serves a window, reads once a poll, and releases on the second complete idle report", func() {
-		story := play(ScaleDown).until(20 * second)
-		Expect(story.State).To(Equal(Released))
-		Expect(story.reads).To(Equal([]time.Duration{5 * second, 6 * second}))
+var _ = Describe("a retirement that succeeds", func() {
+	It("waits for the window, reads once per poll interval, and releases on the second complete idle report", func() {
+		scenario := newScenario(ScaleDown).until(20 * second)
+		Expect(scenario.State).To(Equal(Released))
+		Expect(scenario.reads).To(Equal([]time.Duration{5 * second, 6 * second}))
 	})
 
-	It("makes the window at least the lease's life and a link's time", func() {
+	It("makes the window at least as long as a lease and a message delay", func() {
 		short := terms()
 		short.Window = second
 		retirement := New(0, "server", "1", ScaleDown, 7, short)
-		Expect(retirement.Ready).To(Equal(1750 * time.Millisecond))
+		Expect(retirement.WindowEnd).To(Equal(1750 * time.Millisecond))
 	})
 
-	It("waits out a data node that does not confirm, by its lease, and reads nothing before", func() {
-		story := play(ScaleDown)
-		story.facts = func(at time.Duration) Facts { return word(6, 0, min(at, 8*second)) }
-		story.until(20 * second)
-		Expect(story.State).To(Equal(Released))
-		Expect(story.reads[0]).To(BeNumerically(">", 8*second+1500*time.Millisecond))
+	It("waits until the lease of a data node that does not confirm has expired before it reads", func() {
+		scenario := newScenario(ScaleDown)
+		scenario.facts = func(at time.Duration) Evidence { return evidenceOf(6, 0, min(at, 8*second)) }
+		scenario.until(20 * second)
+		Expect(scenario.State).To(Equal(Released))
+		Expect(scenario.reads[0]).To(BeNumerically(">", 8*second+1500*time.Millisecond))
 	})
 
-	It("holds for the late prompt that an idle report misses, because a data node lists its call", func() {
-		story := play(ScaleDown)
-		story.facts = func(at time.Duration) Facts {
+	It("does not read while a data node reports a call there, since an idle report can miss a call that has just been sent", func() {
+		scenario := newScenario(ScaleDown)
+		scenario.facts = func(at time.Duration) Evidence {
 			if at < 9*second {
-				return word(7, 1, at)
+				return evidenceOf(7, 1, at)
 			}
-			return word(7, 0, at)
+			return evidenceOf(7, 0, at)
 		}
-		story.until(20 * second)
-		Expect(story.State).To(Equal(Released))
-		Expect(story.reads[0]).To(BeNumerically(">=", 9*second))
+		scenario.until(20 * second)
+		Expect(scenario.State).To(Equal(Released))
+		Expect(scenario.reads[0]).To(BeNumerically(">=", 9*second))
 	})
 })
 
-var _ = DescribeTable("a report that is no proof starts the count anew and holds", func(reason string, odd func(*played, *Outcome)) {
-	story := play(ScaleDown)
-	seen := 0
-	story.report = func(at time.Duration) Outcome {
-		outcome := story.idle(at)
-		if seen++; seen == 2 {
-			odd(story, &outcome)
+var _ = DescribeTable("a report that does not prove the server idle resets the count and holds", func(reason string, alter func(*retirementScenario, *ReadResult)) {
+	scenario := newScenario(ScaleDown)
+	count := 0
+	scenario.report = func(at time.Duration) ReadResult {
+		result := scenario.idle(at)
+		if count++; count == 2 {
+			alter(scenario, &result)
 		}
-		return outcome
+		return result
 	}
-	story.until(6100 * time.Millisecond)
-	Expect(story.State).To(Equal(Held))
-	Expect(story.Reason).To(ContainSubstring(reason))
-	Expect(story.Idle).To(BeZero())
-	story.until(9 * second)
-	Expect(story.State).To(Equal(Released), "two good ones after it release")
+	scenario.until(6100 * time.Millisecond)
+	Expect(scenario.State).To(Equal(Held))
+	Expect(scenario.Reason).To(ContainSubstring(reason))
+	Expect(scenario.IdleReports).To(BeZero())
+	scenario.until(9 * second)
+	Expect(scenario.State).To(Equal(Released), "two idle reports after it release")
 },
-	Entry("busy", "busy", func(_ *played, outcome *Outcome) { outcome.Report.Running = 1 }),
-	Entry("waiting", "busy", func(_ *played, outcome *Outcome) { outcome.Report.Waiting = 1 }),
-	Entry("partial", "partial", func(_ *played, outcome *Outcome) { outcome.Report.Complete = false }),
-	Entry("refused, timed out or not to be read", "read failed", func(_ *played, outcome *Outcome) { outcome.Error = "no answer" }),
-	Entry("not a new one", "not a new one", func(story *played, outcome *Outcome) { outcome.Report.Number = 1; story.number-- }),
-	Entry("sampled too early", "sampled", func(_ *played, outcome *Outcome) { outcome.Report.AgeMs = 2000 }),
-	Entry("of another incarnation", "restarted", func(_ *played, outcome *Outcome) { outcome.Report.Incarnation = "2" }),
+	Entry("busy", "busy", func(_ *retirementScenario, result *ReadResult) { result.Report.Running = 1 }),
+	Entry("waiting", "busy", func(_ *retirementScenario, result *ReadResult) { result.Report.Waiting = 1 }),
+	Entry("partial", "partial", func(_ *retirementScenario, result *ReadResult) { result.Report.Complete = false }),
+	Entry("refused, timed out or unreadable", "read failed", func(_ *retirementScenario, result *ReadResult) { result.Error = "no answer" }),
+	Entry("repeated", "not a new one", func(scenario *retirementScenario, result *ReadResult) { result.Report.Number = 1; scenario.number-- }),
+	Entry("sampled too early", "sampled", func(_ *retirementScenario, result *ReadResult) { result.Report.AgeMs = 2000 }),
+	Entry("of another incarnation", "restarted", func(_ *retirementScenario, result *ReadResult) { result.Report.Incarnation = "2" }),
 )
 
-var _ = Describe("a budget that is over", func() {
-	It("ends a scale-down Aborted, with the server back in the picks", func() {
-		story := play(ScaleDown)
-		story.report = story.busy
-		story.until(40 * second)
-		Expect(story.State).To(Equal(Aborted))
-		Expect(story.Returns()).To(BeTrue())
+var _ = Describe("a retirement past its deadline", func() {
+	It("aborts a scale-down and returns the server to service", func() {
+		scenario := newScenario(ScaleDown)
+		scenario.report = scenario.busy
+		scenario.until(40 * second)
+		Expect(scenario.State).To(Equal(Aborted))
+		Expect(scenario.ReturnsToService()).To(BeTrue())
 	})
 
-	It("holds a scale to zero for good, counted and tried again, never back in the picks", func() {
-		story := play(ScaleZero)
-		story.report = story.busy
-		story.until(100 * second)
-		Expect(story.State).To(Equal(Held))
-		Expect(story.Tries).To(Equal(4))
-		Expect(story.Returns()).To(BeFalse())
+	It("retries a scale to zero and never returns the server to service", func() {
+		scenario := newScenario(ScaleZero)
+		scenario.report = scenario.busy
+		scenario.until(100 * second)
+		Expect(scenario.State).To(Equal(Held))
+		Expect(scenario.Attempts).To(Equal(4))
+		Expect(scenario.ReturnsToService()).To(BeFalse())
 	})
 
-	It("ends a reclaim at the platform's time, whatever runs, and never returns it", func() {
-		story := &played{}
+	It("releases a reclaimed server at the platform's deadline even if it is busy", func() {
+		scenario := &retirementScenario{}
 		limits := terms()
 		limits.Remaining = 3 * second
-		story.Retirement = New(0, "server", "1", Reclaim, 7, limits)
-		story.facts, story.report = func(at time.Duration) Facts { return word(7, 3, at) }, story.busy
-		story.until(2900 * time.Millisecond)
-		Expect(story.State).NotTo(Equal(Released))
-		story.until(3 * second)
-		Expect(story.State).To(Equal(Released))
-		Expect(story.Returns()).To(BeFalse())
-		Expect(story.Recalls()).To(BeTrue())
+		scenario.Retirement = New(0, "server", "1", Reclaim, 7, limits)
+		scenario.facts, scenario.report = func(at time.Duration) Evidence { return evidenceOf(7, 3, at) }, scenario.busy
+		scenario.until(2900 * time.Millisecond)
+		Expect(scenario.State).NotTo(Equal(Released))
+		scenario.until(3 * second)
+		Expect(scenario.State).To(Equal(Released))
+		Expect(scenario.ReturnsToService()).To(BeFalse())
+		Expect(scenario.RecallsCalls()).To(BeTrue())
 	})
 
-	It("lets a drained server's running calls stream on past the evacuation, then releases it when idle", func() {
-		story := play(Drain)
-		story.report = func(at time.Duration) Outcome {
+	It("lets the running calls of a drained server continue after the evacuation time, then releases it when idle", func() {
+		scenario := newScenario(Drain)
+		scenario.report = func(at time.Duration) ReadResult {
 			if at < 12*second {
-				return story.busy(at)
+				return scenario.busy(at)
 			}
-			return story.idle(at)
+			return scenario.idle(at)
 		}
-		story.until(7 * second)
-		Expect(story.State).To(Equal(Cutting))
-		story.until(20 * second)
-		Expect(story.State).To(Equal(Released))
-		Expect(story.Reason).To(ContainSubstring("two complete idle reports"))
+		scenario.until(7 * second)
+		Expect(scenario.State).To(Equal(Cutting))
+		scenario.until(20 * second)
+		Expect(scenario.State).To(Equal(Released))
+		Expect(scenario.Reason).To(ContainSubstring("two complete idle reports"))
 	})
 
-	It("cuts a drained server that never empties after evacuation and hold", func() {
-		story := play(Drain)
-		story.report = story.busy
-		story.until(60 * second)
-		Expect(story.State).To(Equal(Released))
-		Expect(story.Reason).To(ContainSubstring("cut"))
+	It("releases a drained server that never gets idle after the evacuation and hold time", func() {
+		scenario := newScenario(Drain)
+		scenario.report = scenario.busy
+		scenario.until(60 * second)
+		Expect(scenario.State).To(Equal(Released))
+		Expect(scenario.Reason).To(ContainSubstring("cut"))
 	})
 })
--- a/serve/control.go
+++ b/serve/control.go
@@ -100,7 +100,7 @@
 	case shard.ReadPlatform:
 		shell.read(func() { shell.readPlatform(command) }, shard.ListingResult{Error: "too many reads at once"})
 	case shard.ReadReport:
-		shell.read(func() { shell.readReport(command) }, shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Error: "too many reads at once"}})
+		shell.read(func() { shell.readReport(command) }, shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{Error: "too many reads at once"}})
 	case shard.Order:
 		shell.read(func() { shell.order(command) }, shard.OrderResult{Server: command.Server, Load: command.Load, Error: "too many reads at once"})
 	case contract.Forward:
@@ -185,7 +185,7 @@
 }
 
 func (shell *controlShell) readReport(command shard.ReadReport) {
-	read := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: shell.Loop.Now()}}
+	read := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: shell.Loop.Now()}}
 	content, err := shell.get("http://" + command.Address + "/report")
 	switch {
 	case err == nil && shell.face != nil:
--- a/shard/condition.go
+++ b/shard/condition.go
@@ -83,7 +83,7 @@
 	}
 	evidenceByServer = map[string]*evidence{}
 	for node, tallies := range shard.tallies {
-		if now-shard.nodeAcks[node].Told >= owner.bounds.Lease() {
+		if now-shard.nodeAcks[node].ReportedAt >= owner.bounds.Lease() {
 			delete(shard.tallies, node)
 			continue
 		}
--- a/shard/duty.go
+++ b/shard/duty.go
@@ -118,7 +118,7 @@
 	remaining := time.Duration(row.RemainingMs) * time.Millisecond
 	if running && retirement.Cause == cause {
 		if remaining > 0 {
-			retirement.Shorten(owner.listedAt + remaining)
+			retirement.ShortenDeadline(owner.listedAt + remaining)
 		}
 		return
 	}
@@ -133,18 +133,18 @@
 	shard.retirements[row.Name] = retire.New(now, row.Name, row.Incarnation, cause, shard.listNumber+1, terms)
 	owner.emit(contract.AddCounter{Name: "retirements", Delta: 1}, contract.Log{Message: "withdrawn", Attributes: []any{"server", row.Name, "cause", cause}})
 	owner.refreshList(now, shard)
-	shard.retirements[row.Name].Number = shard.listNumber
+	shard.retirements[row.Name].ListNumber = shard.listNumber
 }
 
 // stepRetirement advances one retirement by the nodes' latest acknowledgements.
 func (owner *Owner) stepRetirement(now time.Duration, shard *shardState, retirement *retire.Retirement) {
-	facts := retire.Facts{Words: map[string]retire.Word{}}
+	facts := retire.Evidence{Nodes: map[string]retire.NodeStatus{}}
 	for node, word := range shard.nodeAcks {
-		if now-word.Granted > owner.bounds.Return() {
+		if now-word.GrantedAt > owner.bounds.Return() {
 			continue
 		}
 		word.Calls = shard.callsByNode[node][retirement.Server]
-		facts.Words[node] = word
+		facts.Nodes[node] = word
 	}
 	readNow, ended := retirement.Step(now, facts)
 	if ended && retirement.State == retire.Released {
@@ -200,7 +200,7 @@
 
 func (owner *Owner) retirementStatus(now time.Duration, shard *shardState, retirement *retire.Retirement) Retired {
 	return Retired{Server: retirement.Server, Shard: shard.index, Region: owner.self.Region, Cause: retirement.Cause, State: retirement.State,
-		Reason: retirement.Reason, Epoch: shard.epoch.Number, Tries: retirement.Tries, AgeMs: (now - retirement.Since).Milliseconds()}
+		Reason: retirement.Reason, Epoch: shard.epoch.Number, Tries: retirement.Attempts, AgeMs: (now - retirement.WithdrawnAt).Milliseconds()}
 }
 
 // Status returns the state of each shard that this node owns.
--- a/shard/list.go
+++ b/shard/list.go
@@ -99,9 +99,9 @@
 	if shard.listVersion != owner.stateVersion {
 		owner.refreshList(now, shard)
 	}
-	ack := retire.Word{Told: now, Granted: now}
+	ack := retire.NodeStatus{ReportedAt: now, GrantedAt: now}
 	if leaseRequest.HighestEpoch == shard.epoch {
-		ack.Number = leaseRequest.Number
+		ack.ListNumber = leaseRequest.Number
 	}
 	shard.tallies[leaseRequest.Node] = leaseRequest.Tallies
 	shard.observations.record(leaseRequest.Node, leaseRequest.CallObservations)
@@ -117,7 +117,7 @@
 	}
 	for _, name := range manifest.SortedKeys(shard.retirements) {
 		lease.Withdraw = append(lease.Withdraw, name)
-		if shard.retirements[name].Recalls() {
+		if shard.retirements[name].RecallsCalls() {
 			lease.Recall = append(lease.Recall, name)
 		}
 	}
@@ -215,7 +215,7 @@
 	known, reported, unheardLoad := owner.servers[server], int64(0), int64(0)
 	for _, name := range manifest.SortedKeys(shard.nodeAcks) {
 		outstanding := shard.callsByNode[name][server] + shard.lingeringByNode[name][server]
-		bound, expiry := max(shard.rampShares[server][name], outstanding), shard.nodeAcks[name].Granted+owner.bounds.Lease()
+		bound, expiry := max(shard.rampShares[server][name], outstanding), shard.nodeAcks[name].GrantedAt+owner.bounds.Lease()
 		switch {
 		case now < expiry:
 			names, reported = append(names, name), reported+outstanding
--- a/shard/observed.go
+++ b/shard/observed.go
@@ -43,7 +43,7 @@
 	}
 	all.nextMerge = now + owner.bounds.Withdraw()/8/mergesPerRequest
 	for _, node := range slices.Collect(maps.Keys(all.byNode)) {
-		if now-shard.nodeAcks[node].Told >= owner.bounds.Lease() {
+		if now-shard.nodeAcks[node].ReportedAt >= owner.bounds.Lease() {
 			delete(all.byNode, node)
 		}
 	}
--- a/shard/observed_test.go
+++ b/shard/observed_test.go
@@ -39,9 +39,9 @@
 	})
 
 	ginkgo.It("given many requests within a moment, when they are answered, then the nodes' reports are merged once", func() {
-		shard, owner := &shardState{nodeAcks: map[string]retire.Word{}}, newFixture(1, 1, 1)
+		shard, owner := &shardState{nodeAcks: map[string]retire.NodeStatus{}}, newFixture(1, 1, 1)
 		shard.observations.record("node00", contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 5}})
-		shard.nodeAcks["node00"] = retire.Word{Told: owner.now}
+		shard.nodeAcks["node00"] = retire.NodeStatus{ReportedAt: owner.now}
 		Expect(owner.mergedObservations(owner.now, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 5}))
 		nextMerge := shard.observations.nextMerge
 		Expect(nextMerge).To(BeNumerically(">", owner.now))
--- a/shard/reports.go
+++ b/shard/reports.go
@@ -36,13 +36,13 @@
 			server.ramping, server.rampStart = true, now
 		}
 		if event.Report.Number != server.report.Number {
-			server.sampledAt = event.Began - time.Duration(event.Report.AgeMs)*time.Millisecond
+			server.sampledAt = event.StartedAt - time.Duration(event.Report.AgeMs)*time.Millisecond
 		}
 		server.failures, server.report = 0, event.Report
 	}
 	for _, index := range sortedIndexes(owner.shardStates) {
 		if retirement, found := owner.shardStates[index].retirements[event.Server]; found && owner.shardStates[index].isOwner {
-			if retirement.Read(now, event.Outcome) {
+			if retirement.Read(now, event.ReadResult) {
 				owner.releaseServer(now, owner.shardStates[index], retirement)
 			}
 		}
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -47,7 +47,7 @@
 	Server  string
 	Request ReadReport // the command that it answers
 	ViaPeer bool       // a peer read the report
-	retire.Outcome
+	retire.ReadResult
 }
 
 // Order is a command to the platform to load or unload a server, under the epoch of the shard's owner.
@@ -113,11 +113,11 @@
 	listNumber      int64          // version of the list within the epoch
 	fingerprint     string         // servers on the list and their condition
 	listRows        []contract.ListedServer
-	listVersion     int64                       // Owner.stateVersion when the list was computed
-	nodeAcks        map[string]retire.Word      // by node: the list that it last confirmed
-	callsByNode     map[string]map[string]int64 // by node and server: running calls
-	lingeringByNode map[string]map[string]int64 // by node and server: calls begun under an earlier lease
-	rampShares      map[string]map[string]int64 // by server and node: calls granted during the ramp
+	listVersion     int64                        // Owner.stateVersion when the list was computed
+	nodeAcks        map[string]retire.NodeStatus // by node: the list that it last confirmed
+	callsByNode     map[string]map[string]int64  // by node and server: running calls
+	lingeringByNode map[string]map[string]int64  // by node and server: calls begun under an earlier lease
+	rampShares      map[string]map[string]int64  // by server and node: calls granted during the ramp
 	retirements     map[string]*retire.Retirement
 	released        map[string]string // by server: the incarnation whose retirement ended in release
 	abortedScales   map[string]int64  // by server: the pool's scale when its retirement was aborted
@@ -234,7 +234,7 @@
 	shardCount := owner.seen.Manifest.Regions[owner.self.Region].Shards
 	for index := 0; index < shardCount; index++ {
 		if _, found := owner.shardStates[index]; !found {
-			owner.shardStates[index] = &shardState{index: index, preferredSince: -1, nodeAcks: map[string]retire.Word{}, callsByNode: map[string]map[string]int64{}, lingeringByNode: map[string]map[string]int64{},
+			owner.shardStates[index] = &shardState{index: index, preferredSince: -1, nodeAcks: map[string]retire.NodeStatus{}, callsByNode: map[string]map[string]int64{}, lingeringByNode: map[string]map[string]int64{},
 				retirements: map[string]*retire.Retirement{}, released: map[string]string{}, abortedScales: map[string]int64{},
 				tallies: map[string]map[string]contract.CallTally{}, serverHealth: map[string]*healthRecord{}}
 		}
@@ -358,7 +358,7 @@
 	shard.isOwner, shard.takenAt = true, now
 	shard.epoch = contract.Epoch{Number: shard.highestEpoch.Number + 1, Node: owner.self.Name, Incarnation: owner.self.Boot}
 	shard.highestEpoch, shard.listNumber, shard.fingerprint = shard.epoch, 0, ""
-	shard.nodeAcks, shard.callsByNode, shard.lingeringByNode = map[string]retire.Word{}, map[string]map[string]int64{}, map[string]map[string]int64{}
+	shard.nodeAcks, shard.callsByNode, shard.lingeringByNode = map[string]retire.NodeStatus{}, map[string]map[string]int64{}, map[string]map[string]int64{}
 	shard.tallies, shard.serverHealth = map[string]map[string]contract.CallTally{}, map[string]*healthRecord{}
 	shard.rampShares = map[string]map[string]int64{}
 	shard.retirements, shard.released = map[string]*retire.Retirement{}, map[string]string{}
--- a/shard/sight.go
+++ b/shard/sight.go
@@ -146,6 +146,6 @@
 	}
 	var reply ReportReply
 	if json.Unmarshal(message.Body, &reply) == nil {
-		owner.handleReport(now, ReportResult{Server: reply.Server, ViaPeer: true, Outcome: retire.Outcome{Began: reply.RequestedAt, Report: reply.Report, Error: reply.Error}})
+		owner.handleReport(now, ReportResult{Server: reply.Server, ViaPeer: true, ReadResult: retire.ReadResult{StartedAt: reply.RequestedAt, Report: reply.Report, Error: reply.Error}})
 	}
 }
--- a/virtual/disk.go
+++ b/virtual/disk.go
@@ -173,7 +173,7 @@
 	return made
 }
 
-func (disk *Disk) WriteAside(name string, content []byte) error {
+func (disk *Disk) WriteTemp(name string, content []byte) error {
 	if disk.Full {
 		return eris.New("no space left")
 	}
@@ -181,7 +181,7 @@
 	return nil
 }
 
-func (disk *Disk) Settle(aside, name string) error {
+func (disk *Disk) Rename(aside, name string) error {
 	content, there := disk.files[aside]
 	if !there {
 		return os.ErrNotExist
--- a/virtual/disk_test.go
+++ b/virtual/disk_test.go
@@ -37,8 +37,8 @@
 	}
 	write := func(disk *Disk, name, content string) {
 		GinkgoHelper()
-		Expect(disk.WriteAside(name+".aside", []byte(content))).To(Succeed())
-		Expect(disk.Settle(name+".aside", name)).To(Succeed())
+		Expect(disk.WriteTemp(name+".aside", []byte(content))).To(Succeed())
+		Expect(disk.Rename(name+".aside", name)).To(Succeed())
 	}
 	saved := func(disk *Disk, name, content string) {
 		GinkgoHelper()
@@ -63,27 +63,27 @@
 		Context("that is "+name, func() {
 			It("is a folder whose names are sorted and whose files are its own", func() {
 				disk, content := given(options), []byte("one")
-				Expect(disk.WriteAside("b", content)).To(Succeed())
-				Expect(disk.WriteAside("a", []byte("two"))).To(Succeed())
+				Expect(disk.WriteTemp("b", content)).To(Succeed())
+				Expect(disk.WriteTemp("a", []byte("two"))).To(Succeed())
 				copy(content, "xxx")
 				Expect(disk.List()).To(Equal([]string{"a", "b"}))
 				Expect(disk.Read("b")).To(Equal([]byte("one")))
-				Expect(disk.Settle("b", "a")).To(Succeed())
+				Expect(disk.Rename("b", "a")).To(Succeed())
 				Expect(holds(disk)).To(Equal(map[string]string{"a": "one"}))
 				Expect(disk.Remove("a")).To(Succeed())
 				_, failure := disk.Read("a")
 				Expect(failure).To(MatchError(os.ErrNotExist))
-				Expect(disk.Settle("a", "b")).To(MatchError(os.ErrNotExist))
+				Expect(disk.Rename("a", "b")).To(MatchError(os.ErrNotExist))
 			})
 
 			It("refuses writes while it is full and keeps what it has", func() {
 				disk := given(options)
 				saved(disk, "a", "one")
 				disk.Full = true
-				Expect(disk.WriteAside("a", []byte("two"))).NotTo(Succeed())
+				Expect(disk.WriteTemp("a", []byte("two"))).NotTo(Succeed())
 				Expect(holds(disk)).To(Equal(map[string]string{"a": "one"}))
 				disk.Full = false
-				Expect(disk.WriteAside("a", []byte("two"))).To(Succeed())
+				Expect(disk.WriteTemp("a", []byte("two"))).To(Succeed())
 			})
 
 			It("keeps through a loss of power what was synced", func() {
