--- a/control/gather.go
+++ b/control/gather.go
@@ -141,11 +141,11 @@
 
 // cache sums what the control nodes were told of the servers' caches; older ones answer with something else, which is left out.
 func (owner *Owner) cache(now time.Duration, ask contract.Ask) []contract.Command {
-	all := []index.Cached{}
+	all := []index.CacheStatus{}
 	fits := func(member contract.Member) bool { return member.Kind == contract.KindControl }
 	message := func(token int64) any { return StatusAsk{Token: token, Address: owner.Self().Address, Cache: true} }
 	return owner.gather(now, fits, MessageStatusAsk, message, func(body json.RawMessage) bool {
-		var views []index.Cached
+		var views []index.CacheStatus
 		if json.Unmarshal(body, &views) == nil {
 			all = append(all, views...)
 		}
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -126,14 +126,14 @@
 	It("given a control node that was told uses, when another asks for its view, then it tells it, and an ask without it gets shards as ever", func() {
 		world := newWorld(3)
 		world.run(15 * time.Second)
-		uses := []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 50, Shown: index.Kept, At: world.now}}
+		uses := []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 50, Verdict: index.Kept, At: world.now}}
 		owner := world.nodes["east-m0-control"].owner
 		told := func(kind string, body any) []contract.Command {
 			content, failure := json.Marshal(body)
 			Expect(failure).NotTo(HaveOccurred())
 			return owner.Handle(world.now, contract.Message{Kind: kind, From: "other", Body: content})
 		}
-		counted := told(index.MessageUsed, index.Used{Address: "other", Uses: uses, Results: index.Results(world.now, 2*time.Second, uses)})
+		counted := told(index.MessageUsage, index.Usage{Address: "other", Uses: uses, Results: index.Results(world.now, 2*time.Second, uses)})
 		Expect(counted).To(ContainElement(contract.Count{Name: "index_checked", By: 1}))
 		for _, cache := range []bool{true, false} {
 			bodies := []json.RawMessage{}
@@ -143,10 +143,10 @@
 				}
 			}
 			Expect(bodies).To(HaveLen(1))
-			var views []index.Cached
+			var views []index.CacheStatus
 			Expect(json.Unmarshal(bodies[0], &views)).To(Succeed())
 			if cache {
-				Expect(views).To(Equal([]index.Cached{{Server: "a", Service: "s", Placed: 1, Checked: 1, Kept: 1, Part: 1}}))
+				Expect(views).To(Equal([]index.CacheStatus{{Server: "a", Service: "s", Placed: 1, Checked: 1, Kept: 1, Share: 1}}))
 			} else {
 				Expect(index.Merge(views)).To(BeEmpty(), "what an older node answers is left out")
 			}
--- a/emulator/checks_test.go
+++ b/emulator/checks_test.go
@@ -117,13 +117,13 @@
 		}
 		day.world.RunUntil(34 * time.Second)
 		Expect(answers).To(HaveLen(3))
-		servers := answers[0].(map[string]any)["servers"].([]index.Cached)
+		servers := answers[0].(map[string]any)["servers"].([]index.CacheStatus)
 		Expect(len(servers)).To(BeNumerically(">", 5))
 		checked, missed := int64(0), int64(0)
 		for place, server := range servers {
 			checked, missed = checked+server.Checked, missed+server.Missed
 			for _, answer := range answers[1:] {
-				other := answer.(map[string]any)["servers"].([]index.Cached)[place]
+				other := answer.(map[string]any)["servers"].([]index.CacheStatus)[place]
 				Expect([]int64{other.Checked, other.Missed}).To(Equal([]int64{server.Checked, server.Missed}), server.Server)
 			}
 		}
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -179,7 +179,7 @@
 		got, away := offered(twoRegions(east, west, true))
 		Expect(got).To(HaveLen(own))
 		Expect(away).To(HaveLen(others))
-		Expect(len(got) + len(away)).To(BeNumerically("<=", index.MostCandidates))
+		Expect(len(got) + len(away)).To(BeNumerically("<=", index.MaxCandidates))
 	},
 		Entry("many in both", 36, 36, 12, 4),
 		Entry("few here", 6, 36, 4, 12),
--- a/gateway/cache.go
+++ b/gateway/cache.go
@@ -65,7 +65,7 @@
 
 // shown tells what a call's first piece shows of its prompt's place, whoever sent the prompt there before: the owner of the index knows
 // whether it was read there, and whether it waited behind the reading of other nodes.
-func (traffic *Traffic) shown(now time.Duration, work *job) index.Shown {
+func (traffic *Traffic) shown(now time.Duration, work *job) index.Verdict {
 	server, took, shared := work.server, now-work.at, work.Prompt.Shared()
 	own := checkTime(work.Prompt.Input - shared)
 	if took < time.Duration(float64(checkTime(work.Prompt.Input))/surelyKept) {
--- a/gateway/index.go
+++ b/gateway/index.go
@@ -46,7 +46,7 @@
 		node.emit(Update{told})
 	}
 	if uses := node.known.Uses(); owner.Name != "" && len(uses) > 0 {
-		node.emit(contract.Send{To: owner.Address, Kind: index.MessageUsed, Body: index.Used{Address: node.Self().Address, Uses: uses,
+		node.emit(contract.Send{To: owner.Address, Kind: index.MessageUsage, Body: index.Usage{Address: node.Self().Address, Uses: uses,
 			Results: index.Results(now, node.Bounds.Withdraw()/2, uses)}})
 	}
 }
--- a/gateway/index_test.go
+++ b/gateway/index_test.go
@@ -178,12 +178,12 @@
 		}}
 		node.meets(controls...)
 		node.now = node.nextTell - 1
-		Expect(sends(node.take(contract.Tick{}), index.MessageUsed)).To(BeEmpty())
-		sent := sends(beat(node), index.MessageUsed)
+		Expect(sends(node.take(contract.Tick{}), index.MessageUsage)).To(BeEmpty())
+		sent := sends(beat(node), index.MessageUsage)
 		Expect(sent).To(HaveLen(1))
 		Expect(sent[0].To).To(Equal(first().Address))
-		Expect(sent[0].Body).To(Equal(index.Used{Address: node.Self().Address, Uses: []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 5}}}))
-		Expect(sends(beat(node), index.MessageUsed)).To(BeEmpty())
+		Expect(sent[0].Body).To(Equal(index.Usage{Address: node.Self().Address, Uses: []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 5}}}))
+		Expect(sends(beat(node), index.MessageUsage)).To(BeEmpty())
 	})
 
 	It("given a message of corrections, when it comes, then the calls are told, and one that cannot be read changes nothing", func() {
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -37,7 +37,7 @@
 	mostPlaces = 1 << 12
 	mostAsks   = 2
 	// rootCandidates is how many servers the prompts of one root prefer, as a part of those that are offered.
-	rootCandidates = index.MostCandidates / 2
+	rootCandidates = index.MaxCandidates / 2
 )
 
 // places is what this node knows of the shared index of prompts.
@@ -118,8 +118,8 @@
 			others = append(others, server)
 		}
 	}
-	away := min(len(others), max(index.MostCandidates/4, index.MostCandidates-len(own)))
-	return slices.Concat(own[:min(len(own), index.MostCandidates-away)], others[:away])
+	away := min(len(others), max(index.MaxCandidates/4, index.MaxCandidates-len(own)))
+	return slices.Concat(own[:min(len(own), index.MaxCandidates-away)], others[:away])
 }
 
 // byRoot orders servers for a prompt: the first ones are the same for all prompts of its root, which the owner of the index leaves only
@@ -177,9 +177,9 @@
 
 // use notes what the owner of the index is told.
 func (traffic *Traffic) use(now time.Duration, work *job) {
-	if work.holder != "" && work.server.Name == work.holder && len(traffic.places.uses) < index.MostUses {
+	if work.holder != "" && work.server.Name == work.holder && len(traffic.places.uses) < index.MaxUses {
 		traffic.places.uses = append(traffic.places.uses, index.Use{Key: work.key, Server: work.holder, Took: (now - work.at).Milliseconds(),
-			Shown: traffic.shown(now, work), At: now})
+			Verdict: traffic.shown(now, work), At: now})
 	}
 }
 
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -207,7 +207,7 @@
 		Expect(bench.Uses()).To(BeEmpty())
 		key := bench.learned("b")
 		bench.firstAfter(bench.promptly("/stream/x", shortText("one")), 20*time.Millisecond)
-		Expect(bench.Uses()).To(Equal([]index.Use{{Key: key, Server: "b", Took: 600, Shown: index.Missed(600*time.Millisecond, 317*time.Millisecond), At: 1600 * time.Millisecond}}))
+		Expect(bench.Uses()).To(Equal([]index.Use{{Key: key, Server: "b", Took: 600, Verdict: index.Missed(600*time.Millisecond, 317*time.Millisecond), At: 1600 * time.Millisecond}}))
 		Expect(bench.Uses()).To(BeEmpty())
 	})
 
@@ -225,10 +225,10 @@
 	It("given more uses than may be told, when nobody asks for them, then the rest is left out", func() {
 		bench := indexed(engines)
 		bench.learned("b")
-		for range index.MostUses + 20 {
+		for range index.MaxUses + 20 {
 			bench.firstAfter(dispatched(bench.long("one")), time.Millisecond)
 		}
-		Expect(bench.Uses()).To(HaveLen(index.MostUses))
+		Expect(bench.Uses()).To(HaveLen(index.MaxUses))
 	})
 
 	It("given a correction, when it comes, then the next call goes there without an ask", func() {
@@ -242,7 +242,7 @@
 var _ = Describe("prompts of one root", func() {
 	It("given prompts with two shared parts, when they are asked for, then each has a place of its own, its root is told, and the first candidates are the same", func() {
 		names := []string{}
-		for place := range 3 * index.MostCandidates {
+		for place := range 3 * index.MaxCandidates {
 			names = append(names, fmt.Sprintf("s%02d", place))
 		}
 		bench := started(engines, eastList(names...))
--- a/gateway/shown_test.go
+++ b/gateway/shown_test.go
@@ -23,7 +23,7 @@
 }
 
 func late(use index.Use) bool {
-	_, late := use.Shown.Late(time.Duration(use.Took) * time.Millisecond)
+	_, late := use.Verdict.MissSlack(time.Duration(use.Took) * time.Millisecond)
 	return late
 }
 
@@ -43,30 +43,30 @@
 	It("given a place that only other nodes used, when the first piece comes, then it shows kept, unclear or late, and when", func() {
 		bench := placed()
 		use := bench.shownBy(quick, calm)
-		Expect(use.Shown).To(Equal(index.Kept))
+		Expect(use.Verdict).To(Equal(index.Kept))
 		Expect(use.At).To(Equal(bench.now))
-		Expect(bench.shownBy(between, calm).Shown).To(Equal(index.Unclear))
+		Expect(bench.shownBy(between, calm).Verdict).To(Equal(index.Unclear))
 		Expect(late(bench.shownBy(slow, calm))).To(BeTrue())
 	})
 
 	It("given a first piece that came sooner than reading could be, when the server is busy, then it still shows that the prompt was kept", func() {
-		Expect(placed().shownBy(quick, &Load{Running: 48, Waiting: 6, Slots: 48}).Shown).To(Equal(index.Kept))
+		Expect(placed().shownBy(quick, &Load{Running: 48, Waiting: 6, Slots: 48}).Verdict).To(Equal(index.Kept))
 	})
 
 	It("given a server where others wait, or where this node has another call read, when the first piece is late, then it is unclear", func() {
-		Expect(placed().shownBy(slow, &Load{Running: 48, Waiting: 6, Slots: 48}).Shown).To(Equal(index.Unclear))
+		Expect(placed().shownBy(slow, &Load{Running: 48, Waiting: 6, Slots: 48}).Verdict).To(Equal(index.Unclear))
 		bench := placed()
 		dispatched(bench.long("beside"))
-		Expect(bench.shownBy(slow, calm).Shown).To(Equal(index.Unclear))
+		Expect(bench.shownBy(slow, calm).Verdict).To(Equal(index.Unclear))
 	})
 
 	It("given calls that showed what is usual in a region, when one is later than that and reading, then it is late, and before it was not", func() {
 		bench, wait := placed(), 320*time.Millisecond
-		Expect(bench.shownBy(wait, calm).Shown).To(Equal(index.Unclear))
+		Expect(bench.shownBy(wait, calm).Verdict).To(Equal(index.Unclear))
 		bench.shownBy(quick, calm)
 		use := bench.shownBy(wait, calm)
 		Expect(late(use)).To(BeTrue())
-		spare, _ := use.Shown.Late(wait)
+		spare, _ := use.Verdict.MissSlack(wait)
 		Expect(spare).To(And(BeNumerically(">", 0), BeNumerically("<", wait-checkTime(13000)/2)))
 	})
 
--- a/index/checks.go
+++ b/index/checks.go
@@ -9,111 +9,112 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// Shown is what the first piece of a call at its prompt's place shows.
-type Shown byte
+// Verdict is what the wait for a call's first piece shows about the cache of its prompt's place.
+type Verdict byte
 
 const (
-	// Unclear is all that is neither Kept nor missed.
-	Unclear Shown = 'u'
-	// Kept means that the first piece came sooner than reading the prompt could be.
-	Kept Shown = 'k'
-	// missed means that it came later than all that the call's node knows of explains, as if the prompt was read anew; the messages from
-	// there on tell what part of the wait may be explained by others and it still was.
-	missed, lastMissed Shown = 'A', 'Z'
+	// Unclear is the verdict if the wait shows neither a hit nor a miss.
+	Unclear Verdict = 'u'
+	// Kept is a cache hit: the first piece came sooner than the prompt could have been read.
+	Kept Verdict = 'k'
+	// missed is a cache miss: the first piece came later than anything known to the call's node explains. The values up to lastMissed
+	// encode which part of the wait could be due to other calls and the call would still be late.
+	missed, lastMissed Verdict = 'A', 'Z'
 )
 
-// Missed gives what a call shows that took longer than expected; spare is what may be taken off its wait before it did not.
-func Missed(took, spare time.Duration) Shown {
-	return missed + Shown(min(time.Duration(lastMissed-missed), max(0, spare)*time.Duration(lastMissed-missed)/max(1, took)))
+// Missed returns the verdict for a call that took longer than expected; slack is how much shorter its wait could be and still be late.
+func Missed(took, slack time.Duration) Verdict {
+	return missed + Verdict(min(time.Duration(lastMissed-missed), max(0, slack)*time.Duration(lastMissed-missed)/max(1, took)))
 }
 
-// Late tells whether a call was missed, and how long a wait behind others would explain it.
-func (shown Shown) Late(took time.Duration) (time.Duration, bool) {
-	if shown < missed || shown > lastMissed {
+// MissSlack reports whether the verdict is a miss, and the slack of a call that took so long.
+func (verdict Verdict) MissSlack(took time.Duration) (time.Duration, bool) {
+	if verdict < missed || verdict > lastMissed {
 		return 0, false
 	}
-	return took * time.Duration(shown-missed) / time.Duration(lastMissed-missed), true
+	return took * time.Duration(verdict-missed) / time.Duration(lastMissed-missed), true
 }
 
 const (
-	// agoSteps is how many steps of how long ago a use was a rest has; lastStep is the last one that is told.
-	agoSteps = 80
-	lastStep = 'z' - 'a'
-	// settlesPerHalfLife is how long a miss waits for what other nodes tell: two of their beats and the way.
+	// ageSteps is how many steps a cooldown has for encoding the age of a use; maxAgeStep is the last step that is sent.
+	ageSteps   = 80
+	maxAgeStep = 'z' - 'a'
+	// settlesPerHalfLife: a miss waits a half-life over settlesPerHalfLife for other nodes' reports, which is two report intervals and the
+	// transmission.
 	settlesPerHalfLife = 12
-	// waysPerRest is how many of the times by which ways of calls to one server differ a rest has.
-	waysPerRest = 32
-	// lastingHalfLives is how long an unused prompt is expected to be kept.
-	lastingHalfLives = 16
-	// steps are those of a server's part of the work, cut by the share of its checks that were missed; fewestMissed is how much of recent
-	// misses, forgotten by half in a half-life, cuts at all.
-	steps        = 4
-	fewestMissed = 1.5
-	// againHalfLives is how soon a prompt is missed a second time where misses come again and again.
-	againHalfLives = 2
-	// mostCalls bounds the calls that are kept of one server to explain misses with, and callsPerHalfLife for how long they are.
-	mostCalls        = 32
+	// pathSkewsPerCooldown: network paths to one server may differ by a cooldown over pathSkewsPerCooldown.
+	pathSkewsPerCooldown = 32
+	// retentionHalfLives is how long an unused prompt is expected to stay cached.
+	retentionHalfLives = 16
+	// shareSteps is the number of steps in which a server's share of the work is reduced, by the rate of misses in its checks; fewer recent
+	// misses than minMisses, with decay by half in a half-life, reduce nothing.
+	shareSteps = 4
+	minMisses  = 1.5
+	// repeatHalfLives is how soon a second miss of a prompt counts as a repetition.
+	repeatHalfLives = 2
+	// maxCalls bounds the calls that are kept per server to explain misses; each is kept for a half-life over callsPerHalfLife.
+	maxCalls         = 32
 	callsPerHalfLife = 2
-	// falseAlarms and overlooked are the error rates that bound the sequential test for a loss (Wald); a call that was read anew shows it
-	// with the chance missIfLost, and one that was not seems so with missIfKept.
-	falseAlarms = 0.001
-	overlooked  = 0.1
-	missIfLost  = 0.6
-	missIfKept  = 1.0 / 32
+	// falseAlarmRate and missedLossRate are the error rates of the sequential probability ratio test (Wald) for a lost cache. A call whose
+	// prompt was read again shows a miss with probability missRateIfLost, another one with missRateIfKept.
+	falseAlarmRate = 0.001
+	missedLossRate = 0.1
+	missRateIfLost = 0.6
+	missRateIfKept = 1.0 / 32
 )
 
-// Results gives two messages for each use: what it showed and how many steps ago its first piece came.
-func Results(now, rest time.Duration, uses []Use) string {
-	if slices.IndexFunc(uses, func(use Use) bool { return use.Shown != 0 }) < 0 {
+// Results encodes two characters for each use: its verdict, and how many steps ago its first piece came. It is empty without verdicts.
+func Results(now, cooldown time.Duration, uses []Use) string {
+	if slices.IndexFunc(uses, func(use Use) bool { return use.Verdict != 0 }) < 0 {
 		return ""
 	}
 	messages := make([]byte, 0, 2*len(uses))
 	for _, use := range uses {
-		shown := use.Shown
-		if shown == 0 {
-			shown = Unclear
+		verdict := use.Verdict
+		if verdict == 0 {
+			verdict = Unclear
 		}
-		messages = append(messages, byte(shown), 'a'+byte(min(lastStep, max(0, (now-use.At)*agoSteps/rest))))
+		messages = append(messages, byte(verdict), 'a'+byte(min(maxAgeStep, max(0, (now-use.At)*ageSteps/cooldown))))
 	}
 	return string(messages)
 }
 
-// result gives what a use showed and when; a node that doesn't tell it leaves it unclear.
-func (used Used) result(now, rest time.Duration, place int) (Shown, time.Duration) {
-	if len(used.Results) != 2*len(used.Uses) {
+// result decodes the verdict and time of one use; without results it is unclear.
+func (usage Usage) result(now, cooldown time.Duration, place int) (Verdict, time.Duration) {
+	if len(usage.Results) != 2*len(usage.Uses) {
 		return Unclear, now
 	}
-	return Shown(used.Results[2*place]), now - rest/agoSteps*time.Duration(min(lastStep, max(0, int(used.Results[2*place+1])-'a')))
+	return Verdict(usage.Results[2*place]), now - cooldown/ageSteps*time.Duration(min(maxAgeStep, max(0, int(usage.Results[2*place+1])-'a')))
 }
 
-// call is one use of a place as it was told; a miss is judged when others had the time to tell theirs. Former is the use before it.
+// call is one reported use of a place. A possible miss is decided when other nodes had time to report; previousUse is the use before it.
 type call struct {
-	key                  Key
-	began, ended, former time.Duration
-	spare                time.Duration
-	missed               bool
+	key                       Key
+	began, ended, previousUse time.Duration
+	slack                     time.Duration
+	missed                    bool
 }
 
-// checks are what first pieces showed of one server's cache. Recent counts are forgotten by half in a half-life.
+// checks is what first pieces showed of one server's cache. The recent counts decay by half in each half-life.
 type checks struct {
 	service                     string
 	calls                       []call
 	used                        time.Duration
 	kept, missed                int64
 	recentChecked, recentMissed float64
-	at                          time.Duration
-	cut                         int
+	updatedAt                   time.Duration
+	reduced                     int // steps by which its share of the work is reduced
 	suspect                     suspicion
-	doubtedSince, doubtedUntil  time.Duration
+	doubtedSince, doubtedUntil  time.Duration // the time in which its cache is believed to be lost
 }
 
-// pending is a server with a miss that is to be judged at a moment.
+// pending is a server with a possible miss that is decided at dueAt.
 type pending struct {
 	server string
-	at     time.Duration
+	dueAt  time.Duration
 }
 
-// suspicion is a sequential test for the loss of all that a server kept.
+// suspicion is a sequential test for the loss of a server's whole cache.
 type suspicion struct {
 	since    time.Duration
 	evidence float64
@@ -126,8 +127,8 @@
 }
 
 func (owner *Owner) checksOf(key Key, server string) *checks {
-	known, there := owner.checks.Get(server)
-	if !there {
+	known, found := owner.checks.Get(server)
+	if !found {
 		known = &checks{}
 		owner.checks.Add(server, known)
 	}
@@ -135,22 +136,22 @@
 	return known
 }
 
-// noted takes a use of a place into account and gives what the place is from then on.
-func (owner *Owner) noted(now time.Duration, place entry, use Use) entry {
+// recordUse adds a use to the checks of its server and returns the updated place.
+func (owner *Owner) recordUse(now time.Duration, place entry, use Use) entry {
 	began := use.At - time.Duration(max(0, use.Took))*time.Millisecond
 	known := owner.checksOf(use.Key, use.Server)
-	spare, late := use.Shown.Late(use.At - began)
-	late = late && place.read > 0 && place.read < began && began-place.used < owner.halfLife*lastingHalfLives
-	known.calls = slices.DeleteFunc(known.calls, func(one call) bool { return !one.missed && one.ended < now-owner.halfLife/callsPerHalfLife })
-	if len(known.calls) >= mostCalls {
+	slack, late := use.Verdict.MissSlack(use.At - began)
+	late = late && place.read > 0 && place.read < began && began-place.used < owner.halfLife*retentionHalfLives
+	known.calls = slices.DeleteFunc(known.calls, func(current call) bool { return !current.missed && current.ended < now-owner.halfLife/callsPerHalfLife })
+	if len(known.calls) >= maxCalls {
 		known.calls = known.calls[1:]
 	}
-	known.calls, known.used = append(known.calls, call{use.Key, began, use.At, place.used, spare, late}), now
+	known.calls, known.used = append(known.calls, call{use.Key, began, use.At, place.used, slack, late}), now
 	if late {
 		owner.pending = append(owner.pending, pending{use.Server, now + owner.halfLife/settlesPerHalfLife})
 	}
-	if use.Shown == Kept {
-		owner.judged(now, known, true)
+	if use.Verdict == Kept {
+		owner.recordCheck(now, known, true)
 		known.suspect.clear(began, place.used)
 		if place.used > 0 && place.used < known.doubtedSince && began > known.doubtedSince {
 			known.doubtedUntil = 0
@@ -163,10 +164,10 @@
 	return place
 }
 
-// judged counts one check of a server, and cuts its part of the work by a step or gives a step back.
-func (owner *Owner) judged(now time.Duration, known *checks, kept bool) {
-	forgotten := math.Exp2(-float64(now-known.at) / float64(owner.halfLife))
-	known.recentChecked, known.recentMissed, known.at = known.recentChecked*forgotten+1, known.recentMissed*forgotten, now
+// recordCheck counts one check of a server, and reduces its share of the work by a step or restores a step.
+func (owner *Owner) recordCheck(now time.Duration, known *checks, kept bool) {
+	forgotten := math.Exp2(-float64(now-known.updatedAt) / float64(owner.halfLife))
+	known.recentChecked, known.recentMissed, known.updatedAt = known.recentChecked*forgotten+1, known.recentMissed*forgotten, now
 	if kept {
 		known.kept++
 	} else {
@@ -174,134 +175,133 @@
 		known.recentMissed++
 	}
 	wanted := 0
-	if known.recentMissed >= fewestMissed {
-		wanted = min(steps-1, int(known.recentMissed/known.recentChecked*steps))
+	if known.recentMissed >= minMisses {
+		wanted = min(shareSteps-1, int(known.recentMissed/known.recentChecked*shareSteps))
 	}
 	switch {
-	case wanted < known.cut:
-		known.cut--
-	case wanted > known.cut && (known.cut > 0 || owner.mayCut(now, known.service)):
-		known.cut++
+	case wanted < known.reduced:
+		known.reduced--
+	case wanted > known.reduced && (known.reduced > 0 || owner.mayReduce(now, known.service)):
+		known.reduced++
 	}
 }
 
-// mayCut tells whether one more server of a service may get less: never most of those that were used lately, so never the last.
-func (owner *Owner) mayCut(now time.Duration, service string) bool {
-	cut, used := 1, 0
+// mayReduce reports whether one more server of a service may get a smaller share: at most half of those used lately, so never the only one.
+func (owner *Owner) mayReduce(now time.Duration, service string) bool {
+	reduced, used := 1, 0
 	for _, known := range owner.checks.Values() {
-		if known.service != service || now-known.used > owner.halfLife*againHalfLives {
+		if known.service != service || now-known.used > owner.halfLife*repeatHalfLives {
 			continue
 		}
 		used++
-		if known.cut > 0 {
-			cut++
+		if known.reduced > 0 {
+			reduced++
 		}
 	}
-	return cut*2 <= used
+	return reduced*2 <= used
 }
 
-// part is what a server gets of its part of the work.
-func (owner *Owner) part(server string) float64 {
-	known, there := owner.checks.Peek(server)
-	if !there {
+// share is the factor on a server's share of the work, 1 if it is not reduced.
+func (owner *Owner) share(server string) float64 {
+	known, found := owner.checks.Peek(server)
+	if !found {
 		return 1
 	}
-	return 1 - float64(known.cut)/steps
+	return 1 - float64(known.reduced)/shareSteps
 }
 
-// settle judges the misses that other nodes had the time to explain.
-func (owner *Owner) settle(now time.Duration) []contract.Command {
+// settleMisses decides the possible misses that other nodes had time to explain.
+func (owner *Owner) settleMisses(now time.Duration) []contract.Command {
 	commands := []contract.Command{}
-	for ; len(owner.pending) > 0 && now >= owner.pending[0].at; owner.pending = owner.pending[1:] {
+	for ; len(owner.pending) > 0 && now >= owner.pending[0].dueAt; owner.pending = owner.pending[1:] {
 		server := owner.pending[0].server
-		known, there := owner.checks.Peek(server)
-		for place := 0; there && place < len(known.calls); place++ {
-			one := &known.calls[place]
-			if !one.missed || now-one.ended < owner.halfLife/settlesPerHalfLife {
+		known, found := owner.checks.Peek(server)
+		for place := 0; found && place < len(known.calls); place++ {
+			current := &known.calls[place]
+			if !current.missed || now-current.ended < owner.halfLife/settlesPerHalfLife {
 				continue
 			}
-			if one.missed = false; !owner.explained(known.calls, place) {
-				commands = append(commands, owner.mismatch(now, server, known, *one)...)
+			if current.missed = false; !owner.explained(known.calls, place) {
+				commands = append(commands, owner.recordMismatch(now, server, known, *current)...)
 			}
 		}
 	}
 	return commands
 }
 
-// explained tells whether another call that came there first, or may have by the ways that calls take, kept one waiting so long that it
-// was not late for itself.
+// explained reports whether another call that arrived first, within the skew of network paths, delayed a call by more than its slack.
 func (owner *Owner) explained(calls []call, place int) bool {
-	one := calls[place]
+	current := calls[place]
 	for index, other := range calls {
-		if index != place && other.began <= one.began+owner.rest/waysPerRest && other.ended > one.began+one.spare {
+		if index != place && other.began <= current.began+owner.cooldown/pathSkewsPerCooldown && other.ended > current.began+current.slack {
 			return true
 		}
 	}
 	return false
 }
 
-// mismatch notes that a server did not hold a prompt. As it has just read it, the place is right again, unless the server misses the
-// prompt again and again: then the next call of it is placed elsewhere.
-func (owner *Owner) mismatch(now time.Duration, server string, known *checks, one call) []contract.Command {
-	owner.judged(now, known, false)
+// recordMismatch records a cache miss. The server has just read the prompt, so the place is right again, unless the server misses the
+// prompt repeatedly: then the prompt's next call is placed elsewhere.
+func (owner *Owner) recordMismatch(now time.Duration, server string, known *checks, current call) []contract.Command {
+	owner.recordCheck(now, known, false)
 	commands := []contract.Command{contract.Count{Name: "index_checked", By: 1}, contract.Count{Name: "index_mismatches", By: 1},
-		contract.Say{What: "cache mismatch", Detail: []any{"server", server, "scope", one.key.Scope, "anchor", one.key.Anchor, "agoMs", (now - one.ended).Milliseconds()}}}
-	if known.suspect.miss(one, owner.halfLife) {
+		contract.Say{What: "cache mismatch", Detail: []any{"server", server, "scope", current.key.Scope, "anchor", current.key.Anchor, "agoMs", (now - current.ended).Milliseconds()}}}
+	if known.suspect.addMiss(current, owner.halfLife) {
 		known.doubtedSince, known.doubtedUntil = known.suspect.since, now+owner.halfLife
 		known.suspect = suspicion{}
 		commands = append(commands, contract.Count{Name: "index_losses_noticed", By: 1}, contract.Say{What: "cache loss noticed", Detail: []any{"server", server}})
 	}
-	place, there := owner.places.Peek(one.key)
-	if !there || place.server != server {
+	position, found := owner.places.Peek(current.key)
+	if !found || position.server != server {
 		return commands
 	}
-	again := place.missed > 0 && one.ended-place.missed < owner.halfLife*againHalfLives
-	place.missed = one.ended
-	if again && known.cut > 0 && !place.leaving && now >= place.moved+owner.rest {
-		place.leaving = true
-		owner.changed.Add(one.key, struct{}{})
+	again := position.missed > 0 && current.ended-position.missed < owner.halfLife*repeatHalfLives
+	position.missed = current.ended
+	if again && known.reduced > 0 && !position.leaving && now >= position.moved+owner.cooldown {
+		position.leaving = true
+		owner.changed.Add(current.key, struct{}{})
 		owner.dirty = true
 		commands = append(commands, contract.Count{Name: "index_places_left", By: 1})
 	}
-	owner.places.Add(one.key, place)
+	owner.places.Add(current.key, position)
 	return commands
 }
 
-// miss adds one miss and tells whether the evidence is enough. Each prompt counts once, and only if it was not used since the loss.
-func (suspect *suspicion) miss(one call, halfLife time.Duration) bool {
-	if suspect.keys == nil || one.began-suspect.since > halfLife {
-		*suspect = suspicion{since: one.began, keys: map[Key]bool{}}
+// addMiss adds a miss and reports whether the evidence suffices. Each prompt counts once, and only if it was not used since the loss.
+func (suspect *suspicion) addMiss(current call, halfLife time.Duration) bool {
+	if suspect.keys == nil || current.began-suspect.since > halfLife {
+		*suspect = suspicion{since: current.began, keys: map[Key]bool{}}
 	}
-	if !suspect.keys[one.key] && (len(suspect.keys) == 0 || one.former < suspect.since) {
-		suspect.keys[one.key] = true
-		suspect.evidence += math.Log(missIfLost / missIfKept)
+	if !suspect.keys[current.key] && (len(suspect.keys) == 0 || current.previousUse < suspect.since) {
+		suspect.keys[current.key] = true
+		suspect.evidence += math.Log(missRateIfLost / missRateIfKept)
 	}
-	return suspect.evidence >= math.Log((1-overlooked)/falseAlarms)
+	return suspect.evidence >= math.Log((1-missedLossRate)/falseAlarmRate)
 }
 
-// clear ends a suspicion by a prompt that was used before it for the last time, and was still kept.
-func (suspect *suspicion) clear(began, former time.Duration) {
-	if suspect.keys != nil && former > 0 && former < suspect.since && began > suspect.since {
+// clear ends a suspicion by a prompt that was last used before it and is still cached.
+func (suspect *suspicion) clear(began, previousUse time.Duration) {
+	if suspect.keys != nil && previousUse > 0 && previousUse < suspect.since && began > suspect.since {
 		*suspect = suspicion{}
 	}
 }
 
-// Cached is what operators see of one server's cache: the prompts placed there, what first pieces showed since this owner began, its part
-// of the work, and for how long it is doubted.
-type Cached struct {
+// CacheStatus is what operators see of one server's cache: the prompts placed there, the checks since this owner started, the factor on
+// its share of the work, and for how many milliseconds its cache has been believed lost.
+type CacheStatus struct {
 	Server    string  `json:"server"`
 	Service   string  `json:"service"`
 	Placed    int64   `json:"placed"`
 	Checked   int64   `json:"checked"`
 	Kept      int64   `json:"kept"`
 	Missed    int64   `json:"missed"`
-	Part      float64 `json:"part"`
+	Share     float64 `json:"part"`
 	DoubtedMs int64   `json:"doubtedMs,omitempty"`
 }
 
-// View gives the servers that have places or were checked, by name.
-func (owner *Owner) View(now time.Duration) []Cached {
-	views := map[string]Cached{}
+// View returns the status of all servers that have places or were checked, by name.
+func (owner *Owner) View(now time.Duration) []CacheStatus {
+	views := map[string]CacheStatus{}
 	for _, key := range owner.places.Keys() {
 		place, _ := owner.places.Peek(key)
 		view := views[place.server]
@@ -318,34 +318,35 @@
 		}
 		views[server] = view
 	}
-	all := make([]Cached, 0, len(views))
+	all := make([]CacheStatus, 0, len(views))
 	for server, view := range views {
-		view.Server, view.Part = server, owner.part(server)
+		view.Server, view.Share = server, owner.share(server)
 		all = append(all, view)
 	}
 	return Merge(all)
 }
 
-// Merge sums the views of several control nodes by server: each counts what it was told, and most know the same places.
-func Merge(views []Cached) []Cached {
-	sums := map[string]Cached{}
+// Merge combines the views of several control nodes by server. Checks add up, since each node counts its own reports; places do not,
+// since most nodes know the same ones.
+func Merge(views []CacheStatus) []CacheStatus {
+	sums := map[string]CacheStatus{}
 	for _, view := range views {
 		if view.Server == "" {
 			continue
 		}
-		sum, there := sums[view.Server]
-		if !there {
-			sum = Cached{Server: view.Server, Part: 1}
+		sum, found := sums[view.Server]
+		if !found {
+			sum = CacheStatus{Server: view.Server, Share: 1}
 		}
 		sum.Service = max(sum.Service, view.Service)
-		sum.Placed, sum.DoubtedMs, sum.Part = max(sum.Placed, view.Placed), max(sum.DoubtedMs, view.DoubtedMs), min(sum.Part, view.Part)
+		sum.Placed, sum.DoubtedMs, sum.Share = max(sum.Placed, view.Placed), max(sum.DoubtedMs, view.DoubtedMs), min(sum.Share, view.Share)
 		sum.Checked, sum.Kept, sum.Missed = sum.Checked+view.Checked, sum.Kept+view.Kept, sum.Missed+view.Missed
 		sums[view.Server] = sum
 	}
-	merged := make([]Cached, 0, len(sums))
+	merged := make([]CacheStatus, 0, len(sums))
 	for _, sum := range sums {
 		merged = append(merged, sum)
 	}
-	slices.SortFunc(merged, func(left, right Cached) int { return strings.Compare(left.Server, right.Server) })
+	slices.SortFunc(merged, func(left, right CacheStatus) int { return strings.Compare(left.Server, right.Server) })
 	return merged
 }
--- a/index/cost_test.go
+++ b/index/cost_test.go
@@ -10,9 +10,9 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// filled has so many prompts on so many servers.
+// filled returns an owner with the given numbers of places and servers.
 func filled(places, servers int) *Owner {
-	owner := New(halfLife, rest)
+	owner := New(halfLife, cooldown)
 	for anchor := range places {
 		owner.Place(0, Ask{Key: key(uint64(anchor)), Candidates: candidates(anchor, servers), Work: 280})
 	}
@@ -20,18 +20,18 @@
 }
 
 func candidates(first, servers int) []string {
-	names := make([]string, MostCandidates)
+	names := make([]string, MaxCandidates)
 	for place := range names {
 		names[place] = fmt.Sprintf("server-%05d", (first*7919+place)%servers)
 	}
 	return names
 }
 
-// BenchmarkPlace is one question for a prompt's place, as it comes from a node.
+// BenchmarkPlace measures one Ask as it arrives from a node.
 func BenchmarkPlace(b *testing.B) {
-	for name, offset := range map[string]int{"known": 0, "new": mostPlaces, "replica": 0} {
+	for name, offset := range map[string]int{"known": 0, "new": maxPlaces, "replica": 0} {
 		b.Run(name, func(b *testing.B) {
-			owner, asks := filled(mostPlaces, 5000), make([][]byte, 4096)
+			owner, asks := filled(maxPlaces, 5000), make([][]byte, 4096)
 			for number := range asks {
 				ask := Ask{Key: key(uint64(offset + number)), Candidates: candidates(number, 5000), Work: 280}
 				if name == "replica" {
@@ -53,49 +53,49 @@
 	}
 }
 
-// BenchmarkUsed is one message with the uses of a node.
+// BenchmarkUsed measures one Usage message.
 func BenchmarkUsed(b *testing.B) {
-	for _, uses := range []int{1, 16, MostUses} {
+	for _, uses := range []int{1, 16, MaxUses} {
 		b.Run(fmt.Sprintf("uses=%d", uses), func(b *testing.B) {
-			owner, used := filled(mostPlaces, 5000), Used{Address: "10.0.0.1:7720"}
+			owner, usage := filled(maxPlaces, 5000), Usage{Address: "10.0.0.1:7720"}
 			for anchor := range uses {
 				place, _ := owner.Place(0, Ask{Key: key(uint64(anchor))})
-				used.Uses = append(used.Uses, Use{Key: place.Key, Server: place.Server, Took: 60})
+				usage.Uses = append(usage.Uses, Use{Key: place.Key, Server: place.Server, Took: 60})
 			}
-			body, failure := json.Marshal(used)
-			if failure != nil {
-				b.Fatal(failure)
+			body, err := json.Marshal(usage)
+			if err != nil {
+				b.Fatal(err)
 			}
 			b.SetBytes(int64(len(body)))
 			b.ResetTimer()
 			for number := range b.N {
-				owner.Handle(time.Duration(number)*time.Microsecond, contract.Message{Kind: MessageUsed, Body: body})
+				owner.Handle(time.Duration(number)*time.Microsecond, contract.Message{Kind: MessageUsage, Body: body})
 			}
 		})
 	}
 }
 
-// BenchmarkHeap is what a full owner keeps for a place, its names and the work of 5,000 servers with it.
+// BenchmarkHeap measures the memory per place of a full owner, with its names and the work of 5,000 servers.
 func BenchmarkHeap(b *testing.B) {
 	for range b.N {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		owner := filled(mostPlaces, 5000)
+		owner := filled(maxPlaces, 5000)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(owner.Len()), "B/place")
 	}
 }
 
-// BenchmarkSnapshot is what the owner's own thread does for a snapshot; the bytes are those of its file.
+// BenchmarkSnapshot measures the time that a snapshot takes in the owner's goroutine; the bytes are those of its file.
 func BenchmarkSnapshot(b *testing.B) {
-	for _, places := range []int{100, MostSaved, mostPlaces} {
+	for _, places := range []int{100, MaxSaved, maxPlaces} {
 		b.Run(fmt.Sprintf("places=%d", places), func(b *testing.B) {
 			owner := filled(places, 5000)
-			body, failure := json.Marshal(owner.Snapshot())
-			if failure != nil {
-				b.Fatal(failure)
+			body, err := json.Marshal(owner.Snapshot())
+			if err != nil {
+				b.Fatal(err)
 			}
 			b.SetBytes(int64(len(body)))
 			b.ReportAllocs()
--- a/index/index.go
+++ b/index/index.go
@@ -1,4 +1,4 @@
-// Package index keeps where prompts that calls share belong: which server is meant to keep what one of them has read, for all nodes.
+// Package index is a replicated index of prompt placements: it assigns each shared prompt prefix a server that should have it cached.
 package index
 
 import (
@@ -14,26 +14,29 @@
 
 // MessageUsed carries what a node sent where, MessageMoved the places that its index has wrong, MessageTold places between control nodes.
 const (
-	MessageUsed  = "index-used"
-	MessageMoved = "index-moved"
-	MessageTold  = "index-told"
+	// MessageUsage carries the calls that a node sent to placed servers (Usage), MessageMoved the placements that a node has wrong (Moved),
+	// MessageAnnouncement changed placements between control nodes (Announcement).
+	MessageUsage        = "index-used"
+	MessageMoved        = "index-moved"
+	MessageAnnouncement = "index-told"
 )
 
-// Key names a shared prompt: scope is the service with the regions that the calls are bound to, anchor stands for its leading parts.
+// Key identifies a shared prompt: Scope is the service together with the regions that its calls are bound to, Anchor is a hash of the
+// prompt's leading parts.
 type Key struct {
 	Scope  string `json:"scope"`
 	Anchor uint64 `json:"anchor"`
 }
 
-// Place says that a server is meant to keep a prompt.
+// Place assigns a prompt to the server that should have it cached.
 type Place struct {
 	Key
 	Server string `json:"server"`
 }
 
-// Ask wants a prompt's place: one of the candidates, the preferred one first, if it has none yet, or if its place is Lost. Work is
-// the milliseconds that reading the prompt takes. With Known it is answered only from what is known there and changes nothing. Root
-// stands for the leading parts that other prompts have too, 0 for none, RootWork is what of the Work reading these is.
+// Ask requests a prompt's place. If it has none yet, or its place is the Lost server, one of the candidates is chosen, preferring the
+// first. Work is the time to read the prompt in milliseconds. With Known set, only an existing place is returned and nothing changes.
+// Root is the anchor of leading parts shared with other prompts, 0 for none; RootWork is the part of Work for reading these.
 type Ask struct {
 	Key
 	Candidates []string `json:"candidates,omitempty"`
@@ -44,60 +47,61 @@
 	RootWork   int64    `json:"rootWork,omitempty"`
 }
 
-// rootAt tells that a server was given a prompt with a root.
-type rootAt struct {
+// rootOnServer records that a prompt with a root was placed on a server.
+type rootOnServer struct {
 	Key
 	server string
 }
 
-// Use is one call that went to a prompt's place and waited so many milliseconds for its first piece. What that showed, and when it came,
-// is told in Used.Results.
+// Use is one call that went to its prompt's place. Took is the wait for its first piece in milliseconds. Verdict and At, when that piece
+// came, are sent in Usage.Results.
 type Use struct {
 	Key
-	Server string        `json:"server"`
-	Took   int64         `json:"took"`
-	Shown  Shown         `json:"-"`
-	At     time.Duration `json:"-"`
+	Server  string        `json:"server"`
+	Took    int64         `json:"took"`
+	Verdict Verdict       `json:"-"`
+	At      time.Duration `json:"-"`
 }
 
-// Used is what a node at Address sent since it last told. Results has two messages for each use; older nodes don't tell them.
-type Used struct {
+// Usage is what the node at Address sent since its last report. Results has two characters for each use; older nodes leave it empty.
+type Usage struct {
 	Address string `json:"address"`
 	Uses    []Use  `json:"uses"`
 	Results string `json:"results,omitempty"`
 }
 
-// Moved are places that are others than their asker believes; one without a server is to be asked for anew.
+// Moved lists the places that the receiver has wrong; for a place without a server it must send a new Ask.
 type Moved struct {
 	Places []Place `json:"places"`
 }
 
 const (
-	mostPlaces  = 1 << 16
-	mostServers = 1 << 14
-	// capacityFactor is how many times its part of the work a server may have and still get a new prompt.
+	// maxPlaces bounds the prompts, and maxServers the servers, that an owner keeps; the least recently used are dropped.
+	maxPlaces  = 1 << 16
+	maxServers = 1 << 14
+	// capacityFactor bounds a server's work for new prompts, as a multiple of its fair share.
 	capacityFactor = 1.25
-	// MostUses bounds what a node tells at once.
-	MostUses = 256
-	// MostCandidates bounds what an asker offers.
-	MostCandidates = 16
+	// MaxUses bounds the uses in one Usage.
+	MaxUses = 256
+	// MaxCandidates bounds the candidates in one Ask.
+	MaxCandidates = 16
 )
 
-// Owner keeps the index. It may be lost at any time: nodes tell a successor what they know with what they use.
+// Owner holds the index on a control node. It may lose its state at any time: nodes report to a successor the places that they use.
 type Owner struct {
 	halfLife time.Duration
-	rest     time.Duration
+	cooldown time.Duration // time in which a moved place does not move again and a lost server gets no place
 	places   *lru.LRU[Key, entry]
 	loads    *lru.LRU[string, load]
-	roots    *lru.LRU[rootAt, struct{}]
+	roots    *lru.LRU[rootOnServer, struct{}] // roots that a server has read
 	checks   *lru.LRU[string, *checks]
-	pending  []pending
+	pending  []pending // misses that wait for a decision
 	replication
 }
 
-// entry is a place; a confirmed one was given out by this owner or used by a node, others are hearsay that the first use decides. Read is
-// when the first call that was told had read the prompt there, used the last, missed when it was last found not to be kept. A leaving
-// one stands until it is asked for with other candidates.
+// entry is a place. A confirmed one was assigned by this owner or used by a node; others come from peers and the first use decides.
+// read is when the first reported call had read the prompt there, used the last use, missed the last cache miss. A leaving entry
+// stays until it is asked for with other candidates.
 type entry struct {
 	server             string
 	moved              time.Duration
@@ -105,154 +109,157 @@
 	read, used, missed time.Duration
 }
 
-// told is the server that others are told: none for a leaving place.
-func (place entry) told() string {
+// announcedServer is the server that nodes and peers are told, empty for a leaving place.
+func (place entry) announcedServer() string {
 	if place.leaving {
 		return ""
 	}
 	return place.server
 }
 
-// load is the work given to a server, forgotten by half in a half-life. Until busy it reads the prompts that were placed there.
+// load is the work assigned to a server, decaying by half in each half-life. It reads the prompts placed there until busyUntil, and
+// counts as lost until lost.
 type load struct {
-	work float64
-	at   time.Duration
-	lost time.Duration
-	busy time.Duration
+	work      float64
+	updatedAt time.Duration
+	lost      time.Duration
+	busyUntil time.Duration
 }
 
-// New makes an owner that forgets half of a server's work in halfLife; a place rests that long when it has moved, and a server is
-// believed lost for as long.
-func New(halfLife, rest time.Duration) *Owner {
-	return &Owner{halfLife: halfLife, rest: rest, places: bounded[Key, entry](mostPlaces), loads: bounded[string, load](mostServers),
-		roots:       bounded[rootAt, struct{}](mostPlaces),
-		checks:      bounded[string, *checks](mostServers),
-		replication: replication{changed: bounded[Key, struct{}](MostSaved)}}
+// New returns an empty owner. A server's work decays by half in halfLife; cooldown is how long a moved place stays put and a lost
+// server gets no place.
+func New(halfLife, cooldown time.Duration) *Owner {
+	return &Owner{halfLife: halfLife, cooldown: cooldown, places: newLRU[Key, entry](maxPlaces), loads: newLRU[string, load](maxServers),
+		roots:       newLRU[rootOnServer, struct{}](maxPlaces),
+		checks:      newLRU[string, *checks](maxServers),
+		replication: replication{changed: newLRU[Key, struct{}](MaxSaved)}}
 }
 
-func bounded[Name comparable, Value any](most int) *lru.LRU[Name, Value] {
-	made, failure := lru.NewLRU[Name, Value](most, nil)
-	if failure != nil {
-		panic(failure)
+func newLRU[Name comparable, Value any](size int) *lru.LRU[Name, Value] {
+	cache, err := lru.NewLRU[Name, Value](size, nil)
+	if err != nil {
+		panic(err)
 	}
-	return made
+	return cache
 }
 
-// Len is the number of places that are kept.
+// Len returns the number of places.
 func (owner *Owner) Len() int { return owner.places.Len() }
 
+// work returns a server's decayed work in milliseconds.
 func (owner *Owner) work(now time.Duration, server string) float64 {
-	known, there := owner.loads.Peek(server)
-	if !there {
+	known, found := owner.loads.Peek(server)
+	if !found {
 		return 0
 	}
-	return known.work * math.Exp2(-float64(now-known.at)/float64(owner.halfLife))
+	return known.work * math.Exp2(-float64(now-known.updatedAt)/float64(owner.halfLife))
 }
 
-func (owner *Owner) add(now time.Duration, server string, work int64) {
+func (owner *Owner) addWork(now time.Duration, server string, work int64) {
 	known, _ := owner.loads.Peek(server)
-	owner.loads.Add(server, load{owner.work(now, server) + float64(work), now, known.lost, known.busy})
+	owner.loads.Add(server, load{owner.work(now, server) + float64(work), now, known.lost, known.busyUntil})
 }
 
-// reads notes that a server is given a prompt to read, after those that it was given before.
-func (owner *Owner) reads(now time.Duration, server string, work int64) {
-	owner.add(now, server, work)
+// queueRead adds the reading of a prompt to a server's work, after the prompts it was given before.
+func (owner *Owner) queueRead(now time.Duration, server string, work int64) {
+	owner.addWork(now, server, work)
 	known, _ := owner.loads.Peek(server)
-	known.busy = max(now, known.busy) + time.Duration(work)*time.Millisecond
+	known.busyUntil = max(now, known.busyUntil) + time.Duration(work)*time.Millisecond
 	owner.loads.Add(server, known)
 }
 
-// backlog is how long a server is still busy with the prompts that it was given.
+// backlog is how long a server will still read the prompts that it was given.
 func (owner *Owner) backlog(now time.Duration, server string) time.Duration {
 	known, _ := owner.loads.Peek(server)
-	return max(0, known.busy-now)
+	return max(0, known.busyUntil-now)
 }
 
-// lose notes a word that a server is lost; until it has rested, nothing is placed there.
-func (owner *Owner) lose(now time.Duration, server string) {
+// markLost records a report that a server is lost; nothing is placed there during the cooldown.
+func (owner *Owner) markLost(now time.Duration, server string) {
 	if server != "" {
-		owner.loads.Add(server, load{work: owner.work(now, server), at: now, lost: now + owner.rest})
+		owner.loads.Add(server, load{work: owner.work(now, server), updatedAt: now, lost: now + owner.cooldown})
 	}
 }
 
 func (owner *Owner) lost(now time.Duration, server string) bool {
-	known, there := owner.loads.Peek(server)
-	return there && now < known.lost
+	known, found := owner.loads.Peek(server)
+	return found && now < known.lost
 }
 
-// Place answers an ask: the known place, or a candidate that has little work. A place does not move twice within the rest.
-func (owner *Owner) Place(now time.Duration, ask Ask) (Place, bool) {
-	if ask.Known {
-		return owner.known(now, ask)
+// Place answers an Ask with the existing place or with a candidate that has little work. It returns false if there is no place to give:
+// no candidate is usable, or the place has moved within the cooldown.
+func (owner *Owner) Place(now time.Duration, lookup Ask) (Place, bool) {
+	if lookup.Known {
+		return owner.known(now, lookup)
 	}
-	owner.lose(now, ask.Lost)
-	known, there := owner.places.Get(ask.Key)
-	if there && known.server != ask.Lost && !known.leaving {
-		return Place{Key: ask.Key, Server: known.server}, true
+	owner.markLost(now, lookup.Lost)
+	known, found := owner.places.Get(lookup.Key)
+	if found && known.server != lookup.Lost && !known.leaving {
+		return Place{Key: lookup.Key, Server: known.server}, true
 	}
-	if there && now < known.moved+owner.rest || len(ask.Candidates) > MostCandidates {
+	if found && now < known.moved+owner.cooldown || len(lookup.Candidates) > MaxCandidates {
 		return Place{}, false
 	}
-	candidates := slices.DeleteFunc(slices.Clone(ask.Candidates), func(name string) bool {
+	candidates := slices.DeleteFunc(slices.Clone(lookup.Candidates), func(name string) bool {
 		return owner.lost(now, name) || known.leaving && name == known.server
 	})
 	if len(candidates) == 0 {
-		if !known.leaving || known.server == ask.Lost {
+		if !known.leaving || known.server == lookup.Lost {
 			return Place{}, false
 		}
 		known.leaving, known.missed, known.moved = false, 0, now
-		owner.put(ask.Key, known)
-		return Place{Key: ask.Key, Server: known.server}, true
+		owner.store(lookup.Key, known)
+		return Place{Key: lookup.Key, Server: known.server}, true
 	}
-	chosen := owner.choose(now, candidates, ask)
-	owner.put(ask.Key, entry{server: chosen, moved: now, confirmed: true})
-	owner.reads(now, chosen, owner.unread(ask, chosen))
-	if ask.Root != 0 {
-		owner.roots.Add(ask.rootAt(chosen), struct{}{})
+	chosen := owner.chooseServer(now, candidates, lookup)
+	owner.store(lookup.Key, entry{server: chosen, moved: now, confirmed: true})
+	owner.queueRead(now, chosen, owner.unread(lookup, chosen))
+	if lookup.Root != 0 {
+		owner.roots.Add(lookup.rootOnServer(chosen), struct{}{})
 	}
-	return Place{Key: ask.Key, Server: chosen}, true
+	return Place{Key: lookup.Key, Server: chosen}, true
 }
 
-// known answers an ask from what is known, for a node that has a replica nearer than the owner.
-func (owner *Owner) known(now time.Duration, ask Ask) (Place, bool) {
-	known, there := owner.places.Peek(ask.Key)
-	if !there || known.leaving || known.server == ask.Lost || owner.lost(now, known.server) {
+// known answers an Ask from existing places only, for a node that has a replica nearer than the owner.
+func (owner *Owner) known(now time.Duration, lookup Ask) (Place, bool) {
+	known, found := owner.places.Peek(lookup.Key)
+	if !found || known.leaving || known.server == lookup.Lost || owner.lost(now, known.server) {
 		return Place{}, false
 	}
-	owner.places.Get(ask.Key)
-	return Place{Key: ask.Key, Server: known.server}, true
+	owner.places.Get(lookup.Key)
+	return Place{Key: lookup.Key, Server: known.server}, true
 }
 
-func (ask Ask) rootAt(server string) rootAt {
-	return rootAt{Key{Scope: ask.Scope, Anchor: ask.Root}, server}
+func (lookup Ask) rootOnServer(server string) rootOnServer {
+	return rootOnServer{Key{Scope: lookup.Scope, Anchor: lookup.Root}, server}
 }
 
-// unread is the work of reading a prompt at a server: the root need not be read again where a prompt with it was placed.
-func (owner *Owner) unread(ask Ask, server string) int64 {
-	if ask.Root != 0 && owner.roots.Contains(ask.rootAt(server)) {
-		return max(0, ask.Work-ask.RootWork)
+// unread is the work of reading a prompt on a server; the root is not read again where a prompt with it was placed.
+func (owner *Owner) unread(lookup Ask, server string) int64 {
+	if lookup.Root != 0 && owner.roots.Contains(lookup.rootOnServer(server)) {
+		return max(0, lookup.Work-lookup.RootWork)
 	}
-	return max(0, ask.Work)
+	return max(0, lookup.Work)
 }
 
-// choose gives the candidate that has read the prompt first, of those that have not much more than their part of the work, or else of all;
-// among equal ones the first in their own order. A server that misses what it should keep has a smaller part. An idle first choice is
-// mostly taken, so an index that is lost is mostly found again (Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads").
-func (owner *Owner) choose(now time.Duration, candidates []string, ask Ask) string {
-	sum, parts := float64(max(0, ask.Work)), 0.0
+// chooseServer returns the candidate that will have read the prompt first, among those within their bounded share of the work, or else
+// among all; ties go to the candidates' order. A server that often misses cached prompts has a smaller share. An idle first candidate
+// is usually chosen, so a lost index is mostly rebuilt alike (Mirrokni, Thorup, Zadimoghaddam, "Consistent Hashing with Bounded Loads").
+func (owner *Owner) chooseServer(now time.Duration, candidates []string, lookup Ask) string {
+	sum, parts := float64(max(0, lookup.Work)), 0.0
 	for _, name := range candidates {
 		sum += owner.work(now, name)
-		parts += owner.part(name)
+		parts += owner.share(name)
 	}
 	fair := slices.DeleteFunc(slices.Clone(candidates), func(name string) bool {
-		return owner.work(now, name)+float64(owner.unread(ask, name)) > capacityFactor*sum*owner.part(name)/parts
+		return owner.work(now, name)+float64(owner.unread(lookup, name)) > capacityFactor*sum*owner.share(name)/parts
 	})
 	done := func(name string) float64 {
-		unread := owner.unread(ask, name)
-		return (float64(owner.backlog(now, name).Milliseconds()) + float64(unread)) / owner.part(name)
+		unread := owner.unread(lookup, name)
+		return (float64(owner.backlog(now, name).Milliseconds()) + float64(unread)) / owner.share(name)
 	}
 	full := func(name string) float64 {
-		return (owner.work(now, name) + float64(owner.unread(ask, name))) / owner.part(name)
+		return (owner.work(now, name) + float64(owner.unread(lookup, name))) / owner.share(name)
 	}
 	if len(fair) == 0 {
 		least := slices.MinFunc(candidates, func(left, right string) int { return cmp.Compare(full(left), full(right)) })
@@ -264,56 +271,57 @@
 	return slices.MinFunc(fair, func(left, right string) int { return cmp.Compare(done(left), done(right)) })
 }
 
-// put keeps a place that is new here or moved, to be told and saved.
-func (owner *Owner) put(key Key, place entry) {
+// store sets a new or moved place and marks it to be announced and saved.
+func (owner *Owner) store(key Key, place entry) {
 	owner.places.Add(key, place)
 	owner.changed.Add(key, struct{}{})
 	owner.dirty = true
 }
 
-// Handle takes what nodes used and what other control nodes tell.
+// Handle processes usage reports of nodes, announcements of other control nodes and the results of saving.
 func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
 	switch event := event.(type) {
 	case Persisted:
 		return owner.persisted(event)
 	case contract.Message:
 		switch event.Kind {
-		case MessageUsed:
-			return owner.used(now, event)
-		case MessageTold:
-			return owner.told(now, event)
+		case MessageUsage:
+			return owner.usage(now, event)
+		case MessageAnnouncement:
+			return owner.announcement(now, event)
 		}
 	}
 	return nil
 }
 
-var broken = []contract.Command{contract.Count{Name: "messages_broken", By: 1}}
+var malformedMessage = []contract.Command{contract.Count{Name: "messages_broken", By: 1}}
 
-// used confirms places; one that is not known or only hearsay is taken from the node, one that is another is put right there.
-func (owner *Owner) used(now time.Duration, message contract.Message) []contract.Command {
-	var used Used
-	if json.Unmarshal(message.Body, &used) != nil {
-		return broken
+// usage confirms the places that a node used. A place that is unknown here, or only announced by a peer, is taken over from the node;
+// where the node uses another server than the confirmed one, it is sent the right place.
+func (owner *Owner) usage(now time.Duration, message contract.Message) []contract.Command {
+	var usage Usage
+	if json.Unmarshal(message.Body, &usage) != nil {
+		return malformedMessage
 	}
 	moved, kept := Moved{}, int64(0)
-	for number, use := range used.Uses[:min(len(used.Uses), MostUses)] {
+	for number, use := range usage.Uses[:min(len(usage.Uses), MaxUses)] {
 		if use.Server == "" {
 			continue
 		}
-		use.Shown, use.At = used.result(now, owner.rest, number)
-		owner.add(now, use.Server, max(0, use.Took))
-		known, there := owner.places.Get(use.Key)
+		use.Verdict, use.At = usage.result(now, owner.cooldown, number)
+		owner.addWork(now, use.Server, max(0, use.Took))
+		known, found := owner.places.Get(use.Key)
 		switch {
-		case !there || !known.confirmed && known.server != use.Server:
-			owner.put(use.Key, owner.noted(now, entry{server: use.Server, moved: now, confirmed: true}, use))
+		case !found || !known.confirmed && known.server != use.Server:
+			owner.store(use.Key, owner.recordUse(now, entry{server: use.Server, moved: now, confirmed: true}, use))
 		case known.server == use.Server:
 			known.confirmed = true
-			owner.places.Add(use.Key, owner.noted(now, known, use))
+			owner.places.Add(use.Key, owner.recordUse(now, known, use))
 		}
-		if there && known.told() != use.Server && known.confirmed {
-			moved.Places = append(moved.Places, Place{Key: use.Key, Server: known.told()})
+		if found && known.announcedServer() != use.Server && known.confirmed {
+			moved.Places = append(moved.Places, Place{Key: use.Key, Server: known.announcedServer()})
 		}
-		if use.Shown == Kept {
+		if use.Verdict == Kept {
 			kept++
 		}
 	}
@@ -322,7 +330,7 @@
 		commands = append(commands, contract.Count{Name: "index_checked", By: kept})
 	}
 	if len(moved.Places) > 0 {
-		commands = append(commands, contract.Send{To: used.Address, Kind: MessageMoved, Body: moved})
+		commands = append(commands, contract.Send{To: usage.Address, Kind: MessageMoved, Body: moved})
 	}
 	return commands
 }
--- a/index/replication.go
+++ b/index/replication.go
@@ -10,116 +10,117 @@
 )
 
 const (
-	// MostSaved bounds a snapshot.
-	MostSaved = 1 << 12
-	// mostTold bounds the places in a message.
-	mostTold = 1 << 10
-	// savesPerHalfLife and tellsPerHalfLife are how often in a half-life changes are saved and told to replicas at most.
-	savesPerHalfLife = 4
-	tellsPerHalfLife = 64
+	// MaxSaved bounds the places in a snapshot.
+	MaxSaved = 1 << 12
+	// maxAnnounced bounds the places in one announcement.
+	maxAnnounced = 1 << 10
+	// savesPerHalfLife and announcesPerHalfLife bound how often changes are saved and announced to replicas.
+	savesPerHalfLife     = 4
+	announcesPerHalfLife = 64
 )
 
-// Snapshot is the places that were used last, the latest at the end.
+// Snapshot has the most recently used places, the latest last.
 type Snapshot struct {
 	Places []Place `json:"places"`
 }
 
-// Persist asks for a snapshot to be saved, never a second one before the first is Persisted.
+// Persist is a command to save a snapshot; there is never a second one before the first is Persisted.
 type Persist struct{ Snapshot Snapshot }
 
-// Persisted ends a Persist; a Error has it tried again.
+// Persisted is the outcome of a Persist; with an Error the save is repeated.
 type Persisted struct{ Error string }
 
-// Told are places that changed, or with Kept those that the receiver may have missed: these only fill gaps. One without a server is gone.
-type Told struct {
-	Places []Place `json:"places"`
-	Kept   bool    `json:"kept,omitempty"`
+// Announcement has places that changed; one without a server was removed. With Backfill set, they are older places that the receiver
+// may have missed and uses for keys without a place only.
+type Announcement struct {
+	Places   []Place `json:"places"`
+	Backfill bool    `json:"kept,omitempty"`
 }
 
-// replication is what keeps an index beyond its owner: on disk, and at the other control nodes.
+// replication keeps the index beyond its owner: on disk, and on the other control nodes.
 type replication struct {
-	changed  *lru.LRU[Key, struct{}]
-	met      map[string]bool
-	nextTell time.Duration
-	nextSave time.Duration
-	disk     bool
-	dirty    bool
-	saving   bool
+	changed      *lru.LRU[Key, struct{}]
+	knownPeers   map[string]bool // by name and boot: peers that have got a backfill
+	nextAnnounce time.Duration
+	nextSave     time.Duration
+	hasDisk      bool
+	dirty        bool // there are changes to save
+	saving       bool
 }
 
-// Restore takes up what the disk kept, if anything; from then on changes are handed out to be saved.
+// Restore loads a snapshot, which may be empty; from then on changes are returned to be saved.
 func (owner *Owner) Restore(snapshot Snapshot) {
-	owner.disk = true
-	for _, place := range snapshot.Places[max(0, len(snapshot.Places)-MostSaved):] {
+	owner.hasDisk = true
+	for _, place := range snapshot.Places[max(0, len(snapshot.Places)-MaxSaved):] {
 		if place.Server != "" {
-			owner.places.Add(place.Key, entry{server: place.Server, moved: -owner.rest})
+			owner.places.Add(place.Key, entry{server: place.Server, moved: -owner.cooldown})
 		}
 	}
 }
 
-// Snapshot gives the places that were used last.
-func (owner *Owner) Snapshot() Snapshot { return Snapshot{owner.latest(MostSaved)} }
+// Snapshot returns the most recently used places.
+func (owner *Owner) Snapshot() Snapshot { return Snapshot{owner.latestPlaces(MaxSaved)} }
 
-func (owner *Owner) latest(most int) []Place {
+func (owner *Owner) latestPlaces(most int) []Place {
 	keys := owner.places.Keys()
-	return owner.named(keys[max(0, len(keys)-most):])
+	return owner.placesOf(keys[max(0, len(keys)-most):])
 }
 
-func (owner *Owner) named(keys []Key) []Place {
+func (owner *Owner) placesOf(keys []Key) []Place {
 	places := make([]Place, 0, len(keys))
 	for _, key := range keys {
-		if known, there := owner.places.Peek(key); there {
-			places = append(places, Place{Key: key, Server: known.told()})
+		if known, found := owner.places.Peek(key); found {
+			places = append(places, Place{Key: key, Server: known.announcedServer()})
 		}
 	}
 	return places
 }
 
-// Tick judges misses, tells the other control nodes what changed and has it saved, each on a beat of its own.
+// Tick decides possible misses, announces changes to the other control nodes and saves them, each at its own interval.
 func (owner *Owner) Tick(now time.Duration, peers []contract.Member) []contract.Command {
-	return slices.Concat(owner.settle(now), owner.greet(peers), owner.tell(now, peers), owner.save(now))
+	return slices.Concat(owner.settleMisses(now), owner.backfillNewPeers(peers), owner.announceChanges(now, peers), owner.saveChanges(now))
 }
 
-// greet tells a peer that was not there before what is kept here, if there is a disk.
-func (owner *Owner) greet(peers []contract.Member) []contract.Command {
-	commands, met, kept := []contract.Command{}, make(map[string]bool, len(peers)), []Place{}
+// backfillNewPeers sends the latest places to peers that were not there before, if this node has a disk.
+func (owner *Owner) backfillNewPeers(peers []contract.Member) []contract.Command {
+	commands, knownPeers, kept := []contract.Command{}, make(map[string]bool, len(peers)), []Place{}
 	for _, peer := range peers {
-		life := peer.Name + "#" + peer.Boot
-		met[life] = true
-		if owner.disk && !owner.met[life] && owner.Len() > 0 {
+		incarnation := peer.Name + "#" + peer.Boot
+		knownPeers[incarnation] = true
+		if owner.hasDisk && !owner.knownPeers[incarnation] && owner.Len() > 0 {
 			if len(kept) == 0 {
-				kept = owner.latest(mostTold)
+				kept = owner.latestPlaces(maxAnnounced)
 			}
-			commands = append(commands, contract.Send{To: peer.Address, Kind: MessageTold, Body: Told{kept, true}})
+			commands = append(commands, contract.Send{To: peer.Address, Kind: MessageAnnouncement, Body: Announcement{kept, true}})
 		}
 	}
-	owner.met = met
+	owner.knownPeers = knownPeers
 	return commands
 }
 
-func (owner *Owner) tell(now time.Duration, peers []contract.Member) []contract.Command {
+func (owner *Owner) announceChanges(now time.Duration, peers []contract.Member) []contract.Command {
 	keys := owner.changed.Keys()
-	if now < owner.nextTell || len(keys) == 0 {
+	if now < owner.nextAnnounce || len(keys) == 0 {
 		return nil
 	}
-	owner.nextTell = now + owner.halfLife/tellsPerHalfLife
-	keys = keys[:min(len(keys), mostTold)]
+	owner.nextAnnounce = now + owner.halfLife/announcesPerHalfLife
+	keys = keys[:min(len(keys), maxAnnounced)]
 	for _, key := range keys {
 		owner.changed.Remove(key)
 	}
-	told, commands := Told{Places: owner.named(keys)}, make([]contract.Command, 0, len(peers))
+	announcement, commands := Announcement{Places: owner.placesOf(keys)}, make([]contract.Command, 0, len(peers))
 	for _, peer := range peers {
-		commands = append(commands, contract.Send{To: peer.Address, Kind: MessageTold, Body: told})
+		commands = append(commands, contract.Send{To: peer.Address, Kind: MessageAnnouncement, Body: announcement})
 	}
 	return commands
 }
 
-func (owner *Owner) save(now time.Duration) []contract.Command {
+func (owner *Owner) saveChanges(now time.Duration) []contract.Command {
 	if now < owner.nextSave {
 		return nil
 	}
 	owner.nextSave = now + owner.halfLife/savesPerHalfLife
-	if !owner.disk || !owner.dirty || owner.saving {
+	if !owner.hasDisk || !owner.dirty || owner.saving {
 		return nil
 	}
 	owner.dirty, owner.saving = false, true
@@ -135,22 +136,23 @@
 	return []contract.Command{contract.Count{Name: "index_unsaved", By: 1}}
 }
 
-// told takes places of another control node as hearsay; they are not told further. One that just changed does not move again at once.
-func (owner *Owner) told(now time.Duration, message contract.Message) []contract.Command {
-	var told Told
-	if json.Unmarshal(message.Body, &told) != nil {
-		return broken
+// announcement stores a peer's places as unconfirmed; they are not announced further. A place that just changed does not move again
+// within the cooldown.
+func (owner *Owner) announcement(now time.Duration, message contract.Message) []contract.Command {
+	var announcement Announcement
+	if json.Unmarshal(message.Body, &announcement) != nil {
+		return malformedMessage
 	}
 	moved := now
-	if told.Kept {
-		moved -= owner.rest
+	if announcement.Backfill {
+		moved -= owner.cooldown
 	}
-	for _, place := range told.Places[:min(len(told.Places), mostTold)] {
-		known, there := owner.places.Peek(place.Key)
-		if place.Server == "" && !told.Kept {
+	for _, place := range announcement.Places[:min(len(announcement.Places), maxAnnounced)] {
+		known, found := owner.places.Peek(place.Key)
+		if place.Server == "" && !announcement.Backfill {
 			owner.places.Remove(place.Key)
 		}
-		if place.Server == "" || there && (told.Kept || known.server == place.Server) {
+		if place.Server == "" || found && (announcement.Backfill || known.server == place.Server) {
 			continue
 		}
 		owner.places.Add(place.Key, entry{server: place.Server, moved: moved})
--- a/index/replication_test.go
+++ b/index/replication_test.go
@@ -9,254 +9,254 @@
 )
 
 const (
-	beat     = halfLife / savesPerHalfLife
-	tellBeat = halfLife / tellsPerHalfLife
+	saveInterval     = halfLife / savesPerHalfLife
+	announceInterval = halfLife / announcesPerHalfLife
 )
 
 func peer(name, boot string) contract.Member {
 	return contract.Member{Name: name, Boot: boot, Kind: contract.KindControl, Address: name + ":80"}
 }
 
-// tick gives what is told to whom, and the snapshots that are handed out.
-func (bench *bench) tick(peers ...contract.Member) (map[string]Told, []Snapshot) {
+// tick returns the announcements by address and the snapshots.
+func (fixture *fixture) tick(peers ...contract.Member) (map[string]Announcement, []Snapshot) {
 	GinkgoHelper()
-	told, snapshots := map[string]Told{}, []Snapshot{}
-	for _, command := range bench.Tick(bench.now, peers) {
+	announcement, snapshots := map[string]Announcement{}, []Snapshot{}
+	for _, command := range fixture.Tick(fixture.now, peers) {
 		switch command := command.(type) {
 		case contract.Send:
-			Expect(command.Kind).To(Equal(MessageTold))
-			Expect(told).NotTo(HaveKey(command.To))
-			told[command.To] = command.Body.(Told)
+			Expect(command.Kind).To(Equal(MessageAnnouncement))
+			Expect(announcement).NotTo(HaveKey(command.To))
+			announcement[command.To] = command.Body.(Announcement)
 		case Persist:
 			snapshots = append(snapshots, command.Snapshot)
 		}
 	}
-	return told, snapshots
+	return announcement, snapshots
 }
 
-func (bench *bench) hears(told Told) {
+func (fixture *fixture) receive(announcement Announcement) {
 	GinkgoHelper()
-	Expect(bench.Handle(bench.now, message(MessageTold, told))).To(BeEmpty())
+	Expect(fixture.Handle(fixture.now, message(MessageAnnouncement, announcement))).To(BeEmpty())
 }
 
 func named(anchor uint64, server string) Place { return Place{Key: key(anchor), Server: server} }
 
 var _ = Describe("a snapshot", func() {
-	It("given an owner with a disk, when places change, then they are handed out once a beat and only then", func() {
-		bench := started()
-		bench.Restore(Snapshot{})
-		_, snapshots := bench.tick()
+	It("given an owner with a disk, when places change, then a snapshot is returned once per interval and only then", func() {
+		fixture := newFixture()
+		fixture.Restore(Snapshot{})
+		_, snapshots := fixture.tick()
 		Expect(snapshots).To(BeEmpty())
-		bench.placed(1, "", "a")
-		bench.now += beat - 1
-		_, snapshots = bench.tick()
+		fixture.mustPlace(1, "", "a")
+		fixture.now += saveInterval - 1
+		_, snapshots = fixture.tick()
 		Expect(snapshots).To(BeEmpty())
-		bench.now++
-		_, snapshots = bench.tick()
+		fixture.now++
+		_, snapshots = fixture.tick()
 		Expect(snapshots).To(Equal([]Snapshot{{[]Place{named(1, "a")}}}))
-		bench.Handle(bench.now, Persisted{})
-		bench.uses("n", Use{Key: key(1), Server: "a"})
-		bench.now += beat
-		_, snapshots = bench.tick()
+		fixture.Handle(fixture.now, Persisted{})
+		fixture.reportUses("n", Use{Key: key(1), Server: "a"})
+		fixture.now += saveInterval
+		_, snapshots = fixture.tick()
 		Expect(snapshots).To(BeEmpty(), "a use alone changes nothing")
 	})
 
-	It("given a disk that stalls, when places change, then no second snapshot is handed out, and the next has all of it", func() {
-		bench := started()
-		bench.Restore(Snapshot{})
-		bench.placed(1, "", "a")
-		bench.tick()
+	It("given a stalled disk, when places change, then no second snapshot is returned, and the next has all of it", func() {
+		fixture := newFixture()
+		fixture.Restore(Snapshot{})
+		fixture.mustPlace(1, "", "a")
+		fixture.tick()
 		for anchor := uint64(2); anchor < 9; anchor++ {
-			bench.placed(anchor, "", "a")
-			bench.now += beat
-			_, snapshots := bench.tick()
+			fixture.mustPlace(anchor, "", "a")
+			fixture.now += saveInterval
+			_, snapshots := fixture.tick()
 			Expect(snapshots).To(BeEmpty())
 		}
-		bench.Handle(bench.now, Persisted{})
-		_, snapshots := bench.tick()
+		fixture.Handle(fixture.now, Persisted{})
+		_, snapshots := fixture.tick()
 		Expect(snapshots).To(BeEmpty(), "the beat holds then too")
-		bench.now += beat
-		_, snapshots = bench.tick()
+		fixture.now += saveInterval
+		_, snapshots = fixture.tick()
 		Expect(snapshots).To(HaveLen(1))
 		Expect(snapshots[0].Places).To(HaveLen(8))
 	})
 
-	It("given a disk that refuses, when the next beat comes, then it is tried again and counted", func() {
-		bench := started()
-		bench.Restore(Snapshot{})
-		bench.placed(1, "", "a")
-		bench.tick()
-		Expect(bench.Handle(bench.now, Persisted{Error: "full"})).To(Equal([]contract.Command{contract.Count{Name: "index_unsaved", By: 1}}))
-		bench.now += beat
-		_, snapshots := bench.tick()
+	It("given a failed save, when the next interval comes, then it is repeated and counted", func() {
+		fixture := newFixture()
+		fixture.Restore(Snapshot{})
+		fixture.mustPlace(1, "", "a")
+		fixture.tick()
+		Expect(fixture.Handle(fixture.now, Persisted{Error: "full"})).To(Equal([]contract.Command{contract.Count{Name: "index_unsaved", By: 1}}))
+		fixture.now += saveInterval
+		_, snapshots := fixture.tick()
 		Expect(snapshots).To(HaveLen(1))
 	})
 
-	It("given no disk, when places change, then nothing is handed out", func() {
-		bench := started()
-		bench.placed(1, "", "a")
-		_, snapshots := bench.tick()
+	It("given no disk, when places change, then no snapshot is returned", func() {
+		fixture := newFixture()
+		fixture.mustPlace(1, "", "a")
+		_, snapshots := fixture.tick()
 		Expect(snapshots).To(BeEmpty())
 	})
 
-	It("given more places than it may have, when it is made, then those used last are in it, the latest at the end", func() {
-		bench := started()
-		for anchor := range uint64(MostSaved + 5) {
-			bench.placed(anchor, "", "a")
+	It("given more places than it may have, when it is made, then it has the most recently used, the latest last", func() {
+		fixture := newFixture()
+		for anchor := range uint64(MaxSaved + 5) {
+			fixture.mustPlace(anchor, "", "a")
 		}
-		bench.placed(2, "", "a")
-		places := bench.Snapshot().Places
-		Expect(places).To(HaveLen(MostSaved))
+		fixture.mustPlace(2, "", "a")
+		places := fixture.Snapshot().Places
+		Expect(places).To(HaveLen(MaxSaved))
 		Expect(places[0]).To(Equal(named(6, "a")))
-		Expect(places[MostSaved-1]).To(Equal(named(2, "a")))
-		again := started()
+		Expect(places[MaxSaved-1]).To(Equal(named(2, "a")))
+		again := newFixture()
 		again.Restore(Snapshot{append([]Place{named(90000, "z"), {Key: key(90001)}}, places...)})
 		Expect(again.Snapshot().Places).To(Equal(places))
-		Expect(again.Len()).To(Equal(MostSaved), "one that is too long is cut")
+		Expect(again.Len()).To(Equal(MaxSaved), "a snapshot that is too long is truncated")
 	})
 
 	It("given a restored place, when it is asked for, then it holds, and if its server is lost it moves at once", func() {
-		bench := &bench{New(halfLife, rest), 0}
-		bench.Restore(Snapshot{[]Place{named(1, "b"), named(2, "b"), {Key: key(3)}}})
-		Expect(bench.Len()).To(Equal(2), "a place without a server is none")
-		Expect(bench.placed(1, "", "a", "b")).To(Equal(named(1, "b")))
-		Expect(bench.placed(2, "b", "a", "b").Server).To(Equal("a"))
+		fixture := &fixture{New(halfLife, cooldown), 0}
+		fixture.Restore(Snapshot{[]Place{named(1, "b"), named(2, "b"), {Key: key(3)}}})
+		Expect(fixture.Len()).To(Equal(2), "a place without a server is ignored")
+		Expect(fixture.mustPlace(1, "", "a", "b")).To(Equal(named(1, "b")))
+		Expect(fixture.mustPlace(2, "b", "a", "b").Server).To(Equal("a"))
 	})
 
-	It("given a restored place that nodes have moved since, when the first use tells, then the node is believed, and the next is put right", func() {
-		bench := started()
-		bench.Restore(Snapshot{[]Place{named(1, "old")}})
-		Expect(bench.uses("n", Use{Key: key(1), Server: "new"})).To(BeEmpty())
-		Expect(bench.placed(1, "", "old")).To(Equal(named(1, "new")))
-		Expect(bench.uses("m", Use{Key: key(1), Server: "old"})).To(HaveLen(1))
+	It("given a restored place that nodes have moved since, when the first use tells, then the node's place is adopted, and the next node is corrected", func() {
+		fixture := newFixture()
+		fixture.Restore(Snapshot{[]Place{named(1, "old")}})
+		Expect(fixture.reportUses("n", Use{Key: key(1), Server: "new"})).To(BeEmpty())
+		Expect(fixture.mustPlace(1, "", "old")).To(Equal(named(1, "new")))
+		Expect(fixture.reportUses("m", Use{Key: key(1), Server: "old"})).To(HaveLen(1))
 	})
 
-	It("given a restored place that a use has confirmed, when another node uses another one, then that node is put right", func() {
-		bench := started()
-		bench.Restore(Snapshot{[]Place{named(1, "a")}})
-		bench.uses("n", Use{Key: key(1), Server: "a"})
-		Expect(bench.uses("m", Use{Key: key(1), Server: "b"})).To(HaveLen(1))
-		Expect(bench.placed(1, "", "b").Server).To(Equal("a"))
+	It("given a restored place that a use has confirmed, when another node uses another one, then that node is corrected", func() {
+		fixture := newFixture()
+		fixture.Restore(Snapshot{[]Place{named(1, "a")}})
+		fixture.reportUses("n", Use{Key: key(1), Server: "a"})
+		Expect(fixture.reportUses("m", Use{Key: key(1), Server: "b"})).To(HaveLen(1))
+		Expect(fixture.mustPlace(1, "", "b").Server).To(Equal("a"))
 	})
 })
 
-var _ = Describe("what control nodes tell each other", func() {
-	It("given changes, when the beat comes, then all others are told once, and a successor that heard it gives the same places", func() {
-		bench, successor := started(), started()
-		bench.placed(1, "", "a")
-		bench.uses("n", Use{Key: key(2), Server: "b"})
-		told, _ := bench.tick(peer("x", "1"), peer("y", "1"))
-		Expect(told).To(Equal(map[string]Told{"x:80": {Places: []Place{named(1, "a"), named(2, "b")}}, "y:80": {Places: []Place{named(1, "a"), named(2, "b")}}}))
-		successor.hears(told["x:80"])
-		Expect(successor.placed(1, "", "c")).To(Equal(named(1, "a")))
-		Expect(successor.placed(2, "", "c")).To(Equal(named(2, "b")))
-		bench.now += beat
-		told, _ = bench.tick(peer("x", "1"), peer("y", "1"))
-		Expect(told).To(BeEmpty())
+var _ = Describe("announcements between control nodes", func() {
+	It("given changes, when the interval ends, then all peers get them once, and a successor that received them returns the same places", func() {
+		fixture, successor := newFixture(), newFixture()
+		fixture.mustPlace(1, "", "a")
+		fixture.reportUses("n", Use{Key: key(2), Server: "b"})
+		announcement, _ := fixture.tick(peer("x", "1"), peer("y", "1"))
+		Expect(announcement).To(Equal(map[string]Announcement{"x:80": {Places: []Place{named(1, "a"), named(2, "b")}}, "y:80": {Places: []Place{named(1, "a"), named(2, "b")}}}))
+		successor.receive(announcement["x:80"])
+		Expect(successor.mustPlace(1, "", "c")).To(Equal(named(1, "a")))
+		Expect(successor.mustPlace(2, "", "c")).To(Equal(named(2, "b")))
+		fixture.now += saveInterval
+		announcement, _ = fixture.tick(peer("x", "1"), peer("y", "1"))
+		Expect(announcement).To(BeEmpty())
 	})
 
-	It("given a change just after another was told, when the beat of telling comes, long before that of saving, then it is told, and not before", func() {
-		Expect(tellBeat).To(BeNumerically("<", 200*time.Millisecond))
-		bench := started()
-		bench.Restore(Snapshot{})
-		bench.tick(peer("x", "1"))
+	It("given a change just after an announcement, when the announcement interval ends, long before that of saving, then it is announced, and not before", func() {
+		Expect(announceInterval).To(BeNumerically("<", 200*time.Millisecond))
+		fixture := newFixture()
+		fixture.Restore(Snapshot{})
+		fixture.tick(peer("x", "1"))
 		for anchor := range uint64(2) {
-			bench.placed(anchor, "", "a")
-			told, _ := bench.tick(peer("x", "1"))
-			Expect(told["x:80"].Places).To(Equal([]Place{named(anchor, "a")}))
-			bench.now += tellBeat
+			fixture.mustPlace(anchor, "", "a")
+			announcement, _ := fixture.tick(peer("x", "1"))
+			Expect(announcement["x:80"].Places).To(Equal([]Place{named(anchor, "a")}))
+			fixture.now += announceInterval
 		}
-		bench.placed(2, "", "a")
-		bench.tick(peer("x", "1"))
-		bench.placed(3, "", "a")
-		bench.now += tellBeat - 1
-		Expect(bench.Tick(bench.now, []contract.Member{peer("x", "1")})).To(BeEmpty())
-		bench.now++
-		told, snapshots := bench.tick(peer("x", "1"))
-		Expect(told["x:80"].Places).To(Equal([]Place{named(3, "a")}))
-		Expect(snapshots).To(BeEmpty(), "saving has its own beat")
+		fixture.mustPlace(2, "", "a")
+		fixture.tick(peer("x", "1"))
+		fixture.mustPlace(3, "", "a")
+		fixture.now += announceInterval - 1
+		Expect(fixture.Tick(fixture.now, []contract.Member{peer("x", "1")})).To(BeEmpty())
+		fixture.now++
+		announcement, snapshots := fixture.tick(peer("x", "1"))
+		Expect(announcement["x:80"].Places).To(Equal([]Place{named(3, "a")}))
+		Expect(snapshots).To(BeEmpty(), "saving has its own interval")
 	})
 
-	It("given nothing to tell for a while, when a place changes, then it is told with the next tick", func() {
-		bench := started()
-		bench.now += beat
-		bench.tick(peer("x", "1"))
-		bench.placed(1, "", "a")
-		bench.now++
-		told, _ := bench.tick(peer("x", "1"))
-		Expect(told).To(HaveKey("x:80"))
+	It("given no announcement for a while, when a place changes, then it is announced with the next tick", func() {
+		fixture := newFixture()
+		fixture.now += saveInterval
+		fixture.tick(peer("x", "1"))
+		fixture.mustPlace(1, "", "a")
+		fixture.now++
+		announcement, _ := fixture.tick(peer("x", "1"))
+		Expect(announcement).To(HaveKey("x:80"))
 	})
 
-	It("given what others told, when the beat comes, then it is saved here and not told further", func() {
-		bench := started()
-		bench.Restore(Snapshot{})
-		bench.hears(Told{Places: []Place{named(1, "a")}})
-		told, snapshots := bench.tick()
-		Expect(told).To(BeEmpty())
+	It("given a peer's announcement, when the interval ends, then it is saved here and not announced further", func() {
+		fixture := newFixture()
+		fixture.Restore(Snapshot{})
+		fixture.receive(Announcement{Places: []Place{named(1, "a")}})
+		announcement, snapshots := fixture.tick()
+		Expect(announcement).To(BeEmpty())
 		Expect(snapshots).To(HaveLen(1))
-		bench.now += beat
-		told, _ = bench.tick(peer("x", "1"))
-		Expect(told["x:80"].Kept).To(BeTrue(), "but a peer that was not there before is told what is kept")
+		fixture.now += saveInterval
+		announcement, _ = fixture.tick(peer("x", "1"))
+		Expect(announcement["x:80"].Backfill).To(BeTrue(), "but a new peer gets a backfill")
 	})
 
-	It("given a place that changed elsewhere, when it is told, then it replaces the one here, which does not move again at once", func() {
-		bench := started()
-		bench.placed(1, "", "a")
-		bench.hears(Told{Places: []Place{named(1, "b"), {Key: key(2)}}})
-		Expect(bench.placed(1, "", "a").Server).To(Equal("b"))
-		_, there := bench.place(1, "b", "a")
-		Expect(there).To(BeFalse())
-		Expect(bench.Len()).To(Equal(1))
-		bench.now += rest
-		Expect(bench.placed(1, "b", "a").Server).To(Equal("a"))
+	It("given a place that changed elsewhere, when it is announced, then it replaces the one here, which does not move again at once", func() {
+		fixture := newFixture()
+		fixture.mustPlace(1, "", "a")
+		fixture.receive(Announcement{Places: []Place{named(1, "b"), {Key: key(2)}}})
+		Expect(fixture.mustPlace(1, "", "a").Server).To(Equal("b"))
+		_, found := fixture.place(1, "b", "a")
+		Expect(found).To(BeFalse())
+		Expect(fixture.Len()).To(Equal(1))
+		fixture.now += cooldown
+		Expect(fixture.mustPlace(1, "b", "a").Server).To(Equal("a"))
 	})
 
-	It("given a disk, when a peer is seen for the first time or in another life, then it is told what is kept, and only that fills gaps", func() {
-		bench, newcomer := started(), started()
-		bench.Restore(Snapshot{[]Place{named(1, "a"), named(2, "a")}})
-		told, _ := bench.tick(peer("x", "1"))
-		Expect(told).To(Equal(map[string]Told{"x:80": {Places: []Place{named(1, "a"), named(2, "a")}, Kept: true}}))
-		newcomer.placed(2, "", "own")
-		newcomer.hears(told["x:80"])
-		Expect(newcomer.placed(1, "", "c")).To(Equal(named(1, "a")))
-		Expect(newcomer.placed(2, "", "c")).To(Equal(named(2, "own")))
+	It("given a disk, when a peer is seen for the first time or with another boot, then it gets a backfill, which only fills gaps", func() {
+		fixture, newcomer := newFixture(), newFixture()
+		fixture.Restore(Snapshot{[]Place{named(1, "a"), named(2, "a")}})
+		announcement, _ := fixture.tick(peer("x", "1"))
+		Expect(announcement).To(Equal(map[string]Announcement{"x:80": {Places: []Place{named(1, "a"), named(2, "a")}, Backfill: true}}))
+		newcomer.mustPlace(2, "", "own")
+		newcomer.receive(announcement["x:80"])
+		Expect(newcomer.mustPlace(1, "", "c")).To(Equal(named(1, "a")))
+		Expect(newcomer.mustPlace(2, "", "c")).To(Equal(named(2, "own")))
 		for boot, again := range map[string]bool{"1": false, "2": true} {
-			bench.now += time.Millisecond
-			bench.tick(peer("x", "1"))
-			told, _ = bench.tick(peer("x", boot))
-			Expect(len(told) == 1).To(Equal(again))
+			fixture.now += time.Millisecond
+			fixture.tick(peer("x", "1"))
+			announcement, _ = fixture.tick(peer("x", boot))
+			Expect(len(announcement) == 1).To(Equal(again))
 		}
 	})
 
-	It("given no disk, when a peer is seen for the first time, then it is told changes alone", func() {
-		bench := started()
-		bench.placed(1, "", "a")
-		bench.tick()
-		bench.now += beat
-		told, _ := bench.tick(peer("x", "1"))
-		Expect(told).To(BeEmpty())
+	It("given no disk, when a peer is seen for the first time, then it gets changes only", func() {
+		fixture := newFixture()
+		fixture.mustPlace(1, "", "a")
+		fixture.tick()
+		fixture.now += saveInterval
+		announcement, _ := fixture.tick(peer("x", "1"))
+		Expect(announcement).To(BeEmpty())
 	})
 
-	It("given more changes than a message takes, when beats pass, then all are told, a bounded message each", func() {
-		bench, successor := started(), started()
-		for anchor := range uint64(mostTold * 5 / 2) {
-			bench.placed(anchor, "", "a")
+	It("given more changes than a message takes, when intervals pass, then all are announced in bounded messages", func() {
+		fixture, successor := newFixture(), newFixture()
+		for anchor := range uint64(maxAnnounced * 5 / 2) {
+			fixture.mustPlace(anchor, "", "a")
 		}
 		for range 3 {
-			told, _ := bench.tick(peer("x", "1"))
-			Expect(len(told["x:80"].Places)).To(And(BeNumerically(">", 0), BeNumerically("<=", mostTold)))
-			successor.hears(told["x:80"])
-			bench.now += beat
+			announcement, _ := fixture.tick(peer("x", "1"))
+			Expect(len(announcement["x:80"].Places)).To(And(BeNumerically(">", 0), BeNumerically("<=", maxAnnounced)))
+			successor.receive(announcement["x:80"])
+			fixture.now += saveInterval
 		}
-		Expect(successor.Len()).To(Equal(mostTold * 5 / 2))
+		Expect(successor.Len()).To(Equal(maxAnnounced * 5 / 2))
 	})
 
-	It("given a message with more places than it may have, when it comes, then the rest is left out", func() {
-		bench, places := started(), []Place{}
-		for anchor := range uint64(mostTold + 5) {
+	It("given a message with more places than it may have, when it comes, then the excess is ignored", func() {
+		fixture, places := newFixture(), []Place{}
+		for anchor := range uint64(maxAnnounced + 5) {
 			places = append(places, named(anchor, "a"))
 		}
-		bench.hears(Told{Places: places})
-		Expect(bench.Len()).To(Equal(mostTold))
+		fixture.receive(Announcement{Places: places})
+		Expect(fixture.Len()).To(Equal(maxAnnounced))
 	})
 })
