--- a/fleet/caller.go
+++ b/fleet/caller.go
@@ -125,7 +125,7 @@
 	try.visit.fleet.Ledger.Answered(try.visit.scoped, try.index, try.visit.fleet.World.Now, try.reply)
 	open.process.Do(func() {
 		if !open.over {
-			open.process.handle(data.Left{Token: open.token})
+			open.process.handle(data.CallerLeft{Token: open.token})
 			open.close()
 		}
 	})
@@ -173,7 +173,7 @@
 	}
 }
 
-func (try *try) refused(status int, trouble contract.Trouble, after time.Duration) {
+func (try *try) refused(status int, trouble contract.ErrorBody, after time.Duration) {
 	try.reply.Status, try.reply.After = status, after
 	outcome := trouble.Outcome
 	if outcome == "" {
@@ -192,7 +192,7 @@
 	if open := try.session; outcome == ledger.Silence && open != nil && !open.over {
 		open.process.Do(func() {
 			if !open.over {
-				open.process.handle(data.Left{Token: open.token})
+				open.process.handle(data.CallerLeft{Token: open.token})
 				open.close()
 			}
 		})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -51,7 +51,7 @@
 	for _, option := range options {
 		option(fleet)
 	}
-	read, err := manifest.Read(described.Manifest)
+	read, err := manifest.Parse(described.Manifest)
 	if err != nil {
 		panic(err)
 	}
@@ -84,9 +84,9 @@
 	return machine
 }
 
-func (fleet *Fleet) say(process *Process, said contract.Say) {
+func (fleet *Fleet) say(process *Process, said contract.Log) {
 	if fleet.Tell != nil {
-		fleet.Tell(fmt.Sprintln(fleet.World.Now, process.machine.Name+"-"+process.kind, said.What, said.Detail))
+		fleet.Tell(fmt.Sprintln(fleet.World.Now, process.machine.Name+"-"+process.kind, said.Message, said.Attributes))
 	}
 }
 
--- a/index/checks_test.go
+++ b/index/checks_test.go
@@ -12,7 +12,7 @@
 type observer struct {
 	*fixture
 	counts map[string]int64
-	said   []contract.Say
+	said   []contract.Log
 	moved  []Place
 }
 
@@ -21,9 +21,9 @@
 func (observer *observer) collect(commands []contract.Command) {
 	for _, command := range commands {
 		switch command := command.(type) {
-		case contract.Count:
-			observer.counts[command.Name] += command.By
-		case contract.Say:
+		case contract.AddCounter:
+			observer.counts[command.Name] += command.Delta
+		case contract.Log:
 			observer.said = append(observer.said, command)
 		case contract.Send:
 			if moved, ok := command.Body.(Moved); ok {
@@ -78,7 +78,7 @@
 		observer.advance(settleTime)
 		Expect(observer.counts).To(Equal(map[string]int64{"index_checked": 1, "index_mismatches": 1}))
 		Expect(observer.said).To(HaveLen(1))
-		Expect(observer.said[0].Detail[:2]).To(Equal([]any{"server", "a"}))
+		Expect(observer.said[0].Attributes[:2]).To(Equal([]any{"server", "a"}))
 		Expect(observer.View(observer.now)).To(Equal([]CacheStatus{{Server: "a", Service: "s", Placed: 1, Checked: 1, Missed: 1, Share: 1}}))
 	})
 
--- a/index/index.go
+++ b/index/index.go
@@ -294,7 +294,7 @@
 	return nil
 }
 
-var malformedMessage = []contract.Command{contract.Count{Name: "messages_broken", By: 1}}
+var malformedMessage = []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 
 // usage confirms the places that a node used. A place that is unknown here, or only announced by a peer, is taken over from the node;
 // where the node uses another server than the confirmed one, it is sent the right place.
@@ -327,7 +327,7 @@
 	}
 	commands := []contract.Command{}
 	if kept > 0 {
-		commands = append(commands, contract.Count{Name: "index_checked", By: kept})
+		commands = append(commands, contract.AddCounter{Name: "index_checked", Delta: kept})
 	}
 	if len(moved.Places) > 0 {
 		commands = append(commands, contract.Send{To: usage.Address, Kind: MessageMoved, Body: moved})
--- a/index/replication.go
+++ b/index/replication.go
@@ -133,7 +133,7 @@
 		return nil
 	}
 	owner.dirty = true
-	return []contract.Command{contract.Count{Name: "index_unsaved", By: 1}}
+	return []contract.Command{contract.AddCounter{Name: "index_unsaved", Delta: 1}}
 }
 
 // announcement stores a peer's places as unconfirmed; they are not announced further. A place that just changed does not move again
--- a/index/replication_test.go
+++ b/index/replication_test.go
@@ -86,7 +86,7 @@
 		fixture.Restore(Snapshot{})
 		fixture.mustPlace(1, "", "a")
 		fixture.tick()
-		Expect(fixture.Handle(fixture.now, Persisted{Error: "full"})).To(Equal([]contract.Command{contract.Count{Name: "index_unsaved", By: 1}}))
+		Expect(fixture.Handle(fixture.now, Persisted{Error: "full"})).To(Equal([]contract.Command{contract.AddCounter{Name: "index_unsaved", Delta: 1}}))
 		fixture.now += saveInterval
 		_, snapshots := fixture.tick()
 		Expect(snapshots).To(HaveLen(1))
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -63,9 +63,9 @@
 	if _, tick := event.(contract.Tick); tick {
 		node.lastTick, node.ticked = now, true
 		self := node.Neighbours.Self()
-		node.Neighbours.Hold(node.Feed.Version().Place, node.Feed.View().Number, self.Core)
-		commands = append(commands, contract.Gauge{Name: "manifest_revision", Value: node.Feed.Version().Place.Revision},
-			contract.Gauge{Name: "view", Value: node.Feed.View().Number}, contract.Gauge{Name: "members", Value: int64(len(node.Neighbours.Members(now)))})
+		node.Neighbours.Hold(node.Feed.Version().Position, node.Feed.View().Number, self.Core)
+		commands = append(commands, contract.SetGauge{Name: "manifest_revision", Value: node.Feed.Version().Position.Revision},
+			contract.SetGauge{Name: "view", Value: node.Feed.View().Number}, contract.SetGauge{Name: "members", Value: int64(len(node.Neighbours.Members(now)))})
 		commands = append(commands, node.Feed.Begin(now, node.Neighbours.Seeds())...)
 		commands = append(commands, node.Feed.Catch(now, node.Neighbours.Members(now), node.Neighbours.Near(now), node.Random)...)
 	}
@@ -83,7 +83,7 @@
 	case isMessage && message.Kind == relay.MessageDeliver:
 		inner, envelope, valid := relay.Open(message)
 		if !valid {
-			return []contract.Command{contract.Count{Name: "messages_broken", By: 1}}
+			return []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 		}
 		return relay.Back(node.Self(), envelope, handle(now, inner))
 	}
@@ -108,7 +108,7 @@
 	default:
 		routes = node.ChooseTwoHopRoutes(now, target, maxParallelRelays)
 	}
-	commands := []contract.Command{contract.Count{Name: "relays_asked", By: int64(len(routes))}}
+	commands := []contract.Command{contract.AddCounter{Name: "relays_asked", Delta: int64(len(routes))}}
 	for _, route := range routes {
 		commands = append(commands, relay.By(route, node.Self(), send)...)
 	}
--- a/neighbour/neighbour.go
+++ b/neighbour/neighbour.go
@@ -78,8 +78,8 @@
 
 func (owner *Owner) Self() contract.Member { return owner.self }
 
-func (owner *Owner) Hold(place contract.Place, view int64, core bool) {
-	owner.self.Place, owner.self.View, owner.self.Core = place, view, core
+func (owner *Owner) Hold(place contract.Position, view int64, core bool) {
+	owner.self.Position, owner.self.View, owner.self.Core = place, view, core
 	owner.cached = nil
 }
 
@@ -102,7 +102,7 @@
 		case MessageShuffle:
 			var shuffle Shuffle
 			if json.Unmarshal(event.Body, &shuffle) != nil {
-				return []contract.Command{contract.Count{Name: "messages_broken", By: 1}}
+				return []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 			}
 			return owner.shuffled(now, event.From, shuffle)
 		case MessageBye:
@@ -122,7 +122,7 @@
 // Woke forgives the silence that a freeze of this process made of everybody else.
 func (owner *Owner) Woke(now, gap time.Duration) {
 	for _, known := range owner.table {
-		if now-known.advanced < owner.bounds.Suspicion()+gap {
+		if now-known.advanced < owner.bounds.SuspicionTimeout()+gap {
 			known.advanced = now
 		}
 	}
@@ -143,7 +143,7 @@
 	if now < owner.next || owner.left {
 		return nil
 	}
-	owner.next = now + owner.bounds.Gossip()
+	owner.next = now + owner.bounds.GossipInterval()
 	owner.self.Heartbeat++
 	owner.forget(now)
 	owner.renewActive(now)
@@ -157,7 +157,7 @@
 			targets[owner.seeds[owner.random.IntN(len(owner.seeds))]] = true
 		}
 	}
-	lonely := now-owner.spoken > owner.bounds.Suspicion()/4
+	lonely := now-owner.spoken > owner.bounds.SuspicionTimeout()/4
 	if names := owner.names(); len(names) > 0 && (lonely || owner.random.IntN(owner.healOdds()) == 0) {
 		targets[owner.table[names[owner.random.IntN(len(names))]].member.Address] = true
 	}
@@ -181,7 +181,7 @@
 
 func (owner *Owner) forget(now time.Duration) {
 	for name, known := range owner.table {
-		if now-known.advanced > owner.bounds.Forget() {
+		if now-known.advanced > owner.bounds.MemberExpiry() {
 			delete(owner.table, name)
 			owner.ordered = nil
 		}
@@ -191,7 +191,7 @@
 func (owner *Owner) renewActive(now time.Duration) {
 	kept := owner.active[:0]
 	for _, name := range owner.active {
-		if known := owner.table[name]; owner.Alive(now, name) && now-max(known.heard, known.joined) < owner.bounds.Suspicion() {
+		if known := owner.table[name]; owner.Alive(now, name) && now-max(known.heard, known.joined) < owner.bounds.SuspicionTimeout() {
 			kept = append(kept, name)
 		}
 	}
@@ -229,7 +229,7 @@
 	}
 	for place, name := range names {
 		known := owner.table[name]
-		here, lately := known.member.Place == owner.self.Place, owner.bounds.Suspicion()/2
+		here, lately := known.member.Position == owner.self.Position, owner.bounds.SuspicionTimeout()/2
 		if newcomer || place < wholeRows || now-known.changed < lately || now-known.moved < lately && !here {
 			shuffle.Members = append(shuffle.Members, known.member)
 			continue
@@ -244,16 +244,16 @@
 }
 
 func (owner *Owner) shuffled(now time.Duration, from string, shuffle Shuffle) []contract.Command {
-	address, boot, newcomer, told := "", "", true, contract.Place{}
+	address, boot, newcomer, told := "", "", true, contract.Position{}
 	if known, there := owner.table[from]; there {
-		newcomer = now-known.changed < owner.bounds.Suspicion()
+		newcomer = now-known.changed < owner.bounds.SuspicionTimeout()
 	}
 	for index, member := range shuffle.Members {
 		if index > shuffleSize {
 			break
 		}
 		if member.Name == from {
-			address, boot, told = member.Address, member.Boot, member.Place
+			address, boot, told = member.Address, member.Boot, member.Position
 		}
 		owner.merge(now, member)
 	}
@@ -267,7 +267,7 @@
 		if index > shuffleSize {
 			break
 		}
-		place := contract.Place{}
+		place := contract.Position{}
 		if shuffle.Here>>index&1 == 1 {
 			place = told
 		}
@@ -286,7 +286,7 @@
 
 // beat moves a known member's heartbeat, and its place, which only goes forward within a life; whoever is not known by this incarnation
 // waits for its whole row.
-func (owner *Owner) beat(now time.Duration, text string, place contract.Place) {
+func (owner *Owner) beat(now time.Duration, text string, place contract.Position) {
 	name, counts, _ := strings.Cut(text, " ")
 	first, second, _ := strings.Cut(counts, " ")
 	incarnation, err := strconv.ParseInt(first, 10, 64)
@@ -295,8 +295,8 @@
 	if err != nil || other != nil || !there || known.member.Incarnation != incarnation {
 		return
 	}
-	if known.member.Place.Revision < place.Revision {
-		known.member.Place, known.moved, owner.cached = place, now, nil
+	if known.member.Position.Revision < place.Revision {
+		known.member.Position, known.moved, owner.cached = place, now, nil
 	}
 	if heartbeat <= known.member.Heartbeat {
 		return
@@ -331,13 +331,13 @@
 		member.Heartbeat = known.member.Heartbeat
 	}
 	former := known.member
-	if same && member.Boot == former.Boot && member.Place.Revision < former.Place.Revision {
-		member.Place = former.Place
+	if same && member.Boot == former.Boot && member.Position.Revision < former.Position.Revision {
+		member.Position = former.Position
 	}
-	if former.Place != member.Place {
+	if former.Position != member.Position {
 		known.moved = now
 	}
-	former.Heartbeat, former.Place = member.Heartbeat, member.Place
+	former.Heartbeat, former.Position = member.Heartbeat, member.Position
 	if former != member {
 		known.changed = now
 	}
@@ -349,7 +349,7 @@
 		return true
 	}
 	known, there := owner.table[name]
-	return there && !known.gone && now-known.advanced < owner.bounds.Suspicion()
+	return there && !known.gone && now-known.advanced < owner.bounds.SuspicionTimeout()
 }
 
 // Members gives the live members, this node among them, in the order of their names.
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -110,15 +110,15 @@
 	if int64(len(body)) > bound {
 		return nil, badCall{status: 413, text: fmt.Sprintf("the body is larger than %d bytes", bound)}
 	}
-	tree, err := manifest.Tree(body)
+	tree, err := manifest.ParseObject(body)
 	if err != nil {
 		return nil, badCall{status: 400, text: "body: " + err.Error()}
 	}
 	reader := manifest.NewReader(tree)
-	streamed := reader.Truth("stream")
+	streamed := reader.Bool("stream")
 	messages, fine := tree["messages"].([]any)
 	if !fine || len(messages) == 0 {
-		reader.Wrong("messages", "want a list that is not empty")
+		reader.Errorf("messages", "want a list that is not empty")
 	}
 	if err = reader.Err(); err != nil {
 		return nil, badCall{status: 400, text: "body: " + err.Error()}
@@ -162,15 +162,15 @@
 func (shell *dataShell) look() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		look := request.(data.Look)
-		answers := make(chan contract.Answer, 1)
-		look.Token = shell.Loop.Token(func(answer contract.Answer) { answers <- answer })
+		answers := make(chan contract.Response, 1)
+		look.Token = shell.Loop.Token(func(answer contract.Response) { answers <- answer })
 		defer shell.Loop.Forget(look.Token)
 		if !shell.Loop.Try(look) {
 			return nil, badCall{status: 503, text: "this node is overloaded", after: shell.Settings.Bounds.Round()}
 		}
 		select {
 		case answer := <-answers:
-			if pass, away := answer.Body.(data.Pass); away {
+			if pass, away := answer.Body.(data.HomeForward); away {
 				return &passage{shell: shell, pass: pass, method: http.MethodGet, path: "/v1/calls/" + url.PathEscape(look.Key),
 					headers: map[string]string{"Cedar-Caller": look.Caller}}, nil
 			}
@@ -183,14 +183,14 @@
 
 func encodeAnswer(ctx context.Context, writer http.ResponseWriter, response any) error {
 	if away, fine := response.(*passage); fine {
-		if status, _ := away.carry(ctx, writer, away.shell.Loop.Now()+away.pass.Limit); status < 0 {
+		if status, _ := away.carry(ctx, writer, away.shell.Loop.Now()+away.pass.Timeout); status < 0 {
 			panic(http.ErrAbortHandler)
 		}
 		return nil
 	}
-	answer := response.(contract.Answer)
+	answer := response.(contract.Response)
 	writer.Header().Set("Content-Type", "application/json")
-	link.RetryAfter(writer, answer.After)
+	link.RetryAfter(writer, answer.RetryAfter)
 	writer.WriteHeader(answer.Status)
 	return json.NewEncoder(writer).Encode(answer.Body)
 }
@@ -201,5 +201,5 @@
 	writer.Header().Set("Content-Type", "application/json")
 	link.RetryAfter(writer, bad.after)
 	writer.WriteHeader(bad.status)
-	_ = json.NewEncoder(writer).Encode(contract.Trouble{Outcome: string(call.NotRun), Error: bad.text, RetryAfterMs: bad.after.Milliseconds()})
+	_ = json.NewEncoder(writer).Encode(contract.ErrorBody{Outcome: string(call.NotRun), Error: bad.text, RetryAfterMs: bad.after.Milliseconds()})
 }
--- a/shard/condition.go
+++ b/shard/condition.go
@@ -44,21 +44,23 @@
 
 // evidence is the sum of all nodes' tallies for one server.
 type evidence struct {
-	total       contract.Tally
-	zones       map[string]contract.Tally // tallies of the nodes of each zone
-	lostNodes   int                       // nodes that lost a connection to it
-	failedNodes int                       // nodes with other failures only
+	total       contract.CallTally
+	zones       map[string]contract.CallTally // tallies of the nodes of each zone
+	lostNodes   int                           // nodes that lost a connection to it
+	failedNodes int                           // nodes with other failures only
 }
 
 // bad reports whether the share of bad calls is that of a failing server.
-func bad(tally contract.Tally) bool { return tally.Bad() > 0 && tally.Bad()*badRatio >= tally.Calls() }
+func bad(tally contract.CallTally) bool {
+	return tally.Failures() > 0 && tally.Failures()*badRatio >= tally.Total()
+}
 
 // failureRate returns the share of bad calls, 0 if there were none.
 func (evidence *evidence) failureRate() float64 {
-	if evidence == nil || evidence.total.Calls() == 0 {
+	if evidence == nil || evidence.total.Total() == 0 {
 		return 0
 	}
-	return float64(evidence.total.Bad()) / float64(evidence.total.Calls())
+	return float64(evidence.total.Failures()) / float64(evidence.total.Total())
 }
 
 // confirmed reports whether at least minWitnesses nodes, and most of the zones that called the server lately, find it failing.
@@ -69,7 +71,7 @@
 			found++
 		}
 	}
-	return evidence.total.Bad() >= minBadCalls && bad(evidence.total) && evidence.lostNodes+evidence.failedNodes >= minWitnesses &&
+	return evidence.total.Failures() >= minBadCalls && bad(evidence.total) && evidence.lostNodes+evidence.failedNodes >= minWitnesses &&
 		found >= min(minWitnesses, zones) && 2*found > len(evidence.zones)
 }
 
@@ -91,12 +93,12 @@
 		for name, tally := range tallies {
 			merged := evidenceByServer[name]
 			if merged == nil {
-				merged = &evidence{zones: map[string]contract.Tally{}}
+				merged = &evidence{zones: map[string]contract.CallTally{}}
 				evidenceByServer[name] = merged
 			}
-			merged.total, merged.zones[zone] = merged.total.Plus(tally), merged.zones[zone].Plus(tally)
+			merged.total, merged.zones[zone] = merged.total.Add(tally), merged.zones[zone].Add(tally)
 			switch {
-			case tally.Lost > 0:
+			case tally.Unconnected > 0:
 				merged.lostNodes++
 			case tally.Failed > 0:
 				merged.failedNodes++
@@ -112,9 +114,9 @@
 	if now < shard.nextEvaluation {
 		return
 	}
-	shard.nextEvaluation = now + owner.bounds.Ask()
+	shard.nextEvaluation = now + owner.bounds.LeaseRenewal()
 	evidenceByServer, nodes, zones := owner.collectEvidence(now, shard)
-	pools, present := map[string][]contract.ServerRow{}, map[string]bool{}
+	pools, present := map[string][]contract.ListedServer{}, map[string]bool{}
 	for _, row := range owner.eligibleServers(now, shard) {
 		pools[row.Pool], present[row.Name] = append(pools[row.Pool], row), true
 		evidence, record := evidenceByServer[row.Name], shard.serverHealth[row.Name]
@@ -166,7 +168,7 @@
 	default:
 		record.resting, record.steppedAt, record.recoveredAt = record.resting-1, now, now
 		if record.resting == 0 {
-			owner.emit(contract.Say{What: "server serves again", Detail: []any{"server", name}})
+			owner.emit(contract.Log{Message: "server serves again", Attributes: []any{"server", name}})
 		}
 	}
 }
@@ -182,7 +184,7 @@
 }
 
 // evaluatePool decides for the servers of one pool which of them start to rest and which advance in their recovery.
-func (owner *Owner) evaluatePool(now time.Duration, shard *shardState, rows []contract.ServerRow, evidenceByServer map[string]*evidence, nodes, zones int) {
+func (owner *Owner) evaluatePool(now time.Duration, shard *shardState, rows []contract.ListedServer, evidenceByServer map[string]*evidence, nodes, zones int) {
 	mean, resting := 0.0, 0
 	for _, row := range rows {
 		mean += evidenceByServer[row.Name].failureRate() / float64(len(rows))
@@ -203,8 +205,8 @@
 				record.relapses++
 			}
 			record.resting, record.steppedAt = recoverySteps, now
-			owner.emit(contract.Count{Name: "servers_rested", By: 1},
-				contract.Say{What: "server rests for all", Detail: []any{"server", row.Name, "bad", reports.total.Bad(), "well", reports.total.Well, "zones", len(reports.zones)}})
+			owner.emit(contract.AddCounter{Name: "servers_rested", Delta: 1},
+				contract.Log{Message: "server rests for all", Attributes: []any{"server", row.Name, "bad", reports.total.Failures(), "well", reports.total.Succeeded, "zones", len(reports.zones)}})
 		}
 	}
 }
--- a/shard/condition_test.go
+++ b/shard/condition_test.go
@@ -18,14 +18,14 @@
 	now       time.Duration
 	nodes     []contract.Member
 	listing   contract.Listing
-	tallies   map[string]map[string]contract.Tally
+	tallies   map[string]map[string]contract.CallTally
 	leases    map[string]contract.Lease
 	listCount int
 }
 
 func newFixture(servers, nodes, zones int) *fixture {
 	self := contract.Member{Name: "east-control", Kind: contract.KindControl, Region: "east", Zone: "zone0", Address: "owner:1"}
-	created := &fixture{Owner: New(self, env.DefaultBounds()), now: time.Second, tallies: map[string]map[string]contract.Tally{}, leases: map[string]contract.Lease{}}
+	created := &fixture{Owner: New(self, env.DefaultBounds()), now: time.Second, tallies: map[string]map[string]contract.CallTally{}, leases: map[string]contract.Lease{}}
 	created.SetAdvisoryLeases(true)
 	created.nodes = append(created.nodes, self)
 	for node := range nodes {
@@ -33,7 +33,7 @@
 	}
 	for server := range servers {
 		name := fmt.Sprintf("s%d", server)
-		created.listing.Servers = append(created.listing.Servers, contract.ServerRow{Name: name, Incarnation: name, Pool: "s", Unmeasured: true})
+		created.listing.Servers = append(created.listing.Servers, contract.ListedServer{Name: name, Incarnation: name, Pool: "s", AssumedReady: true})
 	}
 	created.advance(3*time.Second, nil)
 	return created
@@ -63,10 +63,10 @@
 		}
 		for _, node := range fixture.nodes[1:] {
 			last := fixture.leases[node.Name]
-			ask := contract.LeaseRequest{Node: node.Name, Region: "east", Address: node.Name, Shards: 1, Highest: last.Epoch, Number: last.Number, Brief: true, Tallies: fixture.tallies[node.Name]}
+			ask := contract.LeaseRequest{Node: node.Name, Region: "east", Address: node.Name, ShardCount: 1, HighestEpoch: last.Epoch, Number: last.Number, OmitUnchanged: true, Tallies: fixture.tallies[node.Name]}
 			body, _ := json.Marshal(ask)
 			for _, command := range fixture.Handle(fixture.now, contract.Message{Kind: MessageLeaseRequest, Body: body}) {
-				if lease, ok := fixture.lease(command); ok && !lease.Same {
+				if lease, ok := fixture.lease(command); ok && !lease.Unchanged {
 					fixture.leases[node.Name] = lease
 					fixture.listCount++
 				}
@@ -76,13 +76,13 @@
 }
 
 // reportTally sets the tally of a server that the chosen nodes report; nil chooses all nodes.
-func (fixture *fixture) reportTally(server string, tally contract.Tally, chosen func(contract.Member) bool) {
+func (fixture *fixture) reportTally(server string, tally contract.CallTally, chosen func(contract.Member) bool) {
 	for _, node := range fixture.nodes[1:] {
 		if fixture.tallies[node.Name] == nil {
-			fixture.tallies[node.Name] = map[string]contract.Tally{}
+			fixture.tallies[node.Name] = map[string]contract.CallTally{}
 		}
 		delete(fixture.tallies[node.Name], server)
-		if (chosen == nil || chosen(node)) && tally.Calls() > 0 {
+		if (chosen == nil || chosen(node)) && tally.Total() > 0 {
 			fixture.tallies[node.Name][server] = tally
 		}
 	}
@@ -102,7 +102,7 @@
 func (fixture *fixture) resting() int {
 	count := 0
 	for _, one := range fixture.leases[fixture.nodes[len(fixture.nodes)-1].Name].Servers {
-		if one.Ill > 0 {
+		if one.RecoverySteps > 0 {
 			count++
 		}
 	}
@@ -125,11 +125,11 @@
 }
 
 var (
-	lost       = contract.Tally{Lost: 1}
-	failed     = contract.Tally{Failed: 1}
-	mostlyGood = contract.Tally{Failed: 1, Well: 2}
-	well       = contract.Tally{Well: 3}
-	none       = contract.Tally{}
+	lost       = contract.CallTally{Unconnected: 1}
+	failed     = contract.CallTally{Failed: 1}
+	mostlyGood = contract.CallTally{Failed: 1, Succeeded: 2}
+	well       = contract.CallTally{Succeeded: 3}
+	none       = contract.CallTally{}
 )
 
 var _ = ginkgo.Describe("the health of a server at its shard's owner", func() {
@@ -141,7 +141,7 @@
 		Expect(fixture.candidate("s0").Suspected).To(BeFalse())
 		fixture.advance(10*time.Second, nil)
 		Expect(fixture.candidate("s1").Suspected).To(BeTrue())
-		Expect(fixture.candidate("s1").Ill).To(BeZero())
+		Expect(fixture.candidate("s1").RecoverySteps).To(BeZero())
 		fixture.reportTally("s1", none, nil)
 		fixture.advance(3*time.Second, nil)
 		Expect(fixture.candidate("s1").Suspected).To(BeFalse())
@@ -174,11 +174,11 @@
 		fixture := newFixture(6, 24, 3)
 		fixture.reportTally("s1", mostlyGood, nil)
 		fixture.advance(1100*time.Millisecond, nil)
-		Expect(fixture.candidate("s1").Watched).To(BeTrue())
+		Expect(fixture.candidate("s1").HealthTracked).To(BeTrue())
 		Expect(fixture.candidate("s1").Suspected).To(BeFalse(), "no node lost its connection")
-		Expect(fixture.candidate("s1").Ill).To(BeZero())
+		Expect(fixture.candidate("s1").RecoverySteps).To(BeZero())
 		fixture.advance(2*time.Second, nil)
-		Expect(fixture.candidate("s1").Ill).To(Equal(int64(recoverySteps)))
+		Expect(fixture.candidate("s1").RecoverySteps).To(Equal(int64(recoverySteps)))
 		Expect(fixture.resting()).To(Equal(1))
 	})
 
@@ -200,7 +200,7 @@
 			fixture.advance(time.Second, nil)
 			for _, node := range fixture.nodes[1:] {
 				if trouble.chosen(node) {
-					fixture.tallies[node.Name]["s1"] = contract.Tally{Lost: 3}
+					fixture.tallies[node.Name]["s1"] = contract.CallTally{Unconnected: 3}
 				}
 			}
 			fixture.advance(20*time.Second, nil)
@@ -211,14 +211,14 @@
 
 	ginkgo.It("given a server that only nodes of one zone call, when all their calls fail, then it does not rest", func() {
 		fixture := newFixture(6, 24, 4)
-		fixture.reportTally("s1", contract.Tally{Lost: 3}, inZones("zone1"))
+		fixture.reportTally("s1", contract.CallTally{Unconnected: 3}, inZones("zone1"))
 		fixture.advance(20*time.Second, nil)
 		Expect(fixture.resting()).To(BeZero())
 	})
 
 	ginkgo.It("given one server with rare failures, when nodes of all zones report them, then it does not rest", func() {
 		fixture := newFixture(6, 24, 3)
-		fixture.reportTally("s1", contract.Tally{Lost: 1, Well: 9}, nil)
+		fixture.reportTally("s1", contract.CallTally{Unconnected: 1, Succeeded: 9}, nil)
 		fixture.advance(20*time.Second, nil)
 		Expect(fixture.candidate("s1").Suspected).To(BeTrue())
 		Expect(fixture.resting()).To(BeZero())
@@ -227,7 +227,7 @@
 	ginkgo.It("given rare failures at all servers, when nodes report them, then no server rests", func() {
 		fixture := newFixture(6, 24, 3)
 		for server := range 6 {
-			fixture.reportTally(fmt.Sprintf("s%d", server), contract.Tally{Lost: 1, Well: 9}, nil)
+			fixture.reportTally(fmt.Sprintf("s%d", server), contract.CallTally{Unconnected: 1, Succeeded: 9}, nil)
 		}
 		fixture.advance(20*time.Second, nil)
 		Expect(fixture.resting()).To(BeZero())
@@ -278,15 +278,15 @@
 		fixture := newFixture(6, 24, 3)
 		fixture.reportTally("s1", mostlyGood, nil)
 		fixture.advance(3*time.Second, nil)
-		Expect(fixture.candidate("s1").Ill).To(Equal(int64(recoverySteps)))
+		Expect(fixture.candidate("s1").RecoverySteps).To(Equal(int64(recoverySteps)))
 		return fixture
 	}
 
 	ginkgo.It("given a resting server, when trial calls succeed, then it recovers in steps", func() {
 		fixture, steps := rested(), []int64{}
-		fixture.reportTally("s1", contract.Tally{Well: 1}, nodeNamed("node03"))
+		fixture.reportTally("s1", contract.CallTally{Succeeded: 1}, nodeNamed("node03"))
 		fixture.advance(20*time.Second, func() {
-			if resting := fixture.candidate("s1").Ill; len(steps) == 0 || steps[len(steps)-1] != resting {
+			if resting := fixture.candidate("s1").RecoverySteps; len(steps) == 0 || steps[len(steps)-1] != resting {
 				steps = append(steps, resting)
 			}
 		})
@@ -297,27 +297,27 @@
 		fixture := rested()
 		fixture.reportTally("s1", mostlyGood, nodeNamed("node03"))
 		fixture.advance(60*time.Second, nil)
-		Expect(fixture.candidate("s1").Ill).To(Equal(int64(recoverySteps)))
+		Expect(fixture.candidate("s1").RecoverySteps).To(Equal(int64(recoverySteps)))
 	})
 
 	ginkgo.It("given a resting server, when no node tries it, then it recovers, but later", func() {
 		fixture := rested()
 		fixture.reportTally("s1", none, nil)
 		fixture.advance(20*time.Second, nil)
-		Expect(fixture.candidate("s1").Ill).To(Equal(int64(recoverySteps)))
+		Expect(fixture.candidate("s1").RecoverySteps).To(Equal(int64(recoverySteps)))
 		fixture.advance(40*time.Second, nil)
-		Expect(fixture.candidate("s1").Ill).To(BeZero())
+		Expect(fixture.candidate("s1").RecoverySteps).To(BeZero())
 	})
 
 	ginkgo.It("given a server that fails whenever it serves, when minutes pass, then it rests longer each time", func() {
 		fixture, healthy := newFixture(6, 24, 3), []time.Duration{}
 		former := int64(0)
 		fixture.advance(3*time.Minute, func() {
-			resting := fixture.candidate("s1").Ill
+			resting := fixture.candidate("s1").RecoverySteps
 			if resting == 0 {
 				fixture.reportTally("s1", mostlyGood, nil)
 			} else {
-				fixture.reportTally("s1", contract.Tally{Well: 1}, nodeNamed("node03"))
+				fixture.reportTally("s1", contract.CallTally{Succeeded: 1}, nodeNamed("node03"))
 			}
 			if former > 0 && resting == 0 {
 				healthy = append(healthy, fixture.now)
--- a/shard/duty.go
+++ b/shard/duty.go
@@ -38,7 +38,7 @@
 // scalePlan returns the loaded servers beyond the scale in the manifest with the cause to retire them, and the unloaded ones to load again.
 func (owner *Owner) surplus() (map[string]retire.Cause, map[string]bool) {
 	causes, wanted := map[string]retire.Cause{}, map[string]bool{}
-	pools := map[string][]contract.ServerRow{}
+	pools := map[string][]contract.ListedServer{}
 	for _, row := range owner.listing.Servers {
 		if !row.Leaving && !owner.zoneDrained(row.Zone) {
 			pools[row.Pool] = append(pools[row.Pool], row)
@@ -96,7 +96,7 @@
 }
 
 // updateRetirement starts or ends the retirement of one server as its cause for leaving appears, changes or disappears.
-func (owner *Owner) updateRetirement(now time.Duration, shard *shardState, row contract.ServerRow, cause retire.Cause, leaving bool) {
+func (owner *Owner) updateRetirement(now time.Duration, shard *shardState, row contract.ListedServer, cause retire.Cause, leaving bool) {
 	server := owner.servers[row.Name]
 	retirement, running := shard.retirements[row.Name]
 	if !leaving || row.Unloaded {
@@ -129,9 +129,9 @@
 	if running {
 		owner.endRetirement(now, shard, retirement, "a stronger cause came")
 	}
-	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), Link: owner.bounds.Ask(), Remaining: remaining}
+	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), Link: owner.bounds.LeaseRenewal(), Remaining: remaining}
 	shard.retirements[row.Name] = retire.New(now, row.Name, row.Incarnation, cause, shard.listNumber+1, terms)
-	owner.emit(contract.Count{Name: "retirements", By: 1}, contract.Say{What: "withdrawn", Detail: []any{"server", row.Name, "cause", cause}})
+	owner.emit(contract.AddCounter{Name: "retirements", Delta: 1}, contract.Log{Message: "withdrawn", Attributes: []any{"server", row.Name, "cause", cause}})
 	owner.refreshList(now, shard)
 	shard.retirements[row.Name].Number = shard.listNumber
 }
@@ -159,7 +159,7 @@
 			}
 		}
 		shard.abortedScales[retirement.Server] = owner.seen.Manifest.Pools[pool].Scale
-		owner.emit(contract.Count{Name: "retirements_aborted", By: 1})
+		owner.emit(contract.AddCounter{Name: "retirements_aborted", Delta: 1})
 		owner.endRetirement(now, shard, retirement, retirement.Reason)
 		return
 	}
@@ -171,7 +171,7 @@
 // releaseServer ends a retirement whose server is empty and orders the platform to unload it.
 func (owner *Owner) releaseServer(now time.Duration, shard *shardState, retirement *retire.Retirement) {
 	shard.released[retirement.Server] = retirement.Incarnation
-	owner.emit(contract.Count{Name: "retirements_released", By: 1})
+	owner.emit(contract.AddCounter{Name: "retirements_released", Delta: 1})
 	owner.endRetirement(now, shard, retirement, retirement.Reason)
 	owner.sendOrder(now, shard, retirement.Server, false)
 }
@@ -185,7 +185,7 @@
 	if len(shard.finished) > maxFinished {
 		shard.finished = shard.finished[1:]
 	}
-	owner.emit(contract.Say{What: "retirement ended", Detail: []any{"server", retirement.Server, "state", retirement.State, "why", reason}})
+	owner.emit(contract.Log{Message: "retirement ended", Attributes: []any{"server", retirement.Server, "state", retirement.State, "why", reason}})
 }
 
 // sendOrder orders the platform to load or unload a server, at most once in two platform polls.
--- a/shard/idle_test.go
+++ b/shard/idle_test.go
@@ -23,7 +23,7 @@
 	member := func(name string) contract.Member {
 		return contract.Member{Name: name, Kind: contract.KindControl, Region: "east", Zone: "zone", Address: name}
 	}
-	both := contract.Ordered(HashKey("east", 0), []string{"left", "right"})
+	both := contract.RendezvousOrder(HashKey("east", 0), []string{"left", "right"})
 	fixture := &poller{Owner: New(member(both[1]), env.DefaultBounds()), now: time.Second, members: []contract.Member{member(both[0]), member(both[1])}}
 	fixture.SetAdvisoryLeases(prompt)
 	return fixture
--- a/shard/list.go
+++ b/shard/list.go
@@ -11,8 +11,8 @@
 )
 
 // eligibleServers returns the servers of a shard that may receive new calls now.
-func (owner *Owner) eligibleServers(now time.Duration, shard *shardState) []contract.ServerRow {
-	rows := []contract.ServerRow{}
+func (owner *Owner) eligibleServers(now time.Duration, shard *shardState) []contract.ListedServer {
+	rows := []contract.ListedServer{}
 	for _, row := range owner.shardServers(shard) {
 		server := owner.servers[row.Name]
 		_, retiring := shard.retirements[row.Name]
@@ -22,7 +22,7 @@
 		if row.Leaving || row.Unloaded || retiring || released || !inPool && !serves || owner.zoneDrained(row.Zone) {
 			continue
 		}
-		if !row.Unmeasured && (!server.reported || server.failures >= unreachableFailures) {
+		if !row.AssumedReady && (!server.reported || server.failures >= unreachableFailures) {
 			continue
 		}
 		rows = append(rows, row)
@@ -70,22 +70,22 @@
 		}
 		server.cacheGeneration, server.cacheInvalidatedAt = max(server.cacheGeneration, count)+1, now
 		owner.stateVersion++
-		owner.emit(contract.Count{Name: "cache_indexes_thrown", By: 1}, contract.Say{What: "cache index thrown away", Detail: []any{"server", name, "count", server.cacheGeneration}})
+		owner.emit(contract.AddCounter{Name: "cache_indexes_thrown", Delta: 1}, contract.Log{Message: "cache index thrown away", Attributes: []any{"server", name, "count", server.cacheGeneration}})
 	}
 }
 
 // leaseRequest answers a data node with the list, or with the owner's name if this node does not own the shard.
 func (owner *Owner) leaseRequest(now time.Duration, leaseRequest contract.LeaseRequest) {
 	shard, found := owner.shardStates[leaseRequest.Shard]
-	if !found || leaseRequest.Shards != owner.shardCount {
+	if !found || leaseRequest.ShardCount != owner.shardCount {
 		owner.emit(contract.Send{To: leaseRequest.Address, Kind: MessageNotOwner, Body: contract.NotOwner{Region: leaseRequest.Region, Shard: leaseRequest.Shard}})
 		return
 	}
-	if shard.highestEpoch.Before(leaseRequest.Highest) {
-		shard.highestEpoch = leaseRequest.Highest
+	if shard.highestEpoch.Before(leaseRequest.HighestEpoch) {
+		shard.highestEpoch = leaseRequest.HighestEpoch
 		if shard.isOwner {
 			shard.isOwner, shard.preferredSince = false, now
-			owner.emit(contract.Count{Name: "superseded", By: 1})
+			owner.emit(contract.AddCounter{Name: "superseded", Delta: 1})
 		}
 	}
 	if !shard.isOwner || !owner.listingFresh(now) || owner.preferredOwner(shard.index) != owner.self.Name {
@@ -95,22 +95,22 @@
 		owner.sendNotices(now, shard, leaseRequest)
 		return
 	}
-	owner.invalidateCacheIndex(now, leaseRequest.Stale)
+	owner.invalidateCacheIndex(now, leaseRequest.StaleIndexes)
 	if shard.listVersion != owner.stateVersion {
 		owner.refreshList(now, shard)
 	}
 	ack := retire.Word{Told: now, Granted: now}
-	if leaseRequest.Highest == shard.epoch {
+	if leaseRequest.HighestEpoch == shard.epoch {
 		ack.Number = leaseRequest.Number
 	}
 	shard.tallies[leaseRequest.Node] = leaseRequest.Tallies
-	shard.observations.record(leaseRequest.Node, leaseRequest.Observed)
-	shard.nodeAcks[leaseRequest.Node], shard.callsByNode[leaseRequest.Node], shard.lingeringByNode[leaseRequest.Node] = ack, leaseRequest.Calls, leaseRequest.Lingering
-	lease := contract.Lease{Region: leaseRequest.Region, Shard: leaseRequest.Shard, Asked: leaseRequest.Asked, Epoch: shard.epoch, Number: shard.listNumber,
-		Life: owner.bounds.Lease(), Revision: owner.seen.Revision, Shards: owner.shardCount, Observed: owner.mergedObservations(now, shard)}
-	lease.Same = leaseRequest.Brief && leaseRequest.Highest == shard.epoch && leaseRequest.Number == shard.listNumber
+	shard.observations.record(leaseRequest.Node, leaseRequest.CallObservations)
+	shard.nodeAcks[leaseRequest.Node], shard.callsByNode[leaseRequest.Node], shard.lingeringByNode[leaseRequest.Node] = ack, leaseRequest.Calls, leaseRequest.Abandoned
+	lease := contract.Lease{Region: leaseRequest.Region, Shard: leaseRequest.Shard, RequestSentAt: leaseRequest.SentAt, Epoch: shard.epoch, Number: shard.listNumber,
+		Duration: owner.bounds.Lease(), Revision: owner.seen.Revision, ShardCount: owner.shardCount, CallObservations: owner.mergedObservations(now, shard)}
+	lease.Unchanged = leaseRequest.OmitUnchanged && leaseRequest.HighestEpoch == shard.epoch && leaseRequest.Number == shard.listNumber
 	for _, row := range shard.listRows {
-		if lease.Same {
+		if lease.Unchanged {
 			break
 		}
 		lease.Servers = append(lease.Servers, owner.candidate(now, shard, row, owner.rampShare(now, shard, row, leaseRequest.Node)))
@@ -124,13 +124,13 @@
 	owner.emit(contract.Send{To: leaseRequest.Address, Kind: MessageLease, Body: lease})
 }
 
-func (owner *Owner) candidate(now time.Duration, shard *shardState, row contract.ServerRow, share int64) contract.Candidate {
+func (owner *Owner) candidate(now time.Duration, shard *shardState, row contract.ListedServer, share int64) contract.Candidate {
 	server := owner.servers[row.Name]
 	watched, suspected, stepsLeft := shard.healthOf(now, row.Name)
 	return contract.Candidate{Name: row.Name, Address: row.Address, Zone: row.Zone, Pool: row.Pool,
 		Incarnation: row.Incarnation, Slots: owner.seen.Manifest.Pools[row.Pool].Slots, Share: share,
-		Running: server.report.Running, Waiting: server.report.Waiting, Report: server.report.Number, Prefixes: server.report.Prefixes,
-		Cache: server.cacheGeneration, Watched: watched, Suspected: suspected, Ill: stepsLeft, WarmMs: max(0, (server.warmUntil - now).Milliseconds())}
+		Running: server.report.Running, Waiting: server.report.Waiting, ReportNumber: server.report.Number, Prefixes: server.report.Prefixes,
+		CacheResets: server.cacheGeneration, HealthTracked: watched, Suspected: suspected, RecoverySteps: stepsLeft, WarmupMs: max(0, (server.warmUntil - now).Milliseconds())}
 }
 
 // sendInterimList gives a node without any list the servers in this node's own listing while the owner cannot be found. It has no epoch,
@@ -139,33 +139,33 @@
 	if !owner.advisoryLeases || !request.Interim || !owner.listingFresh(now) {
 		return
 	}
-	lease := contract.Lease{Region: request.Region, Shard: request.Shard, Asked: request.Asked, Shards: owner.shardCount, Interim: true}
+	lease := contract.Lease{Region: request.Region, Shard: request.Shard, RequestSentAt: request.SentAt, ShardCount: owner.shardCount, Interim: true}
 	for _, row := range owner.eligibleServers(now, shard) {
 		lease.Servers = append(lease.Servers, owner.candidate(now, shard, row, -1))
 	}
-	owner.emit(contract.Count{Name: "lists_interim", By: 1}, contract.Send{To: request.Address, Kind: MessageLease, Body: lease})
+	owner.emit(contract.AddCounter{Name: "lists_interim", Delta: 1}, contract.Send{To: request.Address, Kind: MessageLease, Body: lease})
 }
 
 // sendNotices tells a node whose list no owner confirms which servers are leaving, by this node's own listing. It is a second path
 // beside the owner, so that a partition or a failed relay does not keep a node sending calls to them.
 func (owner *Owner) sendNotices(now time.Duration, shard *shardState, request contract.LeaseRequest) {
-	if !owner.advisoryLeases || !request.Notices || !owner.listingFresh(now) {
+	if !owner.advisoryLeases || !request.DeparturesOnly || !owner.listingFresh(now) {
 		return
 	}
-	notices := contract.Notices{Region: request.Region, Shard: request.Shard}
+	notices := contract.DepartureNotice{Region: request.Region, Shard: request.Shard}
 	for _, row := range owner.shardServers(shard) {
 		if row.Leaving {
 			notices.Leaving = append(notices.Leaving, row.Name)
 		}
 	}
 	if len(notices.Leaving) > 0 {
-		owner.emit(contract.Count{Name: "notices_told", By: 1}, contract.Send{To: request.Address, Kind: MessageServerNotices, Body: notices})
+		owner.emit(contract.AddCounter{Name: "notices_told", Delta: 1}, contract.Send{To: request.Address, Kind: MessageServerNotices, Body: notices})
 	}
 }
 
 // rampShare returns how many calls a node may run on a cold server, or -1 for no bound. Calls that other nodes were granted or still run
 // are subtracted first, so the shares never exceed the ramp. Just after a take-over it is 0: leases of the former owner may stand.
-func (owner *Owner) rampShare(now time.Duration, shard *shardState, row contract.ServerRow, node string) int64 {
+func (owner *Owner) rampShare(now time.Duration, shard *shardState, row contract.ListedServer, node string) int64 {
 	server := owner.servers[row.Name]
 	ramp := owner.seen.Manifest.Retirement.Ramp
 	if !server.ramping || now-server.rampStart >= ramp {
@@ -181,7 +181,7 @@
 	available := owner.portion(max(1, slots*int64(now-server.rampStart)/int64(ramp)), len(names))
 	count := int64(len(names))
 	portion := int64(0)
-	for position, name := range contract.Ordered("ramp/"+row.Name, names) {
+	for position, name := range contract.RendezvousOrder("ramp/"+row.Name, names) {
 		if name == node {
 			portion = available / count
 			if int64(position) < available%count {
@@ -222,7 +222,7 @@
 			if name != node {
 				others += bound
 			}
-		case known.sampledAt <= expiry+owner.bounds.Ask():
+		case known.sampledAt <= expiry+owner.bounds.LeaseRenewal():
 			others += bound
 		default:
 			unheardLoad += bound
--- a/shard/observed.go
+++ b/shard/observed.go
@@ -18,25 +18,25 @@
 
 // observations are measurements of calls that data nodes report, and their merged result for the whole shard.
 type observations struct {
-	byNode    map[string]contract.Observed
-	merged    contract.Observed
+	byNode    map[string]contract.CallObservations
+	merged    contract.CallObservations
 	nextMerge time.Duration
 }
 
 // record stores what a node reports of its own calls; an empty report removes it.
-func (all *observations) record(node string, observed contract.Observed) {
-	if len(observed.Short)+len(observed.Read) == 0 {
+func (all *observations) record(node string, observed contract.CallObservations) {
+	if len(observed.ShortPromptGapMs)+len(observed.PrefillUsPerK) == 0 {
 		delete(all.byNode, node)
 		return
 	}
 	if all.byNode == nil {
-		all.byNode = map[string]contract.Observed{}
+		all.byNode = map[string]contract.CallObservations{}
 	}
 	all.byNode[node] = observed
 }
 
 // mergedObservations merges the reports of the nodes that asked within a lease's time.
-func (owner *Owner) mergedObservations(now time.Duration, shard *shardState) contract.Observed {
+func (owner *Owner) mergedObservations(now time.Duration, shard *shardState) contract.CallObservations {
 	all := &shard.observations
 	if now < all.nextMerge {
 		return all.merged
@@ -47,7 +47,7 @@
 			delete(all.byNode, node)
 		}
 	}
-	all.merged = contract.Observed{Short: all.shortestPauses(), Read: all.readTimes()}
+	all.merged = contract.CallObservations{ShortPromptGapMs: all.shortestPauses(), PrefillUsPerK: all.readTimes()}
 	return all.merged
 }
 
@@ -55,7 +55,7 @@
 func (all *observations) shortestPauses() map[string]int64 {
 	shortest := map[string]int64{}
 	for _, observed := range all.byNode {
-		for service, pause := range observed.Short {
+		for service, pause := range observed.ShortPromptGapMs {
 			if server, found := shortest[service]; pause > 0 && (!found || pause < server) {
 				shortest[service] = pause
 			}
@@ -68,7 +68,7 @@
 func (all *observations) readTimes() map[string]int64 {
 	times, selected := map[string][]int64{}, map[string]int64{}
 	for _, observed := range all.byNode {
-		for service, read := range observed.Read {
+		for service, read := range observed.PrefillUsPerK {
 			if read > 0 {
 				times[service] = append(times[service], read)
 			}
--- a/shard/observed_test.go
+++ b/shard/observed_test.go
@@ -15,14 +15,14 @@
 		ask := func(node string, short map[string]int64) map[string]int64 {
 			ginkgo.GinkgoHelper()
 			fixture.now += fixture.bounds.Withdraw() / 8
-			request := contract.LeaseRequest{Node: node, Address: node + ":1", Region: "east", Asked: fixture.now, Shards: 1, Observed: contract.Observed{Short: short}}
+			request := contract.LeaseRequest{Node: node, Address: node + ":1", Region: "east", SentAt: fixture.now, ShardCount: 1, CallObservations: contract.CallObservations{ShortPromptGapMs: short}}
 			fixture.Handle(fixture.now, ListingResult{Began: fixture.now, Listing: fixture.listing})
 			body, err := json.Marshal(request)
 			Expect(err).NotTo(HaveOccurred())
 			fixture.Handle(fixture.now, Seen{Members: fixture.nodes, Manifest: fixture.seen.Manifest})
 			for _, command := range fixture.Handle(fixture.now, contract.Message{Kind: MessageLeaseRequest, Body: body}) {
 				if lease, found := fixture.lease(command); found {
-					return lease.Short
+					return lease.ShortPromptGapMs
 				}
 			}
 			ginkgo.Fail("no list")
@@ -40,23 +40,23 @@
 
 	ginkgo.It("given many requests within a moment, when they are answered, then the nodes' reports are merged once", func() {
 		shard, owner := &shardState{nodeAcks: map[string]retire.Word{}}, newFixture(1, 1, 1)
-		shard.observations.record("node00", contract.Observed{Short: map[string]int64{"s": 5}})
+		shard.observations.record("node00", contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 5}})
 		shard.nodeAcks["node00"] = retire.Word{Told: owner.now}
-		Expect(owner.mergedObservations(owner.now, shard).Short).To(Equal(map[string]int64{"s": 5}))
+		Expect(owner.mergedObservations(owner.now, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 5}))
 		nextMerge := shard.observations.nextMerge
 		Expect(nextMerge).To(BeNumerically(">", owner.now))
-		shard.observations.record("node00", contract.Observed{Short: map[string]int64{"s": 4}})
-		Expect(owner.mergedObservations(nextMerge-1, shard).Short).To(Equal(map[string]int64{"s": 5}))
-		Expect(owner.mergedObservations(nextMerge, shard).Short).To(Equal(map[string]int64{"s": 4}))
+		shard.observations.record("node00", contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 4}})
+		Expect(owner.mergedObservations(nextMerge-1, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 5}))
+		Expect(owner.mergedObservations(nextMerge, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 4}))
 	})
 
 	ginkgo.It("given reading times with outliers on both sides, when they are merged, then a low quantile is used", func() {
 		all := &observations{}
 		for place, read := range []int64{90000, 31000, 30000, 1, 32000, 200000, 0} {
-			all.record(string(rune('a'+place)), contract.Observed{Read: map[string]int64{"s": read}, Short: map[string]int64{"s": 1}})
+			all.record(string(rune('a'+place)), contract.CallObservations{PrefillUsPerK: map[string]int64{"s": read}, ShortPromptGapMs: map[string]int64{"s": 1}})
 		}
 		Expect(all.readTimes()).To(Equal(map[string]int64{"s": 31000}))
-		all.record("a", contract.Observed{})
+		all.record("a", contract.CallObservations{})
 		Expect(all.byNode).To(HaveLen(6))
 	})
 })
--- a/shard/reports.go
+++ b/shard/reports.go
@@ -18,11 +18,11 @@
 	}
 	server.readPending = false
 	if event.Error == "" && !event.Report.Complete {
-		owner.emit(contract.Count{Name: "reports_partial", By: 1})
+		owner.emit(contract.AddCounter{Name: "reports_partial", Delta: 1})
 	}
 	if event.Error != "" {
 		server.failures++
-		owner.emit(contract.Count{Name: "reports_broken", By: 1})
+		owner.emit(contract.AddCounter{Name: "reports_broken", Delta: 1})
 	} else if event.Report.Incarnation == server.incarnation {
 		if !server.reported {
 			server.reported = true
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -87,9 +87,9 @@
 }
 
 type serverState struct {
-	report             contract.Report // last report that was read
-	reported           bool            // a report of this incarnation was read
-	sampledAt          time.Duration   // when the server took the last report
+	report             contract.LoadReport // last report that was read
+	reported           bool                // a report of this incarnation was read
+	sampledAt          time.Duration       // when the server took the last report
 	readPending        bool
 	failures           int // consecutive failed reads
 	incarnation        string
@@ -112,7 +112,7 @@
 	takenAt         time.Duration  // last take-over
 	listNumber      int64          // version of the list within the epoch
 	fingerprint     string         // servers on the list and their condition
-	listRows        []contract.ServerRow
+	listRows        []contract.ListedServer
 	listVersion     int64                       // Owner.stateVersion when the list was computed
 	nodeAcks        map[string]retire.Word      // by node: the list that it last confirmed
 	callsByNode     map[string]map[string]int64 // by node and server: running calls
@@ -121,7 +121,7 @@
 	retirements     map[string]*retire.Retirement
 	released        map[string]string // by server: the incarnation whose retirement ended in release
 	abortedScales   map[string]int64  // by server: the pool's scale when its retirement was aborted
-	tallies         map[string]map[string]contract.Tally
+	tallies         map[string]map[string]contract.CallTally
 	serverHealth    map[string]*healthRecord
 	observations    observations
 	nextEvaluation  time.Duration
@@ -181,7 +181,7 @@
 		owner.handleReport(now, event)
 	case OrderResult:
 		if event.Error != "" {
-			owner.emit(contract.Count{Name: "orders_refused", By: 1})
+			owner.emit(contract.AddCounter{Name: "orders_refused", Delta: 1})
 		}
 	case contract.Message:
 		owner.message(now, event)
@@ -236,7 +236,7 @@
 		if _, found := owner.shardStates[index]; !found {
 			owner.shardStates[index] = &shardState{index: index, preferredSince: -1, nodeAcks: map[string]retire.Word{}, callsByNode: map[string]map[string]int64{}, lingeringByNode: map[string]map[string]int64{},
 				retirements: map[string]*retire.Retirement{}, released: map[string]string{}, abortedScales: map[string]int64{},
-				tallies: map[string]map[string]contract.Tally{}, serverHealth: map[string]*healthRecord{}}
+				tallies: map[string]map[string]contract.CallTally{}, serverHealth: map[string]*healthRecord{}}
 		}
 	}
 	if owner.shardCount != shardCount {
@@ -257,7 +257,7 @@
 			owned++
 		}
 	}
-	owner.emit(contract.Gauge{Name: "shards_owned", Value: owned})
+	owner.emit(contract.SetGauge{Name: "shards_owned", Value: owned})
 }
 
 func (owner *Owner) pollPlatform(now time.Duration) {
@@ -275,7 +275,7 @@
 	owner.pollPending = false
 	if event.Error != "" {
 		owner.nextPoll = min(owner.nextPoll, now+owner.bounds.PlatformPoll())
-		owner.emit(contract.Count{Name: "listings_broken", By: 1})
+		owner.emit(contract.AddCounter{Name: "listings_broken", Delta: 1})
 		return
 	}
 	if owner.hasListing && event.Began < owner.listedAt {
@@ -302,7 +302,7 @@
 			server.incarnation, server.reported, server.ramping, server.failures = row.Incarnation, false, false, 0
 			server.listedSince = now
 		}
-		server.warmUntil = event.Began + time.Duration(row.WarmMs)*time.Millisecond
+		server.warmUntil = event.Began + time.Duration(row.WarmupMs)*time.Millisecond
 		owner.applyPeerRampStart(now, row.Name)
 	}
 	for name := range owner.servers {
@@ -319,7 +319,7 @@
 func (owner *Owner) tickShard(now time.Duration, shard *shardState) {
 	if owner.preferredOwner(shard.index) != owner.self.Name {
 		if shard.isOwner {
-			owner.emit(contract.Say{What: "shard ownership released", Detail: []any{"shard", shard.index}})
+			owner.emit(contract.Log{Message: "shard ownership released", Attributes: []any{"shard", shard.index}})
 		}
 		shard.isOwner, shard.preferredSince = false, -1
 		return
@@ -356,17 +356,17 @@
 
 func (owner *Owner) takeOver(now time.Duration, shard *shardState) {
 	shard.isOwner, shard.takenAt = true, now
-	shard.epoch = contract.Epoch{Number: shard.highestEpoch.Number + 1, Node: owner.self.Name, Life: owner.self.Boot}
+	shard.epoch = contract.Epoch{Number: shard.highestEpoch.Number + 1, Node: owner.self.Name, Incarnation: owner.self.Boot}
 	shard.highestEpoch, shard.listNumber, shard.fingerprint = shard.epoch, 0, ""
 	shard.nodeAcks, shard.callsByNode, shard.lingeringByNode = map[string]retire.Word{}, map[string]map[string]int64{}, map[string]map[string]int64{}
-	shard.tallies, shard.serverHealth = map[string]map[string]contract.Tally{}, map[string]*healthRecord{}
+	shard.tallies, shard.serverHealth = map[string]map[string]contract.CallTally{}, map[string]*healthRecord{}
 	shard.rampShares = map[string]map[string]int64{}
 	shard.retirements, shard.released = map[string]*retire.Retirement{}, map[string]string{}
-	owner.emit(contract.Count{Name: "take_overs", By: 1}, contract.Say{What: "shard ownership acquired", Detail: []any{"shard", shard.index, "epoch", shard.epoch.Number}})
+	owner.emit(contract.AddCounter{Name: "take_overs", Delta: 1}, contract.Log{Message: "shard ownership acquired", Attributes: []any{"shard", shard.index, "epoch", shard.epoch.Number}})
 }
 
-func (owner *Owner) shardServers(shard *shardState) []contract.ServerRow {
-	rows := []contract.ServerRow{}
+func (owner *Owner) shardServers(shard *shardState) []contract.ListedServer {
+	rows := []contract.ListedServer{}
 	for _, row := range owner.listing.Servers {
 		if contract.ShardOf(row.Name, owner.shardCount) == shard.index {
 			rows = append(rows, row)
@@ -379,7 +379,7 @@
 	for _, row := range owner.shardServers(shard) {
 		server := owner.servers[row.Name]
 		_, retiring := shard.retirements[row.Name]
-		if row.Unloaded || row.Unmeasured && !retiring || now < server.nextRead || server.readPending && now < server.nextRead+owner.bounds.Lease() {
+		if row.Unloaded || row.AssumedReady && !retiring || now < server.nextRead || server.readPending && now < server.nextRead+owner.bounds.Lease() {
 			continue
 		}
 		server.readPending, server.nextRead = true, now+owner.bounds.PlatformPoll()
--- a/shard/sight.go
+++ b/shard/sight.go
@@ -15,7 +15,7 @@
 	for _, member := range members {
 		if member.Kind == contract.KindControl && member.Region == region {
 			all = append(all, member.Name)
-			if !member.Blind {
+			if !member.Impaired {
 				seeing = append(seeing, member.Name)
 			}
 		}
@@ -31,7 +31,7 @@
 	if len(all) == 0 {
 		return ""
 	}
-	return contract.Ordered(HashKey(region, index), all)[0]
+	return contract.RendezvousOrder(HashKey(region, index), all)[0]
 }
 
 // standInRegion returns the region whose control nodes serve a region that has none, by rendezvous hashing.
@@ -42,7 +42,7 @@
 			regions = append(regions, member.Region)
 		}
 	}
-	return contract.Ordered("stand-in/"+region, regions)[0]
+	return contract.RendezvousOrder("stand-in/"+region, regions)[0]
 }
 
 // idlePollMultiple is how many times longer the poll interval of a node without shards is, under advisory leases: each poll has its
@@ -75,10 +75,10 @@
 	switch {
 	case !owner.blind && unreadFor > owner.bounds.Lease()+owner.pollInterval()-owner.bounds.PlatformPoll():
 		owner.blind, owner.visibleSince = true, now
-		owner.emit(contract.Count{Name: "blind", By: 1}, contract.Say{What: "the platform cannot be read here"})
-	case owner.blind && owner.listingFresh(now) && now-owner.visibleSince > owner.bounds.Refound():
+		owner.emit(contract.AddCounter{Name: "blind", Delta: 1}, contract.Log{Message: "the platform cannot be read here"})
+	case owner.blind && owner.listingFresh(now) && now-owner.visibleSince > owner.bounds.RecoveryDelay():
 		owner.blind = false
-		owner.emit(contract.Say{What: "the platform can be read here again"})
+		owner.emit(contract.Log{Message: "the platform can be read here again"})
 	}
 }
 
@@ -104,10 +104,10 @@
 
 // ReportReply is what a peer read of a server for an owner that could not; Error is empty if the report was read.
 type ReportReply struct {
-	Server      string          `json:"server"`
-	RequestedAt time.Duration   `json:"asked"`
-	Report      contract.Report `json:"report"`
-	Error       string          `json:"error,omitempty"`
+	Server      string              `json:"server"`
+	RequestedAt time.Duration       `json:"asked"`
+	Report      contract.LoadReport `json:"report"`
+	Error       string              `json:"error,omitempty"`
 }
 
 // requestReportFromPeer asks the region's peers in turn to read a report that this node could not read. It returns false without peers.
@@ -130,7 +130,7 @@
 	known := owner.servers[server]
 	known.failures++
 	owner.nextPeer++
-	owner.emit(contract.Count{Name: "reports_asked_around", By: 1}, contract.Send{To: peers[owner.nextPeer%len(peers)].Address, Kind: MessageReportRequest,
+	owner.emit(contract.AddCounter{Name: "reports_asked_around", Delta: 1}, contract.Send{To: peers[owner.nextPeer%len(peers)].Address, Kind: MessageReportRequest,
 		Body: ReadReport{Server: server, Address: address, ReplyTo: owner.self.Address, RequestedAt: now}})
 	return true
 }
