--- a/fleet/session.go
+++ b/fleet/session.go
@@ -32,7 +32,7 @@
 	session *session
 	command data.Dispatch
 	server  *Server
-	relay   *stream.Relay
+	relay   *stream.Parser
 	pieces  []string
 	closed  bool
 	stuck   bool
@@ -143,7 +143,7 @@
 	if open == nil {
 		return
 	}
-	next := &attempt{session: open, command: command, server: fleet.Server(command.Server.Name), relay: stream.New(command.AttemptID, process.machine.env.Bounds.ReplyBytes)}
+	next := &attempt{session: open, command: command, server: fleet.Server(command.Server.Name), relay: stream.NewParser(command.AttemptID, process.machine.env.Bounds.ReplyBytes)}
 	open.attempts[command.Attempt] = next
 	connected := false
 	process.after(command.Timeout, func() {
--- a/serve/dispatch.go
+++ b/serve/dispatch.go
@@ -140,7 +140,7 @@
 		ended.Error = "the server did not stream"
 		return
 	}
-	relay := stream.New(command.AttemptID, shell.Settings.Bounds.ReplyBytes)
+	relay := stream.NewParser(command.AttemptID, shell.Settings.Bounds.ReplyBytes)
 	buffer := make([]byte, 16<<10)
 	for !relay.Finished() && relay.Err() == nil {
 		count, err := response.Body.Read(buffer)
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -1,4 +1,4 @@
-// Package stream checks a model server's streamed reply and numbers its pieces for the caller.
+// Package stream parses and checks the replies of model servers: streams of completion chunks as server-sent events, and unary replies.
 package stream
 
 import (
@@ -9,26 +9,30 @@
 	"github.com/rotisserie/eris"
 )
 
-const longestLine = 1 << 18
+// maxLineBytes bounds one line of the event stream.
+const maxLineBytes = 1 << 18
 
-// finishes are the reasons that mean a whole reply; an aborted run gives another.
-var finishes = map[string]bool{"stop": true, "length": true, "tool_calls": true, "content_filter": true}
+// completeFinishReasons are the finish reasons of a complete reply; an aborted generation has another one.
+var completeFinishReasons = map[string]bool{"stop": true, "length": true, "tool_calls": true, "content_filter": true}
 
-// Relay takes the server's bytes and gives whole pieces; it is finished only by the server's own finish and terminator.
-type Relay struct {
-	call     string
-	rest     []byte
-	data     []string
-	size     int64
-	most     int64
-	pieces   int64
-	stopped  bool
-	finished bool
-	err      error
+// Parser turns the bytes of one streamed reply into the contents of its chunks. The reply is complete only after a chunk with a finish
+// reason and the final [DONE] event. The first violation of the format ends parsing with an error.
+type Parser struct {
+	callID           string
+	unread           []byte
+	data             []string
+	received         int64
+	limit            int64
+	chunks           int64
+	finishReasonSeen bool
+	finished         bool
+	err              error
 }
 
-func New(call string, most int64) *Relay { return &Relay{call: call, most: most} }
+// NewParser returns a parser for the reply to the call with this ID at the server. limit bounds the reply in bytes.
+func NewParser(callID string, limit int64) *Parser { return &Parser{callID: callID, limit: limit} }
 
+// chunk is one completion chunk. Number, which servers may leave out, counts the chunks of a reply from 0.
 type chunk struct {
 	ID      string `json:"id"`
 	Number  *int64 `json:"number"`
@@ -40,98 +44,101 @@
 	} `json:"choices"`
 }
 
-// Feed gives the pieces that became whole with these bytes.
-func (relay *Relay) Feed(content []byte) []string {
-	pieces := []string{}
-	relay.size += int64(len(content))
-	if relay.size > relay.most {
-		relay.fail("reply is larger than its bound")
-	}
-	relay.rest = append(relay.rest, content...)
-	for relay.err == nil {
-		end := bytes.IndexByte(relay.rest, '\n')
-		if end < 0 {
-			if len(relay.rest) > longestLine {
-				relay.fail("a line is longer than its bound")
+// Feed parses further bytes of the reply and returns the contents of the chunks that they complete. Bytes may be split anywhere.
+func (parser *Parser) Feed(content []byte) []string {
+	chunks := []string{}
+	parser.received += int64(len(content))
+	if parser.received > parser.limit {
+		parser.fail("reply is larger than its bound")
+	}
+	parser.unread = append(parser.unread, content...)
+	for parser.err == nil {
+		lineEnd := bytes.IndexByte(parser.unread, '\n')
+		if lineEnd < 0 {
+			if len(parser.unread) > maxLineBytes {
+				parser.fail("a line is longer than its bound")
 			}
 			break
 		}
-		text := strings.TrimSuffix(string(relay.rest[:end]), "\r")
-		relay.rest = relay.rest[end+1:]
-		if text == "" {
-			pieces = append(pieces, relay.event()...)
-		} else if data, fine := strings.CutPrefix(text, "data:"); fine {
-			relay.data = append(relay.data, strings.TrimPrefix(data, " "))
-		} else if !strings.HasPrefix(text, ":") && !strings.HasPrefix(text, "event:") && !strings.HasPrefix(text, "id:") && !strings.HasPrefix(text, "retry:") {
-			relay.fail("a line is not of an event stream")
+		line := strings.TrimSuffix(string(parser.unread[:lineEnd]), "\r")
+		parser.unread = parser.unread[lineEnd+1:]
+		if line == "" {
+			chunks = append(chunks, parser.event()...)
+		} else if data, ok := strings.CutPrefix(line, "data:"); ok {
+			parser.data = append(parser.data, strings.TrimPrefix(data, " "))
+		} else if !strings.HasPrefix(line, ":") && !strings.HasPrefix(line, "event:") && !strings.HasPrefix(line, "id:") && !strings.HasPrefix(line, "retry:") {
+			parser.fail("a line is not of an event stream")
 		}
 	}
-	return pieces
+	return chunks
 }
 
-func (relay *Relay) event() []string {
-	data := strings.Join(relay.data, "\n")
-	relay.data = nil
+// event handles the event whose data lines have been read, and returns the content of its chunk, if any.
+func (parser *Parser) event() []string {
+	data := strings.Join(parser.data, "\n")
+	parser.data = nil
 	if data == "" {
 		return nil
 	}
-	if relay.finished {
-		relay.fail("data after the end")
+	if parser.finished {
+		parser.fail("data after the end")
 		return nil
 	}
 	if data == "[DONE]" {
-		if !relay.stopped {
-			relay.fail("the end came before the finish")
+		if !parser.finishReasonSeen {
+			parser.fail("the end came before the finish")
 			return nil
 		}
-		relay.finished = true
+		parser.finished = true
 		return nil
 	}
-	var read chunk
-	if json.Unmarshal([]byte(data), &read) != nil || len(read.Choices) != 1 {
-		relay.fail("a piece is not a completion chunk")
+	var received chunk
+	if json.Unmarshal([]byte(data), &received) != nil || len(received.Choices) != 1 {
+		parser.fail("a piece is not a completion chunk")
 		return nil
 	}
-	if read.ID != relay.call {
-		relay.fail("a piece is of another call")
+	if received.ID != parser.callID {
+		parser.fail("a piece is of another call")
 		return nil
 	}
-	if read.Number != nil && *read.Number != relay.pieces {
-		relay.fail("a piece is missing or repeated")
+	if received.Number != nil && *received.Number != parser.chunks {
+		parser.fail("a piece is missing or repeated")
 		return nil
 	}
-	if relay.stopped {
-		relay.fail("a piece after the finish")
+	if parser.finishReasonSeen {
+		parser.fail("a piece after the finish")
 		return nil
 	}
-	if read.Choices[0].FinishReason != nil {
-		if !finishes[*read.Choices[0].FinishReason] {
-			relay.fail("not a whole finish: " + *read.Choices[0].FinishReason)
+	if received.Choices[0].FinishReason != nil {
+		if !completeFinishReasons[*received.Choices[0].FinishReason] {
+			parser.fail("not a whole finish: " + *received.Choices[0].FinishReason)
 			return nil
 		}
-		relay.stopped = true
+		parser.finishReasonSeen = true
 	}
-	relay.pieces++
-	if relay.stopped && read.Choices[0].Delta.Content == "" {
+	parser.chunks++
+	if parser.finishReasonSeen && received.Choices[0].Delta.Content == "" {
 		return nil
 	}
-	return []string{read.Choices[0].Delta.Content}
+	return []string{received.Choices[0].Delta.Content}
 }
 
-func (relay *Relay) fail(text string) {
-	if relay.err == nil {
-		relay.err = eris.New(text)
+// fail records the first error.
+func (parser *Parser) fail(message string) {
+	if parser.err == nil {
+		parser.err = eris.New(message)
 	}
 }
 
-// Finished tells whether the server's whole reply came.
-func (relay *Relay) Finished() bool { return relay.finished && relay.err == nil }
+// Finished reports whether the server's complete reply was parsed without an error.
+func (parser *Parser) Finished() bool { return parser.finished && parser.err == nil }
 
-func (relay *Relay) Err() error { return relay.err }
+// Err returns the error that ended parsing, or nil. A stream that merely ended early has none.
+func (parser *Parser) Err() error { return parser.err }
 
-// Whole gives the pieces of a unary reply if it is the whole answer to this call.
-func CompleteReply(content []byte, call string) ([]string, error) {
-	var read struct {
+// CompleteReply returns the content of a unary reply, as a single chunk, if it is the complete reply to the call with this ID.
+func CompleteReply(content []byte, callID string) ([]string, error) {
+	var received struct {
 		ID      string `json:"id"`
 		Choices []struct {
 			Message struct {
@@ -140,14 +147,14 @@
 			FinishReason string `json:"finish_reason"`
 		} `json:"choices"`
 	}
-	if err := json.Unmarshal(content, &read); err != nil {
+	if err := json.Unmarshal(content, &received); err != nil {
 		return nil, eris.Wrap(err, "reply is not JSON")
 	}
-	if read.ID != call {
+	if received.ID != callID {
 		return nil, eris.New("reply is of another call")
 	}
-	if len(read.Choices) != 1 || read.Choices[0].Message.Content == nil || !finishes[read.Choices[0].FinishReason] {
+	if len(received.Choices) != 1 || received.Choices[0].Message.Content == nil || !completeFinishReasons[received.Choices[0].FinishReason] {
 		return nil, eris.New("reply has no finished choice")
 	}
-	return []string{*read.Choices[0].Message.Content}, nil
+	return []string{*received.Choices[0].Message.Content}, nil
 }
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -14,48 +14,48 @@
 	RunSpecs(t, "stream")
 }
 
-func piece(call string, number int, text string) string {
-	return fmt.Sprintf("data: {\"id\":%q,\"number\":%d,\"choices\":[{\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", call, number, text)
+func chunkEvent(callID string, number int, line string) string {
+	return fmt.Sprintf("data: {\"id\":%q,\"number\":%d,\"choices\":[{\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", callID, number, line)
 }
 
-func finish(reason string) string {
+func finishEvent(reason string) string {
 	return fmt.Sprintf("data: {\"id\":\"c\",\"choices\":[{\"delta\":{},\"finish_reason\":%q}]}\n\n", reason)
 }
 
-const end = "data: [DONE]\n\n"
+const doneEvent = "data: [DONE]\n\n"
 
 var _ = It("gives whole pieces however the bytes are cut, and is finished only by finish and end", func() {
-	whole := piece("c", 0, "one") + ": a comment\n" + piece("c", 1, "two") + finish("stop") + end
+	whole := chunkEvent("c", 0, "one") + ": a comment\n" + chunkEvent("c", 1, "two") + finishEvent("stop") + doneEvent
 	for size := 1; size < len(whole); size += 7 {
-		relay, pieces := New("c", 1<<20), []string{}
-		for begin := 0; begin < len(whole); begin += size {
-			if begin+size < len(whole) {
-				Expect(relay.Finished()).To(BeFalse())
+		parser, chunks := NewParser("c", 1<<20), []string{}
+		for start := 0; start < len(whole); start += size {
+			if start+size < len(whole) {
+				Expect(parser.Finished()).To(BeFalse())
 			}
-			pieces = append(pieces, relay.Feed([]byte(whole[begin:min(begin+size, len(whole))]))...)
+			chunks = append(chunks, parser.Feed([]byte(whole[start:min(start+size, len(whole))]))...)
 		}
-		Expect(pieces).To(Equal([]string{"one", "two"}))
-		Expect(relay.Finished()).To(BeTrue())
+		Expect(chunks).To(Equal([]string{"one", "two"}))
+		Expect(parser.Finished()).To(BeTrue())
 	}
 })
 
 var _ = DescribeTable("is never finished by what is not the whole reply", func(content string) {
-	relay := New("c", 1<<12)
-	relay.Feed([]byte(content))
-	Expect(relay.Finished()).To(BeFalse())
+	parser := NewParser("c", 1<<12)
+	parser.Feed([]byte(content))
+	Expect(parser.Finished()).To(BeFalse())
 },
-	Entry("no finish", piece("c", 0, "a")+end),
-	Entry("no end", piece("c", 0, "a")+finish("stop")),
-	Entry("an aborted run", piece("c", 0, "a")+finish("abort")+end),
-	Entry("an empty finish", piece("c", 0, "a")+finish("")+end),
-	Entry("a piece skipped", piece("c", 0, "a")+piece("c", 2, "b")+finish("stop")+end),
-	Entry("a piece repeated", piece("c", 0, "a")+piece("c", 0, "a")+finish("stop")+end),
-	Entry("another call's piece", piece("c", 0, "a")+piece("d", 1, "b")+finish("stop")+end),
-	Entry("a piece after the finish", piece("c", 0, "a")+finish("stop")+piece("c", 1, "b")+end),
-	Entry("data after the end", piece("c", 0, "a")+finish("stop")+end+piece("c", 1, "b")),
+	Entry("no finish", chunkEvent("c", 0, "a")+doneEvent),
+	Entry("no end", chunkEvent("c", 0, "a")+finishEvent("stop")),
+	Entry("an aborted run", chunkEvent("c", 0, "a")+finishEvent("abort")+doneEvent),
+	Entry("an empty finish", chunkEvent("c", 0, "a")+finishEvent("")+doneEvent),
+	Entry("a piece skipped", chunkEvent("c", 0, "a")+chunkEvent("c", 2, "b")+finishEvent("stop")+doneEvent),
+	Entry("a piece repeated", chunkEvent("c", 0, "a")+chunkEvent("c", 0, "a")+finishEvent("stop")+doneEvent),
+	Entry("another call's piece", chunkEvent("c", 0, "a")+chunkEvent("d", 1, "b")+finishEvent("stop")+doneEvent),
+	Entry("a piece after the finish", chunkEvent("c", 0, "a")+finishEvent("stop")+chunkEvent("c", 1, "b")+doneEvent),
+	Entry("data after the end", chunkEvent("c", 0, "a")+finishEvent("stop")+doneEvent+chunkEvent("c", 1, "b")),
 	Entry("no event stream", "<html>\n\n"),
-	Entry("larger than its bound", piece("c", 0, strings.Repeat("a", 1<<13))+finish("stop")+end),
-	Entry("half a terminator", piece("c", 0, "a")+finish("stop")+"data: [DO"),
+	Entry("larger than its bound", chunkEvent("c", 0, strings.Repeat("a", 1<<13))+finishEvent("stop")+doneEvent),
+	Entry("half a terminator", chunkEvent("c", 0, "a")+finishEvent("stop")+"data: [DO"),
 )
 
 var _ = DescribeTable("a unary reply that is not whole is no reply", func(content string) {
@@ -71,19 +71,19 @@
 )
 
 func FuzzRelay(f *testing.F) {
-	f.Add([]byte(piece("c", 0, "a")+finish("stop")+end), 3)
-	f.Add([]byte(finish("stop")+end+end), 1)
+	f.Add([]byte(chunkEvent("c", 0, "a")+finishEvent("stop")+doneEvent), 3)
+	f.Add([]byte(finishEvent("stop")+doneEvent+doneEvent), 1)
 	f.Add([]byte("data:\n\ndata: {}\n\n"), 2)
 	f.Fuzz(func(t *testing.T, content []byte, size int) {
 		if size < 1 || size > 1<<16 {
 			return
 		}
-		once, cut := New("c", 1<<16), New("c", 1<<16)
-		pieces, parts := once.Feed(content), []string{}
-		for begin := 0; begin < len(content); begin += size {
-			parts = append(parts, cut.Feed(content[begin:min(begin+size, len(content))])...)
+		once, cut := NewParser("c", 1<<16), NewParser("c", 1<<16)
+		chunks, parts := once.Feed(content), []string{}
+		for start := 0; start < len(content); start += size {
+			parts = append(parts, cut.Feed(content[start:min(start+size, len(content))])...)
 		}
-		if strings.Join(pieces, "\x00") != strings.Join(parts, "\x00") && once.Err() == nil {
+		if strings.Join(chunks, "\x00") != strings.Join(parts, "\x00") && once.Err() == nil {
 			t.Fatal("pieces depend on how the bytes are cut")
 		}
 		if once.Finished() != cut.Finished() {
