--- a/serve/exchange.go
+++ b/serve/exchange.go
@@ -118,7 +118,7 @@
 		_ = conn.Close()
 		return
 	}
-	one.shell.pool.Keep(dispatch.Server.Address, conn, keepAlive(response.Header))
+	one.shell.pool.Put(dispatch.Server.Address, conn, keepAlive(response.Header))
 }
 
 func keepAlive(header http.Header) time.Duration {
--- a/serve/gateway.go
+++ b/serve/gateway.go
@@ -168,7 +168,7 @@
 		case <-shell.stop:
 			return
 		case <-ticker.C:
-			shell.pool.Sweep()
+			shell.pool.CloseExpired()
 		}
 	}
 }
@@ -305,7 +305,7 @@
 }
 
 func (shell *gatewayShell) dial(ctx context.Context, dispatch gateway.Dispatch) (*upstream.Conn, error) {
-	if conn := shell.pool.Take(dispatch.Server.Address, dispatch.Idle); conn != nil {
+	if conn := shell.pool.Get(dispatch.Server.Address, dispatch.Idle); conn != nil {
 		return conn, nil
 	}
 	return shell.pool.Dial(ctx, dispatch.Server.Address, min(dispatch.Connect, dispatch.Left))
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,4 +1,5 @@
-// Package upstream keeps connections to servers: one call at a time on each, given up whenever anything is unclear.
+// Package upstream pools connections to model servers. A connection carries one call at a time and is closed if its state is in any
+// doubt, so that a call can never receive another call's answer.
 package upstream
 
 import (
@@ -11,41 +12,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is one connection to a server.
+// Conn is one connection to a server. Answers are read through Reader. Fresh is set on a connection that has carried no call yet.
 type Conn struct {
 	net.Conn
-	Reader *bufio.Reader
-	Fresh  bool
-	used   time.Time
-	life   time.Duration
+	Reader    *bufio.Reader
+	Fresh     bool
+	idleSince time.Time
+	maxIdle   time.Duration
 }
 
-// Pool holds connections that wait for their next call, newest first.
+// Pool holds idle connections by the address of their server. It is safe for concurrent use.
 type Pool struct {
-	lock sync.Mutex
-	idle map[string][]*Conn
-	most int
-	life time.Duration
+	lock         sync.Mutex
+	idle         map[string][]*Conn
+	maxPerServer int
+	maxIdle      time.Duration
 }
 
-// NewPool keeps at most so many idle connections a server, each for at most life.
-func NewPool(most int, life time.Duration) *Pool {
-	return &Pool{idle: map[string][]*Conn{}, most: most, life: life}
+// NewPool returns a pool that keeps at most maxPerServer idle connections to each server, each for at most maxIdle.
+func NewPool(maxPerServer int, maxIdle time.Duration) *Pool {
+	return &Pool{idle: map[string][]*Conn{}, maxPerServer: maxPerServer, maxIdle: maxIdle}
 }
 
-// Take gives a kept connection that has not been idle for longer than idle and on which nothing has come, or nothing.
-func (pool *Pool) Take(address string, idle time.Duration) *Conn {
+// Get returns the most recently used connection that has been idle for at most idle and on which no bytes arrived, or nil. It closes
+// those that it passes over.
+func (pool *Pool) Get(address string, idle time.Duration) *Conn {
 	for {
 		pool.lock.Lock()
-		kept := pool.idle[address]
-		if len(kept) == 0 {
+		conns := pool.idle[address]
+		if len(conns) == 0 {
 			pool.lock.Unlock()
 			return nil
 		}
-		conn := kept[len(kept)-1]
-		pool.idle[address] = kept[:len(kept)-1]
+		conn := conns[len(conns)-1]
+		pool.idle[address] = conns[:len(conns)-1]
 		pool.lock.Unlock()
-		if rest := time.Since(conn.used); rest > min(idle, conn.life) || !conn.quiet() {
+		if idleFor := time.Since(conn.idleSince); idleFor > min(idle, conn.maxIdle) || !conn.usable() {
 			_ = conn.Close()
 			continue
 		}
@@ -54,82 +56,83 @@
 	}
 }
 
-// Dial opens a new connection.
+// Dial opens a new connection, which does not belong to the pool until Put. limit bounds the time to connect.
 func (pool *Pool) Dial(ctx context.Context, address string, limit time.Duration) (*Conn, error) {
 	dialer := net.Dialer{Timeout: limit, KeepAlive: -1}
-	opened, failure := dialer.DialContext(ctx, "tcp", address)
-	if failure != nil {
-		return nil, failure
+	opened, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
 	}
 	return &Conn{Conn: opened, Reader: bufio.NewReader(opened), Fresh: true}, nil
 }
 
-// Keep takes a connection back after a whole answer; told is how long the server said that it keeps it, or nothing.
-func (pool *Pool) Keep(address string, conn *Conn, told time.Duration) {
-	conn.used, conn.life = time.Now(), pool.life
-	if told > 0 {
-		conn.life = min(conn.life, told/2)
+// Put returns a connection to the pool after a complete answer, or closes it if the pool is full or unread bytes remain. keepAlive is
+// how long the server announced that it keeps the connection, or 0; half of it is used, as a margin.
+func (pool *Pool) Put(address string, conn *Conn, keepAlive time.Duration) {
+	conn.idleSince, conn.maxIdle = time.Now(), pool.maxIdle
+	if keepAlive > 0 {
+		conn.maxIdle = min(conn.maxIdle, keepAlive/2)
 	}
 	_ = conn.SetDeadline(time.Time{})
 	pool.lock.Lock()
 	defer pool.lock.Unlock()
-	kept := pool.idle[address]
-	if len(kept) >= pool.most || conn.Reader.Buffered() > 0 {
+	conns := pool.idle[address]
+	if len(conns) >= pool.maxPerServer || conn.Reader.Buffered() > 0 {
 		_ = conn.Close()
 		return
 	}
-	pool.idle[address] = append(kept, conn)
+	pool.idle[address] = append(conns, conn)
 }
 
-// Sweep closes what has been idle for too long.
-func (pool *Pool) Sweep() {
+// CloseExpired closes connections that have been idle for too long.
+func (pool *Pool) CloseExpired() {
 	pool.lock.Lock()
 	defer pool.lock.Unlock()
-	for address, kept := range pool.idle {
-		left := kept[:0]
-		for _, conn := range kept {
-			if time.Since(conn.used) > conn.life {
+	for address, conns := range pool.idle {
+		remaining := conns[:0]
+		for _, conn := range conns {
+			if time.Since(conn.idleSince) > conn.maxIdle {
 				_ = conn.Close()
 				continue
 			}
-			left = append(left, conn)
+			remaining = append(remaining, conn)
 		}
-		pool.idle[address] = left
-		if len(left) == 0 {
+		pool.idle[address] = remaining
+		if len(remaining) == 0 {
 			delete(pool.idle, address)
 		}
 	}
 }
 
-// Idle counts the connections that wait.
+// Idle returns the number of idle connections.
 func (pool *Pool) Idle() int {
 	pool.lock.Lock()
 	defer pool.lock.Unlock()
 	count := 0
-	for _, kept := range pool.idle {
-		count += len(kept)
+	for _, conns := range pool.idle {
+		count += len(conns)
 	}
 	return count
 }
 
-// quiet tells whether the connection stands and nothing has come on it: bytes that no call waits for belong to none.
-func (conn *Conn) quiet() bool {
+// usable reports whether the connection is open and no bytes arrived on it while it was idle. Such bytes belong to no call.
+func (conn *Conn) usable() bool {
 	if conn.Reader.Buffered() > 0 {
 		return false
 	}
-	plain, fine := conn.Conn.(*net.TCPConn)
-	if !fine {
+	tcpConn, ok := conn.Conn.(*net.TCPConn)
+	if !ok {
 		return false
 	}
-	raw, failure := plain.SyscallConn()
-	if failure != nil {
+	raw, err := tcpConn.SyscallConn()
+	if err != nil {
 		return false
 	}
-	quiet, peeked := false, make([]byte, 1)
-	failure = raw.Read(func(descriptor uintptr) bool {
-		_, _, trouble := unix.Recvfrom(int(descriptor), peeked, unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = trouble == unix.EAGAIN || trouble == unix.EWOULDBLOCK
+	usable, peeked := false, make([]byte, 1)
+	err = raw.Read(func(descriptor uintptr) bool {
+		_, _, recvErr := unix.Recvfrom(int(descriptor), peeked, unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		usable = recvErr == unix.EAGAIN || recvErr == unix.EWOULDBLOCK
 		return true
 	})
-	return failure == nil && quiet
+	return err == nil && usable
 }
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -15,117 +15,117 @@
 	RunSpecs(t, "upstream")
 }
 
-// server takes connections and hands over its own ends of them.
-func server() (string, chan net.Conn) {
+// startServer listens on a local port and sends the server's end of each accepted connection on the channel.
+func startServer() (string, chan net.Conn) {
 	GinkgoHelper()
-	listener, failure := net.Listen("tcp", "127.0.0.1:0")
-	Expect(failure).NotTo(HaveOccurred())
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(listener.Close)
-	taken := make(chan net.Conn, 16)
+	accepted := make(chan net.Conn, 16)
 	go func() {
 		for {
-			conn, failure := listener.Accept()
-			if failure != nil {
+			conn, err := listener.Accept()
+			if err != nil {
 				return
 			}
-			taken <- conn
+			accepted <- conn
 		}
 	}()
-	return listener.Addr().String(), taken
+	return listener.Addr().String(), accepted
 }
 
 var _ = Describe("the pool of connections to servers", func() {
 	dialled := func(pool *Pool, address string) *Conn {
 		GinkgoHelper()
-		conn, failure := pool.Dial(context.Background(), address, time.Second)
-		Expect(failure).NotTo(HaveOccurred())
+		conn, err := pool.Dial(context.Background(), address, time.Second)
+		Expect(err).NotTo(HaveOccurred())
 		Expect(conn.Fresh).To(BeTrue())
 		return conn
 	}
 
 	It("given nothing was kept, when a connection is wanted, then there is none", func() {
-		Expect(NewPool(4, time.Minute).Take("127.0.0.1:1", time.Minute)).To(BeNil())
+		Expect(NewPool(4, time.Minute).Get("127.0.0.1:1", time.Minute)).To(BeNil())
 	})
 
 	It("given kept connections, when they are taken, then the newest comes first, each once, and only for its own address", func() {
 		pool := NewPool(4, time.Minute)
-		address, _ := server()
+		address, _ := startServer()
 		first, second := dialled(pool, address), dialled(pool, address)
-		pool.Keep(address, first, 0)
-		pool.Keep(address, second, 0)
+		pool.Put(address, first, 0)
+		pool.Put(address, second, 0)
 		Expect(pool.Idle()).To(Equal(2))
-		Expect(pool.Take("127.0.0.1:1", time.Minute)).To(BeNil())
-		Expect(pool.Take(address, time.Minute)).To(BeIdenticalTo(second))
+		Expect(pool.Get("127.0.0.1:1", time.Minute)).To(BeNil())
+		Expect(pool.Get(address, time.Minute)).To(BeIdenticalTo(second))
 		Expect(second.Fresh).To(BeFalse())
-		Expect(pool.Take(address, time.Minute)).To(BeIdenticalTo(first))
-		Expect(pool.Take(address, time.Minute)).To(BeNil())
+		Expect(pool.Get(address, time.Minute)).To(BeIdenticalTo(first))
+		Expect(pool.Get(address, time.Minute)).To(BeNil())
 	})
 
 	It("given a connection on which bytes came while it waited, when one is wanted, then it is closed and not given", func() {
 		pool := NewPool(4, time.Minute)
-		address, taken := server()
-		pool.Keep(address, dialled(pool, address), 0)
-		there := <-taken
-		_, failure := there.Write([]byte("x"))
-		Expect(failure).NotTo(HaveOccurred())
-		Expect(pool.Take(address, time.Minute)).To(BeNil())
-		_, failure = there.Read(make([]byte, 1))
-		Expect(failure).To(HaveOccurred())
+		address, accepted := startServer()
+		pool.Put(address, dialled(pool, address), 0)
+		serverSide := <-accepted
+		_, err := serverSide.Write([]byte("x"))
+		Expect(err).NotTo(HaveOccurred())
+		Expect(pool.Get(address, time.Minute)).To(BeNil())
+		_, err = serverSide.Read(make([]byte, 1))
+		Expect(err).To(HaveOccurred())
 	})
 
 	It("given a connection that the server closed, when one is wanted, then it is not given", func() {
 		pool := NewPool(4, time.Minute)
-		address, taken := server()
-		pool.Keep(address, dialled(pool, address), 0)
-		Expect((<-taken).Close()).To(Succeed())
-		Expect(pool.Take(address, time.Minute)).To(BeNil())
+		address, accepted := startServer()
+		pool.Put(address, dialled(pool, address), 0)
+		Expect((<-accepted).Close()).To(Succeed())
+		Expect(pool.Get(address, time.Minute)).To(BeNil())
 	})
 
 	It("given a connection with unread bytes, when it is given back, then it is closed", func() {
 		pool := NewPool(4, time.Minute)
-		address, taken := server()
+		address, accepted := startServer()
 		conn := dialled(pool, address)
-		_, failure := (<-taken).Write([]byte("xyz"))
-		Expect(failure).NotTo(HaveOccurred())
-		_, failure = conn.Reader.ReadByte()
-		Expect(failure).NotTo(HaveOccurred())
-		pool.Keep(address, conn, 0)
+		_, err := (<-accepted).Write([]byte("xyz"))
+		Expect(err).NotTo(HaveOccurred())
+		_, err = conn.Reader.ReadByte()
+		Expect(err).NotTo(HaveOccurred())
+		pool.Put(address, conn, 0)
 		Expect(pool.Idle()).To(BeZero())
 	})
 
 	It("given a bound of connections, when more are given back, then the others are closed", func() {
 		pool := NewPool(2, time.Minute)
-		address, _ := server()
+		address, _ := startServer()
 		for range 5 {
-			pool.Keep(address, dialled(pool, address), 0)
+			pool.Put(address, dialled(pool, address), 0)
 		}
 		Expect(pool.Idle()).To(Equal(2))
 	})
 
 	It("given connections that have been idle for too long, when one is wanted or they are swept, then they are closed", func() {
 		pool := NewPool(4, time.Minute)
-		address, _ := server()
+		address, _ := startServer()
 		conn := dialled(pool, address)
-		pool.Keep(address, conn, 0)
-		conn.used = time.Now().Add(-10 * time.Second)
-		Expect(pool.Take(address, 5*time.Second)).To(BeNil(), "a call may want a fresher one")
+		pool.Put(address, conn, 0)
+		conn.idleSince = time.Now().Add(-10 * time.Second)
+		Expect(pool.Get(address, 5*time.Second)).To(BeNil(), "a call may want a fresher one")
 
 		conn = dialled(pool, address)
-		pool.Keep(address, conn, 4*time.Second)
-		conn.used = time.Now().Add(-3 * time.Second)
-		Expect(pool.Take(address, time.Minute)).To(BeNil(), "the server keeps it for four seconds")
+		pool.Put(address, conn, 4*time.Second)
+		conn.idleSince = time.Now().Add(-3 * time.Second)
+		Expect(pool.Get(address, time.Minute)).To(BeNil(), "the server keeps it for four seconds")
 
 		stale, kept := dialled(pool, address), dialled(pool, address)
-		pool.Keep(address, stale, 0)
-		pool.Keep(address, kept, 0)
-		stale.used = time.Now().Add(-2 * time.Minute)
-		pool.Sweep()
+		pool.Put(address, stale, 0)
+		pool.Put(address, kept, 0)
+		stale.idleSince = time.Now().Add(-2 * time.Minute)
+		pool.CloseExpired()
 		Expect(pool.Idle()).To(Equal(1))
-		Expect(pool.Take(address, time.Minute)).To(BeIdenticalTo(kept))
+		Expect(pool.Get(address, time.Minute)).To(BeIdenticalTo(kept))
 	})
 
 	It("given a dead port, when it is dialled, then it fails at once", func() {
-		_, failure := NewPool(4, time.Minute).Dial(context.Background(), "127.0.0.1:1", time.Second)
-		Expect(failure).To(HaveOccurred())
+		_, err := NewPool(4, time.Minute).Dial(context.Background(), "127.0.0.1:1", time.Second)
+		Expect(err).To(HaveOccurred())
 	})
 })
