--- a/machine/machine.go
+++ b/machine/machine.go
@@ -81,11 +81,11 @@
 	case isMessage && message.Kind == relay.MessageForward:
 		return relay.Forward(node.Self(), message, func(address string) bool { return node.isMember(now, address) })
 	case isMessage && message.Kind == relay.MessageDeliver:
-		inner, envelope, valid := relay.Open(message)
+		inner, envelope, valid := relay.Unwrap(message)
 		if !valid {
 			return []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 		}
-		return relay.Back(node.Self(), envelope, handle(now, inner))
+		return relay.RouteReplies(node.Self(), envelope, handle(now, inner))
 	}
 	return handle(now, event)
 }
@@ -110,7 +110,7 @@
 	}
 	commands := []contract.Command{contract.AddCounter{Name: "relays_asked", Delta: int64(len(routes))}}
 	for _, route := range routes {
-		commands = append(commands, relay.By(route, node.Self(), send)...)
+		commands = append(commands, relay.Wrap(route, node.Self(), send)...)
 	}
 	return commands
 }
--- a/machine/relays_test.go
+++ b/machine/relays_test.go
@@ -71,7 +71,7 @@
 			asked := []string{}
 			for _, command := range node.SendByRelay(time.Second, target, contract.Send{To: "owner-control", Kind: "question", Body: 1}, "", failures) {
 				if send, isSend := command.(contract.Send); isSend {
-					asked = append(asked, relay.Route(append([]string{send.To}, send.Body.(relay.Envelope).Ahead...)...))
+					asked = append(asked, relay.Route(append([]string{send.To}, send.Body.(relay.Envelope).RemainingRelays...)...))
 				}
 			}
 			return asked
@@ -82,7 +82,7 @@
 
 	It("given an envelope, when it arrives, then its message is handled as coming from its sender, and one for an unknown target is refused", func() {
 		node := nodeWithMembers([2]string{"asker-data", "b"}, [2]string{"middle-data", "b"})
-		envelope := relay.Envelope{To: "self-data", Passed: []string{"middle-data"}, From: "asker-data", Address: "asker-data", Kind: "question", Body: json.RawMessage("1")}
+		envelope := relay.Envelope{To: "self-data", PassedRelays: []string{"middle-data"}, From: "asker-data", Address: "asker-data", Kind: "question", Body: json.RawMessage("1")}
 		body, failure := json.Marshal(envelope)
 		Expect(failure).NotTo(HaveOccurred())
 		handled := []contract.Event{}
