--- a/chain/persist.go
+++ b/chain/persist.go
@@ -190,7 +190,7 @@
 }
 
 func (owner *Replica) watchDisk(now time.Duration) {
-	if owner.writing != nil && now-owner.writingSince > owner.bounds.Commit()/2 {
+	if owner.writing != nil && now-owner.writingSince > owner.bounds.CommitTimeout()/2 {
 		owner.setDiskHealth(false, "write stalled")
 	}
 	if !owner.diskHealthy && owner.writing == nil && now-owner.writingSince > owner.bounds.Round() {
--- a/control/write.go
+++ b/control/write.go
@@ -38,7 +38,7 @@
 	case contract.VerbScale:
 		return map[string]any{"pools": map[string]any{ask.Subject: map[string]any{"scale": json.Number(strings.TrimSpace(string(ask.Body)))}}}, nil
 	}
-	return manifest.Tree(ask.Body)
+	return manifest.ParseObject(ask.Body)
 }
 
 func (owner *Owner) refuse(ask contract.OperatorRequest, status int, err string) []contract.Command {
@@ -135,7 +135,7 @@
 	case ask.Verb == contract.VerbReplace || ask.Verb == contract.VerbUpdate:
 		return manifest.GatewayChange(latest.Document(), patch, ask.Verb == contract.VerbReplace || !latest.there())
 	case ask.Verb == contract.VerbPut || !latest.there():
-		whole, err := document.FromTree(patch)
+		whole, err := document.FromObject(patch)
 		if err != nil {
 			return document.Change{}, err
 		}
@@ -170,10 +170,10 @@
 	fits := func(member contract.Member) bool {
 		return member.Kind == contract.KindControl && (member.Region == reach.region || owner.wide)
 	}
-	return owner.gather(now, fits, shard.MessageWithdraw, func(token int64) any {
-		return shard.Withdraw{Zone: zone, Region: reach.region, Token: token, Address: owner.Self().Address}
+	return owner.gather(now, fits, shard.MessageZoneWithdraw, func(token int64) any {
+		return shard.ZoneWithdraw{Zone: zone, Region: reach.region, Token: token, Address: owner.Self().Address}
 	}, func(body json.RawMessage) bool {
-		var answer shard.Withdrawn
+		var answer shard.ZoneWithdrawn
 		if json.Unmarshal(body, &answer) == nil {
 			for _, index := range answer.Shards {
 				covered[index] = true
@@ -246,7 +246,7 @@
 func (owner *Owner) outcome(now time.Duration, pending *write) (int, contract.WriteResult) {
 	accepted := contract.WriteResult{Revision: pending.revision, Operation: pending.ask.Operation, View: owner.Feed.View().Number}
 	if !pending.committed {
-		if now-pending.began <= owner.Bounds.Commit() && !owner.chain.MajorityUnreachable(now) {
+		if now-pending.began <= owner.Bounds.CommitTimeout() && !owner.chain.MajorityUnreachable(now) {
 			return 0, accepted
 		}
 		accepted.Outcome, accepted.Error = "unknown", "not yet acknowledged by the whole chain; ask by the operation key"
--- a/data/find.go
+++ b/data/find.go
@@ -30,7 +30,7 @@
 func (owner *Owner) searchRecord(now time.Duration, scopedKey string, age time.Duration, complete func(time.Duration, *call.Record, bool)) {
 	owner.token++
 	voters := owner.votersFor(scopedKey)
-	search := &recordSearch{token: owner.token, scopedKey: scopedKey, until: now + owner.Bounds.Keep(), voters: voters, complete: complete,
+	search := &recordSearch{token: owner.token, scopedKey: scopedKey, until: now + owner.Bounds.ReplicationTimeout(), voters: voters, complete: complete,
 		waiting: mapset.NewThreadUnsafeSet[string](), confirmed: mapset.NewThreadUnsafeSet[string](), witness: mapset.NewThreadUnsafeSet[string]()}
 	owner.searches[owner.token] = search
 	ask := Find{Token: owner.token, ScopedKey: scopedKey, Age: age, Address: owner.Self().Address}
--- a/data/job.go
+++ b/data/job.go
@@ -183,7 +183,7 @@
 // enqueue puts a claimed call into its route's queue, or refuses it at once if it can't be expected to be served before its deadline.
 func (owner *Owner) enqueue(now time.Duration, job *job) {
 	wait := owner.queues.Wait(job.call.Route, owner.queues.Ahead(job.call.Route, job.call.Caller), owner.runningCalls(job.call.Route))
-	joined, displaced := owner.queues.Join(job.call.Route, job.call.Caller, job.token, job.route.Line)
+	joined, displaced := owner.queues.Join(job.call.Route, job.call.Caller, job.token, job.route.QueueLimit)
 	if other, exists := owner.jobs[displaced]; exists {
 		owner.count("calls_displaced")
 		owner.refuse(now, other, 429, "the line is full, and most of it is of this caller", owner.jitter(max(wait/2, owner.Bounds.Round())))
@@ -291,7 +291,7 @@
 	for _, token := range owner.tokens() {
 		job := owner.jobs[token]
 		switch {
-		case job.phase == phaseClaiming && now-job.claimedAt > owner.Bounds.Keep():
+		case job.phase == phaseClaiming && now-job.claimedAt > owner.Bounds.ReplicationTimeout():
 			owner.refuse(now, job, 503, "too few keepers answered; the call did not run", owner.jitter(owner.Bounds.Round()))
 		case job.phase == phaseClaiming && job.contested:
 			owner.claimAgain(job)
@@ -310,7 +310,7 @@
 
 // hedge sends a slow lookup to a second server as well, if the retry budget allows it.
 func (owner *Owner) hedge(now time.Duration, job *job) {
-	hedgeDelay := max(owner.queues.Service(job.call.Route)*hedgeFactor, owner.Bounds.Ask())
+	hedgeDelay := max(owner.queues.Service(job.call.Route)*hedgeFactor, owner.Bounds.LeaseRenewal())
 	first, exists := job.attempts[job.attemptCount]
 	if !exists || now-first.startedAt < hedgeDelay || job.attemptCount >= maxAttempts {
 		return
--- a/data/leases.go
+++ b/data/leases.go
@@ -28,7 +28,7 @@
 	if now < owner.nextLeaseRequest || !owner.Feed.Known() {
 		return
 	}
-	owner.nextLeaseRequest = now + owner.Bounds.Ask()
+	owner.nextLeaseRequest = now + owner.Bounds.LeaseRenewal()
 	region := owner.Self().Region
 	members, shards := owner.Neighbours.Members(now), owner.shards()
 	for index := 0; index < shards; index++ {
@@ -38,14 +38,14 @@
 			owner.shardLeases[index] = current
 		}
 		targets := map[string]bool{current.hint: true, current.lease.Epoch.Node: true}
-		first := shard.First(members, region, index)
+		first := shard.PreferredOwner(members, region, index)
 		targets[first] = true
 		request := contract.LeaseRequest{Node: owner.Self().Name, Address: owner.Self().Address, Region: region, Shard: index,
 			SentAt: now, HighestEpoch: current.highest, Number: current.lease.Number, ShardCount: shards}
 		request.Calls, request.Abandoned = owner.callsOnShard(index)
 		for _, name := range manifest.SortedKeys(targets) {
 			if member, exists := owner.Neighbours.Look(name); exists && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
-				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageAsk, Body: request})
+				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageLeaseRequest, Body: request})
 			}
 		}
 		owner.requestByRelay(now, current, first, request)
@@ -61,7 +61,7 @@
 		return
 	}
 	if route, tried, needed := current.detour.Next(silent); needed {
-		owner.emit(owner.SendByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageAsk, Body: request}, route, tried)...)
+		owner.emit(owner.SendByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageLeaseRequest, Body: request}, route, tried)...)
 	}
 }
 
