--- a/chain/bytes_test.go
+++ b/chain/bytes_test.go
@@ -12,9 +12,9 @@
 func many(parts int) document.Change {
 	change := document.Change{}
 	for part := range parts {
-		change.Put(fmt.Sprintf("/items/i%05d", part), fmt.Sprintf("%q", fmt.Sprintf("%0500d", part)))
+		change.SetPart(fmt.Sprintf("/items/i%05d", part), fmt.Sprintf("%q", fmt.Sprintf("%0500d", part)))
 	}
-	change.Put("/items", "{}")
+	change.SetPart("/items", "{}")
 	return change
 }
 
--- a/chain/past_test.go
+++ b/chain/past_test.go
@@ -118,7 +118,7 @@
 // item gives a change that sets one part.
 func item(content string) document.Change {
 	change := document.Change{}
-	change.Put("/item", content)
+	change.SetPart("/item", content)
 	return change
 }
 
--- a/contract/stream.go
+++ b/contract/stream.go
@@ -41,14 +41,14 @@
 
 func readRecord(decoder *jsontext.Decoder) (Record, error) {
 	record := Record{}
-	failure := document.ReadMembers(decoder, func(name string) error {
+	failure := document.DecodeMembers(decoder, func(name string) error {
 		switch name {
 		case "change":
-			change, failure := document.ReadChange(decoder)
+			change, failure := document.DecodeChange(decoder)
 			record.Change = &change
 			return failure
 		case "manifest":
-			content, failure := document.Read(decoder)
+			content, failure := document.Decode(decoder)
 			record.content = content
 			return failure
 		}
--- a/contract/version_test.go
+++ b/contract/version_test.go
@@ -23,7 +23,7 @@
 	versions := []Version{FirstVersion(Place{View: 1, Revision: 1}, "o1/f", content)}
 	for number := 1; number < count; number++ {
 		change := document.Change{}
-		change.Put("/items/all/p7", fmt.Sprint("7", number))
+		change.SetPart("/items/all/p7", fmt.Sprint("7", number))
 		last := versions[len(versions)-1]
 		versions = append(versions, last.Next(Place{View: 1, Revision: last.Place.Revision + 1}, fmt.Sprintf("o%d/f", number+1), change))
 	}
--- a/document/change.go
+++ b/document/change.go
@@ -8,16 +8,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// Change makes one document out of another: parts that are removed, then parts that are set, by JSON Pointer.
+// Change is the difference between two documents: parts to remove and parts to set, by JSON Pointer. Removals are applied first.
 type Change struct {
 	Set    map[string]Value `json:"set,omitempty"`
 	Remove []string         `json:"remove,omitempty"`
 }
 
-// Value is the JSON text of a part. A change and the document that it makes share it.
+// Value is the JSON text of a part. A change and the documents that it is applied to share the text in memory.
 type Value string
 
-// MarshalJSON gives the text as it is.
+// MarshalJSON returns the text as it is.
 func (value Value) MarshalJSON() ([]byte, error) { return []byte(value), nil }
 
 // UnmarshalJSON keeps the text as it is.
@@ -26,51 +26,51 @@
 	return nil
 }
 
-// ReadChange reads a change from a stream, without holding its text twice.
-func ReadChange(decoder *jsontext.Decoder) (Change, error) {
+// DecodeChange reads a change from a stream, without a second copy of its text in memory.
+func DecodeChange(decoder *jsontext.Decoder) (Change, error) {
 	change := Change{}
-	failure := ReadMembers(decoder, func(name string) error {
+	err := DecodeMembers(decoder, func(name string) error {
 		switch name {
 		case "set":
-			return ReadMembers(decoder, func(pointer string) error {
-				value, failure := decoder.ReadValue()
-				change.Put(pointer, string(value))
-				return failure
+			return DecodeMembers(decoder, func(pointer string) error {
+				value, err := decoder.ReadValue()
+				change.SetPart(pointer, string(value))
+				return err
 			})
 		case "remove":
-			value, failure := decoder.ReadValue()
-			if failure != nil {
-				return failure
+			value, err := decoder.ReadValue()
+			if err != nil {
+				return err
 			}
 			return json.Unmarshal(value, &change.Remove)
 		}
 		return decoder.SkipValue()
 	})
-	return change, failure
+	return change, err
 }
 
-// ReadMembers reads an object from a stream; read reads the value of each member.
-func ReadMembers(decoder *jsontext.Decoder, read func(name string) error) error {
-	if token, failure := decoder.ReadToken(); failure != nil || token.Kind() != '{' {
-		return eris.Errorf("want an object: %v", failure)
+// DecodeMembers reads an object from a stream. It calls read for each member, which must consume the member's value.
+func DecodeMembers(decoder *jsontext.Decoder, read func(name string) error) error {
+	if token, err := decoder.ReadToken(); err != nil || token.Kind() != '{' {
+		return eris.Errorf("want an object: %v", err)
 	}
 	for decoder.PeekKind() != '}' {
-		token, failure := decoder.ReadToken()
-		if failure != nil {
-			return failure
+		token, err := decoder.ReadToken()
+		if err != nil {
+			return err
 		}
-		if failure = read(token.String()); failure != nil {
-			return failure
+		if err = read(token.String()); err != nil {
+			return err
 		}
 	}
-	_, failure := decoder.ReadToken()
-	return failure
+	_, err := decoder.ReadToken()
+	return err
 }
 
-// Empty tells whether a change changes nothing.
+// Empty reports whether a change has no effect.
 func (change Change) Empty() bool { return len(change.Set) == 0 && len(change.Remove) == 0 }
 
-// Size is the summed length of all that a change names, in bytes.
+// Size returns the length of all pointers and values of a change in bytes.
 func (change Change) Size() int {
 	size := 0
 	for pointer, value := range change.Set {
@@ -82,15 +82,15 @@
 	return size
 }
 
-// Put sets one part.
-func (change *Change) Put(pointer, value string) {
+// SetPart sets one part.
+func (change *Change) SetPart(pointer, value string) {
 	if change.Set == nil {
 		change.Set = map[string]Value{}
 	}
 	change.Set[pointer] = Value(value)
 }
 
-// Pointers gives the names of all parts that a change touches, in order.
+// Pointers returns the pointers of all parts that a change touches, in ascending order.
 func (change Change) Pointers() []string {
 	pointers := slices.Clone(change.Remove)
 	for pointer := range change.Set {
@@ -100,24 +100,24 @@
 	return pointers
 }
 
-// Diff gives the change that makes one document out of another. Its cost grows with both documents.
+// Diff returns the change that turns one document into another. Its cost is linear in the size of both.
 func Diff(from, to *Document) Change {
-	return DiffUnder("", from, to)
+	return DiffPrefix("", from, to)
 }
 
-// DiffUnder gives the change that makes those parts of one document whose names begin with a prefix like those of another.
-func DiffUnder(prefix string, from, to *Document) Change {
+// DiffPrefix returns the change that gives the parts of one document whose pointers have a prefix the values they have in another.
+func DiffPrefix(prefix string, from, to *Document) Change {
 	change := Change{}
 	if from == to {
 		return change
 	}
-	to.Under(prefix, func(pointer, value string) bool {
-		if former, there := from.Part(pointer); !there || former != value {
-			change.Put(pointer, value)
+	to.VisitPrefix(prefix, func(pointer, value string) bool {
+		if former, found := from.Part(pointer); !found || former != value {
+			change.SetPart(pointer, value)
 		}
 		return false
 	})
-	from.Under(prefix, func(pointer, _ string) bool {
+	from.VisitPrefix(prefix, func(pointer, _ string) bool {
 		if !to.Has(pointer) {
 			change.Remove = append(change.Remove, pointer)
 		}
@@ -126,7 +126,7 @@
 	return change
 }
 
-// Rebase gives a document that is equal to one and shares with another all that both have in common.
+// Rebase returns a document that is equal to this one and shares its common parts with another one.
 func (document *Document) Rebase(onto *Document) *Document {
 	return onto.Apply(Diff(onto, document))
 }
--- a/document/document.go
+++ b/document/document.go
@@ -1,9 +1,9 @@
-// Package document holds a configuration as an immutable set of parts. A change makes a new document that shares every other part with
-// the former one, so that a version of a configuration costs what its change costs, in memory and in processor time.
+// Package document stores a configuration as an immutable set of parts. Applying a change makes a new document that shares all other parts
+// with the former one, so that the memory and processor time of a new version depend on the size of the change only.
 //
-// A part is named by a JSON Pointer (RFC 6901). Objects of the upper three levels are containers, whose members are parts of their own;
-// what lies below is one part. So "/gateway/routes/r1" is a part, and so are the containers "/gateway" and "/gateway/routes", whose own
-// value is "{}".
+// A part is identified by a JSON Pointer (RFC 6901). Objects of the upper three levels are containers, whose members are parts of their
+// own; a value below these levels belongs to its part. So "/gateway/routes/r1" is a part, and so are the containers "/gateway" and
+// "/gateway/routes", whose own value is "{}".
 package document
 
 import (
@@ -17,46 +17,46 @@
 )
 
 const (
-	// containerLevels is how many levels of objects, that of the document included, are split into parts.
+	// containerLevels is how many levels of objects are split into parts. The document itself is the first level.
 	containerLevels = 3
-	// container is the own value of a part that holds others.
-	container = "{}"
+	// containerValue is the own value of a part that contains others.
+	containerValue = "{}"
 )
 
-// Document is an immutable configuration. The zero value is not usable; see Empty.
+// Document is an immutable configuration. The zero value is not usable; start from Empty.
 type Document struct {
 	parts  *immutable.SortedMap[string, string]
-	digest sum
+	digest hashSum
 	size   int
 }
 
-var empty = &Document{parts: immutable.NewSortedMap[string, string](nil)}
+var emptyDocument = &Document{parts: immutable.NewSortedMap[string, string](nil)}
 
-// Empty gives a document without parts.
-func Empty() *Document { return empty }
+// Empty returns the document without parts.
+func Empty() *Document { return emptyDocument }
 
-// Len is how many parts there are, containers included.
+// Len returns the number of parts, containers included.
 func (document *Document) Len() int { return document.parts.Len() }
 
-// Size is the summed length of all parts and their names in bytes.
+// Size returns the length of all pointers and values in bytes.
 func (document *Document) Size() int { return document.size }
 
-// Part gives the JSON text of one part.
+// Part returns the JSON text of one part, and whether there is one.
 func (document *Document) Part(pointer string) (string, bool) { return document.parts.Get(pointer) }
 
-// Has tells whether there is a part of this name.
+// Has reports whether there is a part with this pointer.
 func (document *Document) Has(pointer string) bool {
-	_, there := document.Part(pointer)
-	return there
+	_, found := document.Part(pointer)
+	return found
 }
 
-// Under calls visit for each part whose name begins with a prefix, in the order of names, until visit returns true.
-func (document *Document) Under(prefix string, visit func(pointer, value string) bool) {
-	document.from(prefix, func(pointer, value string) bool { return !strings.HasPrefix(pointer, prefix) || visit(pointer, value) })
+// VisitPrefix calls visit for each part whose pointer has a prefix, in ascending order, until visit returns true.
+func (document *Document) VisitPrefix(prefix string, visit func(pointer, value string) bool) {
+	document.visitFrom(prefix, func(pointer, value string) bool { return !strings.HasPrefix(pointer, prefix) || visit(pointer, value) })
 }
 
-// from calls visit for each part from a name on, in the order of names, until visit returns true.
-func (document *Document) from(first string, visit func(pointer, value string) bool) {
+// visitFrom calls visit for each part from a pointer on, in ascending order, until visit returns true.
+func (document *Document) visitFrom(first string, visit func(pointer, value string) bool) {
 	if document.parts.Len() == 0 {
 		return
 	}
@@ -69,30 +69,31 @@
 	}
 }
 
-// Without gives a document without the parts that lie between two names, the first included and the second not. Those between cost nothing.
-func (document *Document) Without(first, after string) *Document {
-	edit := editNew()
-	document.from("", func(pointer, value string) bool {
+// WithoutRange returns a document without the parts from one pointer, inclusive, to another, exclusive. Its cost doesn't depend on the size
+// of the range.
+func (document *Document) WithoutRange(first, after string) *Document {
+	edit := newEditor()
+	document.visitFrom("", func(pointer, value string) bool {
 		if pointer >= first {
 			return true
 		}
 		edit.set(pointer, value)
 		return false
 	})
-	document.from(after, func(pointer, value string) bool {
+	document.visitFrom(after, func(pointer, value string) bool {
 		edit.set(pointer, value)
 		return false
 	})
-	return edit.done()
+	return edit.build()
 }
 
-// Digest tells documents with different parts apart. It is a sum of the parts' hashes, so that a change costs only the hashes of what
-// changed: it guards against damage and mistakes, not against somebody who is free to choose the parts.
+// Digest returns a hexadecimal digest of the parts. It is a sum of the parts' hashes, so that a change costs only the hashes of what changed.
+// It detects damage and mistakes, but does not resist an attacker who can choose the parts.
 func (document *Document) Digest() string {
 	return hex.EncodeToString(document.digest.bytes())
 }
 
-// Apply gives the document that a change makes of this one.
+// Apply returns the document after a change.
 func (document *Document) Apply(change Change) *Document {
 	if change.Empty() {
 		return document
@@ -104,85 +105,88 @@
 	for pointer, value := range change.Set {
 		edit.set(pointer, string(value))
 	}
-	return edit.done()
+	return edit.build()
 }
 
-// editor builds a document out of another one, or a new one in place.
+// editor builds a document, either from an existing one, whose parts it copies on write, or from nothing, in place.
 type editor struct {
 	parts *immutable.SortedMap[string, string]
-	// fresh collects the parts of a document that is built from nothing, which needs no copies.
-	fresh  *immutable.SortedMapBuilder[string, string]
-	digest sum
-	size   int
+	// builder collects the parts of a document that is built from nothing; it is nil otherwise.
+	builder *immutable.SortedMapBuilder[string, string]
+	digest  hashSum
+	size    int
 }
 
+// edit returns an editor that starts with the parts of a document.
 func (document *Document) edit() *editor {
 	return &editor{parts: document.parts, digest: document.digest, size: document.size}
 }
 
-func editNew() *editor {
-	return &editor{fresh: immutable.NewSortedMapBuilder[string, string](nil)}
+// newEditor returns an editor that starts without parts.
+func newEditor() *editor {
+	return &editor{builder: immutable.NewSortedMapBuilder[string, string](nil)}
 }
 
 func (edit *editor) get(pointer string) (string, bool) {
-	if edit.fresh != nil {
-		return edit.fresh.Get(pointer)
+	if edit.builder != nil {
+		return edit.builder.Get(pointer)
 	}
 	return edit.parts.Get(pointer)
 }
 
 func (edit *editor) set(pointer, value string) {
-	if former, there := edit.get(pointer); there {
-		edit.forget(pointer, former)
+	if former, found := edit.get(pointer); found {
+		edit.discount(pointer, former)
 	}
-	if edit.fresh != nil {
-		edit.fresh.Set(pointer, value)
+	if edit.builder != nil {
+		edit.builder.Set(pointer, value)
 	} else {
 		edit.parts = edit.parts.Set(pointer, value)
 	}
-	edit.digest.add(hashOf(pointer, value))
+	edit.digest.add(partHash(pointer, value))
 	edit.size += len(pointer) + len(value)
 }
 
 func (edit *editor) remove(pointer string) {
-	if former, there := edit.get(pointer); there {
-		edit.forget(pointer, former)
+	if former, found := edit.get(pointer); found {
+		edit.discount(pointer, former)
 		edit.parts = edit.parts.Delete(pointer)
 	}
 }
 
-func (edit *editor) forget(pointer, value string) {
-	edit.digest.subtract(hashOf(pointer, value))
+// discount takes a part out of the digest and the size.
+func (edit *editor) discount(pointer, value string) {
+	edit.digest.subtract(partHash(pointer, value))
 	edit.size -= len(pointer) + len(value)
 }
 
-func (edit *editor) done() *Document {
-	if edit.fresh != nil {
-		edit.parts = edit.fresh.Map()
+func (edit *editor) build() *Document {
+	if edit.builder != nil {
+		edit.parts = edit.builder.Map()
 	}
 	return &Document{parts: edit.parts, digest: edit.digest, size: edit.size}
 }
 
-// hashOf gives the hash of one part; a pointer holds no zero byte, so that name and value can't run into each other.
-func hashOf(pointer, value string) sum {
+// partHash returns the hash of one part. Pointer and value are separated by a zero byte, which no pointer contains.
+func partHash(pointer, value string) hashSum {
 	content := make([]byte, 0, len(pointer)+1+len(value))
 	content = append(content, pointer...)
 	content = append(content, 0)
 	content = append(content, value...)
-	return sumOf(sha256.Sum256(content))
+	return newHashSum(sha256.Sum256(content))
 }
 
-// Escape gives a member's name as it stands in a JSON Pointer.
+// Escape returns a member's name in the form that it has in a JSON Pointer.
 func Escape(name string) string {
 	return strings.ReplaceAll(strings.ReplaceAll(name, "~", "~0"), "/", "~1")
 }
 
-// Unescape gives back what Escape was given.
+// Unescape reverses Escape.
 func Unescape(token string) string {
 	return strings.ReplaceAll(strings.ReplaceAll(token, "~1", "/"), "~0", "~")
 }
 
-// Pointer joins names of members to a JSON Pointer.
+// Pointer joins the names of nested members to a JSON Pointer.
 func Pointer(names ...string) string {
 	text := strings.Builder{}
 	for _, name := range names {
@@ -192,30 +196,30 @@
 	return text.String()
 }
 
-// FromTree makes a document of a JSON object as Tree reads it.
+// FromObject makes a document of a JSON object as ParseObject reads it.
 func FromObject(tree map[string]any) (*Document, error) {
-	edit := editNew()
-	if failure := edit.split("", tree, 1); failure != nil {
-		return nil, failure
+	edit := newEditor()
+	if err := edit.split("", tree, 1); err != nil {
+		return nil, err
 	}
-	return edit.done(), nil
+	return edit.build(), nil
 }
 
-// split sets the parts of an object of a level, and those of the objects in it.
-func (edit *editor) split(above string, tree map[string]any, level int) error {
+// split sets the parts of an object at a level, and those of the objects in it.
+func (edit *editor) split(parent string, tree map[string]any, level int) error {
 	for name, value := range tree {
-		pointer := above + "/" + Escape(name)
+		pointer := parent + "/" + Escape(name)
 		object, isObject := value.(map[string]any)
 		if isObject && level < containerLevels {
-			edit.set(pointer, container)
-			if failure := edit.split(pointer, object, level+1); failure != nil {
-				return failure
+			edit.set(pointer, containerValue)
+			if err := edit.split(pointer, object, level+1); err != nil {
+				return err
 			}
 			continue
 		}
-		content, failure := json.Marshal(value)
-		if failure != nil {
-			return eris.Wrapf(failure, "%s cannot be written as JSON", pointer)
+		content, err := json.Marshal(value)
+		if err != nil {
+			return eris.Wrapf(err, "%s cannot be written as JSON", pointer)
 		}
 		edit.set(pointer, string(content))
 	}
--- a/document/merge.go
+++ b/document/merge.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// merge lays a JSON merge patch over a tree and returns a new tree.
+// merge applies a JSON merge patch to an object and returns a new object.
 func merge(tree, patch map[string]any) map[string]any {
 	merged := map[string]any{}
 	for key, value := range tree {
@@ -13,121 +13,124 @@
 			delete(merged, key)
 			continue
 		}
-		under, isTree := value.(map[string]any)
+		nested, isTree := value.(map[string]any)
 		if !isTree {
 			merged[key] = value
 			continue
 		}
 		former, _ := merged[key].(map[string]any)
-		merged[key] = merge(former, under)
+		merged[key] = merge(former, nested)
 	}
 	return merged
 }
 
-// MergePatch gives the change that a JSON merge patch (RFC 7386) makes of a document. It costs what the patch touches.
+// MergePatch returns the change that a JSON merge patch (RFC 7386) makes to a document. Its cost depends on the parts that the patch touches.
 func (document *Document) MergePatch(patch map[string]any) (Change, error) {
 	change := Change{}
-	failure := document.mergeInto(&change, "", patch, 1)
-	return change, failure
+	err := document.mergeInto(&change, "", patch, 1)
+	return change, err
 }
 
-func (document *Document) mergeInto(change *Change, above string, patch map[string]any, level int) error {
+// mergeInto adds to a change what a patch of the object at a pointer and level changes.
+func (document *Document) mergeInto(change *Change, parent string, patch map[string]any, level int) error {
 	for name, value := range patch {
-		pointer := above + "/" + Escape(name)
+		pointer := parent + "/" + Escape(name)
 		object, isObject := value.(map[string]any)
 		switch {
 		case value == nil:
-			document.removeAll(change, pointer)
+			document.removeSubtree(change, pointer)
 		case isObject && level < containerLevels:
-			if held, there := document.Part(pointer); !there || held != container {
-				change.Put(pointer, container)
+			if current, found := document.Part(pointer); !found || current != containerValue {
+				change.SetPart(pointer, containerValue)
 			}
-			if failure := document.mergeInto(change, pointer, object, level+1); failure != nil {
-				return failure
+			if err := document.mergeInto(change, pointer, object, level+1); err != nil {
+				return err
 			}
 		default:
-			if failure := document.mergePart(change, pointer, value); failure != nil {
-				return failure
+			if err := document.mergePart(change, pointer, value); err != nil {
+				return err
 			}
 		}
 	}
 	return nil
 }
 
-// removeAll removes a part and all that it holds.
-func (document *Document) removeAll(change *Change, pointer string) {
+// removeSubtree removes a part and all parts below it.
+func (document *Document) removeSubtree(change *Change, pointer string) {
 	if document.Has(pointer) {
 		change.Remove = append(change.Remove, pointer)
 	}
-	document.removeHeld(change, pointer)
+	document.removeMembers(change, pointer)
 }
 
-// removeHeld removes what a container holds.
-func (document *Document) removeHeld(change *Change, pointer string) {
-	document.Under(pointer+"/", func(held, _ string) bool {
-		change.Remove = append(change.Remove, held)
+// removeMembers removes all parts below a container.
+func (document *Document) removeMembers(change *Change, pointer string) {
+	document.VisitPrefix(pointer+"/", func(current, _ string) bool {
+		change.Remove = append(change.Remove, current)
 		return false
 	})
 }
 
-// mergePart merges a value that is not split into the part of its name.
+// mergePart merges a value that is not split into parts of its own into the part at its pointer.
 func (document *Document) mergePart(change *Change, pointer string, value any) error {
-	held, there := document.Part(pointer)
+	current, found := document.Part(pointer)
 	if object, isObject := value.(map[string]any); isObject {
-		former, failure := ParseObject([]byte(held))
-		if !there || failure != nil {
+		former, err := ParseObject([]byte(current))
+		if !found || err != nil {
 			former = nil
 		}
 		value = merge(former, object)
 	}
-	content, failure := json.Marshal(value)
-	if failure != nil {
-		return failure
+	content, err := json.Marshal(value)
+	if err != nil {
+		return err
 	}
-	if held == container {
-		document.removeHeld(change, pointer)
+	if current == containerValue {
+		document.removeMembers(change, pointer)
 	}
-	if !there || held != string(content) {
-		change.Put(pointer, string(content))
+	if !found || current != string(content) {
+		change.SetPart(pointer, string(content))
 	}
 	return nil
 }
 
-// Replace gives the change that puts a value in the place of one member, with all that it held, or makes it anew.
+// Replace returns the change that sets the member with a path of names, and all parts below it, to a value. Containers above it are created
+// where they are missing.
 func (document *Document) Replace(value any, names ...string) (Change, error) {
 	tree := map[string]any{names[len(names)-1]: value}
-	for place := len(names) - 2; place >= 0; place-- {
-		tree = map[string]any{names[place]: tree}
+	for index := len(names) - 2; index >= 0; index-- {
+		tree = map[string]any{names[index]: tree}
 	}
-	next, failure := FromObject(tree)
-	if failure != nil {
-		return Change{}, failure
+	next, err := FromObject(tree)
+	if err != nil {
+		return Change{}, err
 	}
 	change, pointer := Change{}, Pointer(names...)
 	for level := 1; level < len(names); level++ {
-		if above := Pointer(names[:level]...); !document.Has(above) {
-			change.Put(above, container)
+		if parent := Pointer(names[:level]...); !document.Has(parent) {
+			change.SetPart(parent, containerValue)
 		}
 	}
-	change.Join(DiffUnder(pointer+"/", document, next))
-	if fresh, _ := next.Part(pointer); !document.holds(pointer, fresh) {
-		change.Put(pointer, fresh)
+	change.Append(DiffPrefix(pointer+"/", document, next))
+	if fresh, _ := next.Part(pointer); !document.hasValue(pointer, fresh) {
+		change.SetPart(pointer, fresh)
 	}
 	return change, nil
 }
 
-func (document *Document) holds(pointer, value string) bool {
-	held, there := document.Part(pointer)
-	return there && held == value
+// hasValue reports whether a part has a value.
+func (document *Document) hasValue(pointer, value string) bool {
+	current, found := document.Part(pointer)
+	return found && current == value
 }
 
-// Join adds another change that follows this one.
-func (change *Change) Join(next Change) {
+// Append adds another change that is to be applied after this one.
+func (change *Change) Append(next Change) {
 	for _, pointer := range next.Remove {
 		delete(change.Set, pointer)
 		change.Remove = append(change.Remove, pointer)
 	}
 	for pointer, value := range next.Set {
-		change.Put(pointer, string(value))
+		change.SetPart(pointer, string(value))
 	}
 }
--- a/document/sum.go
+++ b/document/sum.go
@@ -5,35 +5,35 @@
 	"math/bits"
 )
 
-// sum is a number of 256 bits, lowest word first; additions carry over its end. Adding the hashes of parts gives a digest of a set of
-// parts that doesn't depend on their order (AdHash, Bellare and Micciancio, 1997).
-type sum [4]uint64
+// hashSum is an integer modulo 2^256, lowest word first. The sum of the hashes of a set of parts is a digest of the set that doesn't depend
+// on their order and can be updated part by part (AdHash, Bellare and Micciancio, 1997).
+type hashSum [4]uint64
 
-func sumOf(hash [32]byte) sum {
-	made := sum{}
+func newHashSum(hash [32]byte) hashSum {
+	made := hashSum{}
 	for word := range made {
 		made[word] = binary.LittleEndian.Uint64(hash[word*8:])
 	}
 	return made
 }
 
-func (total *sum) add(other sum) {
+func (sum *hashSum) add(other hashSum) {
 	carry := uint64(0)
-	for word := range total {
-		total[word], carry = bits.Add64(total[word], other[word], carry)
+	for word := range sum {
+		sum[word], carry = bits.Add64(sum[word], other[word], carry)
 	}
 }
 
-func (total *sum) subtract(other sum) {
+func (sum *hashSum) subtract(other hashSum) {
 	borrow := uint64(0)
-	for word := range total {
-		total[word], borrow = bits.Sub64(total[word], other[word], borrow)
+	for word := range sum {
+		sum[word], borrow = bits.Sub64(sum[word], other[word], borrow)
 	}
 }
 
-func (total sum) bytes() []byte {
+func (sum hashSum) bytes() []byte {
 	content := make([]byte, 0, 32)
-	for _, word := range total {
+	for _, word := range sum {
 		content = binary.BigEndian.AppendUint64(content, word)
 	}
 	return content
--- a/document/tree.go
+++ b/document/tree.go
@@ -10,72 +10,74 @@
 	"github.com/rotisserie/eris"
 )
 
-const deepest = 32
+// maxDepth bounds the nesting of objects and lists, which are read recursively.
+const maxDepth = 32
 
-// Tree reads one JSON object: duplicate keys, trailing data and too deep nesting are refused, numbers stay exact.
+// ParseObject reads one JSON object. Duplicate keys, trailing data and too deep nesting are errors; numbers stay exact as json.Number.
 func ParseObject(content []byte) (map[string]any, error) {
 	decoder := jsontext.NewDecoder(bytes.NewBuffer(content), jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
-	value, err := branch(decoder, nil)
+	value, err := decodeValue(decoder, nil)
 	if err != nil {
 		return nil, err
 	}
 	if _, err = decoder.ReadToken(); err != io.EOF {
 		return nil, eris.New("data after the end of the object")
 	}
-	tree, fine := value.(map[string]any)
-	if !fine {
+	tree, ok := value.(map[string]any)
+	if !ok {
 		return nil, eris.New("want a JSON object")
 	}
 	return tree, nil
 }
 
-// step is one step of the way to a value; the way becomes text only when something there is wrong.
-type step struct {
-	above *step
+// pathStep is one step of the path to a value: a key, or an index if that is not negative. The path is only formatted for errors.
+type pathStep struct {
+	above *pathStep
 	key   string
 	index int
 	depth int
 }
 
-func (here *step) under(key string, index int) *step {
+func (position *pathStep) under(key string, index int) *pathStep {
 	depth := 1
-	if here != nil {
-		depth = here.depth + 1
+	if position != nil {
+		depth = position.depth + 1
 	}
-	return &step{above: here, key: key, index: index, depth: depth}
+	return &pathStep{above: position, key: key, index: index, depth: depth}
 }
 
-func (here *step) String() string {
+func (position *pathStep) String() string {
 	switch {
-	case here == nil:
+	case position == nil:
 		return ""
-	case here.index >= 0:
-		return here.above.String() + "[" + strconv.Itoa(here.index) + "]"
+	case position.index >= 0:
+		return position.above.String() + "[" + strconv.Itoa(position.index) + "]"
 	}
-	return join(here.above.String(), here.key)
+	return joinPath(position.above.String(), position.key)
 }
 
-func branch(decoder *jsontext.Decoder, here *step) (any, error) {
-	if here != nil && here.depth > deepest {
-		return nil, eris.Errorf("%s: nested too deep", here)
+// decodeValue reads one value; position is nil for the outermost one.
+func decodeValue(decoder *jsontext.Decoder, position *pathStep) (any, error) {
+	if position != nil && position.depth > maxDepth {
+		return nil, eris.Errorf("%s: nested too deep", position)
 	}
 	token, err := decoder.ReadToken()
 	if err != nil {
-		return nil, eris.Wrapf(err, "%s: not JSON", here)
+		return nil, eris.Wrapf(err, "%s: not JSON", position)
 	}
 	switch token.Kind() {
 	case '{':
-		return object(decoder, here)
+		return decodeObject(decoder, position)
 	case '[':
 		items := []any{}
 		for decoder.PeekKind() != ']' {
-			item, err := branch(decoder, here.under("", len(items)))
+			item, err := decodeValue(decoder, position.under("", len(items)))
 			if err != nil {
 				return nil, err
 			}
 			items = append(items, item)
 		}
-		return items, closed(decoder, here)
+		return items, decodeEnd(decoder, position)
 	case '0':
 		return json.Number(token.String()), nil
 	case '"':
@@ -86,32 +88,33 @@
 	return nil, nil
 }
 
-func object(decoder *jsontext.Decoder, here *step) (any, error) {
+// decodeObject reads the members of an object whose start has been read.
+func decodeObject(decoder *jsontext.Decoder, position *pathStep) (any, error) {
 	tree := map[string]any{}
 	for decoder.PeekKind() != '}' {
 		token, err := decoder.ReadToken()
 		if err != nil {
-			return nil, eris.Wrapf(err, "%s: not JSON", here)
+			return nil, eris.Wrapf(err, "%s: not JSON", position)
 		}
 		key := token.String()
-		inside := here.under(key, -1)
-		if _, double := tree[key]; double {
+		inside := position.under(key, -1)
+		if _, duplicate := tree[key]; duplicate {
 			return nil, eris.Errorf("%s: key given twice", inside)
 		}
-		if tree[key], err = branch(decoder, inside); err != nil {
+		if tree[key], err = decodeValue(decoder, inside); err != nil {
 			return nil, err
 		}
 	}
-	return tree, closed(decoder, here)
+	return tree, decodeEnd(decoder, position)
 }
 
-// closed reads the end of a list or an object.
-func closed(decoder *jsontext.Decoder, here *step) error {
+// decodeEnd reads the end of a list or an object.
+func decodeEnd(decoder *jsontext.Decoder, position *pathStep) error {
 	_, err := decoder.ReadToken()
-	return eris.Wrapf(err, "%s: not JSON", here)
+	return eris.Wrapf(err, "%s: not JSON", position)
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/document/whole.go
+++ b/document/whole.go
@@ -10,93 +10,94 @@
 	"github.com/rotisserie/eris"
 )
 
-// Parse reads a document that JSON wrote. Unlike FromTree it keeps the text of each part as it is, so that nothing is formatted anew.
+// Parse reads a document that JSON wrote. Unlike FromObject it keeps the text of each part as it is instead of formatting it again.
 func Parse(content []byte) (*Document, error) {
 	decoder := jsontext.NewDecoder(bytes.NewBuffer(content))
-	read, failure := Read(decoder)
-	if failure != nil {
-		return nil, failure
+	read, err := Decode(decoder)
+	if err != nil {
+		return nil, err
 	}
-	if _, failure := decoder.ReadToken(); failure != io.EOF {
+	if _, err := decoder.ReadToken(); err != io.EOF {
 		return nil, eris.New("data after the end of the object")
 	}
 	return read, nil
 }
 
-// Read reads a document from a stream, without holding its text twice; see Parse.
-func Read(decoder *jsontext.Decoder) (*Document, error) {
+// Decode reads a document from a stream, without a second copy of its text in memory; see Parse.
+func Decode(decoder *jsontext.Decoder) (*Document, error) {
 	if decoder.PeekKind() != '{' {
 		return nil, eris.New("want a JSON object")
 	}
-	edit := editNew()
-	if failure := edit.read(decoder, "", 1); failure != nil {
-		return nil, failure
+	edit := newEditor()
+	if err := edit.decode(decoder, "", 1); err != nil {
+		return nil, err
 	}
-	return edit.done(), nil
+	return edit.build(), nil
 }
 
-// read sets the parts of the object that a decoder stands before.
-func (edit *editor) read(decoder *jsontext.Decoder, above string, level int) error {
-	if _, failure := decoder.ReadToken(); failure != nil {
-		return eris.Wrapf(failure, "%s: not JSON", above)
+// decode reads an object at a level from a stream and sets its parts.
+func (edit *editor) decode(decoder *jsontext.Decoder, parent string, level int) error {
+	if _, err := decoder.ReadToken(); err != nil {
+		return eris.Wrapf(err, "%s: not JSON", parent)
 	}
 	for decoder.PeekKind() != '}' {
-		token, failure := decoder.ReadToken()
-		if failure != nil {
-			return eris.Wrapf(failure, "%s: not JSON", above)
+		token, err := decoder.ReadToken()
+		if err != nil {
+			return eris.Wrapf(err, "%s: not JSON", parent)
 		}
-		pointer := above + "/" + Escape(token.String())
+		pointer := parent + "/" + Escape(token.String())
 		if level < containerLevels && decoder.PeekKind() == '{' {
-			edit.set(pointer, container)
-			if failure = edit.read(decoder, pointer, level+1); failure != nil {
-				return failure
+			edit.set(pointer, containerValue)
+			if err = edit.decode(decoder, pointer, level+1); err != nil {
+				return err
 			}
 			continue
 		}
-		value, failure := decoder.ReadValue()
-		if failure != nil {
-			return eris.Wrapf(failure, "%s: not JSON", pointer)
+		value, err := decoder.ReadValue()
+		if err != nil {
+			return eris.Wrapf(err, "%s: not JSON", pointer)
 		}
 		edit.set(pointer, string(value))
 	}
-	_, failure := decoder.ReadToken()
-	return eris.Wrapf(failure, "%s: not JSON", above)
+	_, err := decoder.ReadToken()
+	return eris.Wrapf(err, "%s: not JSON", parent)
 }
 
 // member is one member of a container.
 type member struct{ name, pointer, value string }
 
-// JSON writes the whole document; equal documents are written alike.
+// JSON returns the whole document. The texts of equal documents are equal.
 func (document *Document) JSON() []byte {
 	members := map[string][]member{}
-	document.Under("", func(pointer, value string) bool {
-		place := strings.LastIndexByte(pointer, '/')
-		above := pointer[:place]
-		members[above] = append(members[above], member{name: Unescape(pointer[place+1:]), pointer: pointer, value: value})
+	document.VisitPrefix("", func(pointer, value string) bool {
+		index := strings.LastIndexByte(pointer, '/')
+		parent := pointer[:index]
+		members[parent] = append(members[parent], member{name: Unescape(pointer[index+1:]), pointer: pointer, value: value})
 		return false
 	})
 	text := bytes.NewBuffer(make([]byte, 0, document.size))
-	write(text, members, "")
+	writeMembers(text, members, "")
 	return text.Bytes()
 }
 
-// MarshalJSON writes the whole document.
+// MarshalJSON returns the same text as JSON.
 func (document *Document) MarshalJSON() ([]byte, error) { return document.JSON(), nil }
 
-func write(text *bytes.Buffer, members map[string][]member, above string) {
+// writeMembers writes the container at a pointer.
+func writeMembers(text *bytes.Buffer, members map[string][]member, parent string) {
 	text.WriteByte('{')
-	for place, one := range members[above] {
-		if place > 0 {
+	for index, entry := range members[parent] {
+		if index > 0 {
 			text.WriteByte(',')
 		}
-		name, _ := json.Marshal(one.name)
+		name, _ := json.Marshal(entry.name)
 		text.Write(name)
 		text.WriteByte(':')
-		if one.value == container && strings.Count(one.pointer, "/") < containerLevels {
-			write(text, members, one.pointer)
+		if entry.value == containerValue && strings.Count(entry.pointer, "/") < containerLevels {
+			writeMembers(text, members, entry.pointer)
 			continue
 		}
-		text.WriteString(one.value)
+		text.WriteString(entry.value)
 	}
 	text.WriteByte('}')
 }
--- a/image/image_test.go
+++ b/image/image_test.go
@@ -98,7 +98,7 @@
 	It("gives back the operations of versions that are gone, and changes of versions with what they are changes of", func() {
 		first := version(3, `{"a":{"b":{"c":1}}}`)
 		change := document.Change{}
-		change.Put("/a/b/c", "2")
+		change.SetPart("/a/b/c", "2")
 		next := first.Next(contract.Place{View: 1, Revision: 4}, "o/4", change)
 		past := []contract.PastOperation{{Place: contract.Place{View: 1, Revision: 1}, Operation: "o/1"}}
 		Expect(Save(folder, chain.Persist{Writes: []chain.Write{{Version: first}, {Version: next, Base: first}}, Past: &past})).To(Succeed())
--- a/manifest/document.go
+++ b/manifest/document.go
@@ -22,11 +22,11 @@
 func FromDocument(content *document.Document) (Manifest, error) {
 	reader := baseReader(content)
 	manifest := reader.readBase()
-	content.Under(routePrefix, func(pointer, value string) bool {
+	content.VisitPrefix(routePrefix, func(pointer, value string) bool {
 		manifest.Gateway.Routes = reader.addRoute(manifest.Gateway, pointer, value)
 		return false
 	})
-	content.Under(tenantPrefix, func(pointer, value string) bool {
+	content.VisitPrefix(tenantPrefix, func(pointer, value string) bool {
 		manifest.Gateway.Tenants = reader.addTenant(manifest.Gateway.Tenants, pointer, value)
 		return false
 	})
@@ -109,7 +109,7 @@
 
 // baseReader returns a reader of a document without its gateway's routes and tenants. A document that is not an object adds an error.
 func baseReader(content *document.Document) *Reader {
-	head := content.Without(routePrefix, prefixEnd(routePrefix)).Without(tenantPrefix, prefixEnd(tenantPrefix))
+	head := content.WithoutRange(routePrefix, prefixEnd(routePrefix)).WithoutRange(tenantPrefix, prefixEnd(tenantPrefix))
 	tree, err := ParseObject(head.JSON())
 	reader := NewReader(tree)
 	if err != nil {
@@ -207,7 +207,7 @@
 		if err != nil {
 			return change, err
 		}
-		change.Join(part)
+		change.Append(part)
 	}
 	section, ok := order["gateway"].(map[string]any)
 	if !ok {
@@ -219,7 +219,7 @@
 	} else {
 		part, err = updateGateway(former, section)
 	}
-	change.Join(part)
+	change.Append(part)
 	return change, err
 }
 
@@ -234,7 +234,7 @@
 	change := document.Change{}
 	replace := func(value any, names ...string) error {
 		part, err := former.Replace(value, names...)
-		change.Join(part)
+		change.Append(part)
 		return err
 	}
 	if err := replace(section["revision"], "gateway", "revision"); err != nil {
@@ -246,7 +246,7 @@
 		names, _ := remove[kind].([]any)
 		removed := removeItems(former, kind, names)
 		rest := former.Apply(removed)
-		change.Join(removed)
+		change.Append(removed)
 		added, _ := upsert[kind].(map[string]any)
 		for name, item := range added {
 			item = withFormerPosition(item, rest, document.Pointer("gateway", kind, name))
@@ -254,7 +254,7 @@
 			if err != nil {
 				return change, err
 			}
-			change.Join(part)
+			change.Append(part)
 		}
 	}
 	for name, value := range upsert {
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -211,7 +211,7 @@
 	member.orders[operation] = true
 	cluster.checker.submitted(operation, int64(cluster.steps))
 	change := document.Change{}
-	change.Put("/order", fmt.Sprint(cluster.orders))
+	change.SetPart("/order", fmt.Sprint(cluster.orders))
 	_, commands := member.owner.Submit(member.clock, operation, change)
 	cluster.carryOut(member, commands)
 }
--- a/nodecheck/fault.go
+++ b/nodecheck/fault.go
@@ -97,7 +97,7 @@
 			skipped = true
 			continue
 		}
-		left.Put(pointer, string(value))
+		left.SetPart(pointer, string(value))
 	}
 	return left
 }
--- a/nodecheck/operator.go
+++ b/nodecheck/operator.go
@@ -117,7 +117,7 @@
 // gatewayOf gives the gateway's configuration as text.
 func gatewayOf(content *document.Document) string {
 	text := []byte{}
-	content.Under("/gateway", func(pointer, value string) bool {
+	content.VisitPrefix("/gateway", func(pointer, value string) bool {
 		text = append(append(append(text, pointer...), '='), value...)
 		text = append(text, '\n')
 		return false
