--- a/chain/folder.go
+++ b/chain/folder.go
@@ -8,58 +8,58 @@
 
 const (
 	// changesMost is how many changes in a row lie in the data folder before a version is written whole again.
-	changesMost = 256
+	maxDeltaChain = 256
 	// changesLeast is how many bytes of changes in a row are always written before a version is written whole again; else they may be as
 	// large as the version.
-	changesLeast = 64 << 10
+	minDeltaChainBytes = 64 << 10
 )
 
 // folder knows how the versions lie in the data folder: whole, or as the change of an earlier one, which then has to stay as long as they
 // do. What it knows is what was synced.
-type folder struct {
-	files map[contract.Place]file
+type storedVersions struct {
+	files map[contract.Position]storedFile
 	// released are the files that nobody wants but others are changes of.
-	released map[contract.Place]bool
+	released map[contract.Position]bool
 }
 
 // file is one version in the data folder.
-type file struct {
+type storedFile struct {
 	// base is the version that it is a change of, without a revision where it is whole.
-	base contract.Place
+	base contract.Position
 	size int
 }
 
-func newFolder(stored []Stored) folder {
-	made := folder{files: map[contract.Place]file{}, released: map[contract.Place]bool{}}
+func newStoredVersions(stored []StoredVersion) storedVersions {
+	made := storedVersions{files: map[contract.Position]storedFile{}, released: map[contract.Position]bool{}}
 	for _, one := range stored {
-		made.files[one.Place] = file{base: one.Base, size: one.Size}
+		made.files[one.Position] = storedFile{base: one.Base, size: one.Size}
 	}
 	return made
 }
 
 // plan says how versions are written and which files are removed, so that all that stays can be put together again.
-func (folder folder) plan(versions []contract.Version, drop []contract.Place) ([]Write, []contract.Place) {
+func (folder storedVersions) plan(versions []contract.Version, drop []contract.Position) ([]Write, []contract.Position) {
 	next := folder.copy()
 	for _, place := range drop {
 		next.released[place] = true
 	}
 	for _, version := range versions {
-		delete(next.released, version.Place)
+		delete(next.released, version.Position)
 	}
 	writes := []Write{}
 	for _, version := range versions {
 		write := Write{Version: version}
-		if next.fitsChange(version) {
-			write.Base = contract.Version{Place: version.Base}
+		if next.canWriteDelta(version) {
+			write.Base = contract.Version{Position: version.Base}
 		}
-		next.files[version.Place] = file{base: write.Base.Place, size: sizeOf(write)}
+		next.files[version.Position] = storedFile{base: write.Base.Position, size: writeSize(write)}
 		writes = append(writes, write)
 	}
-	return writes, next.unneeded()
+	return writes, next.removable()
 }
 
-func (folder folder) copy() folder {
-	copied := newFolder(nil)
+func (folder storedVersions) copy() storedVersions {
+	copied := newStoredVersions(nil)
 	for place, one := range folder.files {
 		copied.files[place] = one
 	}
@@ -69,17 +69,17 @@
 	return copied
 }
 
-func sizeOf(write Write) int {
-	if write.Base.Place.Revision > 0 {
+func writeSize(write Write) int {
+	if write.Base.Position.Revision > 0 {
 		return write.Version.Change.Size()
 	}
 	return write.Version.Document().Size()
 }
 
 // fitsChange tells whether a version is written as the change of its base.
-func (folder folder) fitsChange(version contract.Version) bool {
+func (folder storedVersions) canWriteDelta(version contract.Version) bool {
 	_, there := folder.files[version.Base]
-	if !there || folder.released[version.Base] || version.Base.Revision >= version.Place.Revision {
+	if !there || folder.released[version.Base] || version.Base.Revision >= version.Position.Revision {
 		return false
 	}
 	size := version.Change.Size()
@@ -91,12 +91,12 @@
 		size += folder.files[place].size
 		count++
 	}
-	return count < changesMost && size <= max(changesLeast, version.Document().Size())
+	return count < maxDeltaChain && size <= max(minDeltaChainBytes, version.Document().Size())
 }
 
 // unneeded gives the released files that no other one is a change of, those included that the folder never had.
-func (folder folder) unneeded() []contract.Place {
-	needed := map[contract.Place]bool{}
+func (folder storedVersions) removable() []contract.Position {
+	needed := map[contract.Position]bool{}
 	for place := range folder.files {
 		if folder.released[place] {
 			continue
@@ -105,24 +105,24 @@
 			needed[base] = true
 		}
 	}
-	removed := []contract.Place{}
+	removed := []contract.Position{}
 	for place := range folder.released {
 		if !needed[place] {
 			removed = append(removed, place)
 		}
 	}
-	slices.SortFunc(removed, contract.Place.Compare)
+	slices.SortFunc(removed, contract.Position.Compare)
 	return removed
 }
 
 // done takes up that a write was synced.
-func (folder folder) done(writes []Write, drop, removed []contract.Place) {
+func (folder storedVersions) apply(writes []Write, drop, removed []contract.Position) {
 	for _, place := range drop {
 		folder.released[place] = true
 	}
 	for _, write := range writes {
-		folder.files[write.Version.Place] = file{base: write.Base.Place, size: sizeOf(write)}
-		delete(folder.released, write.Version.Place)
+		folder.files[write.Version.Position] = storedFile{base: write.Base.Position, size: writeSize(write)}
+		delete(folder.released, write.Version.Position)
 	}
 	for _, place := range removed {
 		delete(folder.files, place)
--- a/contract/order.go
+++ b/contract/order.go
@@ -5,7 +5,8 @@
 	"sort"
 )
 
-func Weight(parts ...string) uint64 {
+// RendezvousWeight hashes the parts for rendezvous hashing. The final mixing spreads short inputs that differ in a few bits.
+func RendezvousWeight(parts ...string) uint64 {
 	hash := fnv.New64a()
 	for _, part := range parts {
 		_, _ = hash.Write([]byte(part))
@@ -18,11 +19,12 @@
 	return mixed
 }
 
-// Ordered gives names in the agreed order for a subject: every node computes the same one.
-func Ordered(subject string, names []string) []string {
+// RendezvousOrder sorts names by their rendezvous weight for a subject. Every node computes the same order, and removing a name leaves the
+// order of the others unchanged.
+func RendezvousOrder(subject string, names []string) []string {
 	ordered := append([]string{}, names...)
 	sort.Slice(ordered, func(left, right int) bool {
-		first, second := Weight(subject, ordered[left]), Weight(subject, ordered[right])
+		first, second := RendezvousWeight(subject, ordered[left]), RendezvousWeight(subject, ordered[right])
 		if first != second {
 			return first > second
 		}
@@ -31,9 +33,10 @@
 	return ordered
 }
 
+// ShardOf returns the shard that a server belongs to, of a number of shards. With fewer than one shard, it is shard 0.
 func ShardOf(server string, shards int) int {
 	if shards < 1 {
 		return 0
 	}
-	return int(Weight("shard", server) % uint64(shards))
+	return int(RendezvousWeight("shard", server) % uint64(shards))
 }
