--- a/chain/past_test.go
+++ b/chain/past_test.go
@@ -118,7 +118,7 @@
 // itemChange returns a change that sets one part.
 func itemChange(content string) document.Change {
 	change := document.Change{}
-	change.Put("/item", content)
+	change.SetPart("/item", content)
 	return change
 }
 
