--- a/image/image_test.go
+++ b/image/image_test.go
@@ -98,7 +98,7 @@
 	It("loads past operations, and deltas together with their bases", func() {
 		first := version(3, `{"a":{"b":{"c":1}}}`)
 		change := document.Change{}
-		change.Put("/a/b/c", "2")
+		change.SetPart("/a/b/c", "2")
 		next := first.Next(contract.Position{View: 1, Revision: 4}, "o/4", change)
 		past := []contract.PastOperation{{Position: contract.Position{View: 1, Revision: 1}, Operation: "o/1"}}
 		Expect(Save(folder, chain.Persist{Writes: []chain.Write{{Version: first}, {Version: next, Base: first}}, PastOperations: &past})).To(Succeed())
