--- a/chain/bytes_test.go
+++ b/chain/bytes_test.go
@@ -30,8 +30,8 @@
 	ginkgo.BeforeEach(func() {
 		core = newTestCluster()
 		core.write(0, largeChange(parts))
-		for viewNumber := range changes {
-			core.write(1+viewNumber, itemChange(fmt.Sprint(viewNumber)))
+		for number := range changes {
+			core.write(1+number, itemChange(fmt.Sprint(number)))
 		}
 		core.bytes = map[int]int{}
 	})
@@ -54,8 +54,8 @@
 	It("lets a member that missed some changes join again without sending the configuration", func() {
 		core.down[2] = true
 		core.until(func() bool { head := core.head(); return head != nil && len(head.view.Chain) == 2 })
-		for viewNumber := range changes {
-			core.write(1+changes+viewNumber, itemChange(fmt.Sprint(viewNumber+changes)))
+		for number := range changes {
+			core.write(1+changes+number, itemChange(fmt.Sprint(number+changes)))
 		}
 		core.down[2] = false
 		core.until(func() bool {
--- a/chain/log_test.go
+++ b/chain/log_test.go
@@ -76,8 +76,8 @@
 		for _, replica := range core.replicas {
 			replica.maxBytes = 200 << 10
 		}
-		for viewNumber := range changes {
-			core.write(viewNumber, itemChange(fmt.Sprintf("%q", fmt.Sprintf("%020000d", viewNumber))))
+		for number := range changes {
+			core.write(number, itemChange(fmt.Sprintf("%q", fmt.Sprintf("%020000d", number))))
 		}
 		Expect(len(core.replicas[0].versions)).To(BeNumerically("<", 12))
 		core.replace(2)
--- a/chain/past_test.go
+++ b/chain/past_test.go
@@ -122,11 +122,11 @@
 	return change
 }
 
-func (cluster *testCluster) write(viewNumber int, change document.Change) {
+func (cluster *testCluster) write(number int, change document.Change) {
 	head := cluster.head()
 	for index, replica := range cluster.replicas {
 		if replica == head {
-			_, commands := head.Submit(cluster.now, contract.OperationID(fmt.Sprint(viewNumber), "f"), change)
+			_, commands := head.Submit(cluster.now, contract.OperationID(fmt.Sprint(number), "f"), change)
 			cluster.execute(index, commands)
 		}
 	}
@@ -138,18 +138,18 @@
 	for _, past := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("past=%d", past), func(b *testing.B) {
 			core := newTestCluster()
-			for viewNumber := range past {
-				core.write(viewNumber, itemChange(fmt.Sprint(viewNumber)))
+			for number := range past {
+				core.write(number, itemChange(fmt.Sprint(number)))
 			}
 			b.ResetTimer()
-			for viewNumber := range b.N {
-				core.write(past+viewNumber, itemChange(fmt.Sprint(past+viewNumber)))
+			for number := range b.N {
+				core.write(past+number, itemChange(fmt.Sprint(past+number)))
 			}
 		})
 		b.Run(fmt.Sprintf("tick/past=%d", past), func(b *testing.B) {
 			core := newTestCluster()
-			for viewNumber := range past {
-				core.write(viewNumber, itemChange(fmt.Sprint(viewNumber)))
+			for number := range past {
+				core.write(number, itemChange(fmt.Sprint(number)))
 			}
 			b.ResetTimer()
 			for range b.N {
@@ -167,8 +167,8 @@
 		core := newTestCluster()
 		core.down[2] = true
 		core.until(func() bool { head := core.head(); return head != nil && len(head.view.Chain) == 2 })
-		for viewNumber := range missed {
-			core.write(viewNumber, itemChange(fmt.Sprintf("%q", fmt.Sprintf("%0*d", size-2, viewNumber))))
+		for number := range missed {
+			core.write(number, itemChange(fmt.Sprintf("%q", fmt.Sprintf("%0*d", size-2, number))))
 		}
 		core.down[2], core.bytes[2] = false, 0
 		began := core.now
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -18,39 +18,39 @@
 
 // sizes are the configurations that costs are measured for, in routes; keptVersions the versions that are kept of them.
 var (
-	sizes        = []int{10, 1500, planned.Tenants}
-	keptVersions = []int{1, 256}
+	routeCounts   = []int{10, 1500, planned.Tenants}
+	versionCounts = []int{1, 256}
 )
 
 // followed is how many changes a node follows before it begins anew.
-const followed = 200
+const changesPerNode = 200
 
 // plannedVersion gives a version with so many routes of the planned fleet.
 func plannedVersion(tb testing.TB, routes int) contract.Version {
 	tb.Helper()
-	content, failure := document.Parse(planned.Fleet{Routes: routes}.Configuration())
-	if failure != nil {
-		tb.Fatal(failure)
+	content, err := document.Parse(planned.Fleet{Routes: routes}.Configuration())
+	if err != nil {
+		tb.Fatal(err)
 	}
 	return contract.NewVersion(contract.Position{View: 1, Revision: 1}, "first/f", content)
 }
 
 // oneRouteChanged orders another time-out for one route.
-func oneRouteChanged(base int64) contract.OperatorRequest {
+func oneRouteUpdate(base int64) contract.OperatorRequest {
 	body := fmt.Sprintf(`{"gateway":{"revision":%d,"upsert":{"routes":{"tenant-00007":{"host":"tenant-00007.example.com","prefix":"/v1/","kind":"streaming",`+
 		`"timeoutMs":%d,"aimMs":1400,"gapMs":71,"rank":1,"attempts":2,"resumable":true,"affinity":true,"service":"model-0"}}},"remove":{}}}`, base+1, 60000+base)
 	return contract.OperatorRequest{Verb: contract.VerbUpdate, HasBaseRevision: true, BaseRevision: base, Operation: fmt.Sprint("o", base), Body: []byte(body)}
 }
 
 // changed gives the versions that so many changes of one route make of a first one.
-func changed(tb testing.TB, first contract.Version, count int) []contract.Version {
+func changedVersions(tb testing.TB, first contract.Version, count int) []contract.Version {
 	tb.Helper()
 	versions := []contract.Version{first}
 	for len(versions) < count {
 		last := versions[len(versions)-1]
-		change, failure := changeOf(oneRouteChanged(last.Position.Revision), newest{Version: last})
-		if failure != nil {
-			tb.Fatal(failure)
+		change, err := requestedChange(oneRouteUpdate(last.Position.Revision), parsedVersion{Version: last})
+		if err != nil {
+			tb.Fatal(err)
 		}
 		versions = append(versions, last.Next(contract.Position{View: 1, Revision: last.Position.Revision + 1}, fmt.Sprintf("o%d/f", len(versions)), change))
 	}
@@ -59,10 +59,10 @@
 
 // eachSize runs a benchmark for every size of configuration and number of kept versions.
 func eachSize(b *testing.B, run func(b *testing.B, versions []contract.Version)) {
-	for _, routes := range sizes {
-		for _, kept := range keptVersions {
+	for _, routes := range routeCounts {
+		for _, kept := range versionCounts {
 			b.Run(fmt.Sprintf("routes=%d/versions=%d", routes, kept), func(b *testing.B) {
-				versions := changed(b, plannedVersion(b, routes), kept)
+				versions := changedVersions(b, plannedVersion(b, routes), kept)
 				b.ReportAllocs()
 				b.ResetTimer()
 				run(b, versions)
@@ -75,21 +75,21 @@
 func BenchmarkHead(b *testing.B) {
 	eachSize(b, func(b *testing.B, versions []contract.Version) {
 		last := versions[len(versions)-1]
-		read, bytes := readNewest(last), 0
-		order := oneRouteChanged(read.read.Gateway.Revision)
+		parsed, bytes := parseVersion(last), 0
+		order := oneRouteUpdate(parsed.manifest.Gateway.Revision)
 		b.ResetTimer()
 		for range b.N {
-			if failure := overtaken(order, read); failure != "" {
-				b.Fatal(failure)
+			if err := staleBase(order, parsed); err != "" {
+				b.Fatal(err)
 			}
-			change, _, _, failure := compose(order, read)
-			if failure != nil {
-				b.Fatal(failure)
+			change, _, _, err := buildChange(order, parsed)
+			if err != nil {
+				b.Fatal(err)
 			}
 			next := last.Next(contract.Position{View: 1, Revision: last.Position.Revision + 1}, "next/f", change)
-			content, failure := json.Marshal(chain.Replicate{View: 1, Previous: last.Position, Records: contract.EncodeRecords(last, []contract.Version{next}, contract.MaxRecordBytes)})
-			if failure != nil {
-				b.Fatal(failure)
+			content, err := json.Marshal(chain.Replicate{View: 1, Previous: last.Position, Records: contract.EncodeRecords(last, []contract.Version{next}, contract.MaxRecordBytes)})
+			if err != nil {
+				b.Fatal(err)
 			}
 			bytes = len(content)
 		}
@@ -115,35 +115,35 @@
 	eachSize(b, func(b *testing.B, versions []contract.Version) {
 		disk := &countingDisk{}
 		last := versions[len(versions)-1]
-		next := nextOf(b, last)
-		content, failure := json.Marshal(contract.EncodeRecords(last, []contract.Version{next}, contract.MaxRecordBytes))
-		if failure != nil {
-			b.Fatal(failure)
+		next := nextVersion(b, last)
+		content, err := json.Marshal(contract.EncodeRecords(last, []contract.Version{next}, contract.MaxRecordBytes))
+		if err != nil {
+			b.Fatal(err)
 		}
-		held := func(place contract.Position) (contract.Version, bool) { return last, place == last.Position }
+		lookup := func(position contract.Position) (contract.Version, bool) { return last, position == last.Position }
 		b.ResetTimer()
 		for range b.N {
 			records := []contract.Record{}
-			if failure := json.Unmarshal(content, &records); failure != nil {
-				b.Fatal(failure)
+			if err := json.Unmarshal(content, &records); err != nil {
+				b.Fatal(err)
 			}
-			opened, failure := contract.DecodeRecords(records, held)
-			if failure != nil {
-				b.Fatal(failure)
+			decoded, err := contract.DecodeRecords(records, lookup)
+			if err != nil {
+				b.Fatal(err)
 			}
-			if failure := image.Save(disk, chain.Persist{Writes: []chain.Write{{Version: opened[0], Base: last}}}); failure != nil {
-				b.Fatal(failure)
+			if err := image.Save(disk, chain.Persist{Writes: []chain.Write{{Version: decoded[0], Base: last}}}); err != nil {
+				b.Fatal(err)
 			}
 		}
 		b.ReportMetric(float64(disk.written), "disk-bytes")
 	})
 }
 
-func nextOf(tb testing.TB, last contract.Version) contract.Version {
+func nextVersion(tb testing.TB, last contract.Version) contract.Version {
 	tb.Helper()
-	change, failure := changeOf(oneRouteChanged(last.Position.Revision), newest{Version: last})
-	if failure != nil {
-		tb.Fatal(failure)
+	change, err := requestedChange(oneRouteUpdate(last.Position.Revision), parsedVersion{Version: last})
+	if err != nil {
+		tb.Fatal(err)
 	}
 	return last.Next(contract.Position{View: 1, Revision: last.Position.Revision + 1}, "next/f", change)
 }
@@ -153,31 +153,31 @@
 	eachSize(b, func(b *testing.B, versions []contract.Version) {
 		bounds := env.DefaultBounds()
 		last := versions[len(versions)-1]
-		later := changed(b, last, followed+1)[1:]
+		later := changedVersions(b, last, changesPerNode+1)[1:]
 		deliveries, bytes := [][]byte{}, 0
-		for place, version := range later {
-			former := last
-			if place > 0 {
-				former = later[place-1]
+		for index, version := range later {
+			previous := last
+			if index > 0 {
+				previous = later[index-1]
 			}
-			body, failure := json.Marshal(feed.Delivery{Records: contract.EncodeRecords(former, []contract.Version{version}, contract.MaxRecordBytes)})
-			if failure != nil {
-				b.Fatal(failure)
+			body, err := json.Marshal(feed.Delivery{Records: contract.EncodeRecords(previous, []contract.Version{version}, contract.MaxRecordBytes)})
+			if err != nil {
+				b.Fatal(err)
 			}
 			deliveries, bytes = append(deliveries, body), len(body)
 		}
 		node := (*feed.Owner)(nil)
 		b.ResetTimer()
 		for number := range b.N {
-			place := number % followed
-			if place == 0 {
+			index := number % changesPerNode
+			if index == 0 {
 				b.StopTimer()
 				node = feed.New("node", bounds)
 				node.Take(feed.Change{Versions: versions}, nil)
 				b.StartTimer()
 			}
-			node.Handle(time.Second, contract.Message{Kind: feed.MessageChange, Body: deliveries[place]}, nil)
-			if node.Version().Position != later[place].Position {
+			node.Handle(time.Second, contract.Message{Kind: feed.MessageChange, Body: deliveries[index]}, nil)
+			if node.Version().Position != later[index].Position {
 				b.Fatal("not in force")
 			}
 		}
@@ -187,22 +187,22 @@
 
 // BenchmarkStart is a node that knows nothing, until it has the whole configuration in force.
 func BenchmarkStart(b *testing.B) {
-	for _, routes := range sizes {
+	for _, routes := range routeCounts {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
 			bounds, keeper := env.DefaultBounds(), feed.New("keeper", env.DefaultBounds())
 			keeper.Take(feed.Change{Versions: []contract.Version{plannedVersion(b, routes)}}, nil)
-			asked, _ := json.Marshal(feed.News{From: "node"})
+			request, _ := json.Marshal(feed.News{From: "node"})
 			bytes := 0
 			b.ResetTimer()
 			for range b.N {
 				node := feed.New("node", bounds)
-				told := keeper.Handle(time.Second, contract.Message{Kind: feed.MessageAsk, Body: asked}, nil)
-				answer, failure := json.Marshal(told[0].(contract.Send).Body)
-				if failure != nil {
-					b.Fatal(failure)
+				commands := keeper.Handle(time.Second, contract.Message{Kind: feed.MessageAsk, Body: request}, nil)
+				response, err := json.Marshal(commands[0].(contract.Send).Body)
+				if err != nil {
+					b.Fatal(err)
 				}
-				bytes = len(answer)
-				node.Handle(time.Second, contract.Message{Kind: feed.MessageChange, Body: answer}, nil)
+				bytes = len(response)
+				node.Handle(time.Second, contract.Message{Kind: feed.MessageChange, Body: response}, nil)
 				if !node.Known() {
 					b.Fatal("not in force")
 				}
@@ -213,7 +213,7 @@
 }
 
 // heapOf gives the bytes that what a function makes keeps alive.
-func heapOf(make func() any) int64 {
+func retainedHeap(make func() any) int64 {
 	before, after := runtime.MemStats{}, runtime.MemStats{}
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -226,15 +226,15 @@
 
 // BenchmarkMemory tells what a configuration and its versions keep of the heap, at a node and at a member.
 func BenchmarkMemory(b *testing.B) {
-	for _, routes := range sizes {
-		for _, kept := range keptVersions {
+	for _, routes := range routeCounts {
+		for _, kept := range versionCounts {
 			b.Run(fmt.Sprintf("routes=%d/versions=%d", routes, kept), func(b *testing.B) {
 				bytes := int64(0)
 				for range b.N {
-					bytes = heapOf(func() any {
-						owner := feed.New("node", env.DefaultBounds())
-						owner.Take(feed.Change{Versions: changed(b, plannedVersion(b, routes), kept)}, nil)
-						return owner
+					bytes = retainedHeap(func() any {
+						controller := feed.New("node", env.DefaultBounds())
+						controller.Take(feed.Change{Versions: changedVersions(b, plannedVersion(b, routes), kept)}, nil)
+						return controller
 					})
 				}
 				b.ReportMetric(float64(bytes)/1e6, "MB")
--- a/control/gateway.go
+++ b/control/gateway.go
@@ -8,68 +8,68 @@
 )
 
 // newest is the newest version as it is read for writes.
-type newest struct {
+type parsedVersion struct {
 	contract.Version
-	read manifest.Manifest
+	manifest manifest.Manifest
 	// invalid tells why its content is no manifest.
 	invalid error
 }
 
-func readNewest(latest contract.Version) newest {
-	read := newest{Version: latest}
-	if read.there() {
-		read.read, read.invalid = manifest.FromDocument(latest.Document())
+func parseVersion(latest contract.Version) parsedVersion {
+	parsed := parsedVersion{Version: latest}
+	if parsed.exists() {
+		parsed.manifest, parsed.invalid = manifest.FromDocument(latest.Document())
 	}
-	return read
+	return parsed
 }
 
-func (newest newest) there() bool { return newest.Position.Revision > 0 }
+func (newest parsedVersion) exists() bool { return newest.Position.Revision > 0 }
 
 // readLatest gives the newest version as it is read; a version that this head has just made is not read again.
-func (owner *Owner) readLatest(latest contract.Version) newest {
-	if owner.newest.Position != latest.Position {
-		owner.newest = readNewest(latest)
+func (controller *Controller) parseLatest(latest contract.Version) parsedVersion {
+	if controller.latest.Position != latest.Position {
+		controller.latest = parseVersion(latest)
 	}
-	return owner.newest
+	return controller.latest
 }
 
 // overtaken tells why a change of the gateway's configuration no longer stands on the newest one.
-func overtaken(ask contract.OperatorRequest, latest newest) string {
-	if ask.Verb != contract.VerbReplace && ask.Verb != contract.VerbUpdate {
+func staleBase(request contract.OperatorRequest, latest parsedVersion) string {
+	if request.Verb != contract.VerbReplace && request.Verb != contract.VerbUpdate {
 		return ""
 	}
 	if latest.invalid != nil {
 		return "the newest manifest cannot be read"
 	}
-	if current := latest.read.Gateway.Revision; ask.BaseRevision != current {
-		return fmt.Sprintf("the gateway's configuration moved: base %d, now %d", ask.BaseRevision, current)
+	if current := latest.manifest.Gateway.Revision; request.BaseRevision != current {
+		return fmt.Sprintf("the gateway's configuration moved: base %d, now %d", request.BaseRevision, current)
 	}
 	return ""
 }
 
 // forgotten tells whether an order builds on a configuration that is older than all kept versions: then the order may have been taken
 // and its version been dropped since.
-func (owner *Owner) forgotten(ask contract.OperatorRequest) bool {
-	if ask.Verb != contract.VerbReplace && ask.Verb != contract.VerbUpdate {
+func (controller *Controller) baseForgotten(request contract.OperatorRequest) bool {
+	if request.Verb != contract.VerbReplace && request.Verb != contract.VerbUpdate {
 		return false
 	}
-	oldest, there := owner.chain.OldestKept()
-	if !there || owner.chain.RemembersAllOperations() {
+	oldest, found := controller.chain.OldestKept()
+	if !found || controller.chain.RemembersAllOperations() {
 		return false
 	}
-	return ask.BaseRevision < manifest.GatewayRevision(oldest.Document())
+	return request.BaseRevision < manifest.GatewayRevision(oldest.Document())
 }
 
 // standing gives the newest version when a drain or an undrain asks for what already is so, and wants no version of its own.
-func (owner *Owner) standing(ask contract.OperatorRequest) (contract.Version, bool) {
-	if !ask.ReplyOnCommit || ask.Verb != contract.VerbDrain && ask.Verb != contract.VerbUndrain {
+func (controller *Controller) alreadyInEffect(request contract.OperatorRequest) (contract.Version, bool) {
+	if !request.ReplyOnCommit || request.Verb != contract.VerbDrain && request.Verb != contract.VerbUndrain {
 		return contract.Version{}, false
 	}
-	latest, fine := owner.chain.Latest()
-	if !fine || latest.Position.Revision == 0 || !owner.chain.AcceptsWrites() {
+	latest, ok := controller.chain.Latest()
+	if !ok || latest.Position.Revision == 0 || !controller.chain.AcceptsWrites() {
 		return contract.Version{}, false
 	}
-	read := owner.readLatest(latest)
-	zone, there := read.read.Zones[ask.Subject]
-	return latest, read.invalid == nil && there && zone.Drained == (ask.Verb == contract.VerbDrain)
+	parsed := controller.parseLatest(latest)
+	zone, found := parsed.manifest.Zones[request.Subject]
+	return latest, parsed.invalid == nil && found && zone.Drained == (request.Verb == contract.VerbDrain)
 }
--- a/control/gather.go
+++ b/control/gather.go
@@ -14,160 +14,162 @@
 
 // gather asks several members and goes on when enough of them answered, or at the end of a round. Who has not answered after a part of the
 // round is asked once more by way of other members: the link to it may be cut while others reach it.
-type gather struct {
-	until   time.Duration
-	again   time.Duration
-	tried   int
-	asked   []contract.Member
-	kind    string
-	body    any
-	waiting mapset.Set[string]
-	take    func(body json.RawMessage) bool
-	then    func(now time.Duration) []contract.Command
+type query struct {
+	deadline      time.Duration
+	nextRetry     time.Duration
+	relayAttempts int
+	targets       []contract.Member
+	kind          string
+	body          any
+	unanswered    mapset.Set[string]
+	onReply       func(body json.RawMessage) bool
+	onDone        func(now time.Duration) []contract.Command
 }
 
-func (owner *Owner) gather(now time.Duration, fits func(contract.Member) bool, kind string, message func(token int64) any,
-	take func(body json.RawMessage) bool, then func(now time.Duration) []contract.Command) []contract.Command {
-	owner.token++
-	pending := &gather{until: now + owner.Bounds.Round(), again: now + owner.Bounds.Round()/gatherParts, asked: owner.Neighbours.Live(now, fits),
-		kind: kind, body: message(owner.token), waiting: mapset.NewThreadUnsafeSet[string](), take: take, then: then}
+func (controller *Controller) startQuery(now time.Duration, matches func(contract.Member) bool, kind string, message func(token int64) any,
+	onReply func(body json.RawMessage) bool, onDone func(now time.Duration) []contract.Command) []contract.Command {
+	controller.token++
+	pending := &query{deadline: now + controller.Bounds.Round(), nextRetry: now + controller.Bounds.Round()/queryRetriesPerRound, targets: controller.Neighbours.Live(now, matches),
+		kind: kind, body: message(controller.token), unanswered: mapset.NewThreadUnsafeSet[string](), onReply: onReply, onDone: onDone}
 	commands := []contract.Command{}
-	for _, member := range pending.asked {
-		pending.waiting.Add(member.Name)
+	for _, member := range pending.targets {
+		pending.unanswered.Add(member.Name)
 		commands = append(commands, contract.Send{To: member.Address, Kind: kind, Body: pending.body})
 	}
-	if pending.waiting.Cardinality() == 0 {
-		return then(now)
+	if pending.unanswered.Cardinality() == 0 {
+		return onDone(now)
 	}
-	owner.gathers[owner.token] = pending
+	controller.queries[controller.token] = pending
 	return commands
 }
 
-func (owner *Owner) gathered(now time.Duration, message contract.Message) []contract.Command {
-	if message.Kind == MessageStatusAsk {
-		var ask StatusAsk
-		if json.Unmarshal(message.Body, &ask) != nil {
+func (controller *Controller) handleQueryMessage(now time.Duration, message contract.Message) []contract.Command {
+	if message.Kind == MessageStatusRequest {
+		var request StatusRequest
+		if json.Unmarshal(message.Body, &request) != nil {
 			return nil
 		}
-		var told any = owner.status(now)
-		if ask.Cache {
-			told = owner.index.View(now)
+		var status any = controller.shardStatus(now)
+		if request.Cache {
+			status = controller.index.View(now)
 		}
-		body, _ := json.Marshal(told)
-		return []contract.Command{contract.Send{To: ask.Address, Kind: MessageStatus, Body: Status{Token: ask.Token, Node: owner.Self().Name, Body: body}}}
+		body, _ := json.Marshal(status)
+		return []contract.Command{contract.Send{To: request.Address, Kind: MessageStatusReply, Body: StatusReply{Token: request.Token, Node: controller.Self().Name, Body: body}}}
 	}
-	if message.Kind != MessageStatus && message.Kind != MessageWhy && message.Kind != shard.MessageZoneWithdrawn {
+	if message.Kind != MessageStatusReply && message.Kind != MessageTraceReply && message.Kind != shard.MessageZoneWithdrawn {
 		return nil
 	}
-	var status Status
+	var status StatusReply
 	if json.Unmarshal(message.Body, &status) != nil {
 		return nil
 	}
-	pending, there := owner.gathers[status.Token]
-	if !there || !pending.waiting.Contains(message.From) {
+	pending, found := controller.queries[status.Token]
+	if !found || !pending.unanswered.Contains(message.From) {
 		return nil
 	}
-	pending.waiting.Remove(message.From)
+	pending.unanswered.Remove(message.From)
 	body := status.Body
 	if message.Kind == shard.MessageZoneWithdrawn {
 		body = message.Body
 	}
-	if pending.take(body) || pending.waiting.Cardinality() == 0 {
-		delete(owner.gathers, status.Token)
-		return pending.then(now)
+	if pending.onReply(body) || pending.unanswered.Cardinality() == 0 {
+		delete(controller.queries, status.Token)
+		return pending.onDone(now)
 	}
 	return nil
 }
 
-func (owner *Owner) tickGathers(now time.Duration) []contract.Command {
+func (controller *Controller) tickQueries(now time.Duration) []contract.Command {
 	commands := []contract.Command{}
-	for _, token := range slices.Sorted(maps.Keys(owner.gathers)) {
-		pending := owner.gathers[token]
-		if now > pending.until {
-			delete(owner.gathers, token)
-			commands = append(commands, pending.then(now)...)
+	for _, token := range slices.Sorted(maps.Keys(controller.queries)) {
+		pending := controller.queries[token]
+		if now > pending.deadline {
+			delete(controller.queries, token)
+			commands = append(commands, pending.onDone(now)...)
 			continue
 		}
-		if now >= pending.again {
-			pending.again = now + owner.Bounds.Round()/gatherParts
-			commands = append(commands, owner.gatherByRelay(now, pending)...)
+		if now >= pending.nextRetry {
+			pending.nextRetry = now + controller.Bounds.Round()/queryRetriesPerRound
+			commands = append(commands, controller.retryByRelay(now, pending)...)
 		}
 	}
 	return commands
 }
 
 // gatherParts is the part of a round after which members that did not answer are asked by way of others.
-const gatherParts = 3
+const queryRetriesPerRound = 3
 
-func (owner *Owner) gatherByRelay(now time.Duration, pending *gather) []contract.Command {
+func (controller *Controller) retryByRelay(now time.Duration, pending *query) []contract.Command {
 	commands := []contract.Command{}
-	for _, member := range pending.asked {
-		if !pending.waiting.Contains(member.Name) {
+	for _, member := range pending.targets {
+		if !pending.unanswered.Contains(member.Name) {
 			continue
 		}
-		commands = append(commands, owner.SendByRelay(now, member, contract.Send{To: member.Address, Kind: pending.kind, Body: pending.body}, "", pending.tried)...)
+		commands = append(commands, controller.SendByRelay(now, member, contract.Send{To: member.Address, Kind: pending.kind, Body: pending.body}, "", pending.relayAttempts)...)
 	}
-	pending.tried++
+	pending.relayAttempts++
 	return commands
 }
 
-func (owner *Owner) statusMessage(call string) func(token int64) any {
+func (controller *Controller) newStatusRequest(call string) func(token int64) any {
 	return func(token int64) any {
-		return StatusAsk{Token: token, Address: owner.Self().Address, Call: call}
+		return StatusRequest{Token: token, Address: controller.Self().Address, Call: call}
 	}
 }
 
-func (owner *Owner) shards(now time.Duration, ask contract.OperatorRequest) []contract.Command {
+func (controller *Controller) answerShards(now time.Duration, request contract.OperatorRequest) []contract.Command {
 	all := []shard.Status{}
-	fits := func(member contract.Member) bool { return member.Kind == contract.KindControl }
-	return owner.gather(now, fits, MessageStatusAsk, owner.statusMessage(""), func(body json.RawMessage) bool {
+	matches := func(member contract.Member) bool { return member.Kind == contract.KindControl }
+	return controller.startQuery(now, matches, MessageStatusRequest, controller.newStatusRequest(""), func(body json.RawMessage) bool {
 		var statuses []shard.Status
 		if json.Unmarshal(body, &statuses) == nil {
 			all = append(all, statuses...)
 		}
 		return false
 	}, func(time.Duration) []contract.Command {
-		answer := map[string]any{"shards": all}
-		if ask.Verb == contract.VerbRetirements {
+		response := map[string]any{"shards": all}
+		if request.Verb == contract.VerbRetirements {
 			retired := []shard.Retired{}
 			for _, status := range all {
 				retired = append(retired, status.Retired...)
 			}
-			answer = map[string]any{"retirements": retired}
+			response = map[string]any{"retirements": retired}
 		}
-		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: answer}}
+		return []contract.Command{contract.Response{Token: request.Token, Status: 200, Body: response}}
 	})
 }
 
 // cache sums what the control nodes were told of the servers' caches; older ones answer with something else, which is left out.
-func (owner *Owner) cache(now time.Duration, ask contract.OperatorRequest) []contract.Command {
+func (controller *Controller) answerCache(now time.Duration, request contract.OperatorRequest) []contract.Command {
 	all := []index.CacheStatus{}
-	fits := func(member contract.Member) bool { return member.Kind == contract.KindControl }
-	message := func(token int64) any { return StatusAsk{Token: token, Address: owner.Self().Address, Cache: true} }
-	return owner.gather(now, fits, MessageStatusAsk, message, func(body json.RawMessage) bool {
-		var views []index.CacheStatus
-		if json.Unmarshal(body, &views) == nil {
-			all = append(all, views...)
+	matches := func(member contract.Member) bool { return member.Kind == contract.KindControl }
+	message := func(token int64) any {
+		return StatusRequest{Token: token, Address: controller.Self().Address, Cache: true}
+	}
+	return controller.startQuery(now, matches, MessageStatusRequest, message, func(body json.RawMessage) bool {
+		var statuses []index.CacheStatus
+		if json.Unmarshal(body, &statuses) == nil {
+			all = append(all, statuses...)
 		}
 		return false
 	}, func(time.Duration) []contract.Command {
-		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{"servers": index.Merge(all)}}}
+		return []contract.Command{contract.Response{Token: request.Token, Status: 200, Body: map[string]any{"servers": index.Merge(all)}}}
 	})
 }
 
-func (owner *Owner) why(now time.Duration, ask contract.OperatorRequest) []contract.Command {
+func (controller *Controller) answerTrace(now time.Duration, request contract.OperatorRequest) []contract.Command {
 	traces := []json.RawMessage{}
-	fits := func(member contract.Member) bool { return member.Kind == contract.KindData }
-	return owner.gather(now, fits, MessageWhyAsk, owner.statusMessage(ask.Subject), func(body json.RawMessage) bool {
-		var some []json.RawMessage
-		if json.Unmarshal(body, &some) == nil {
-			traces = append(traces, some...)
+	matches := func(member contract.Member) bool { return member.Kind == contract.KindData }
+	return controller.startQuery(now, matches, MessageTraceRequest, controller.newStatusRequest(request.Subject), func(body json.RawMessage) bool {
+		var replies []json.RawMessage
+		if json.Unmarshal(body, &replies) == nil {
+			traces = append(traces, replies...)
 		}
 		return false
 	}, func(time.Duration) []contract.Command {
 		if len(traces) == 0 {
-			return []contract.Command{contract.ErrorResponse(ask.Token, 404, "no node remembers this call", 0)}
+			return []contract.Command{contract.ErrorResponse(request.Token, 404, "no node remembers this call", 0)}
 		}
-		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{"call": ask.Subject, "traces": traces}}}
+		return []contract.Command{contract.Response{Token: request.Token, Status: 200, Body: map[string]any{"call": request.Subject, "traces": traces}}}
 	})
 }
--- a/control/regions.go
+++ b/control/regions.go
@@ -9,56 +9,56 @@
 )
 
 // shardsOf gives this node's own region's shards first, then those of the regions that it stands in for.
-func (owner *Owner) shardsOf() []*shard.Owner {
-	all := []*shard.Owner{owner.shard}
-	for _, region := range manifest.SortedKeys(owner.others) {
-		all = append(all, owner.others[region])
+func (controller *Controller) allShards() []*shard.Owner {
+	all := []*shard.Owner{controller.ownShards}
+	for _, region := range manifest.SortedKeys(controller.standInShards) {
+		all = append(all, controller.standInShards[region])
 	}
 	return all
 }
 
-func (owner *Owner) shardsWoke(now time.Duration) {
-	for _, shards := range owner.shardsOf() {
+func (controller *Controller) resumeShards(now time.Duration) {
+	for _, shards := range controller.allShards() {
 		shards.ResumeAfterFreeze(now)
 	}
 }
 
 // tickShards follows the regions of the configuration; every shard owner of this node reads the same listing.
-func (owner *Owner) tickShards(now time.Duration, seen shard.Seen) []contract.Command {
-	if owner.wide {
-		self := owner.Self()
-		for _, region := range manifest.SortedKeys(seen.Manifest.Regions) {
-			if _, there := owner.others[region]; !there && region != owner.Self().Region {
+func (controller *Controller) tickShards(now time.Duration, view shard.Seen) []contract.Command {
+	if controller.allRegions {
+		self := controller.Self()
+		for _, region := range manifest.SortedKeys(view.Manifest.Regions) {
+			if _, found := controller.standInShards[region]; !found && region != controller.Self().Region {
 				self.Region = region
-				owner.others[region] = shard.New(self, owner.Bounds)
-				owner.others[region].SetAdvisoryLeases(true)
+				controller.standInShards[region] = shard.New(self, controller.Bounds)
+				controller.standInShards[region].SetAdvisoryLeases(true)
 			}
 		}
-		for region := range owner.others {
-			if _, there := seen.Manifest.Regions[region]; !there {
-				delete(owner.others, region)
+		for region := range controller.standInShards {
+			if _, found := view.Manifest.Regions[region]; !found {
+				delete(controller.standInShards, region)
 			}
 		}
 	}
 	commands := []contract.Command{}
-	for _, shards := range owner.shardsOf() {
-		commands = append(commands, shards.Handle(now, seen)...)
+	for _, shards := range controller.allShards() {
+		commands = append(commands, shards.Handle(now, view)...)
 	}
-	return owner.oneListing(now, commands)
+	return controller.mergeListingReads(now, commands)
 }
 
 // oneListing turns the reads of all regions into one of the whole list.
-func (owner *Owner) oneListing(now time.Duration, commands []contract.Command) []contract.Command {
-	if !owner.wide {
+func (controller *Controller) mergeListingReads(now time.Duration, commands []contract.Command) []contract.Command {
+	if !controller.allRegions {
 		return commands
 	}
 	kept := commands[:0]
 	for _, command := range commands {
-		if _, reads := command.(shard.ReadPlatform); reads {
-			if now-owner.listed < owner.Bounds.PlatformPoll()*3/4 {
+		if _, isRead := command.(shard.ReadPlatform); isRead {
+			if now-controller.listingReadAt < controller.Bounds.PlatformPoll()*3/4 {
 				continue
 			}
-			owner.listed, command = now, shard.ReadPlatform{}
+			controller.listingReadAt, command = now, shard.ReadPlatform{}
 		}
 		kept = append(kept, command)
 	}
@@ -66,41 +66,41 @@
 }
 
 // shardEvent brings an event to the shards that it concerns: what is carried around or read for others is done once.
-func (owner *Owner) shardEvent(now time.Duration, event contract.Event) []contract.Command {
-	if message, fine := event.(contract.Message); fine && message.Kind != shard.MessageLeaseRequest && message.Kind != shard.MessageZoneWithdraw && message.Kind != shard.MessageRampReply {
-		return owner.shard.Handle(now, event)
+func (controller *Controller) shardEvent(now time.Duration, event contract.Event) []contract.Command {
+	if message, ok := event.(contract.Message); ok && message.Kind != shard.MessageLeaseRequest && message.Kind != shard.MessageZoneWithdraw && message.Kind != shard.MessageRampReply {
+		return controller.ownShards.Handle(now, event)
 	}
-	if read, fine := event.(shard.ReportResult); fine && read.Request.ReplyTo != "" {
-		return owner.shard.Handle(now, event)
+	if result, ok := event.(shard.ReportResult); ok && result.Request.ReplyTo != "" {
+		return controller.ownShards.Handle(now, event)
 	}
 	commands := []contract.Command{}
-	for index, shards := range owner.shardsOf() {
-		part := event
-		if read, fine := event.(shard.ListingResult); fine && owner.wide {
-			part = owner.partOf(read, index)
+	for index, shards := range controller.allShards() {
+		scoped := event
+		if result, ok := event.(shard.ListingResult); ok && controller.allRegions {
+			scoped = controller.listingForRegion(result, index)
 		}
-		commands = append(commands, shards.Handle(now, part)...)
+		commands = append(commands, shards.Handle(now, scoped)...)
 	}
-	return owner.oneListing(now, commands)
+	return controller.mergeListingReads(now, commands)
 }
 
-func (owner *Owner) partOf(read shard.ListingResult, index int) shard.ListingResult {
-	region := owner.Self().Region
+func (controller *Controller) listingForRegion(result shard.ListingResult, index int) shard.ListingResult {
+	region := controller.Self().Region
 	if index > 0 {
-		region = manifest.SortedKeys(owner.others)[index-1]
+		region = manifest.SortedKeys(controller.standInShards)[index-1]
 	}
-	part := shard.ListingResult{Region: region, Began: read.Began, Error: read.Error, Listing: contract.Listing{Region: region}}
-	for _, row := range read.Listing.Servers {
-		if row.Region == region {
-			part.Listing.Servers = append(part.Listing.Servers, row)
+	scoped := shard.ListingResult{Region: region, Began: result.Began, Error: result.Error, Listing: contract.Listing{Region: region}}
+	for _, server := range result.Listing.Servers {
+		if server.Region == region {
+			scoped.Listing.Servers = append(scoped.Listing.Servers, server)
 		}
 	}
-	return part
+	return scoped
 }
 
-func (owner *Owner) status(now time.Duration) []shard.Status {
+func (controller *Controller) shardStatus(now time.Duration) []shard.Status {
 	statuses := []shard.Status{}
-	for _, shards := range owner.shardsOf() {
+	for _, shards := range controller.allShards() {
 		statuses = append(statuses, shards.Status(now)...)
 	}
 	return statuses
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -36,79 +36,79 @@
 }
 
 // world carries messages between owners in virtual time; every message takes one step.
-type world struct {
-	now      time.Duration
-	random   *rand.Rand
-	nodes    map[string]*node
-	messages map[string][]contract.Event
-	down     map[string]bool
-	boots    int
-	listing  contract.Listing
-	asked    int
+type simulatedFleet struct {
+	now          time.Duration
+	random       *rand.Rand
+	nodes        map[string]*node
+	messages     map[string][]contract.Event
+	down         map[string]bool
+	boots        int
+	listing      contract.Listing
+	listingReads int
 }
 
-func newWorld(seed uint64) *world {
-	made := &world{random: rand.New(rand.NewPCG(seed, 5)), nodes: map[string]*node{}, messages: map[string][]contract.Event{}, down: map[string]bool{}}
+func newSimulatedFleet(seed uint64) *simulatedFleet {
+	result := &simulatedFleet{random: rand.New(rand.NewPCG(seed, 5)), nodes: map[string]*node{}, messages: map[string][]contract.Event{}, down: map[string]bool{}}
 	for _, region := range []string{"east", "north", "west"} {
 		for number := range 2 {
 			name := fmt.Sprintf("%s-s%d", region, number)
-			made.listing.Servers = append(made.listing.Servers, contract.ListedServer{Name: name, Address: name + ":80", Region: region, Zone: region + "-a", Pool: "s",
+			result.listing.Servers = append(result.listing.Servers, contract.ListedServer{Name: name, Address: name + ":80", Region: region, Zone: region + "-a", Pool: "s",
 				Incarnation: name, AssumedReady: true})
-			made.start(fmt.Sprintf("%s-m%d", region, number))
+			result.start(fmt.Sprintf("%s-m%d", region, number))
 		}
 	}
-	for _, name := range manifest.SortedKeys(made.nodes) {
-		made.post(name, feed.MessageChange, feed.Delivery{Records: []contract.Record{versionOf(1, threeRegions).FullRecord()}})
+	for _, name := range manifest.SortedKeys(result.nodes) {
+		result.post(name, feed.MessageChange, feed.Delivery{Records: []contract.Record{versionOf(1, threeRegions).FullRecord()}})
 	}
-	return made
+	return result
 }
 
-func (world *world) post(address, kind string, body any) {
-	content, failure := json.Marshal(body)
-	Expect(failure).NotTo(HaveOccurred())
-	world.messages[address] = append(world.messages[address], contract.Message{Kind: kind, Body: content})
+func (simulation *simulatedFleet) post(address, kind string, body any) {
+	content, err := json.Marshal(body)
+	Expect(err).NotTo(HaveOccurred())
+	simulation.messages[address] = append(simulation.messages[address], contract.Message{Kind: kind, Body: content})
 }
 
 // start begins both processes of a machine anew, as blank ones.
-func (world *world) start(machine string) {
-	world.boots++
+func (simulation *simulatedFleet) start(machine string) {
+	simulation.boots++
 	region, _, _ := strings.Cut(machine, "-")
 	settings := env.New(env.WithName(machine), env.WithZone(region+"-a"), env.WithRegion(region), env.WithControl(machine+"-control"), env.WithData(machine+"-data"),
 		env.WithSeeds([]string{"east-m0-control", "north-m0-control", "west-m0-control"}))
 	settings.Wide, settings.Gateway = true, env.Gateway{Traffic: "10.0.0.1:80", Contact: 4 * time.Second, RepeatWindow: 10 * time.Second}
-	boot := fmt.Sprint("boot", world.boots)
-	world.nodes[machine+"-control"] = &node{name: machine + "-control", region: region, owner: New(settings, boot, nil, world.random)}
-	world.nodes[machine+"-data"] = &node{name: machine + "-data", region: region, owner: gateway.NewNode(settings, boot, gateway.NewTraffic(settings, world.random), world.random), lists: map[string][]string{}}
-	delete(world.down, machine+"-control")
+	boot := fmt.Sprint("boot", simulation.boots)
+	simulation.nodes[machine+"-control"] = &node{name: machine + "-control", region: region, owner: New(settings, boot, nil, simulation.random)}
+	simulation.nodes[machine+"-data"] = &node{name: machine + "-data", region: region, owner: gateway.NewNode(settings, boot, gateway.NewTraffic(settings, simulation.random), simulation.random), lists: map[string][]string{}}
+	delete(simulation.down, machine+"-control")
 }
 
-func (world *world) step() {
-	world.now += env.DefaultBounds().Tick()
-	messages := world.messages
-	world.messages = map[string][]contract.Event{}
-	for _, name := range manifest.SortedKeys(world.nodes) {
-		if world.down[name] {
+func (simulation *simulatedFleet) step() {
+	simulation.now += env.DefaultBounds().Tick()
+	messages := simulation.messages
+	simulation.messages = map[string][]contract.Event{}
+	for _, name := range manifest.SortedKeys(simulation.nodes) {
+		if simulation.down[name] {
 			continue
 		}
 		for _, event := range append(messages[name], contract.Tick{}) {
-			world.carry(world.nodes[name], world.nodes[name].owner.Handle(world.now, event))
+			simulation.execute(simulation.nodes[name], simulation.nodes[name].owner.Handle(simulation.now, event))
 		}
 	}
 }
 
-func (world *world) carry(from *node, commands []contract.Command) {
+func (simulation *simulatedFleet) execute(from *node, commands []contract.Command) {
 	for _, command := range commands {
 		switch command := command.(type) {
 		case contract.Send:
-			content, failure := json.Marshal(command.Body)
-			Expect(failure).NotTo(HaveOccurred())
-			world.messages[command.To] = append(world.messages[command.To], contract.Message{Kind: command.Kind, From: from.name, Body: content})
+			content, err := json.Marshal(command.Body)
+			Expect(err).NotTo(HaveOccurred())
+			simulation.messages[command.To] = append(simulation.messages[command.To], contract.Message{Kind: command.Kind, From: from.name, Body: content})
 		case shard.ReadPlatform:
-			world.asked++
-			world.messages[from.name] = append(world.messages[from.name], shard.ListingResult{Region: command.Region, Began: world.now, Listing: world.listing})
+			simulation.listingReads++
+			simulation.messages[from.name] = append(simulation.messages[from.name], shard.ListingResult{Region: command.Region, Began: simulation.now, Listing: simulation.listing})
 		case gateway.Update:
-			listed, fine := command.Event.(gateway.Listed)
-			if !fine {
+			listed, ok := command.Event.(gateway.Listed)
+			if !ok {
 				continue
 			}
 			names := []string{}
@@ -120,21 +120,21 @@
 	}
 }
 
-func (world *world) run(span time.Duration) {
-	for ends := world.now + span; world.now < ends; {
-		world.step()
+func (simulation *simulatedFleet) run(span time.Duration) {
+	for ends := simulation.now + span; simulation.now < ends; {
+		simulation.step()
 	}
 }
 
 // owners gives who owns a region's shard now, by what each live node says of itself, with the epoch.
-func (world *world) owners(region string) map[string]int64 {
+func (simulation *simulatedFleet) owners(region string) map[string]int64 {
 	owners := map[string]int64{}
-	for name, node := range world.nodes {
-		owner, control := node.owner.(*Owner)
-		if !control || world.down[name] {
+	for name, node := range simulation.nodes {
+		controller, control := node.owner.(*Controller)
+		if !control || simulation.down[name] {
 			continue
 		}
-		for _, status := range owner.status(world.now) {
+		for _, status := range controller.shardStatus(simulation.now) {
 			if status.Region == region {
 				owners[name] = status.Epoch
 			}
@@ -144,9 +144,9 @@
 }
 
 // single wants exactly one owner and gives it.
-func (world *world) single(region string) (string, int64) {
+func (simulation *simulatedFleet) singleOwner(region string) (string, int64) {
 	GinkgoHelper()
-	owners := world.owners(region)
+	owners := simulation.owners(region)
 	Expect(owners).To(HaveLen(1), "the shard of %s", region)
 	for name, epoch := range owners {
 		return name, epoch
@@ -154,9 +154,9 @@
 	return "", 0
 }
 
-func (world *world) holds(region string, servers []string) {
+func (simulation *simulatedFleet) expectLists(region string, servers []string) {
 	GinkgoHelper()
-	for name, node := range world.nodes {
+	for name, node := range simulation.nodes {
 		if node.lists != nil {
 			Expect(node.lists[region]).To(Equal(servers), "the list of %s that %s holds", region, name)
 		}
@@ -166,60 +166,60 @@
 var _ = Describe("the shards of regions", func() {
 	for seed := range uint64(3) {
 		It(fmt.Sprintf("given a region without a live control node, then exactly one other node owns its shard, under a higher epoch each time, seed %d", seed), func() {
-			world := newWorld(seed)
-			world.run(15 * time.Second)
-			owner, epoch := world.single("east")
-			Expect(owner).To(HavePrefix("east-"))
-			world.holds("east", []string{"east-s0", "east-s1"})
-
-			world.down["east-m0-control"], world.down["east-m1-control"] = true, true
-			world.run(15 * time.Second)
-			standIn, next := world.single("east")
+			simulation := newSimulatedFleet(seed)
+			simulation.run(15 * time.Second)
+			controller, epoch := simulation.singleOwner("east")
+			Expect(controller).To(HavePrefix("east-"))
+			simulation.expectLists("east", []string{"east-s0", "east-s1"})
+
+			simulation.down["east-m0-control"], simulation.down["east-m1-control"] = true, true
+			simulation.run(15 * time.Second)
+			standIn, next := simulation.singleOwner("east")
 			Expect(standIn).NotTo(HavePrefix("east-"))
 			Expect(next).To(BeNumerically(">", epoch))
 
-			world.listing.Servers = world.listing.Servers[1:]
-			world.run(5 * time.Second)
-			world.holds("east", []string{"east-s1"})
-			world.holds("west", []string{"west-s0", "west-s1"})
+			simulation.listing.Servers = simulation.listing.Servers[1:]
+			simulation.run(5 * time.Second)
+			simulation.expectLists("east", []string{"east-s1"})
+			simulation.expectLists("west", []string{"west-s0", "west-s1"})
 
-			world.down[standIn] = true
-			world.run(15 * time.Second)
-			second, third := world.single("east")
+			simulation.down[standIn] = true
+			simulation.run(15 * time.Second)
+			second, third := simulation.singleOwner("east")
 			Expect(second).NotTo(Equal(standIn))
 			Expect(third).To(BeNumerically(">", next))
 
-			world.start("east-m0")
-			world.start("east-m1")
-			world.run(20 * time.Second)
-			back, last := world.single("east")
+			simulation.start("east-m0")
+			simulation.start("east-m1")
+			simulation.run(20 * time.Second)
+			back, last := simulation.singleOwner("east")
 			Expect(back).To(HavePrefix("east-"))
 			Expect(last).To(BeNumerically(">", third))
-			world.holds("east", []string{"east-s1"})
+			simulation.expectLists("east", []string{"east-s1"})
 			for _, region := range []string{"north", "west"} {
-				world.single(region)
+				simulation.singleOwner(region)
 			}
 		})
 	}
 
 	It("given all regions, when nothing fails, then every shard has one owner of its own region all the time", func() {
-		world := newWorld(9)
-		world.run(15 * time.Second)
+		simulation := newSimulatedFleet(9)
+		simulation.run(15 * time.Second)
 		for range 400 {
-			world.step()
+			simulation.step()
 			for _, region := range []string{"east", "north", "west"} {
-				owner, _ := world.single(region)
-				Expect(owner).To(HavePrefix(region + "-"))
+				controller, _ := simulation.singleOwner(region)
+				Expect(controller).To(HavePrefix(region + "-"))
 			}
 		}
 	})
 
 	It("given several regions to look after, when the platform is read, then a node reads the whole list once for all of them", func() {
-		world := newWorld(9)
-		world.run(15 * time.Second)
-		before := world.asked
-		world.run(10 * time.Second)
-		nodes, every := 6, env.DefaultBounds().PlatformPoll()
-		Expect(world.asked - before).To(BeNumerically("<=", nodes*int(10*time.Second/every)*4/3+nodes))
+		simulation := newSimulatedFleet(9)
+		simulation.run(15 * time.Second)
+		before := simulation.listingReads
+		simulation.run(10 * time.Second)
+		nodes, interval := 6, env.DefaultBounds().PlatformPoll()
+		Expect(simulation.listingReads - before).To(BeNumerically("<=", nodes*int(10*time.Second/interval)*4/3+nodes))
 	})
 })
--- a/control/stale_test.go
+++ b/control/stale_test.go
@@ -23,7 +23,7 @@
 }
 
 // staleHead is the head of view 1, which holds a configuration of revision 5, hears its peers and does not know what they decided since.
-func staleHead() *Owner {
+func staleHead() *Controller {
 	GinkgoHelper()
 	nodes := coreNodes()
 	view := contract.View{Number: 1, Core: nodes}
@@ -31,55 +31,55 @@
 		view.Chain = append(view.Chain, node.Identity())
 	}
 	view.Holders = view.Chain
-	kept := composed(contract.Version{}, contract.VerbReplace, section(5, oneRoute))
+	kept := applyRequest(contract.Version{}, contract.VerbReplace, gatewaySection(5, oneRoute))
 	settings := env.New(env.WithName("m1"), env.WithZone("east-a"), env.WithRegion("east"), env.WithControl("m1"))
 	settings.Wide = true
 	recovered := chain.Recovered{Member: chain.MemberRecord{ID: nodes[0].ID, View: view}, Versions: []contract.Version{kept}, Committed: kept.Position}
-	owner := New(settings, "start", &recovered, rand.New(rand.NewPCG(1, 1)))
-	hear(owner, 0)
-	owner.Handle(0, contract.Tick{})
-	owner.Handle(time.Millisecond, contract.Tick{})
-	Expect(owner.chain.AcceptsWrites()).To(BeTrue(), "it would take writes")
-	return owner
+	controller := New(settings, "start", &recovered, rand.New(rand.NewPCG(1, 1)))
+	announcePeers(controller, 0)
+	controller.Handle(0, contract.Tick{})
+	controller.Handle(time.Millisecond, contract.Tick{})
+	Expect(controller.chain.AcceptsWrites()).To(BeTrue(), "it would take writes")
+	return controller
 }
 
 // hear lets a node hear of the other two members.
-func hear(owner *Owner, now time.Duration) {
+func announcePeers(controller *Controller, now time.Duration) {
 	for _, node := range coreNodes()[1:] {
 		body, _ := json.Marshal(neighbour.Shuffle{Members: []contract.Member{{Name: node.Name, Boot: "b", CoreID: node.ID, Kind: contract.KindControl, Core: true,
 			Zone: "east-b", Region: "east", Address: node.Address, Incarnation: 1, Heartbeat: int64(now) + 1}}, Answer: true})
-		owner.Handle(now, contract.Message{Kind: neighbour.MessageShuffle, From: node.Name, Boot: "b", Body: body})
+		controller.Handle(now, contract.Message{Kind: neighbour.MessageShuffle, From: node.Name, Boot: "b", Body: body})
 	}
 }
 
 // answers lets time pass and gives what was answered.
-func answers(owner *Owner, commands []contract.Command, span time.Duration) []contract.Response {
-	given := []contract.Response{}
-	take := func(commands []contract.Command) {
+func responses(controller *Controller, commands []contract.Command, span time.Duration) []contract.Response {
+	received := []contract.Response{}
+	collect := func(commands []contract.Command) {
 		for _, command := range commands {
-			if answer, fine := command.(contract.Response); fine {
-				given = append(given, answer)
+			if response, ok := command.(contract.Response); ok {
+				received = append(received, response)
 			}
 		}
 	}
-	take(commands)
-	for now := 10 * time.Millisecond; now < span; now += owner.Bounds.Tick() {
-		take(owner.Handle(now, contract.Tick{}))
+	collect(commands)
+	for now := 10 * time.Millisecond; now < span; now += controller.Bounds.Tick() {
+		collect(controller.Handle(now, contract.Tick{}))
 	}
-	return given
+	return received
 }
 
 var _ = Describe("a head that was left behind", func() {
 	order := func(verb string, base, revision int64) contract.OperatorRequest {
-		return contract.OperatorRequest{Token: 1, Verb: verb, BaseRevision: base, HasBaseRevision: true, Body: section(revision, oneRoute), Operation: "order", ReplyOnCommit: true}
+		return contract.OperatorRequest{Token: 1, Verb: verb, BaseRevision: base, HasBaseRevision: true, Body: gatewaySection(revision, oneRoute), Operation: "order", ReplyOnCommit: true}
 	}
 
-	DescribeTable("neither refuses nor confirms from its old state", func(ask contract.OperatorRequest) {
-		owner := staleHead()
-		given := answers(owner, owner.Handle(2*time.Millisecond, ask), time.Second)
-		Expect(given).To(HaveLen(1))
-		Expect(given[0].Status).To(Equal(503), "%+v", given[0].Body)
-		Expect(given[0].RetryAfter).To(BeNumerically(">", 0), "and says when to come back")
+	DescribeTable("neither refuses nor confirms from its old state", func(request contract.OperatorRequest) {
+		controller := staleHead()
+		received := responses(controller, controller.Handle(2*time.Millisecond, request), time.Second)
+		Expect(received).To(HaveLen(1))
+		Expect(received[0].Status).To(Equal(503), "%+v", received[0].Body)
+		Expect(received[0].RetryAfter).To(BeNumerically(">", 0), "and says when to come back")
 	},
 		Entry("an order on top of a version that it has missed", order(contract.VerbReplace, 9, 12)),
 		Entry("an order whose revision its own passes", order(contract.VerbReplace, 5, 3)),
@@ -90,49 +90,49 @@
 	)
 
 	It("refuses once a majority confirms its view", func() {
-		owner := staleHead()
-		commands := owner.Handle(2*time.Millisecond, order(contract.VerbReplace, 9, 12))
-		var asked chain.ViewCheck
+		controller := staleHead()
+		commands := controller.Handle(2*time.Millisecond, order(contract.VerbReplace, 9, 12))
+		var check chain.ViewCheck
 		for _, command := range commands {
-			if send, fine := command.(contract.Send); fine && send.Kind == chain.MessageViewCheck {
-				asked = send.Body.(chain.ViewCheck)
+			if send, ok := command.(contract.Send); ok && send.Kind == chain.MessageViewCheck {
+				check = send.Body.(chain.ViewCheck)
 			}
 		}
-		asked.Current, asked.Responder = true, coreNodes()[1]
-		body, _ := json.Marshal(asked)
-		given := answers(owner, owner.Handle(3*time.Millisecond, contract.Message{Kind: chain.MessageViewCheckReply, From: asked.Responder.Name, Body: body}), time.Second)
-		Expect(given).To(HaveLen(1))
-		Expect(given[0].Status).To(Equal(409))
+		check.Current, check.Responder = true, coreNodes()[1]
+		body, _ := json.Marshal(check)
+		received := responses(controller, controller.Handle(3*time.Millisecond, contract.Message{Kind: chain.MessageViewCheckReply, From: check.Responder.Name, Body: body}), time.Second)
+		Expect(received).To(HaveLen(1))
+		Expect(received[0].Status).To(Equal(409))
 	})
 
 	It("answers an order that it numbered within a round, since no majority of the core answers it: unknown, and when to come back", func() {
-		owner := staleHead()
-		given := answers(owner, owner.Handle(2*time.Millisecond, order(contract.VerbReplace, 5, 6)), owner.Bounds.Round())
-		Expect(given).To(HaveLen(1))
-		Expect(given[0].Status).To(Equal(504))
-		Expect(given[0].Body.(contract.WriteResult).Outcome).To(Equal("unknown"))
-		Expect(given[0].RetryAfter).To(BeNumerically(">", 0))
+		controller := staleHead()
+		received := responses(controller, controller.Handle(2*time.Millisecond, order(contract.VerbReplace, 5, 6)), controller.Bounds.Round())
+		Expect(received).To(HaveLen(1))
+		Expect(received[0].Status).To(Equal(504))
+		Expect(received[0].Body.(contract.WriteResult).Outcome).To(Equal("unknown"))
+		Expect(received[0].RetryAfter).To(BeNumerically(">", 0))
 	})
 
 	It("waits for the chain as long as a majority of the core answers it", func() {
-		owner := staleHead()
-		commands := owner.Handle(2*time.Millisecond, order(contract.VerbReplace, 5, 6))
-		given := []contract.Response{}
-		for now := 10 * time.Millisecond; now < owner.Bounds.CommitTimeout(); now += owner.Bounds.Tick() {
-			commands = append(commands, owner.Handle(now, contract.Tick{})...)
+		controller := staleHead()
+		commands := controller.Handle(2*time.Millisecond, order(contract.VerbReplace, 5, 6))
+		received := []contract.Response{}
+		for now := 10 * time.Millisecond; now < controller.Bounds.CommitTimeout(); now += controller.Bounds.Tick() {
+			commands = append(commands, controller.Handle(now, contract.Tick{})...)
 			for len(commands) > 0 {
 				command := commands[0]
 				commands = commands[1:]
-				if answer, fine := command.(contract.Response); fine {
-					given = append(given, answer)
+				if response, ok := command.(contract.Response); ok {
+					received = append(received, response)
 				}
-				if send, fine := command.(contract.Send); fine && send.Kind == chain.MessageProbe {
-					asked := send.Body.(chain.Probe)
-					body, _ := json.Marshal(chain.ProbeReply{Nonce: asked.Nonce, StartID: asked.StartID, Responder: coreNodes()[1]})
-					commands = append(commands, owner.Handle(now+time.Millisecond, contract.Message{Kind: chain.MessageProbeReply, Body: body})...)
+				if send, ok := command.(contract.Send); ok && send.Kind == chain.MessageProbe {
+					probe := send.Body.(chain.Probe)
+					body, _ := json.Marshal(chain.ProbeReply{Nonce: probe.Nonce, StartID: probe.StartID, Responder: coreNodes()[1]})
+					commands = append(commands, controller.Handle(now+time.Millisecond, contract.Message{Kind: chain.MessageProbeReply, Body: body})...)
 				}
 			}
 		}
-		Expect(given).To(BeEmpty())
+		Expect(received).To(BeEmpty())
 	})
 })
--- a/data/data.go
+++ b/data/data.go
@@ -249,10 +249,10 @@
 		decodeMessage(owner, message, func(ask Export) { owner.export(now, ask) })
 	case MessageExportReply:
 		decodeMessage(owner, message, func(exported ExportReply) { owner.importRecords(now, message, exported) })
-	case control.MessageWhyAsk:
-		decodeMessage(owner, message, func(ask control.StatusAsk) {
+	case control.MessageTraceRequest:
+		decodeMessage(owner, message, func(ask control.StatusRequest) {
 			body, _ := json.Marshal(owner.traces.find(ask.Call))
-			owner.emit(contract.Send{To: ask.Address, Kind: control.MessageWhy, Body: control.Status{Token: ask.Token, Node: owner.Self().Name, Body: body}})
+			owner.emit(contract.Send{To: ask.Address, Kind: control.MessageTraceReply, Body: control.StatusReply{Token: ask.Token, Node: owner.Self().Name, Body: body}})
 		})
 	}
 }
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -37,7 +37,7 @@
 		snapshot, damaged := image.LoadIndex(machine.disk)
 		machine.day.counts["control index_snapshots_damaged"] += int64(damaged)
 		machine.day.counts["control index_places_restored"] += int64(len(snapshot.Places))
-		owner.Restore(snapshot)
+		owner.RestoreIndex(snapshot)
 	}
 	shell.process = machine.process(contract.KindControl, owner)
 	shell.perform = shell.act
@@ -205,8 +205,8 @@
 
 // leads tells whether this process numbers writes now.
 func (shell *controlShell) leads() bool {
-	member, there := shell.owner.(*control.Owner).Feed.View().Head()
-	return there && member.Identity() == shell.owner.(*control.Owner).Identity()
+	member, there := shell.owner.(*control.Controller).Feed.View().Head()
+	return there && member.Identity() == shell.owner.(*control.Controller).Identity()
 }
 
 // leave tells the others, and ends after the time that this takes.
--- a/nodecheck/judge.go
+++ b/nodecheck/judge.go
@@ -160,12 +160,12 @@
 	newest := node.owner.Feed.Version().Position.Revision
 	oldest := newest
 	for revision := newest; revision > newest-historyKept; revision-- {
-		if _, there := node.owner.Kept(revision); there {
+		if _, there := node.owner.CommittedVersion(revision); there {
 			oldest = revision
 		}
 	}
 	for place, digest := range judge.digests {
-		version, _ := node.owner.Kept(place.Revision)
+		version, _ := node.owner.CommittedVersion(place.Revision)
 		if place.Revision >= oldest && place.Revision <= newest && (version.Position != place || version.Digest != digest) {
 			judge.fail("%v was in force at some node and %s keeps %v under that revision", place, node.name, version.Position)
 		}
--- a/nodecheck/node.go
+++ b/nodecheck/node.go
@@ -30,7 +30,7 @@
 	name    string
 	address string
 	disk    *virtual.Disk
-	owner   *control.Owner
+	owner   *control.Controller
 	life    int
 	started time.Duration
 	// frozen is until when the process stands still; what comes meanwhile waits.
--- a/retire/retire.go
+++ b/retire/retire.go
@@ -40,9 +40,9 @@
 // maximum delay of a message) from the settings. Remaining is the time that the platform leaves for a Reclaim, or 0 if it is unknown.
 type Terms struct {
 	manifest.Retirement
-	Lease     time.Duration
-	Link      time.Duration
-	Remaining time.Duration
+	Lease         time.Duration
+	MessageMargin time.Duration
+	Remaining     time.Duration
 }
 
 // ReadResult is the result of reading a server's load report at StartedAt. Error is empty if the read succeeded.
@@ -111,7 +111,7 @@
 
 // beginAttempt starts the window anew. It lasts at least until a data node that got its lease just before can no longer send a call.
 func (retirement *Retirement) beginAttempt(now time.Duration) {
-	window := max(retirement.terms.Window, retirement.terms.Lease+retirement.terms.Link)
+	window := max(retirement.terms.Window, retirement.terms.Lease+retirement.terms.MessageMargin)
 	retirement.WithdrawnAt, retirement.WindowEnd, retirement.State = now, now+window, Withdrawn
 	retirement.confirmed, retirement.IdleReports, retirement.lastReport, retirement.readPending = false, 0, 0, false
 	retirement.Attempts++
@@ -161,7 +161,7 @@
 		return
 	}
 	for _, node := range evidence.Nodes {
-		lapsed := now > node.GrantedAt+retirement.terms.Lease+retirement.terms.Link
+		lapsed := now > node.GrantedAt+retirement.terms.Lease+retirement.terms.MessageMargin
 		if node.ListNumber < retirement.ListNumber && !lapsed {
 			return
 		}
--- a/retire/retire_test.go
+++ b/retire/retire_test.go
@@ -19,7 +19,7 @@
 
 func terms() Terms {
 	return Terms{Retirement: manifest.Retirement{Window: 5 * second, Poll: second, Hold: 30 * second, Drain: 8 * second, Evacuation: 5 * second},
-		Lease: 1500 * time.Millisecond, Link: 250 * time.Millisecond}
+		Lease: 1500 * time.Millisecond, MessageMargin: 250 * time.Millisecond}
 }
 
 // retirementScenario steps a retirement through time, with the evidence and load reports that its functions supply.
--- a/serve/control.go
+++ b/serve/control.go
@@ -68,7 +68,7 @@
 	shell.Process = newProcess(settings, owner.Self(), owner, faultsPath)
 	if recovered != nil {
 		snapshot, damaged := image.LoadIndex(shell.files)
-		owner.Restore(snapshot)
+		owner.RestoreIndex(snapshot)
 		shell.Loop.Count("index_snapshots_damaged", int64(damaged))
 		shell.Loop.Count("index_places_restored", int64(len(snapshot.Places)))
 		shell.files = link.FaultyDisk(shell.files, shell.Faults)
--- a/shard/duty.go
+++ b/shard/duty.go
@@ -129,7 +129,7 @@
 	if running {
 		owner.endRetirement(now, shard, retirement, "a stronger cause came")
 	}
-	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), Link: owner.bounds.LeaseRenewal(), Remaining: remaining}
+	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), MessageMargin: owner.bounds.LeaseRenewal(), Remaining: remaining}
 	shard.retirements[row.Name] = retire.New(now, row.Name, row.Incarnation, cause, shard.listNumber+1, terms)
 	owner.emit(contract.AddCounter{Name: "retirements", Delta: 1}, contract.Log{Message: "withdrawn", Attributes: []any{"server", row.Name, "cause", cause}})
 	owner.refreshList(now, shard)
