--- a/control/control.go
+++ b/control/control.go
@@ -1,4 +1,5 @@
-// Package control is the owner in a cedarcp: neighbours, feed, chain, shards and operators' asks in one place.
+// Package control implements the state machine of a control node, the process cedarcp. It combines the membership protocol, the manifest feed,
+// the replication chain of a core member, the shards that the node may own and the cache index, and it answers operator requests.
 package control
 
 import (
@@ -15,19 +16,22 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
+// Kinds of messages between control nodes, and from control nodes to data nodes, with the type of their body.
 const (
-	MessageStatusRequest = "status-ask"
-	MessageStatusReply   = "status"
-	MessageTraceRequest  = "why-ask"
-	MessageTraceReply    = "why"
-	MessageDeclareGone   = "core-gone"
+	MessageStatusRequest = "status-ask" // StatusRequest, for the status of shards or of the cache index
+	MessageStatusReply   = "status"     // StatusReply
+	MessageTraceRequest  = "why-ask"    // StatusRequest, for the traces of a call
+	MessageTraceReply    = "why"        // StatusReply
+	MessageDeclareGone   = "core-gone"  // DeclareGone
 )
 
-// Gone is an operator's word that a core machine will never return.
+// DeclareGone is an operator's statement that the core member of the given name will never return.
 type DeclareGone struct {
 	Name string `json:"name"`
 }
 
+// StatusRequest asks a node for its status. The reply goes to Address with the same Token. Call is the call whose traces are wanted from a data
+// node. Cache asks a control node for the status of the cache index in place of that of its shards.
 type StatusRequest struct {
 	Token   int64  `json:"token"`
 	Address string `json:"address"`
@@ -35,34 +39,38 @@
 	Cache   bool   `json:"cache,omitempty"`
 }
 
+// StatusReply answers a StatusRequest. Body depends on what was asked for.
 type StatusReply struct {
 	Token int64           `json:"token"`
 	Node  string          `json:"node"`
 	Body  json.RawMessage `json:"body"`
 }
 
+// Controller is the state machine of a control node. chain is nil on a node without a data folder.
 type Controller struct {
 	*machine.Node
 	chain     *chain.Replica
 	ownShards *shard.Owner
 	index     *index.Owner
-	// others are the shards of the regions that this node stands in for, kept up to date so that a take-over is prompt.
+	// standInShards are the shards of other regions, which this node owns while those regions have no live control node. They are kept up to date
+	// so that a takeover is quick.
 	standInShards map[string]*shard.Owner
 	allRegions    bool
 	listingReadAt time.Duration
 	pendingWrites map[int64]*pendingWrite
 	queries       map[int64]*query
-	// vouches go on with a majority's word on the view, by token.
+	// confirmations are the continuations that wait until a majority confirms the view, by token.
 	confirmations map[int64]func(now time.Duration, fine bool) []contract.Command
-	// refusals wait until what they rest on is committed, by token.
+	// pendingRefusals wait until the version that they are based on is committed, by token.
 	pendingRefusals map[int64]refusal
 	token           int64
 	nextRestore     time.Duration
-	// newest is the newest version as it was last read.
+	// latest is the latest version that was parsed.
 	latest parsedVersion
 }
 
-// New makes the owner; recovered is nil on a machine without a data folder.
+// New returns the state machine of a control node. boot identifies the run of the process. recovered is the content of the data folder, or nil
+// on a machine without one.
 func New(settings env.Env, boot string, recovered *chain.Recovered, random *rand.Rand) *Controller {
 	node := machine.New(settings, contract.KindControl, boot, random)
 	controller := &Controller{Node: node, ownShards: shard.New(node.Self(), settings.Bounds), index: index.New(settings.Bounds.Return(), settings.Bounds.Withdraw()/2),
@@ -83,6 +91,7 @@
 	return controller
 }
 
+// Handle processes an event and returns the commands to carry out. See contract.StateMachine.
 func (controller *Controller) Handle(now time.Duration, event contract.Event) []contract.Command {
 	return controller.HandleRelayed(now, event, controller.handle)
 }
@@ -137,8 +146,9 @@
 	return append(commands, controller.tickQueries(now)...)
 }
 
-// askRefill asks any member for versions that the core itself has lost; every node keeps what passed through the feed. The feed is given
-// what it lacks of the core's log: after a start it has the newest version alone, and feeds ask only feeds for older ones.
+// requestMissingVersions asks a random member for a version that the core itself has lost, since every node keeps the versions of the feed. It
+// also gives the feed the versions that it lacks from the log: after a start the feed has only the newest one, and feeds request older ones
+// only from each other.
 func (controller *Controller) requestMissingVersions(now time.Duration, members []contract.Member) []contract.Command {
 	if controller.chain == nil || now < controller.nextRestore {
 		return nil
@@ -153,6 +163,7 @@
 	return []contract.Command{contract.Send{To: member.Address, Kind: feed.MessageLack, Body: feed.Lack{From: first, Address: controller.Self().Address, Base: controller.chain.DeltaBase()}}}
 }
 
+// restoreVersions adds versions that another node kept to the log.
 func (controller *Controller) restoreVersions(now time.Duration, message contract.Message) []contract.Command {
 	var kept feed.Kept
 	if message.Kind != feed.MessageKept || json.Unmarshal(message.Body, &kept) != nil {
@@ -161,7 +172,7 @@
 	return controller.chain.Restore(now, kept.Records)
 }
 
-// absorb turns what the chain decided into news for the feed and answers for operators.
+// applyChainCommands hands the decisions of the chain to the feed and to waiting requests, and returns the other commands.
 func (controller *Controller) applyChainCommands(now time.Duration, commands []contract.Command) []contract.Command {
 	out := []contract.Command{}
 	for len(commands) > 0 {
@@ -186,7 +197,7 @@
 	return out
 }
 
-// Identity is that of this core member, or nothing on a node without a data folder.
+// Identity returns the identity of this core member. It is empty on a node without a data folder.
 func (controller *Controller) Identity() string {
 	if controller.chain == nil {
 		return ""
@@ -199,6 +210,8 @@
 	return found && node.Identity() == controller.Identity()
 }
 
+// handleRequest answers an operator request, or forwards it to the authoritative node. A trace, a lost machine and a cache lookup are handled by
+// any node.
 func (controller *Controller) handleRequest(now time.Duration, request contract.OperatorRequest) []contract.Command {
 	if request.Verb == contract.VerbWhy {
 		return controller.answerTrace(now, request)
@@ -237,7 +250,7 @@
 	return controller.write(now, request, nil)
 }
 
-// Restore takes up what a disk kept of the index and has it saved there from now on.
+// RestoreIndex restores the cache index from a snapshot and turns on further snapshots.
 func (controller *Controller) RestoreIndex(snapshot index.Snapshot) {
 	controller.index.Restore(snapshot)
 }
@@ -252,27 +265,29 @@
 	return peers
 }
 
-// place says where a prompt belongs; any control node that is asked answers, since a wrong place costs reading alone.
+// answerPlacement answers which server a prompt should go to. Any control node may answer, since a wrong server only costs the time to process
+// the prompt again.
 func (controller *Controller) answerPlacement(now time.Duration, request contract.OperatorRequest) []contract.Command {
-	var asked index.Ask
-	if json.Unmarshal(request.Body, &asked) != nil {
+	var lookup index.Ask
+	if json.Unmarshal(request.Body, &lookup) != nil {
 		return []contract.Command{contract.ErrorResponse(request.Token, 400, "not a question for a place", 0)}
 	}
-	place, found := controller.index.Place(now, asked)
-	if !found && asked.Known {
+	place, found := controller.index.Place(now, lookup)
+	if !found && lookup.Known {
 		return []contract.Command{contract.ErrorResponse(request.Token, 404, "this place is not known here", 0)}
 	}
 	if !found {
 		return []contract.Command{contract.ErrorResponse(request.Token, 404, "no candidate for this place", 0)}
 	}
 	commands := []contract.Command{contract.Response{Token: request.Token, Status: 200, Body: place}, contract.SetGauge{Name: "index_places", Value: int64(controller.index.Len())}}
-	if asked.Known {
+	if lookup.Known {
 		commands = append(commands, contract.AddCounter{Name: "index_known_given", Delta: 1})
 	}
 	return commands
 }
 
-// gone tells every live core machine what an operator knows: there may be no authority left to tell.
+// declareGone sends a declaration to every live core machine, since there may be no authoritative node left. A live machine is not declared
+// gone.
 func (controller *Controller) declareGone(now time.Duration, request contract.OperatorRequest) []contract.Command {
 	declaration, commands := DeclareGone{Name: request.Subject + "-" + contract.KindControl}, []contract.Command{}
 	if controller.Neighbours.Alive(now, declaration.Name) {
@@ -294,7 +309,7 @@
 	return nil
 }
 
-// whenVouched keeps what follows a majority's word and gives the token to ask for it with.
+// onConfirmed registers a continuation for when a majority has confirmed the view or could not, and returns the token for the confirmation.
 func (controller *Controller) onConfirmed(continuation func(now time.Duration, fine bool) []contract.Command) int64 {
 	controller.token++
 	controller.confirmations[controller.token] = continuation
@@ -310,6 +325,7 @@
 	return continuation(now, confirmed.Granted)
 }
 
+// answerRead answers a read from the committed log, if the core has confirmed that this node is still the tail.
 func (controller *Controller) answerRead(request contract.OperatorRequest, ok bool) []contract.Command {
 	if !ok {
 		return []contract.Command{contract.AddCounter{Name: "reads_without_quorum", Delta: 1},
@@ -329,10 +345,10 @@
 	return []contract.Command{contract.Response{Token: request.Token, Status: 200, Body: version}}
 }
 
-// Leave hands the duties over when this process stops on purpose.
+// Leave is the event that the process is being stopped. The node then announces its departure, so that others take over its shards at once.
 type Leave struct{}
 
-// Kept gives an accepted version that this core machine holds.
+// CommittedVersion returns a committed version that this core machine holds.
 func (controller *Controller) CommittedVersion(revision int64) (contract.Version, bool) {
 	if controller.chain == nil {
 		return contract.Version{}, false
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -16,16 +16,16 @@
 	"github.com/cedarreel/cedarreel/planned"
 )
 
-// sizes are the configurations that costs are measured for, in routes; keptVersions the versions that are kept of them.
+// routeCounts are the sizes of the configurations in the benchmarks, versionCounts the numbers of versions that are kept of them.
 var (
 	routeCounts   = []int{10, 1500, planned.Tenants}
 	versionCounts = []int{1, 256}
 )
 
-// followed is how many changes a node follows before it begins anew.
+// changesPerNode is the number of changes that a node receives before it is replaced by a new one.
 const changesPerNode = 200
 
-// plannedVersion gives a version with so many routes of the planned fleet.
+// plannedVersion returns a version with the given number of routes of the planned fleet.
 func plannedVersion(tb testing.TB, routes int) contract.Version {
 	tb.Helper()
 	content, err := document.Parse(planned.Fleet{Routes: routes}.Configuration())
@@ -35,14 +35,14 @@
 	return contract.NewVersion(contract.Position{View: 1, Revision: 1}, "first/f", content)
 }
 
-// oneRouteChanged orders another time-out for one route.
+// oneRouteUpdate returns a request that changes the timeout of one route.
 func oneRouteUpdate(base int64) contract.OperatorRequest {
 	body := fmt.Sprintf(`{"gateway":{"revision":%d,"upsert":{"routes":{"tenant-00007":{"host":"tenant-00007.example.com","prefix":"/v1/","kind":"streaming",`+
 		`"timeoutMs":%d,"aimMs":1400,"gapMs":71,"rank":1,"attempts":2,"resumable":true,"affinity":true,"service":"model-0"}}},"remove":{}}}`, base+1, 60000+base)
 	return contract.OperatorRequest{Verb: contract.VerbUpdate, HasBaseRevision: true, BaseRevision: base, Operation: fmt.Sprint("o", base), Body: []byte(body)}
 }
 
-// changed gives the versions that so many changes of one route make of a first one.
+// changedVersions returns count versions, each of which changes one route of its predecessor.
 func changedVersions(tb testing.TB, first contract.Version, count int) []contract.Version {
 	tb.Helper()
 	versions := []contract.Version{first}
@@ -71,7 +71,7 @@
 	}
 }
 
-// BenchmarkHead is one changed route at the head, from the order to what is passed on.
+// BenchmarkHead measures the change of one route at the head, from the request to the message for the next member.
 func BenchmarkHead(b *testing.B) {
 	eachSize(b, func(b *testing.B, versions []contract.Version) {
 		last := versions[len(versions)-1]
@@ -97,7 +97,7 @@
 	})
 }
 
-// countingDisk keeps nothing and tells how large the last file was.
+// countingDisk stores nothing and records the size of the last file.
 type countingDisk struct{ written int }
 
 func (disk *countingDisk) WriteTemp(_ string, content []byte) error {
@@ -110,7 +110,7 @@
 func (*countingDisk) List() ([]string, error)     { return nil, nil }
 func (*countingDisk) Remove(string) error         { return nil }
 
-// BenchmarkMember is one changed route at a member of the chain: read from a pass, and written to its folder.
+// BenchmarkMember measures the change of one route at a member of the chain: decoding the message and writing the data folder.
 func BenchmarkMember(b *testing.B) {
 	eachSize(b, func(b *testing.B, versions []contract.Version) {
 		disk := &countingDisk{}
@@ -148,7 +148,7 @@
 	return last.Next(contract.Position{View: 1, Revision: last.Position.Revision + 1}, "next/f", change)
 }
 
-// BenchmarkNode is one changed route at a node that follows the feed, until it is in force there.
+// BenchmarkNode measures the change of one route at a node that follows the feed, until it is in force there.
 func BenchmarkNode(b *testing.B) {
 	eachSize(b, func(b *testing.B, versions []contract.Version) {
 		bounds := env.DefaultBounds()
@@ -185,7 +185,7 @@
 	})
 }
 
-// BenchmarkStart is a node that knows nothing, until it has the whole configuration in force.
+// BenchmarkStart measures a node without any version, until the whole configuration is in force there.
 func BenchmarkStart(b *testing.B) {
 	for _, routes := range routeCounts {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// heapOf gives the bytes that what a function makes keeps alive.
+// retainedHeap returns the heap size of the value that a function returns, in bytes.
 func retainedHeap(make func() any) int64 {
 	before, after := runtime.MemStats{}, runtime.MemStats{}
 	runtime.GC()
@@ -224,7 +224,7 @@
 	return int64(after.HeapAlloc) - int64(before.HeapAlloc)
 }
 
-// BenchmarkMemory tells what a configuration and its versions keep of the heap, at a node and at a member.
+// BenchmarkMemory measures the heap that a configuration and its versions take at a node.
 func BenchmarkMemory(b *testing.B) {
 	for _, routes := range routeCounts {
 		for _, kept := range versionCounts {
--- a/control/gateway.go
+++ b/control/gateway.go
@@ -7,11 +7,11 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// newest is the newest version as it is read for writes.
+// parsedVersion is a version together with its parsed manifest.
 type parsedVersion struct {
 	contract.Version
 	manifest manifest.Manifest
-	// invalid tells why its content is no manifest.
+	// invalid is the error if the content is not a valid manifest.
 	invalid error
 }
 
@@ -25,7 +25,7 @@
 
 func (newest parsedVersion) exists() bool { return newest.Position.Revision > 0 }
 
-// readLatest gives the newest version as it is read; a version that this head has just made is not read again.
+// parseLatest returns the parsed latest version. A version that this head has just created is not parsed again.
 func (controller *Controller) parseLatest(latest contract.Version) parsedVersion {
 	if controller.latest.Position != latest.Position {
 		controller.latest = parseVersion(latest)
@@ -33,7 +33,7 @@
 	return controller.latest
 }
 
-// overtaken tells why a change of the gateway's configuration no longer stands on the newest one.
+// staleBase returns why a write of the gateway's configuration is not based on the current one, or an empty string if it is.
 func staleBase(request contract.OperatorRequest, latest parsedVersion) string {
 	if request.Verb != contract.VerbReplace && request.Verb != contract.VerbUpdate {
 		return ""
@@ -47,8 +47,8 @@
 	return ""
 }
 
-// forgotten tells whether an order builds on a configuration that is older than all kept versions: then the order may have been taken
-// and its version been dropped since.
+// baseForgotten reports whether a write is based on a configuration older than all kept versions. The write may then have been accepted before
+// and its version removed since.
 func (controller *Controller) baseForgotten(request contract.OperatorRequest) bool {
 	if request.Verb != contract.VerbReplace && request.Verb != contract.VerbUpdate {
 		return false
@@ -60,7 +60,7 @@
 	return request.BaseRevision < manifest.GatewayRevision(oldest.Document())
 }
 
-// standing gives the newest version when a drain or an undrain asks for what already is so, and wants no version of its own.
+// alreadyInEffect returns the latest version if a drain or undrain asks for what that version already says and so needs no new version.
 func (controller *Controller) alreadyInEffect(request contract.OperatorRequest) (contract.Version, bool) {
 	if !request.ReplyOnCommit || request.Verb != contract.VerbDrain && request.Verb != contract.VerbUndrain {
 		return contract.Version{}, false
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -14,7 +14,7 @@
 	return []byte(fmt.Sprintf(`{"regions":{"east":{"shards":1,"machines":[]}},"zones":{"east-a":{"region":"east"}},"gateway":{"revision":%d,"routes":{%s},"services":{"s":{}}}}`, revision, routes))
 }
 
-// versionOf gives a version with a whole content.
+// versionOf returns a version with the given content.
 func versionOf(revision int64, content string) contract.Version {
 	GinkgoHelper()
 	parsed, err := document.Parse([]byte(content))
@@ -22,7 +22,7 @@
 	return contract.NewVersion(contract.Position{View: 1, Revision: revision}, contract.OperationID("first", "f"), parsed)
 }
 
-// composed gives the version that an order makes of a former one.
+// applyRequest returns the version that a write creates from a previous one.
 func applyRequest(previous contract.Version, verb string, body []byte) contract.Version {
 	GinkgoHelper()
 	change, _, _, err := buildChange(contract.OperatorRequest{Verb: verb, Body: body}, parseVersion(previous))
@@ -38,7 +38,7 @@
 	}
 
 	for _, verb := range []string{contract.VerbReplace, contract.VerbUpdate} {
-		DescribeTable("given revision 5, when a "+verb+" has another one, then only a higher one is taken", func(revision int64, accepted bool) {
+		DescribeTable("given revision 5, when a "+verb+" has another one, then only a higher one is accepted", func(revision int64, accepted bool) {
 			body := gatewaySection(revision, oneRoute)
 			if verb == contract.VerbUpdate {
 				body = []byte(fmt.Sprintf(`{"gateway":{"revision":%d,"upsert":{},"remove":{}}}`, revision))
@@ -52,7 +52,7 @@
 		}, Entry("lower", int64(4), false), Entry("the same", int64(5), false), Entry("the next", int64(6), true), Entry("a later one", int64(60), true))
 	}
 
-	It("given a change on another base than the current one, when it is looked at, then it is overtaken", func() {
+	It("given a write that is not based on the current revision, then its base is stale", func() {
 		for base, stale := range map[int64]bool{0: true, 4: true, 5: false, 6: true} {
 			Expect(staleBase(contract.OperatorRequest{Verb: contract.VerbReplace, BaseRevision: base}, parseVersion(latest())) != "").To(Equal(stale), "base %d", base)
 		}
@@ -60,7 +60,7 @@
 		Expect(staleBase(contract.OperatorRequest{Verb: contract.VerbDrain, BaseRevision: 0}, parseVersion(latest()))).To(BeEmpty())
 	})
 
-	It("given a drained zone, when a whole configuration comes, then the zone stays drained and is not withdrawn again", func() {
+	It("given a drained zone, when the whole configuration is replaced, then the zone stays drained and is not withdrawn again", func() {
 		version := latest()
 		change, _, drains, err := buildChange(contract.OperatorRequest{Verb: contract.VerbDrain, Subject: "east-a"}, parseVersion(version))
 		Expect(err).NotTo(HaveOccurred())
@@ -77,7 +77,7 @@
 		Expect(next.Gateway.Routes.Len()).To(BeZero())
 	})
 
-	It("given a change that names an unknown service, when it is composed, then nothing of it is taken", func() {
+	It("given a change that names an unknown service, then it is refused", func() {
 		body := []byte(`{"gateway":{"revision":6,"upsert":{"routes":{"q":{"host":"h","prefix":"/q/","timeoutMs":1,"service":"none"}}}}}`)
 		_, _, _, err := buildChange(contract.OperatorRequest{Verb: contract.VerbUpdate, Body: body}, parseVersion(latest()))
 		Expect(err).To(MatchError(ContainSubstring("gateway.routes.q.service")))
--- a/control/gather.go
+++ b/control/gather.go
@@ -12,8 +12,9 @@
 	mapset "github.com/deckarep/golang-set/v2"
 )
 
-// gather asks several members and goes on when enough of them answered, or at the end of a round. Who has not answered after a part of the
-// round is asked once more by way of other members: the link to it may be cut while others reach it.
+// query asks several members and continues with onDone when enough of them have answered or a round is over. Members that have not answered after
+// part of the round are asked again through relays, since the link to them may be broken while others reach them. onReply returns true when
+// no more replies are needed.
 type query struct {
 	deadline      time.Duration
 	nextRetry     time.Duration
@@ -26,6 +27,7 @@
 	onDone        func(now time.Duration) []contract.Command
 }
 
+// startQuery sends a query to all live members that match.
 func (controller *Controller) startQuery(now time.Duration, matches func(contract.Member) bool, kind string, message func(token int64) any,
 	onReply func(body json.RawMessage) bool, onDone func(now time.Duration) []contract.Command) []contract.Command {
 	controller.token++
@@ -43,6 +45,7 @@
 	return commands
 }
 
+// handleQueryMessage answers a query of another node, or adds a reply to the query of this node that it belongs to.
 func (controller *Controller) handleQueryMessage(now time.Duration, message contract.Message) []contract.Command {
 	if message.Kind == MessageStatusRequest {
 		var request StatusRequest
@@ -96,7 +99,7 @@
 	return commands
 }
 
-// gatherParts is the part of a round after which members that did not answer are asked by way of others.
+// queryRetriesPerRound is how often a round the members that have not answered are asked again through relays.
 const queryRetriesPerRound = 3
 
 func (controller *Controller) retryByRelay(now time.Duration, pending *query) []contract.Command {
@@ -139,7 +142,7 @@
 	})
 }
 
-// cache sums what the control nodes were told of the servers' caches; older ones answer with something else, which is left out.
+// answerCache merges the cache status of all control nodes. Nodes of an older version answer with something else, which is ignored.
 func (controller *Controller) answerCache(now time.Duration, request contract.OperatorRequest) []contract.Command {
 	all := []index.CacheStatus{}
 	matches := func(member contract.Member) bool { return member.Kind == contract.KindControl }
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -48,8 +48,8 @@
 	return body
 }
 
-var _ = Describe("the place of a prompt", func() {
-	It("given any control node, also one that knows nobody, when it is asked, then it answers itself", func() {
+var _ = Describe("the lookup of a prompt in the cache index", func() {
+	It("given any control node, even one that knows no other member, when it is asked, then it answers itself", func() {
 		simulation := newSimulatedFleet(3)
 		for _, name := range simulation.controlNodes() {
 			response := simulation.askPlacement(name, placementQuery(1, name+"-own", "b"))
@@ -58,13 +58,13 @@
 		}
 	})
 
-	It("given a question that cannot be read or has no candidate, when it comes, then it is refused", func() {
+	It("given a lookup that is malformed or has no candidate, then it is refused", func() {
 		simulation := newSimulatedFleet(3)
 		Expect(simulation.askPlacement("east-m0-control", []byte(`{"candidates":7}`)).Status).To(Equal(400))
 		Expect(simulation.askPlacement("east-m0-control", placementQuery(1)).Status).To(Equal(404))
 	})
 
-	It("given a place at one control node, when the beat has passed, then every other gives the same, and no data node is told", func() {
+	It("given an entry at one control node, when the update interval has passed, then every other control node gives the same answer", func() {
 		simulation := newSimulatedFleet(3)
 		simulation.run(15 * time.Second)
 		simulation.askPlacement("west-m1-control", placementQuery(1, "a", "b"))
@@ -74,7 +74,7 @@
 		}
 	})
 
-	It("given a question for what is known, when it comes to any control node, then a place is given soon after another placed it, and none is made", func() {
+	It("given a lookup of known entries only, when it is sent to any control node, then it finds an entry of another node soon and creates none", func() {
 		simulation := newSimulatedFleet(3)
 		simulation.run(15 * time.Second)
 		for anchor := range uint64(3) {
@@ -92,7 +92,7 @@
 		}
 	})
 
-	It("given a node with a disk, when it has a place, then it hands a snapshot out, and one without a disk does not", func() {
+	It("given a node with a disk, when it has an entry, then it emits a snapshot, and a node without a disk does not", func() {
 		simulation := newSimulatedFleet(3)
 		simulation.run(time.Second)
 		handed := func(controller *Controller) []index.Snapshot {
@@ -115,15 +115,15 @@
 		simulation.askPlacement("east-m0-control", placementQuery(2, "b"))
 		kept.Places = append(kept.Places, index.Place{Key: index.Key{Scope: "s", Anchor: 2}, Server: "b"})
 		snapshots := handed(disk)
-		Expect(len(snapshots)).To(And(BeNumerically(">=", 1), BeNumerically("<=", 2)), "a beat each")
+		Expect(len(snapshots)).To(And(BeNumerically(">=", 1), BeNumerically("<=", 2)), "one per interval")
 		Expect(snapshots[0]).To(Equal(kept))
 		simulation.askPlacement("east-m1-control", placementQuery(2, "b"))
 		Expect(handed(simulation.nodes["east-m1-control"].owner.(*Controller))).To(BeEmpty())
 	})
 })
 
-var _ = Describe("the view of the servers' caches", func() {
-	It("given a control node that was told uses, when another asks for its view, then it tells it, and an ask without it gets shards as ever", func() {
+var _ = Describe("the status of the cache index", func() {
+	It("given a control node that received uses, when another node requests its cache status, then it replies with it, and else with the status of its shards", func() {
 		simulation := newSimulatedFleet(3)
 		simulation.run(15 * time.Second)
 		uses := []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 50, Verdict: index.Kept, At: simulation.now}}
@@ -148,7 +148,7 @@
 			if cache {
 				Expect(statuses).To(Equal([]index.CacheStatus{{Server: "a", Service: "s", Placed: 1, Checked: 1, Kept: 1, Share: 1}}))
 			} else {
-				Expect(index.Merge(statuses)).To(BeEmpty(), "what an older node answers is left out")
+				Expect(index.Merge(statuses)).To(BeEmpty(), "the reply of an older node is ignored")
 			}
 		}
 	})
--- a/control/refuse.go
+++ b/control/refuse.go
@@ -8,9 +8,9 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// refusal is a final no that rests on this head's state. It is given only once a majority has confirmed that the head's view is the
-// newest, and once the version that it rests on is committed: a head that was cut off knows neither what came after it nor whether what
-// it numbered last will stand.
+// refusal is a final refusal that is based on the state of this head. It is sent only after a majority has confirmed that the head's view is
+// current and the version that it is based on is committed: a head that was cut off knows neither what was decided after that nor whether the
+// versions that it assigned last will be committed.
 type refusal struct {
 	request  contract.OperatorRequest
 	status   int
@@ -19,7 +19,7 @@
 	deadline time.Duration
 }
 
-// refuseSurely refuses an order for what a version says.
+// refuseConfirmed refuses a request because of what a version says.
 func (controller *Controller) refuseConfirmed(now time.Duration, request contract.OperatorRequest, basis contract.Version, status int, reason string) []contract.Command {
 	pending := refusal{request: request, status: status, reason: reason, revision: basis.Position.Revision, deadline: now + controller.Bounds.CommitTimeout()}
 	token := controller.onConfirmed(func(_ time.Duration, ok bool) []contract.Command {
@@ -36,7 +36,7 @@
 	return controller.chain.ConfirmHead(now, token)
 }
 
-// tickRefusals gives the refusals whose ground was committed meanwhile; one whose ground is not in time is none.
+// tickRefusals sends the refusals whose version has been committed. If that does not happen in time, the request may be retried.
 func (controller *Controller) tickRefusals(now time.Duration) []contract.Command {
 	commands := []contract.Command{}
 	for _, token := range slices.Sorted(maps.Keys(controller.pendingRefusals)) {
@@ -54,7 +54,7 @@
 	return commands
 }
 
-// confirmStanding answers an order that asks for what already is so, once a majority has confirmed the view in which it is.
+// confirmInEffect answers a request that asks for what the latest version already says, after a majority has confirmed the view.
 func (controller *Controller) confirmInEffect(now time.Duration, request contract.OperatorRequest, version contract.Version) []contract.Command {
 	token := controller.onConfirmed(func(now time.Duration, ok bool) []contract.Command {
 		if !ok {
--- a/control/regions.go
+++ b/control/regions.go
@@ -8,7 +8,7 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// shardsOf gives this node's own region's shards first, then those of the regions that it stands in for.
+// allShards returns the shards of this node's own region first, then those of the other regions by name.
 func (controller *Controller) allShards() []*shard.Owner {
 	all := []*shard.Owner{controller.ownShards}
 	for _, region := range manifest.SortedKeys(controller.standInShards) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// tickShards follows the regions of the configuration; every shard owner of this node reads the same listing.
+// tickShards updates the shards to the regions of the manifest. All of them share one read of the listing.
 func (controller *Controller) tickShards(now time.Duration, view shard.Seen) []contract.Command {
 	if controller.allRegions {
 		self := controller.Self()
@@ -47,7 +47,7 @@
 	return controller.mergeListingReads(now, commands)
 }
 
-// oneListing turns the reads of all regions into one of the whole list.
+// mergeListingReads replaces the reads of single regions by one read of the whole listing per poll interval.
 func (controller *Controller) mergeListingReads(now time.Duration, commands []contract.Command) []contract.Command {
 	if !controller.allRegions {
 		return commands
@@ -65,7 +65,7 @@
 	return kept
 }
 
-// shardEvent brings an event to the shards that it concerns: what is carried around or read for others is done once.
+// shardEvent passes an event to the shards that it concerns. Relayed messages and reads on behalf of other nodes are handled only once.
 func (controller *Controller) shardEvent(now time.Duration, event contract.Event) []contract.Command {
 	if message, ok := event.(contract.Message); ok && message.Kind != shard.MessageLeaseRequest && message.Kind != shard.MessageZoneWithdraw && message.Kind != shard.MessageRampReply {
 		return controller.ownShards.Handle(now, event)
@@ -84,6 +84,7 @@
 	return controller.mergeListingReads(now, commands)
 }
 
+// listingForRegion returns the part of a listing that belongs to the shards with an index in allShards.
 func (controller *Controller) listingForRegion(result shard.ListingResult, index int) shard.ListingResult {
 	region := controller.Self().Region
 	if index > 0 {
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -27,7 +27,7 @@
 	`"zones":{"east-a":{"region":"east"},"north-a":{"region":"north"},"west-a":{"region":"west"}},` +
 	`"gateway":{"revision":1,"routes":{},"services":{"s":{}}}}`
 
-// node is one process of the world: its owner, and the list that it holds if it is a data node.
+// node is a process of the simulated fleet: its state machine, and the server lists that it holds if it is a data node.
 type node struct {
 	name   string
 	region string
@@ -35,7 +35,7 @@
 	lists  map[string][]string
 }
 
-// world carries messages between owners in virtual time; every message takes one step.
+// simulatedFleet delivers messages between nodes in virtual time. Every message takes one step.
 type simulatedFleet struct {
 	now          time.Duration
 	random       *rand.Rand
@@ -69,7 +69,7 @@
 	simulation.messages[address] = append(simulation.messages[address], contract.Message{Kind: kind, Body: content})
 }
 
-// start begins both processes of a machine anew, as blank ones.
+// start starts both processes of a machine without any state.
 func (simulation *simulatedFleet) start(machine string) {
 	simulation.boots++
 	region, _, _ := strings.Cut(machine, "-")
@@ -126,7 +126,7 @@
 	}
 }
 
-// owners gives who owns a region's shard now, by what each live node says of itself, with the epoch.
+// owners returns the live nodes that consider themselves the owner of a region's shard, with their epochs.
 func (simulation *simulatedFleet) owners(region string) map[string]int64 {
 	owners := map[string]int64{}
 	for name, node := range simulation.nodes {
@@ -143,7 +143,7 @@
 	return owners
 }
 
-// single wants exactly one owner and gives it.
+// singleOwner checks that there is exactly one owner and returns it with its epoch.
 func (simulation *simulatedFleet) singleOwner(region string) (string, int64) {
 	GinkgoHelper()
 	owners := simulation.owners(region)
@@ -163,7 +163,7 @@
 	}
 }
 
-var _ = Describe("the shards of regions", func() {
+var _ = Describe("the shards of several regions", func() {
 	for seed := range uint64(3) {
 		It(fmt.Sprintf("given a region without a live control node, then exactly one other node owns its shard, under a higher epoch each time, seed %d", seed), func() {
 			simulation := newSimulatedFleet(seed)
@@ -202,7 +202,7 @@
 		})
 	}
 
-	It("given all regions, when nothing fails, then every shard has one owner of its own region all the time", func() {
+	It("given that nothing fails, then every shard always has one owner of its own region", func() {
 		simulation := newSimulatedFleet(9)
 		simulation.run(15 * time.Second)
 		for range 400 {
@@ -214,7 +214,7 @@
 		}
 	})
 
-	It("given several regions to look after, when the platform is read, then a node reads the whole list once for all of them", func() {
+	It("given several regions, when a node polls the platform, then it reads the whole listing once for all of them", func() {
 		simulation := newSimulatedFleet(9)
 		simulation.run(15 * time.Second)
 		before := simulation.listingReads
--- a/control/stale_test.go
+++ b/control/stale_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// coreNodes are three members of the core with their disks' identities.
+// coreNodes returns the three members of the core.
 func coreNodes() []contract.CoreNode {
 	nodes := []contract.CoreNode{}
 	for _, name := range []string{"m1", "m2", "m3"} {
@@ -22,7 +22,8 @@
 	return nodes
 }
 
-// staleHead is the head of view 1, which holds a configuration of revision 5, hears its peers and does not know what they decided since.
+// staleHead returns the head of view 1. It holds a configuration of revision 5, receives messages of its peers and does not know whether they have
+// decided on another view.
 func staleHead() *Controller {
 	GinkgoHelper()
 	nodes := coreNodes()
@@ -39,11 +40,11 @@
 	announcePeers(controller, 0)
 	controller.Handle(0, contract.Tick{})
 	controller.Handle(time.Millisecond, contract.Tick{})
-	Expect(controller.chain.AcceptsWrites()).To(BeTrue(), "it would take writes")
+	Expect(controller.chain.AcceptsWrites()).To(BeTrue(), "it would accept writes")
 	return controller
 }
 
-// hear lets a node hear of the other two members.
+// announcePeers tells a node that the other two members are alive.
 func announcePeers(controller *Controller, now time.Duration) {
 	for _, node := range coreNodes()[1:] {
 		body, _ := json.Marshal(neighbour.Shuffle{Members: []contract.Member{{Name: node.Name, Boot: "b", CoreID: node.ID, Kind: contract.KindControl, Core: true,
@@ -52,7 +53,7 @@
 	}
 }
 
-// answers lets time pass and gives what was answered.
+// responses runs the controller for a span of time and returns its responses.
 func responses(controller *Controller, commands []contract.Command, span time.Duration) []contract.Response {
 	received := []contract.Response{}
 	collect := func(commands []contract.Command) {
@@ -69,7 +70,7 @@
 	return received
 }
 
-var _ = Describe("a head that was left behind", func() {
+var _ = Describe("the head of an old view", func() {
 	order := func(verb string, base, revision int64) contract.OperatorRequest {
 		return contract.OperatorRequest{Token: 1, Verb: verb, BaseRevision: base, HasBaseRevision: true, Body: gatewaySection(revision, oneRoute), Operation: "order", ReplyOnCommit: true}
 	}
@@ -79,14 +80,14 @@
 		received := responses(controller, controller.Handle(2*time.Millisecond, request), time.Second)
 		Expect(received).To(HaveLen(1))
 		Expect(received[0].Status).To(Equal(503), "%+v", received[0].Body)
-		Expect(received[0].RetryAfter).To(BeNumerically(">", 0), "and says when to come back")
+		Expect(received[0].RetryAfter).To(BeNumerically(">", 0), "and advises when to retry")
 	},
-		Entry("an order on top of a version that it has missed", order(contract.VerbReplace, 9, 12)),
-		Entry("an order whose revision its own passes", order(contract.VerbReplace, 5, 3)),
-		Entry("a change by name that its own state does not allow", contract.OperatorRequest{Token: 1, Verb: contract.VerbUpdate, BaseRevision: 5, HasBaseRevision: true, Operation: "order", ReplyOnCommit: true,
+		Entry("a write that is based on a version it has missed", order(contract.VerbReplace, 9, 12)),
+		Entry("a write with a revision lower than its own", order(contract.VerbReplace, 5, 3)),
+		Entry("an update that its own state does not allow", contract.OperatorRequest{Token: 1, Verb: contract.VerbUpdate, BaseRevision: 5, HasBaseRevision: true, Operation: "order", ReplyOnCommit: true,
 			Body: []byte(`{"gateway":{"revision":6,"upsert":{"routes":{"q":{"host":"h","prefix":"/q/","timeoutMs":1,"service":"none"}}}}}`)}),
 		Entry("an undrain of a zone that it does not know to be drained", contract.OperatorRequest{Token: 1, Verb: contract.VerbUndrain, Subject: "east-a", Operation: "order", ReplyOnCommit: true}),
-		Entry("a question for an operation that it does not know", contract.OperatorRequest{Token: 1, Verb: contract.VerbOperation, Subject: "order"}),
+		Entry("a query for an operation that it does not know", contract.OperatorRequest{Token: 1, Verb: contract.VerbOperation, Subject: "order"}),
 	)
 
 	It("refuses once a majority confirms its view", func() {
@@ -105,7 +106,7 @@
 		Expect(received[0].Status).To(Equal(409))
 	})
 
-	It("answers an order that it numbered within a round, since no majority of the core answers it: unknown, and when to come back", func() {
+	It("answers a submitted write within a round with an unknown outcome and a time to retry, since no majority of the core responds", func() {
 		controller := staleHead()
 		received := responses(controller, controller.Handle(2*time.Millisecond, order(contract.VerbReplace, 5, 6)), controller.Bounds.Round())
 		Expect(received).To(HaveLen(1))
@@ -114,7 +115,7 @@
 		Expect(received[0].RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("waits for the chain as long as a majority of the core answers it", func() {
+	It("waits for the commit as long as a majority of the core responds", func() {
 		controller := staleHead()
 		commands := controller.Handle(2*time.Millisecond, order(contract.VerbReplace, 5, 6))
 		received := []contract.Response{}
--- a/control/write.go
+++ b/control/write.go
@@ -15,9 +15,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// statusUnknown answers a write of which it is not known whether it will be committed.
+// statusUnknown is the HTTP status of the response to a write if it is unknown whether it will be committed.
 const statusUnknown = 504
 
+// pendingWrite is a write whose client waits for the response.
 type pendingWrite struct {
 	request   contract.OperatorRequest
 	revision  int64
@@ -26,11 +27,12 @@
 	committed bool
 }
 
+// fingerprint returns a hash of what a write asks for, to recognize a retry under the same operation key.
 func fingerprint(request contract.OperatorRequest) string {
 	return contract.Digest([]byte(request.Verb + "\x00" + request.Subject + "\x00" + fmt.Sprint(request.BaseRevision, request.HasBaseRevision) + "\x00" + string(request.Body)))[:16]
 }
 
-// patchOf gives an ask's JSON merge patch, or the whole tree for a put.
+// patchOf returns the JSON merge patch of a write, or the whole manifest of a put.
 func patchOf(request contract.OperatorRequest) (map[string]any, error) {
 	switch request.Verb {
 	case contract.VerbDrain, contract.VerbUndrain:
@@ -41,6 +43,7 @@
 	return manifest.ParseObject(request.Body)
 }
 
+// refuse refuses a write. A refusal with status 503 advises to retry after a round.
 func (controller *Controller) refuse(request contract.OperatorRequest, status int, message string) []contract.Command {
 	after := time.Duration(0)
 	if status == 503 {
@@ -49,6 +52,8 @@
 	return []contract.Command{contract.AddCounter{Name: fmt.Sprintf("writes_refused_%d", status), Delta: 1}, contract.ErrorResponse(request.Token, status, message, after)}
 }
 
+// write checks a write at the head and submits it to the chain. A retry of an operation waits for the existing version. withdrawn names the zones
+// that the owners of their shards have already withdrawn; write calls itself through withdrawZone until all zones to drain are.
 func (controller *Controller) write(now time.Duration, request contract.OperatorRequest, withdrawn map[string]bool) []contract.Command {
 	if request.Operation == "" {
 		return controller.refuse(request, 400, "an operation key is missing")
@@ -100,8 +105,7 @@
 	return commands
 }
 
-// compose gives the change that an order makes of the newest version, the manifest with it, and the zones it drains newly, with their
-// regions and shards.
+// buildChange returns the change that a write makes to the latest version, the resulting manifest, and the zones that it newly drains.
 func buildChange(request contract.OperatorRequest, latest parsedVersion) (document.Change, manifest.Manifest, map[string]zoneScope, error) {
 	change, err := requestedChange(request, latest)
 	if err != nil {
@@ -125,7 +129,7 @@
 	return change, next, drains, err
 }
 
-// changeOf gives the change that an order makes of the newest version.
+// requestedChange returns the change that a write makes to the latest version.
 func requestedChange(request contract.OperatorRequest, latest parsedVersion) (document.Change, error) {
 	patch, err := patchOf(request)
 	if err != nil {
@@ -144,7 +148,7 @@
 	return latest.Document().MergePatch(patch)
 }
 
-// newDrains gives the zones that are drained in a manifest and were not in the one before.
+// newlyDrained returns the zones that are drained in a manifest and were not in the previous one. It fails if a zone changes its region.
 func newlyDrained(previous, next manifest.Manifest, hasPrevious bool) (map[string]zoneScope, error) {
 	drains := map[string]zoneScope{}
 	for name, zone := range next.Zones {
@@ -159,12 +163,13 @@
 	return drains, nil
 }
 
+// zoneScope is the region of a zone and the number of its shards.
 type zoneScope struct {
 	region string
 	shards int
 }
 
-// withdraw has the owners of a zone's shards take it out of their lists before the drain is accepted.
+// withdrawZone asks the owners of a zone's shards to remove the zone from their server lists, and continues the write when all have done so.
 func (controller *Controller) withdrawZone(now time.Duration, request contract.OperatorRequest, zone string, scope zoneScope, withdrawn map[string]bool) []contract.Command {
 	covered := map[int]bool{}
 	matches := func(member contract.Member) bool {
@@ -195,12 +200,14 @@
 	})
 }
 
+// awaitCommit registers a request that waits for the commit of a version.
 func (controller *Controller) awaitCommit(now time.Duration, request contract.OperatorRequest, version contract.Version, operation string) {
 	controller.token++
 	controller.pendingWrites[controller.token] = &pendingWrite{request: request, revision: version.Position.Revision, operation: operation, startedAt: now,
 		committed: version.Position.Revision <= controller.chain.Committed()}
 }
 
+// markCommitted marks the waiting writes of a version as committed.
 func (controller *Controller) markCommitted(now time.Duration, version contract.Version) {
 	for _, pending := range controller.pendingWrites {
 		if pending.revision == version.Position.Revision && pending.operation == version.Operation {
@@ -209,7 +216,8 @@
 	}
 }
 
-// tickWrites answers the writes whose end is known or that waited too long; it costs no more after many writes than after few.
+// tickWrites answers the writes whose result is known or that have waited too long. Its cost depends on the waiting writes only, not on the
+// length of the log.
 func (controller *Controller) tickWrites(now time.Duration) []contract.Command {
 	commands := controller.probeWhileWaiting(now)
 	for _, token := range slices.Sorted(maps.Keys(controller.pendingWrites)) {
@@ -228,7 +236,7 @@
 	return append(commands, controller.tickRefusals(now)...)
 }
 
-// tickContact keeps asking whether a majority of the core is in reach, as long as somebody waits for a write to be committed.
+// probeWhileWaiting probes the majority of the core while a write waits to be committed.
 func (controller *Controller) probeWhileWaiting(now time.Duration) []contract.Command {
 	if controller.chain == nil {
 		return nil
@@ -242,7 +250,7 @@
 	return nil
 }
 
-// outcome gives the status of a write, or 0 while it is not known.
+// writeResult returns the HTTP status and body of the response to a write. The status is 0 while the result is unknown.
 func (controller *Controller) writeResult(now time.Duration, pending *pendingWrite) (int, contract.WriteResult) {
 	accepted := contract.WriteResult{Revision: pending.revision, Operation: pending.request.Operation, View: controller.Feed.View().Number}
 	if !pending.committed {
@@ -267,6 +275,7 @@
 	return 0, accepted
 }
 
+// nodesBehind returns the nodes that have not confirmed a revision, those that are silent included.
 func (controller *Controller) nodesBehind(now time.Duration, revision int64) []string {
 	behind := controller.Neighbours.Silent(now)
 	for _, member := range controller.Neighbours.Members(now) {
@@ -277,6 +286,7 @@
 	return behind
 }
 
+// answerOperation answers whether the write with an operation key was committed.
 func (controller *Controller) answerOperation(now time.Duration, request contract.OperatorRequest) []contract.Command {
 	version, found := controller.chain.Operation(request.Subject)
 	if !found {
--- a/retire/retire.go
+++ b/retire/retire.go
@@ -36,8 +36,8 @@
 // requiredIdleReports is the number of complete idle reports in a row that release a server.
 const requiredIdleReports = 2
 
-// Terms are the time limits of a retirement. The embedded ones are from the manifest, Lease (the duration of a data node's lease) and Link (the
-// maximum delay of a message) from the settings. Remaining is the time that the platform leaves for a Reclaim, or 0 if it is unknown.
+// Terms are the time limits of a retirement. The embedded ones are from the manifest, Lease (the duration of a data node's lease) and
+// MessageMargin (an allowance for messages in transit) from the settings. Remaining is the time that the platform leaves for a Reclaim, or 0 if it is unknown.
 type Terms struct {
 	manifest.Retirement
 	Lease         time.Duration
