--- a/control/control.go
+++ b/control/control.go
@@ -76,7 +76,7 @@
 		node.Neighbours.Identify(owner.chain.Self().ID)
 		owner.chain.SetFounders(settings.Founders)
 		if newest, there := recovered.NewestCommitted(); there && settings.Wide {
-			owner.Feed.Take(feed.Change{Versions: []contract.Version{newest}}, nil)
+			owner.Feed.Apply(feed.Change{Versions: []contract.Version{newest}}, nil)
 		}
 	}
 	owner.shard.SetAdvisoryLeases(settings.Wide)
@@ -150,12 +150,12 @@
 	if first == 0 || member.Name == owner.Self().Name {
 		return nil
 	}
-	return []contract.Command{contract.Send{To: member.Address, Kind: feed.MessageLack, Body: feed.Lack{From: first, Address: owner.Self().Address, Base: owner.chain.DeltaBase()}}}
+	return []contract.Command{contract.Send{To: member.Address, Kind: feed.MessageHistoryRequest, Body: feed.HistoryRequest{From: first, Address: owner.Self().Address, Base: owner.chain.DeltaBase()}}}
 }
 
 func (owner *Owner) refill(now time.Duration, message contract.Message) []contract.Command {
-	var kept feed.Kept
-	if message.Kind != feed.MessageKept || json.Unmarshal(message.Body, &kept) != nil {
+	var kept feed.HistoryReply
+	if message.Kind != feed.MessageHistoryReply || json.Unmarshal(message.Body, &kept) != nil {
 		return nil
 	}
 	return owner.chain.Restore(now, kept.Records)
@@ -170,11 +170,11 @@
 		switch command := command.(type) {
 		case chain.Committed:
 			version := command.Version
-			commands = append(owner.Feed.Take(feed.Change{Versions: []contract.Version{version}}, owner.Neighbours.Active()), commands...)
+			commands = append(owner.Feed.Apply(feed.Change{Versions: []contract.Version{version}}, owner.Neighbours.Active()), commands...)
 			owner.committed(now, version)
 		case chain.ViewInstalled:
 			view := command.View
-			commands = append(owner.Feed.Take(feed.Change{View: &view}, owner.Neighbours.Active()), commands...)
+			commands = append(owner.Feed.Apply(feed.Change{View: &view}, owner.Neighbours.Active()), commands...)
 		case chain.Confirmed:
 			commands = append(owner.vouched(now, command), commands...)
 		case contract.VersionAdopted:
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -173,10 +173,10 @@
 			if place == 0 {
 				b.StopTimer()
 				node = feed.New("node", bounds)
-				node.Take(feed.Change{Versions: versions}, nil)
+				node.Apply(feed.Change{Versions: versions}, nil)
 				b.StartTimer()
 			}
-			node.Handle(time.Second, contract.Message{Kind: feed.MessageChange, Body: deliveries[place]}, nil)
+			node.Handle(time.Second, contract.Message{Kind: feed.MessageDelivery, Body: deliveries[place]}, nil)
 			if node.Version().Position != later[place].Position {
 				b.Fatal("not in force")
 			}
@@ -190,19 +190,19 @@
 	for _, routes := range sizes {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
 			bounds, keeper := env.DefaultBounds(), feed.New("keeper", env.DefaultBounds())
-			keeper.Take(feed.Change{Versions: []contract.Version{plannedVersion(b, routes)}}, nil)
-			asked, _ := json.Marshal(feed.News{From: "node"})
+			keeper.Apply(feed.Change{Versions: []contract.Version{plannedVersion(b, routes)}}, nil)
+			asked, _ := json.Marshal(feed.VersionNotice{From: "node"})
 			bytes := 0
 			b.ResetTimer()
 			for range b.N {
 				node := feed.New("node", bounds)
-				told := keeper.Handle(time.Second, contract.Message{Kind: feed.MessageAsk, Body: asked}, nil)
+				told := keeper.Handle(time.Second, contract.Message{Kind: feed.MessageRequest, Body: asked}, nil)
 				answer, failure := json.Marshal(told[0].(contract.Send).Body)
 				if failure != nil {
 					b.Fatal(failure)
 				}
 				bytes = len(answer)
-				node.Handle(time.Second, contract.Message{Kind: feed.MessageChange, Body: answer}, nil)
+				node.Handle(time.Second, contract.Message{Kind: feed.MessageDelivery, Body: answer}, nil)
 				if !node.Known() {
 					b.Fatal("not in force")
 				}
@@ -233,7 +233,7 @@
 				for range b.N {
 					bytes = heapOf(func() any {
 						owner := feed.New("node", env.DefaultBounds())
-						owner.Take(feed.Change{Versions: changed(b, plannedVersion(b, routes), kept)}, nil)
+						owner.Apply(feed.Change{Versions: changed(b, plannedVersion(b, routes), kept)}, nil)
 						return owner
 					})
 				}
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, name := range manifest.SortedKeys(made.nodes) {
-		made.post(name, feed.MessageChange, feed.Delivery{Records: []contract.Record{versionOf(1, threeRegions).FullRecord()}})
+		made.post(name, feed.MessageDelivery, feed.Delivery{Records: []contract.Record{versionOf(1, threeRegions).FullRecord()}})
 	}
 	return made
 }
--- a/feed/compress.go
+++ b/feed/compress.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// compressFrom is the size in bytes from which records travel compressed.
-	compressFrom = 4 << 10
-	// mostUnfolded bounds in bytes what compressed records may unfold to.
-	mostUnfolded = 64 << 20
+	// minCompressSize is the size in bytes from which records are compressed.
+	minCompressSize = 4 << 10
+	// maxDecompressedSize bounds in bytes the records that a compressed delivery expands to.
+	maxDecompressedSize = 64 << 20
 )
 
 func compress(records []contract.Record) []byte {
 	content := bytes.Buffer{}
-	if failure := contract.WriteRecords(&content, records); failure != nil {
-		panic(failure)
+	if err := contract.WriteRecords(&content, records); err != nil {
+		panic(err)
 	}
 	return compression.Compress(content.Bytes())
 }
 
 func decompress(content []byte) ([]contract.Record, error) {
-	reader, failure := compression.Decompress(bytes.NewReader(content), mostUnfolded)
-	if failure != nil {
-		return nil, failure
+	reader, err := compression.Decompress(bytes.NewReader(content), maxDecompressedSize)
+	if err != nil {
+		return nil, err
 	}
 	defer reader.Close()
 	return contract.ReadRecords(reader)
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,4 +1,4 @@
-// Package feed brings committed manifests and views to every node: news are pushed, changes are pulled from a place on.
+// Package feed distributes committed manifests and views to every node: notices of new versions are pushed, versions are pulled.
 package feed
 
 import (
@@ -15,261 +15,276 @@
 )
 
 const (
-	MessageNews   = "feed-news"
-	MessageAsk    = "feed-ask"
-	MessageChange = "feed-change"
-	MessageLack   = "feed-lack"
-	MessageKept   = "feed-kept"
-	mostChanges   = 32
-	// packedMost is from how many versions on the way to the newest one is kept packed.
-	packedMost = 4
+	// MessageNotice announces a version and view (VersionNotice), MessageRequest asks for what is newer than the sender's (VersionNotice),
+	// MessageDelivery carries it (Delivery). MessageHistoryRequest and MessageHistoryReply exchange older versions.
+	MessageNotice         = "feed-news"
+	MessageRequest        = "feed-ask"
+	MessageDelivery       = "feed-change"
+	MessageHistoryRequest = "feed-lack"
+	MessageHistoryReply   = "feed-kept"
+	// maxChanges bounds the versions in one delivery or history reply.
+	maxChanges = 32
+	// maxPackedBases is for how many base versions the compressed way to the newest version is cached.
+	maxPackedBases = 4
 )
 
-type News struct {
-	Place contract.Position `json:"place"`
-	View  int64             `json:"view"`
-	From  string            `json:"from"`
-	// Brief asks for news alone where the answer is large: whoever asks many at once wants it from one of them.
-	Brief bool `json:"brief,omitempty"`
+// VersionNotice tells which version and view the node at the address From has.
+type VersionNotice struct {
+	Position contract.Position `json:"place"`
+	View     int64             `json:"view"`
+	From     string            `json:"from"`
+	// NoticeIfLarge asks for a notice in place of a large delivery: a node that asks many peers at once wants the version from one only.
+	NoticeIfLarge bool `json:"brief,omitempty"`
 }
 
-// Change is what is new: versions and a view.
+// Change is a set of new versions, and a new view or nil.
 type Change struct {
 	Versions []contract.Version
 	View     *contract.View
 }
 
-// Delivery carries the versions that follow the one that the asker holds, each as a change, or only the newest one as a change of that
-// where there are many; an asker whose version is not kept here gets the newest one whole.
+// Delivery carries the versions after the one that the requester has, each as a change of the one before, or only the newest one as a
+// change of the requester's version if there are many. If that version is not kept here, it carries the newest one whole.
 type Delivery struct {
 	Records []contract.Record `json:"records,omitempty"`
-	// Packed stands for records that are large: a keeper packs them once for all that ask.
+	// Packed is the compressed form of large records, leading to the version PackedOf; it is computed once for all requesters.
 	Packed   []byte            `json:"packed,omitempty"`
 	PackedOf contract.Position `json:"packedOf,omitzero"`
 	View     *contract.View    `json:"view,omitempty"`
 }
 
-// Lack asks for older versions from a revision on; Kept hands them over. Base is a version that the asker holds: the first one comes as
-// the change of that.
-type Lack struct {
+// HistoryRequest asks the receiver to send older versions, from the revision From on, to Address. Base is a version that the requester
+// has; the first record may be a change of it.
+type HistoryRequest struct {
 	From    int64             `json:"from"`
 	Address string            `json:"address"`
 	Base    contract.Position `json:"base,omitzero"`
 }
 
-type Kept struct {
+// HistoryReply carries the versions that a HistoryRequest asked for.
+type HistoryReply struct {
 	Records []contract.Record `json:"records"`
 }
 
+// Owner is one node's part of the feed: its current version and view, and the older versions that it keeps for others.
 type Owner struct {
 	bounds  env.Bounds
 	address string
 	version contract.Version
-	read    manifest.Manifest
+	parsed  manifest.Manifest
 	view    contract.View
-	kept    map[int64]contract.Version
-	// keptFrom is a revision below which nothing is kept, since those above it are as many bytes of changes as may be kept.
-	keptFrom  int64
-	keptBytes int64
-	asked     time.Duration
-	told      time.Duration
-	began     time.Duration
-	lacked    time.Duration
-	gained    bool
-	// wantsWhole holds after a version came that could not be put together: the next question is for a whole one.
-	wantsWhole bool
-	// packed is what leads from other versions to the newest one, of the place packedOf, as it was packed for others.
+	history map[int64]contract.Version
+	// historyStart is the revision below which nothing is kept, since the versions from it on fill the allowed bytes of changes.
+	historyStart       int64
+	historyBytes       int64
+	catchUpAt          time.Duration // last request to a member that is ahead
+	requestedAt        time.Duration // last request that a notice caused
+	bootstrapAt        time.Duration // last Bootstrap
+	historyRequestedAt time.Duration // last history request
+	historyGained      bool          // the last history request filled gaps
+	// wantsFullVersion is set when a received version could not be reconstructed: the next request is for a whole one.
+	wantsFullVersion bool
+	// packed has, by base version, the compressed records that lead to the newest version, which is packedOf.
 	packed   map[contract.Position][]byte
 	packedOf contract.Position
 }
 
+// New returns the feed of the node at an address, without any version.
 func New(address string, bounds env.Bounds) *Owner {
-	return &Owner{address: address, bounds: bounds, kept: map[int64]contract.Version{}, asked: -bounds.GossipInterval(), told: -bounds.GossipInterval(), began: -bounds.GossipInterval()}
+	return &Owner{address: address, bounds: bounds, history: map[int64]contract.Version{}, catchUpAt: -bounds.GossipInterval(), requestedAt: -bounds.GossipInterval(), bootstrapAt: -bounds.GossipInterval()}
 }
 
-func (owner *Owner) Version() contract.Version   { return owner.version }
-func (owner *Owner) Manifest() manifest.Manifest { return owner.read }
-func (owner *Owner) View() contract.View         { return owner.view }
-func (owner *Owner) Known() bool                 { return owner.version.Position.Revision > 0 }
+// Version returns the version in force here, the zero value if none is known.
+func (owner *Owner) Version() contract.Version { return owner.version }
 
-func (owner *Owner) behind(place contract.Position, view int64) bool {
-	return place.Revision > owner.version.Position.Revision || view > owner.view.Number
+// Manifest returns the parsed manifest of the version in force.
+func (owner *Owner) Manifest() manifest.Manifest { return owner.parsed }
+
+// View returns the newest view of the core that is known here.
+func (owner *Owner) View() contract.View { return owner.view }
+
+// Known reports whether this node has any version.
+func (owner *Owner) Known() bool { return owner.version.Position.Revision > 0 }
+
+func (owner *Owner) isBehind(position contract.Position, view int64) bool {
+	return position.Revision > owner.version.Position.Revision || view > owner.view.Number
 }
 
-// Handle reads messages of the feed; news are told to the neighbours by the caller.
+// Handle processes messages of the feed. The neighbours are the addresses that are notified of a new version or view.
 func (owner *Owner) Handle(now time.Duration, event contract.Event, neighbours []string) []contract.Command {
-	message, fine := event.(contract.Message)
-	if !fine {
+	message, ok := event.(contract.Message)
+	if !ok {
 		return nil
 	}
 	switch message.Kind {
-	case MessageNews:
-		var news News
-		if json.Unmarshal(message.Body, &news) == nil && owner.behind(news.Place, news.View) && now-owner.told >= owner.bounds.GossipInterval() {
-			owner.told = now
-			return []contract.Command{owner.ask(news.From, false)}
+	case MessageNotice:
+		var notice VersionNotice
+		if json.Unmarshal(message.Body, &notice) == nil && owner.isBehind(notice.Position, notice.View) && now-owner.requestedAt >= owner.bounds.GossipInterval() {
+			owner.requestedAt = now
+			return []contract.Command{owner.request(notice.From, false)}
 		}
-	case MessageAsk:
-		var news News
-		if json.Unmarshal(message.Body, &news) == nil {
-			return owner.tell(news)
+	case MessageRequest:
+		var notice VersionNotice
+		if json.Unmarshal(message.Body, &notice) == nil {
+			return owner.deliver(notice)
 		}
-	case MessageLack:
-		var lack Lack
-		if json.Unmarshal(message.Body, &lack) == nil {
-			return []contract.Command{contract.Send{To: lack.Address, Kind: MessageKept, Body: owner.hand(lack)}}
+	case MessageHistoryRequest:
+		var historyRequest HistoryRequest
+		if json.Unmarshal(message.Body, &historyRequest) == nil {
+			return []contract.Command{contract.Send{To: historyRequest.Address, Kind: MessageHistoryReply, Body: owner.historyFor(historyRequest)}}
 		}
-	case MessageKept:
-		var kept Kept
-		if json.Unmarshal(message.Body, &kept) == nil {
-			owner.regain(kept.Records)
+	case MessageHistoryReply:
+		var historyReply HistoryReply
+		if json.Unmarshal(message.Body, &historyReply) == nil {
+			owner.restoreRecords(historyReply.Records)
 		}
-	case MessageChange:
+	case MessageDelivery:
 		var delivery Delivery
 		if json.Unmarshal(message.Body, &delivery) == nil {
-			owner.told = now - owner.bounds.GossipInterval()
+			owner.requestedAt = now - owner.bounds.GossipInterval()
 			return owner.receive(message, delivery, neighbours)
 		}
 	}
 	return nil
 }
 
-// receive opens what another node sent. Where that can't be put together here, the newest version is asked for whole.
+// receive applies a delivery. If its versions cannot be reconstructed here, the newest version is requested whole.
 func (owner *Owner) receive(message contract.Message, delivery Delivery, neighbours []string) []contract.Command {
 	if len(delivery.Packed) > 0 && delivery.PackedOf.Revision > owner.version.Position.Revision {
-		if records, failure := decompress(delivery.Packed); failure == nil {
+		if records, err := decompress(delivery.Packed); err == nil {
 			delivery.Records = append(delivery.Records, records...)
 		}
 	}
-	versions, failure := contract.DecodeRecords(delivery.Records, owner.at)
-	commands := owner.Take(Change{Versions: versions, View: delivery.View}, neighbours)
-	if failure != nil {
-		owner.wantsWhole = true
-		commands = append(commands, contract.AddCounter{Name: "feed_refused", Delta: 1}, contract.Log{Message: "versions not taken", Attributes: []any{"from", message.From, "error", failure}})
+	versions, err := contract.DecodeRecords(delivery.Records, owner.versionAt)
+	commands := owner.Apply(Change{Versions: versions, View: delivery.View}, neighbours)
+	if err != nil {
+		owner.wantsFullVersion = true
+		commands = append(commands, contract.AddCounter{Name: "feed_refused", Delta: 1}, contract.Log{Message: "versions not taken", Attributes: []any{"from", message.From, "error", err}})
 	}
 	return commands
 }
 
-// at gives a version that is kept, by its place.
-func (owner *Owner) at(place contract.Position) (contract.Version, bool) {
-	if version, there := owner.kept[place.Revision]; there && version.Position == place {
+// versionAt returns a kept version by its position.
+func (owner *Owner) versionAt(position contract.Position) (contract.Version, bool) {
+	if version, found := owner.history[position.Revision]; found && version.Position == position {
 		return version, true
 	}
 	return contract.Version{}, false
 }
 
-// Catch asks two of the members that are seen to hold more, others each time: one of those that speak with this node, and
-// one of all, for links may be cut either way.
-func (owner *Owner) Catch(now time.Duration, members, near []contract.Member, random *rand.Rand) []contract.Command {
-	if now-owner.asked < owner.bounds.GossipInterval() {
+// CatchUp asks two members that are ahead, chosen anew each time: one of those that this node hears from directly, and one of all
+// members, since links may be cut in either direction.
+func (owner *Owner) CatchUp(now time.Duration, members, near []contract.Member, random *rand.Rand) []contract.Command {
+	if now-owner.catchUpAt < owner.bounds.GossipInterval() {
 		return nil
 	}
-	commands := owner.lack(now, near, random)
+	commands := owner.historyRequest(now, near, random)
 	for _, group := range [][]contract.Member{near, members} {
 		ahead := []string{}
 		for _, member := range group {
-			if owner.behind(member.Position, member.View) {
+			if owner.isBehind(member.Position, member.View) {
 				ahead = append(ahead, member.Address)
 			}
 		}
 		if len(ahead) > 0 {
-			owner.asked = now
-			commands = append(commands, owner.ask(ahead[random.IntN(len(ahead))], false))
+			owner.catchUpAt = now
+			commands = append(commands, owner.request(ahead[random.IntN(len(ahead))], false))
 		}
 	}
 	return commands
 }
 
-// lack asks a neighbour for older versions that this node has not, from any of them on, since a gap that nobody can fill must not
-// hide what follows it: whoever restarted keeps again what it should have had. While nothing comes of it, it asks seldom.
-func (owner *Owner) lack(now time.Duration, near []contract.Member, random *rand.Rand) []contract.Command {
-	pause := owner.bounds.Return()
-	if owner.gained {
-		pause = owner.bounds.Round()
+// historyRequest asks a neighbour for older versions that are missing here, so that a restarted node keeps its full history again. It
+// starts at any missing revision, since a gap that no node can fill must not hide the versions after it. If nothing is gained, it asks
+// less often.
+func (owner *Owner) historyRequest(now time.Duration, near []contract.Member, random *rand.Rand) []contract.Command {
+	interval := owner.bounds.Return()
+	if owner.historyGained {
+		interval = owner.bounds.Round()
 	}
 	if !owner.Known() {
 		return nil
 	}
-	if owner.lacked == 0 {
-		owner.lacked = now + time.Duration(random.Int64N(int64(pause/2)))
+	if owner.historyRequestedAt == 0 {
+		owner.historyRequestedAt = now + time.Duration(random.Int64N(int64(interval/2)))
 	}
-	if now-owner.lacked < pause || len(near) == 0 {
+	if now-owner.historyRequestedAt < interval || len(near) == 0 {
 		return nil
 	}
 	missing, gaps := owner.Missing(), []int64{}
-	for place, revision := range missing {
-		if place == 0 || missing[place-1] != revision-1 {
+	for position, revision := range missing {
+		if position == 0 || missing[position-1] != revision-1 {
 			gaps = append(gaps, revision)
 		}
 	}
 	if len(missing) == 0 {
 		return nil
 	}
-	owner.lacked, owner.gained = now, false
-	lack := Lack{From: missing[random.IntN(len(missing))], Address: owner.address, Base: owner.version.Position}
+	owner.historyRequestedAt, owner.historyGained = now, false
+	historyRequest := HistoryRequest{From: missing[random.IntN(len(missing))], Address: owner.address, Base: owner.version.Position}
 	if random.IntN(2) == 0 {
-		lack.From = gaps[random.IntN(len(gaps))]
+		historyRequest.From = gaps[random.IntN(len(gaps))]
 	}
-	return []contract.Command{contract.Send{To: near[random.IntN(len(near))].Address, Kind: MessageLack, Body: lack}}
+	return []contract.Command{contract.Send{To: near[random.IntN(len(near))].Address, Kind: MessageHistoryRequest, Body: historyRequest}}
 }
 
-// Missing gives the revisions below the newest one that should be kept here and are not, in order.
+// Missing returns the revisions below the newest one that should be kept here and are not, in ascending order.
 func (owner *Owner) Missing() []int64 {
 	newest, missing := owner.version.Position.Revision, []int64{}
-	for revision := max(1, newest-owner.bounds.History+1, owner.keptFrom); revision < newest; revision++ {
-		if _, there := owner.kept[revision]; !there {
+	for revision := max(1, newest-owner.bounds.History+1, owner.historyStart); revision < newest; revision++ {
+		if _, found := owner.history[revision]; !found {
 			missing = append(missing, revision)
 		}
 	}
 	return missing
 }
 
-func (owner *Owner) regain(records []contract.Record) {
-	versions, _ := contract.DecodeRecords(records, owner.at)
+func (owner *Owner) restoreRecords(records []contract.Record) {
+	versions, _ := contract.DecodeRecords(records, owner.versionAt)
 	owner.Restore(versions)
 }
 
-// Restore keeps committed versions that are older than the newest one, for others to ask for. What is kept already stays as it is.
+// Restore keeps committed versions that are older than the newest one, for other nodes to request. Versions already kept are unchanged.
 func (owner *Owner) Restore(versions []contract.Version) {
 	for _, version := range versions {
-		_, there := owner.kept[version.Position.Revision]
-		if !there && version.Position.Revision < owner.version.Position.Revision && version.Position.Revision >= owner.keptFrom {
-			owner.keep(version)
-			owner.gained = true
+		_, found := owner.history[version.Position.Revision]
+		if !found && version.Position.Revision < owner.version.Position.Revision && version.Position.Revision >= owner.historyStart {
+			owner.store(version)
+			owner.historyGained = true
 		}
 	}
 }
 
-// Begin asks all the given for what there is: a node that knows nothing need not wait until it hears who knows more.
-func (owner *Owner) Begin(now time.Duration, addresses []string) []contract.Command {
-	if owner.Known() || now-owner.began < owner.bounds.GossipInterval() {
+// Bootstrap asks all the given addresses for the current version, so a node that knows none need not wait until it hears who has one.
+func (owner *Owner) Bootstrap(now time.Duration, addresses []string) []contract.Command {
+	if owner.Known() || now-owner.bootstrapAt < owner.bounds.GossipInterval() {
 		return nil
 	}
-	owner.began = now
+	owner.bootstrapAt = now
 	commands := []contract.Command{}
 	for _, address := range addresses {
 		if address != owner.address {
-			commands = append(commands, owner.ask(address, true))
+			commands = append(commands, owner.request(address, true))
 		}
 	}
 	return commands
 }
 
-func (owner *Owner) ask(address string, brief bool) contract.Command {
-	news := owner.news()
-	news.Brief = brief
-	if owner.wantsWhole {
-		news.Place, owner.wantsWhole = contract.Position{}, false
+func (owner *Owner) request(address string, noticeIfLarge bool) contract.Command {
+	notice := owner.notice()
+	notice.NoticeIfLarge = noticeIfLarge
+	if owner.wantsFullVersion {
+		notice.Position, owner.wantsFullVersion = contract.Position{}, false
 	}
-	return contract.Send{To: address, Kind: MessageAsk, Body: news}
+	return contract.Send{To: address, Kind: MessageRequest, Body: notice}
 }
 
-func (owner *Owner) news() News {
-	return News{Place: owner.version.Position, View: owner.view.Number, From: owner.address}
+func (owner *Owner) notice() VersionNotice {
+	return VersionNotice{Position: owner.version.Position, View: owner.view.Number, From: owner.address}
 }
 
-// readNext reads a newer version; what it has in common with the one in force is not read again.
-func (owner *Owner) readNext(version contract.Version) (manifest.Manifest, error) {
+// parseNext parses a newer version; parts that it shares with the one in force are not parsed again.
+func (owner *Owner) parseNext(version contract.Version) (manifest.Manifest, error) {
 	if !owner.Known() {
 		return manifest.FromDocument(version.Document())
 	}
@@ -277,57 +292,57 @@
 	if version.Base != owner.version.Position {
 		change = document.Diff(owner.version.Document(), version.Document())
 	}
-	return owner.read.Next(version.Document(), change)
+	return owner.parsed.Next(version.Document(), change)
 }
 
-// keep keeps a version, unless there is one under its revision.
-func (owner *Owner) keep(version contract.Version) {
-	if _, there := owner.kept[version.Position.Revision]; !there {
-		owner.kept[version.Position.Revision] = version
-		owner.keptBytes += version.RetainedBytes()
+// store keeps a version, unless one with its revision is kept already.
+func (owner *Owner) store(version contract.Version) {
+	if _, found := owner.history[version.Position.Revision]; !found {
+		owner.history[version.Position.Revision] = version
+		owner.historyBytes += version.RetainedBytes()
 	}
 }
 
 func (owner *Owner) drop(revision int64) {
-	if version, there := owner.kept[revision]; there {
-		owner.keptBytes -= version.RetainedBytes()
-		delete(owner.kept, revision)
+	if version, found := owner.history[revision]; found {
+		owner.historyBytes -= version.RetainedBytes()
+		delete(owner.history, revision)
 	}
 }
 
-// trim forgets the oldest versions while all that are kept are too many bytes of changes; the newest one always stays.
+// trim drops the oldest versions while the kept ones exceed the allowed bytes of changes; the newest one always stays.
 func (owner *Owner) trim() {
-	if owner.keptBytes <= owner.bounds.HistoryBytes {
+	if owner.historyBytes <= owner.bounds.HistoryBytes {
 		return
 	}
-	for _, version := range owner.from(0) {
-		if owner.keptBytes <= owner.bounds.HistoryBytes || version.Position.Revision >= owner.version.Position.Revision {
+	for _, version := range owner.versionsFrom(0) {
+		if owner.historyBytes <= owner.bounds.HistoryBytes || version.Position.Revision >= owner.version.Position.Revision {
 			return
 		}
 		owner.drop(version.Position.Revision)
-		owner.keptFrom = max(owner.keptFrom, version.Position.Revision+1)
+		owner.historyStart = max(owner.historyStart, version.Position.Revision+1)
 	}
 }
 
-// Take adopts what is newer and passes the news on; a lower revision or view never replaces a higher one.
-func (owner *Owner) Take(change Change, neighbours []string) []contract.Command {
-	commands, moved, fresh := []contract.Command{}, false, []contract.Version{}
+// Apply adopts newer versions and views and notifies the neighbours. A lower revision or view never replaces a higher one.
+func (owner *Owner) Apply(change Change, neighbours []string) []contract.Command {
+	commands, changed, newVersions := []contract.Command{}, false, []contract.Version{}
 	if change.View != nil && change.View.Number > owner.view.Number {
-		owner.view, moved = *change.View, true
+		owner.view, changed = *change.View, true
 		commands = append(commands, contract.Log{Message: "view adopted", Attributes: []any{"view", owner.view.Number}})
 	}
 	for _, version := range change.Versions {
-		owner.keep(version)
-		fresh = append(fresh, version)
+		owner.store(version)
+		newVersions = append(newVersions, version)
 	}
-	slices.SortFunc(fresh, func(left, right contract.Version) int {
+	slices.SortFunc(newVersions, func(left, right contract.Version) int {
 		return cmp.Compare(right.Position.Revision, left.Position.Revision)
 	})
-	for _, version := range fresh {
+	for _, version := range newVersions {
 		if version.Position.Revision <= owner.version.Position.Revision {
 			break
 		}
-		read, err := owner.readNext(version)
+		parsed, err := owner.parseNext(version)
 		if err != nil {
 			commands = append(commands, contract.AddCounter{Name: "feed_refused", Delta: 1})
 			continue
@@ -335,14 +350,14 @@
 		for revision := owner.version.Position.Revision; revision < version.Position.Revision; revision++ {
 			owner.drop(revision + 1 - owner.bounds.History)
 		}
-		owner.version, owner.read, moved = version, read, true
+		owner.version, owner.parsed, changed = version, parsed, true
 		owner.trim()
 		commands = append(commands, contract.VersionAdopted{Version: version})
 		break
 	}
-	if moved {
+	if changed {
 		for _, address := range neighbours {
-			commands = append(commands, contract.Send{To: address, Kind: MessageNews, Body: owner.news()})
+			commands = append(commands, contract.Send{To: address, Kind: MessageNotice, Body: owner.notice()})
 		}
 	}
 	return commands
--- a/feed/tell.go
+++ b/feed/tell.go
@@ -6,38 +6,38 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// tell gives what the asker has not: changes of the version that it holds, or the newest version whole where that one is not kept here.
-func (owner *Owner) tell(news News) []contract.Command {
+// deliver answers a request with what the requester lacks: changes of its version, or the newest version whole if that is not kept here.
+func (owner *Owner) deliver(notice VersionNotice) []contract.Command {
 	delivery := Delivery{}
-	if owner.Known() && news.Place.Revision < owner.version.Position.Revision {
-		base, there := owner.at(news.Place)
-		large := owner.version.Document().Size() >= compressFrom
+	if owner.Known() && notice.Position.Revision < owner.version.Position.Revision {
+		base, found := owner.versionAt(notice.Position)
+		large := owner.version.Document().Size() >= minCompressSize
 		switch {
-		case !there && large && news.Brief:
-			return []contract.Command{contract.Send{To: news.From, Kind: MessageNews, Body: owner.news()}}
-		case !there && !large:
+		case !found && large && notice.NoticeIfLarge:
+			return []contract.Command{contract.Send{To: notice.From, Kind: MessageNotice, Body: owner.notice()}}
+		case !found && !large:
 			delivery.Records = []contract.Record{owner.version.FullRecord()}
 		default:
-			owner.fill(&delivery, base)
+			owner.fillDelivery(&delivery, base)
 		}
 	}
-	if owner.view.Number > news.View {
+	if owner.view.Number > notice.View {
 		view := owner.view
 		delivery.View = &view
 	}
 	if len(delivery.Records) == 0 && len(delivery.Packed) == 0 && delivery.View == nil {
 		return nil
 	}
-	return []contract.Command{contract.Send{To: news.From, Kind: MessageChange, Body: delivery}}
+	return []contract.Command{contract.Send{To: notice.From, Kind: MessageDelivery, Body: delivery}}
 }
 
-// since gives all versions after one, each as the change of the one before it, or only the newest one where they are many.
-func (owner *Owner) since(base contract.Version) []contract.Record {
+// recordsSince returns all versions after a base, each as a change of the one before, or only the newest one if there are many.
+func (owner *Owner) recordsSince(base contract.Version) []contract.Record {
 	if base.Position.Revision == 0 {
 		return []contract.Record{owner.version.FullRecord()}
 	}
-	versions := owner.from(base.Position.Revision + 1)
-	if len(versions) <= mostChanges {
+	versions := owner.versionsFrom(base.Position.Revision + 1)
+	if len(versions) <= maxChanges {
 		if records := contract.EncodeRecords(base, versions, contract.MaxRecordBytes); len(records) == len(versions) {
 			return records
 		}
@@ -45,41 +45,41 @@
 	return []contract.Record{owner.version.RecordRelativeTo(base)}
 }
 
-// fill puts what follows a version into a delivery, or the newest version whole where there is none; large records are packed.
-func (owner *Owner) fill(delivery *Delivery, base contract.Version) {
+// fillDelivery puts the versions after a base into a delivery, or the newest version whole if there is no base; large records are packed.
+func (owner *Owner) fillDelivery(delivery *Delivery, base contract.Version) {
 	if owner.packedOf != owner.version.Position {
 		owner.packed, owner.packedOf = map[contract.Position][]byte{}, owner.version.Position
 	}
-	if packed, there := owner.packed[base.Position]; there {
+	if packed, found := owner.packed[base.Position]; found {
 		delivery.Packed, delivery.PackedOf = packed, owner.version.Position
 		return
 	}
-	records, size := owner.since(base), 0
+	records, size := owner.recordsSince(base), 0
 	for _, record := range records {
 		size += record.Size()
 	}
-	if size < compressFrom {
+	if size < minCompressSize {
 		delivery.Records = records
 		return
 	}
 	packed := compress(records)
-	if len(owner.packed) < packedMost {
+	if len(owner.packed) < maxPackedBases {
 		owner.packed[base.Position] = packed
 	}
 	delivery.Packed, delivery.PackedOf = packed, owner.version.Position
 }
 
-// hand gives versions from a revision on.
-func (owner *Owner) hand(lack Lack) Kept {
-	versions := owner.from(lack.From)
-	base, _ := owner.at(lack.Base)
-	return Kept{Records: contract.EncodeRecords(base, versions[:min(len(versions), mostChanges)], contract.MaxRecordBytes)}
+// historyFor returns the kept versions from a revision on.
+func (owner *Owner) historyFor(historyRequest HistoryRequest) HistoryReply {
+	versions := owner.versionsFrom(historyRequest.From)
+	base, _ := owner.versionAt(historyRequest.Base)
+	return HistoryReply{Records: contract.EncodeRecords(base, versions[:min(len(versions), maxChanges)], contract.MaxRecordBytes)}
 }
 
-// from gives the kept versions from a revision on, in order.
-func (owner *Owner) from(revision int64) []contract.Version {
+// versionsFrom returns the kept versions from a revision on, in ascending order.
+func (owner *Owner) versionsFrom(revision int64) []contract.Version {
 	versions := []contract.Version{}
-	for _, version := range owner.kept {
+	for _, version := range owner.history {
 		if version.Position.Revision >= revision {
 			versions = append(versions, version)
 		}
--- a/gateway/node_test.go
+++ b/gateway/node_test.go
@@ -44,7 +44,7 @@
 		panic(failure)
 	}
 	version := contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", content)
-	return message(feed.MessageChange, "", feed.Delivery{Records: []contract.Record{version.FullRecord()}})
+	return message(feed.MessageDelivery, "", feed.Delivery{Records: []contract.Record{version.FullRecord()}})
 }
 
 func (node *follower) take(event contract.Event) []contract.Command {
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -66,8 +66,8 @@
 		node.Neighbours.Hold(node.Feed.Version().Position, node.Feed.View().Number, self.Core)
 		commands = append(commands, contract.SetGauge{Name: "manifest_revision", Value: node.Feed.Version().Position.Revision},
 			contract.SetGauge{Name: "view", Value: node.Feed.View().Number}, contract.SetGauge{Name: "members", Value: int64(len(node.Neighbours.Members(now)))})
-		commands = append(commands, node.Feed.Begin(now, node.Neighbours.Seeds())...)
-		commands = append(commands, node.Feed.Catch(now, node.Neighbours.Members(now), node.Neighbours.Near(now), node.Random)...)
+		commands = append(commands, node.Feed.Bootstrap(now, node.Neighbours.Seeds())...)
+		commands = append(commands, node.Feed.CatchUp(now, node.Neighbours.Members(now), node.Neighbours.Near(now), node.Random)...)
 	}
 	commands = append(commands, node.Neighbours.Handle(now, event)...)
 	return append(commands, node.Feed.Handle(now, event, node.Neighbours.Active())...)
--- a/nodecheck/fault.go
+++ b/nodecheck/fault.go
@@ -113,7 +113,7 @@
 	}
 	for _, target := range world.nodes {
 		if !target.core() {
-			world.carry(sender.address, target.address, func() { target.handle(target.life, contract.Message{Kind: feed.MessageChange, Body: body}) })
+			world.carry(sender.address, target.address, func() { target.handle(target.life, contract.Message{Kind: feed.MessageDelivery, Body: body}) })
 		}
 	}
 }
--- a/stories/days/planted_test.go
+++ b/stories/days/planted_test.go
@@ -67,7 +67,7 @@
 		played.Machine("m02").Data.Plant(func(owner contract.StateMachine) contract.StateMachine {
 			return faulty{StateMachine: owner, hears: func(event contract.Event) bool {
 				message, fine := event.(contract.Message)
-				return !fine || message.Kind != feed.MessageChange
+				return !fine || message.Kind != feed.MessageDelivery
 			}}
 		})
 		Expect(harness.Patched(played, played.Machines[3], 1).Status).To(Equal(202))
