--- a/contract/stream.go
+++ b/contract/stream.go
@@ -42,14 +42,14 @@
 
 func readRecord(decoder *jsontext.Decoder) (Record, error) {
 	record := Record{}
-	err := document.ReadMembers(decoder, func(name string) error {
+	err := document.DecodeMembers(decoder, func(name string) error {
 		switch name {
 		case "change":
-			change, err := document.ReadChange(decoder)
+			change, err := document.DecodeChange(decoder)
 			record.Change = &change
 			return err
 		case "manifest":
-			content, err := document.Read(decoder)
+			content, err := document.Decode(decoder)
 			record.content = content
 			return err
 		}
