--- a/control/control.go
+++ b/control/control.go
@@ -73,7 +73,7 @@
 		self := contract.CoreNode{Name: node.Self().Name, ID: boot, Address: node.Self().Address}
 		owner.chain = chain.New(self, boot, int(settings.CoreSize), settings.Bounds, *recovered, random)
 		owner.chain.AllowBootstrap(!settings.Joins)
-		node.Neighbours.Identify(owner.chain.Self().ID)
+		node.Neighbours.SetIdentity(owner.chain.Self().ID)
 		owner.chain.SetFounders(settings.Founders)
 		if newest, there := recovered.NewestCommitted(); there && settings.Wide {
 			owner.Feed.Apply(feed.Change{Versions: []contract.Version{newest}}, nil)
@@ -111,7 +111,7 @@
 	case chain.Persisted:
 		commands = append(commands, owner.chain.Handle(now, event)...)
 	case Leave:
-		commands = append(commands, owner.Neighbours.Farewell()...)
+		commands = append(commands, owner.Neighbours.AnnounceLeave()...)
 	case contract.OperatorRequest:
 		commands = append(commands, owner.ask(now, event)...)
 	default:
@@ -123,9 +123,9 @@
 func (owner *Owner) tick(now time.Duration) []contract.Command {
 	members := owner.Neighbours.Members(now)
 	commands := []contract.Command{}
-	owner.Neighbours.Blind(owner.shard.Blind() || owner.Neighbours.Deaf(now))
+	owner.Neighbours.Blind(owner.shard.Blind() || owner.Neighbours.Isolated(now))
 	if owner.chain != nil {
-		owner.Neighbours.Hold(owner.Feed.Version().Position, owner.Feed.View().Number, owner.chain.DiskHealthy())
+		owner.Neighbours.SetState(owner.Feed.Version().Position, owner.Feed.View().Number, owner.chain.DiskHealthy())
 		commands = append(commands, owner.chain.Handle(now, chain.Membership{Members: owner.Neighbours.Members(now), NewestVersion: owner.Feed.Version(), View: owner.Feed.View()})...)
 	}
 	commands = append(commands, owner.askRefill(now, members)...)
@@ -170,11 +170,11 @@
 		switch command := command.(type) {
 		case chain.Committed:
 			version := command.Version
-			commands = append(owner.Feed.Apply(feed.Change{Versions: []contract.Version{version}}, owner.Neighbours.Active()), commands...)
+			commands = append(owner.Feed.Apply(feed.Change{Versions: []contract.Version{version}}, owner.Neighbours.ActiveAddresses()), commands...)
 			owner.committed(now, version)
 		case chain.ViewInstalled:
 			view := command.View
-			commands = append(owner.Feed.Apply(feed.Change{View: &view}, owner.Neighbours.Active()), commands...)
+			commands = append(owner.Feed.Apply(feed.Change{View: &view}, owner.Neighbours.ActiveAddresses()), commands...)
 		case chain.Confirmed:
 			commands = append(owner.vouched(now, command), commands...)
 		case contract.VersionAdopted:
@@ -223,7 +223,7 @@
 		return owner.chain.ConfirmTail(now, token)
 	case contract.VerbMembers:
 		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{
-			"members": owner.Neighbours.Members(now), "silent": owner.Neighbours.Silent(now)}}}
+			"members": owner.Neighbours.Members(now), "silent": owner.Neighbours.Suspected(now)}}}
 	case contract.VerbChain:
 		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{
 			"view": owner.chain.View(), "committed": owner.chain.Committed(), "sealed": owner.chain.Sealed(), "open": owner.chain.AcceptsWrites()}}}
--- a/control/stale_test.go
+++ b/control/stale_test.go
@@ -47,7 +47,7 @@
 func hear(owner *Owner, now time.Duration) {
 	for _, node := range coreNodes()[1:] {
 		body, _ := json.Marshal(neighbour.Shuffle{Members: []contract.Member{{Name: node.Name, Boot: "b", CoreID: node.ID, Kind: contract.KindControl, Core: true,
-			Zone: "east-b", Region: "east", Address: node.Address, Incarnation: 1, Heartbeat: int64(now) + 1}}, Answer: true})
+			Zone: "east-b", Region: "east", Address: node.Address, Incarnation: 1, Heartbeat: int64(now) + 1}}, IsReply: true})
 		owner.Handle(now, contract.Message{Kind: neighbour.MessageShuffle, From: node.Name, Boot: "b", Body: body})
 	}
 }
--- a/control/write.go
+++ b/control/write.go
@@ -268,7 +268,7 @@
 }
 
 func (owner *Owner) lacking(now time.Duration, revision int64) []string {
-	lacking := owner.Neighbours.Silent(now)
+	lacking := owner.Neighbours.Suspected(now)
 	for _, member := range owner.Neighbours.Members(now) {
 		if member.Position.Revision < revision && member.Name != owner.Self().Name {
 			lacking = append(lacking, member.Name)
--- a/data/find.go
+++ b/data/find.go
@@ -41,7 +41,7 @@
 			}
 			continue
 		}
-		if member, exists := owner.Neighbours.Look(name); exists {
+		if member, exists := owner.Neighbours.Lookup(name); exists {
 			search.waiting.Add(name)
 			owner.emit(contract.Send{To: member.Address, Kind: MessageFind, Body: ask})
 		}
--- a/data/keep.go
+++ b/data/keep.go
@@ -78,7 +78,7 @@
 func (owner *Owner) liveReplicas(now time.Duration, voters []string) map[string]contract.Member {
 	replicas := map[string]contract.Member{}
 	for _, name := range voters {
-		if member, exists := owner.Neighbours.Look(name); exists && owner.Neighbours.Alive(now, name) {
+		if member, exists := owner.Neighbours.Lookup(name); exists && owner.Neighbours.Alive(now, name) {
 			replicas[name] = member
 		}
 	}
@@ -249,7 +249,7 @@
 
 // stillRuns reports whether the node that claimed a call is alive and has not restarted since.
 func (owner *Owner) stillRuns(now time.Duration, record call.Record) bool {
-	member, exists := owner.Neighbours.Look(record.Node)
+	member, exists := owner.Neighbours.Lookup(record.Node)
 	return exists && member.Boot == record.Boot && owner.Neighbours.Alive(now, record.Node)
 }
 
--- a/data/leases.go
+++ b/data/leases.go
@@ -44,7 +44,7 @@
 			SentAt: now, HighestEpoch: current.highest, Number: current.lease.Number, ShardCount: shards}
 		request.Calls, request.Abandoned = owner.callsOnShard(index)
 		for _, name := range manifest.SortedKeys(targets) {
-			if member, exists := owner.Neighbours.Look(name); exists && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
+			if member, exists := owner.Neighbours.Lookup(name); exists && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
 				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageLeaseRequest, Body: request})
 			}
 		}
@@ -56,7 +56,7 @@
 // between the two nodes does not stop the shard.
 func (owner *Owner) requestByRelay(now time.Duration, current *shardLease, first string, request contract.LeaseRequest) {
 	silent := now-current.requestedAt > owner.Bounds.Lease()/3
-	target, exists := owner.Neighbours.Look(first)
+	target, exists := owner.Neighbours.Lookup(first)
 	if !exists {
 		return
 	}
--- a/data/outer.go
+++ b/data/outer.go
@@ -22,7 +22,7 @@
 func (owner *Owner) witnessNodes() map[string]contract.Member {
 	nodes := map[string]contract.Member{}
 	for _, name := range owner.roster(owner.witnessRegion()) {
-		if member, exists := owner.Neighbours.Look(name); exists {
+		if member, exists := owner.Neighbours.Lookup(name); exists {
 			nodes[name] = member
 		}
 	}
--- a/gateway/index_test.go
+++ b/gateway/index_test.go
@@ -150,7 +150,7 @@
 			told := events[Indexed](beat(node))
 			node.meets(at(names[1], "east-b", "east"))
 			told = append(told, events[Indexed](beat(node))...)
-			node.take(message(neighbour.MessageBye, names[1], neighbour.Bye{Name: names[1] + "-control", Boot: "boot", Heartbeat: node.beat}))
+			node.take(message(neighbour.MessageLeave, names[1], neighbour.Leave{Name: names[1] + "-control", Boot: "boot", Heartbeat: node.beat}))
 			for range 2 {
 				told = append(told, events[Indexed](beat(node))...)
 			}
--- a/gateway/lists.go
+++ b/gateway/lists.go
@@ -98,7 +98,7 @@
 func (node *Node) ownersOf(members []contract.Member, held *list, region string, index int) []contract.Member {
 	owners := []contract.Member{}
 	for _, name := range []string{shard.PreferredOwner(members, region, index), held.hint} {
-		member, there := node.Neighbours.Look(name)
+		member, there := node.Neighbours.Lookup(name)
 		if name != "" && there && !slices.ContainsFunc(owners, func(owner contract.Member) bool { return owner.Name == name }) {
 			owners = append(owners, member)
 		}
--- a/gateway/node.go
+++ b/gateway/node.go
@@ -105,7 +105,7 @@
 	case AskPlace:
 		node.askPlace(now, event)
 	case Leave:
-		node.emit(node.Neighbours.Farewell()...)
+		node.emit(node.Neighbours.AnnounceLeave()...)
 	}
 	out := node.out
 	node.out = nil
@@ -147,14 +147,14 @@
 	}
 	names := []string{}
 	add := func(name string) {
-		if member, there := node.Neighbours.Look(name); there && member.Kind == contract.KindData {
+		if member, there := node.Neighbours.Lookup(name); there && member.Kind == contract.KindData {
 			names = append(names, name)
 		}
 	}
 	for _, member := range node.Neighbours.Members(now) {
 		add(member.Name)
 	}
-	for _, name := range node.Neighbours.Silent(now) {
+	for _, name := range node.Neighbours.Suspected(now) {
 		add(name)
 	}
 	slices.Sort(names)
@@ -171,7 +171,7 @@
 	_, port := manifest.SplitAddress(node.settings.Gateway.Traffic)
 	zone, region, all := []string{}, []string{}, []string{}
 	for _, member := range node.Neighbours.Members(now) {
-		if member.Kind != contract.KindData || member.Position.Revision == 0 || member.Name == node.Self().Name && node.Neighbours.Left() {
+		if member.Kind != contract.KindData || member.Position.Revision == 0 || member.Name == node.Self().Name && node.Neighbours.HasLeft() {
 			continue
 		}
 		host, known := manifest.SplitAddress(member.Address)
--- a/gateway/node_test.go
+++ b/gateway/node_test.go
@@ -59,7 +59,7 @@
 		if member.Incarnation = max(member.Incarnation, 1); member.Heartbeat == 0 {
 			member.Heartbeat = node.beat
 		}
-		node.take(message(neighbour.MessageShuffle, member.Name, neighbour.Shuffle{Members: []contract.Member{member}, Answer: true}))
+		node.take(message(neighbour.MessageShuffle, member.Name, neighbour.Shuffle{Members: []contract.Member{member}, IsReply: true}))
 	}
 	node.now += 10 * time.Millisecond
 }
@@ -218,7 +218,7 @@
 
 	It("given nodes that said goodbye or have no configuration, when a caller asks, then they are left out", func() {
 		node := fleet()
-		node.take(message(neighbour.MessageBye, "a2-data", neighbour.Bye{Name: "a2-data", Boot: "boot"}))
+		node.take(message(neighbour.MessageLeave, "a2-data", neighbour.Leave{Name: "a2-data", Boot: "boot"}))
 		blank := dataNode("a3", "east-a", "10.0.0.3")
 		blank.Position = contract.Position{}
 		node.meets(blank)
@@ -227,7 +227,7 @@
 
 	It("given a goodbye of an earlier start, when a caller asks, then the node's new start is told", func() {
 		node := fleet()
-		node.take(message(neighbour.MessageBye, "a2-data", neighbour.Bye{Name: "a2-data", Boot: "former"}))
+		node.take(message(neighbour.MessageLeave, "a2-data", neighbour.Leave{Name: "a2-data", Boot: "former"}))
 		Expect(look(node, "east", "east-a")).To(ContainElement("10.0.0.2:8161"))
 	})
 
@@ -256,7 +256,7 @@
 	It("given nodes that fell silent, when the fleet is told, then they still count, and those that said goodbye do not", func() {
 		node := following()
 		node.meets(dataNode("a2", "east-a", "10.0.0.2"), dataNode("a3", "east-a", "10.0.0.3"))
-		node.take(message(neighbour.MessageBye, "a3-data", neighbour.Bye{Name: "a3-data", Boot: "boot"}))
+		node.take(message(neighbour.MessageLeave, "a3-data", neighbour.Leave{Name: "a3-data", Boot: "boot"}))
 		var last Fleet
 		for range 100 {
 			node.now += 100 * time.Millisecond
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -53,7 +53,7 @@
 		return 0
 	}
 	node.lastTick = now
-	node.Neighbours.Woke(now, gap)
+	node.Neighbours.ResumeAfterFreeze(now, gap)
 	return gap
 }
 
@@ -63,14 +63,14 @@
 	if _, tick := event.(contract.Tick); tick {
 		node.lastTick, node.ticked = now, true
 		self := node.Neighbours.Self()
-		node.Neighbours.Hold(node.Feed.Version().Position, node.Feed.View().Number, self.Core)
+		node.Neighbours.SetState(node.Feed.Version().Position, node.Feed.View().Number, self.Core)
 		commands = append(commands, contract.SetGauge{Name: "manifest_revision", Value: node.Feed.Version().Position.Revision},
 			contract.SetGauge{Name: "view", Value: node.Feed.View().Number}, contract.SetGauge{Name: "members", Value: int64(len(node.Neighbours.Members(now)))})
 		commands = append(commands, node.Feed.Bootstrap(now, node.Neighbours.Seeds())...)
-		commands = append(commands, node.Feed.CatchUp(now, node.Neighbours.Members(now), node.Neighbours.Near(now), node.Random)...)
+		commands = append(commands, node.Feed.CatchUp(now, node.Neighbours.Members(now), node.Neighbours.DirectPeers(now), node.Random)...)
 	}
 	commands = append(commands, node.Neighbours.Handle(now, event)...)
-	return append(commands, node.Feed.Handle(now, event, node.Neighbours.Active())...)
+	return append(commands, node.Feed.Handle(now, event, node.Neighbours.ActiveAddresses())...)
 }
 
 // HandleRelayed passes an event to a handler. A message that came through relays is taken out of its envelope first, and the handler's answers to
--- a/machine/relays_test.go
+++ b/machine/relays_test.go
@@ -24,7 +24,7 @@
 func nodeWithMembers(members ...[2]string) *Node {
 	settings := env.New(env.WithName("self"), env.WithZone("a"), env.WithRegion("east"), env.WithData("self-data"))
 	node := New(settings, contract.KindData, "boot", rand.New(rand.NewPCG(1, 1)))
-	shuffle := neighbour.Shuffle{Answer: true}
+	shuffle := neighbour.Shuffle{IsReply: true}
 	for _, member := range members {
 		shuffle.Members = append(shuffle.Members, contract.Member{Name: member[0], Zone: member[1], Address: member[0], Boot: "b", Incarnation: 1, Heartbeat: 1})
 	}
--- a/neighbour/near.go
+++ b/neighbour/near.go
@@ -7,15 +7,15 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// The active view has this many neighbours of the own zone and of other zones of the region; the others are any members. Messages stay
-// in the zone for the most part, where links are short and cost nothing, and some always cross, so that zones and regions stay joined.
+// The active view has sameZonePeers of the own zone and sameRegionPeers of other zones of the region; the others are any members. Most
+// messages stay in the zone, where links are short and cost nothing, and some always leave it, so that zones and regions stay connected.
 const (
-	activeZone   = 2
-	activeRegion = 1
+	sameZonePeers   = 2
+	sameRegionPeers = 1
 )
 
-// chooseActive draws the next active neighbour: from the own zone first, then from its region, then from anywhere; half of the draws
-// prefer those that are heard here.
+// chooseActive picks the next active neighbour at random: from the own zone first, then from its region, then from anywhere. Half of
+// the picks prefer members that are heard directly.
 func (owner *Owner) chooseActive(now time.Duration, passive []string) string {
 	zone, region := 0, 0
 	for _, name := range owner.active {
@@ -27,15 +27,15 @@
 		}
 	}
 	fitting := passive
-	switch inside := func(name string) bool { return owner.sameRegion(name) && !owner.sameZone(name) }; {
-	case zone < activeZone && slices.ContainsFunc(passive, owner.sameZone):
-		fitting = among(passive, owner.sameZone)
-	case region < activeRegion && slices.ContainsFunc(passive, inside):
-		fitting = among(passive, inside)
+	switch sameRegionOnly := func(name string) bool { return owner.sameRegion(name) && !owner.sameZone(name) }; {
+	case zone < sameZonePeers && slices.ContainsFunc(passive, owner.sameZone):
+		fitting = filter(passive, owner.sameZone)
+	case region < sameRegionPeers && slices.ContainsFunc(passive, sameRegionOnly):
+		fitting = filter(passive, sameRegionOnly)
 	}
-	heard := among(fitting, func(name string) bool {
-		known := owner.table[name]
-		return known.heard > 0 && now-known.heard < owner.bounds.SuspicionTimeout()
+	heard := filter(fitting, func(name string) bool {
+		record := owner.table[name]
+		return record.heard > 0 && now-record.heard < owner.bounds.SuspicionTimeout()
 	})
 	if len(heard) > 0 && owner.random.IntN(2) == 0 {
 		fitting = heard
@@ -43,10 +43,10 @@
 	return fitting[owner.random.IntN(len(fitting))]
 }
 
-// drawActive draws a neighbour to shuffle with; one of another region is passed over most times, except in fleets that are small anyway.
-func (owner *Owner) drawActive() string {
+// pickGossipTarget picks a neighbour to shuffle with. One of another region is mostly skipped, except in small fleets.
+func (owner *Owner) pickGossipTarget() string {
 	name := owner.active[owner.random.IntN(len(owner.active))]
-	if !owner.sameRegion(name) && owner.random.IntN(owner.healOdds()) >= leastOdds {
+	if !owner.sameRegion(name) && owner.random.IntN(owner.healOdds()) >= minHealOdds {
 		name = owner.active[owner.random.IntN(len(owner.active))]
 	}
 	return name
@@ -59,22 +59,22 @@
 	return owner.table[name].member.Region == owner.self.Region
 }
 
-func among(names []string, fits func(string) bool) []string {
+func filter(names []string, fits func(string) bool) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return !fits(name) })
 }
 
-// healOdds is how seldom, one in so many, a seed or any member is tried besides the neighbours: all nodes together do so about as often
-// in a large fleet as in a small one.
-func (owner *Owner) healOdds() int { return max(leastOdds, len(owner.table)/perOdds) }
+// healOdds: one gossip in healOdds also goes to a seed, and one to any member, besides the neighbours. It grows with the fleet, so that
+// all nodes together do so about as often in a large fleet as in a small one.
+func (owner *Owner) healOdds() int { return max(minHealOdds, len(owner.table)/membersPerOdds) }
 
-const perOdds = 4
+const membersPerOdds = 4
 
-// controlsFirst moves control nodes ahead of others, up to half of a shuffle, behind those that it tells whole: lists have the owners
-// that each node takes for alive, and one that is taken for dead by some has its duty taken over again and again.
+// controlsFirst moves control nodes ahead, up to half of a shuffle, behind those that are sent in full. Data nodes take shard owners from
+// their own view of the live members: a control node that some take for dead would have its shards taken over again and again.
 func (owner *Owner) controlsFirst(names []string) []string {
-	ahead, behind := slices.Clone(names[:wholeRows]), []string{}
-	for _, name := range names[wholeRows:] {
-		if len(ahead) < wholeRows+shuffleSize/2 && owner.table[name].member.Kind == contract.KindControl {
+	ahead, behind := slices.Clone(names[:fullRows]), []string{}
+	for _, name := range names[fullRows:] {
+		if len(ahead) < fullRows+shuffleSize/2 && owner.table[name].member.Kind == contract.KindControl {
 			ahead = append(ahead, name)
 		} else {
 			behind = append(behind, name)
@@ -83,8 +83,9 @@
 	return append(ahead, behind...)
 }
 
-// room is how many rows there may be where one of a member is added: a table full of data nodes has an eighth more for control nodes.
-func (owner *Owner) room(member contract.Member) int {
+// capacityFor returns how many rows the table may have when a member is added: there is an eighth more room for control nodes, so that
+// data nodes cannot fill it.
+func (owner *Owner) capacityFor(member contract.Member) int {
 	if member.Kind == contract.KindControl {
 		return tableSize + tableSize/8
 	}
--- a/neighbour/near_test.go
+++ b/neighbour/near_test.go
@@ -17,26 +17,26 @@
 	RunSpecs(t, "neighbour")
 }
 
-// knowing is an owner in zone a1 of region a that has heard of count members in each zone of two regions.
-func knowing(seed uint64, count int) *Owner {
+// newOwnerWithMembers returns an owner in zone a1 of region a that knows count members in each zone of two regions.
+func newOwnerWithMembers(seed uint64, count int) *Owner {
 	owner := New(contract.Member{Name: "self-data", Zone: "a1", Region: "a", Address: "self"}, []string{"seed"}, env.DefaultBounds(), rand.New(rand.NewPCG(seed, 1)))
 	for _, zone := range []string{"a1", "a2", "b1", "b2"} {
 		for index := range count {
 			name := fmt.Sprintf("%s-%d-data", zone, index)
-			owner.merge(0, contract.Member{Name: name, Address: name, Zone: zone, Region: zone[:1], Incarnation: 1, Heartbeat: 1})
+			owner.mergeMember(0, contract.Member{Name: name, Address: name, Zone: zone, Region: zone[:1], Incarnation: 1, Heartbeat: 1})
 		}
 	}
 	return owner
 }
 
-// shares plays so many gossips with everybody alive and gives the messages to the own zone, the own region, other regions, and seeds.
-func shares(owner *Owner, rounds int) (zone, region, other, seeds int) {
+// countMessages runs gossip rounds with all members alive and counts the messages to the own zone, the own region, other regions and seeds.
+func countMessages(owner *Owner, rounds int) (zone, region, heartbeatErr, seeds int) {
 	now := time.Duration(0)
 	for range rounds {
 		now += owner.bounds.GossipInterval()
-		owner.spoken = now
-		for _, known := range owner.table {
-			known.advanced, known.heard = now, now
+		owner.outsideHeardAt = now
+		for _, record := range owner.table {
+			record.heartbeatAt, record.heard = now, now
 		}
 		for _, command := range owner.tick(now) {
 			switch to := command.(contract.Send).To; {
@@ -47,51 +47,51 @@
 			case to[0] == 'a':
 				region++
 			default:
-				other++
+				heartbeatErr++
 			}
 		}
 	}
-	return zone, region, other, seeds
+	return zone, region, heartbeatErr, seeds
 }
 
 var _ = Describe("the neighbours of a node", func() {
-	It("given a large fleet in two regions, when it gossips, then most messages stay in its zone and some always cross", func() {
-		zone, region, other, seeds := shares(knowing(1, 25), 4000)
-		all := zone + region + other + seeds
+	It("given a large fleet in two regions, when it gossips, then most messages stay in its zone and some always leave it", func() {
+		zone, region, heartbeatErr, seeds := countMessages(newOwnerWithMembers(1, 25), 4000)
+		all := zone + region + heartbeatErr + seeds
 		Expect(zone).To(BeNumerically(">", all/3))
 		Expect(zone + region).To(BeNumerically(">", all*3/4))
-		Expect(other).To(And(BeNumerically("<", all/6), BeNumerically(">", all/40)))
+		Expect(heartbeatErr).To(And(BeNumerically("<", all/6), BeNumerically(">", all/40)))
 		Expect(region).To(BeNumerically(">", all/8))
 		Expect(seeds).To(And(BeNumerically("<", all/20), BeNumerically(">", 0)))
 	})
 
-	It("given a small fleet, when it gossips, then seeds and any members are tried as often as ever", func() {
-		_, _, other, seeds := shares(knowing(1, 4), 4000)
+	It("given a small fleet, when it gossips, then seeds and random members are contacted at the usual rate", func() {
+		_, _, heartbeatErr, seeds := countMessages(newOwnerWithMembers(1, 4), 4000)
 		Expect(seeds).To(BeNumerically(">", 4000/8))
-		Expect(other).To(BeNumerically(">", 4000/4))
+		Expect(heartbeatErr).To(BeNumerically(">", 4000/4))
 	})
 
-	It("given a node alone in its zone, or in its region, when it gossips, then its view is full all the same", func() {
+	It("given a node alone in its zone, or in its region, when it gossips, then its active view is full all the same", func() {
 		for _, left := range []string{"b", "a2", ""} {
-			owner := knowing(2, 6)
-			for name, known := range owner.table {
-				if len(left) == 0 || known.member.Zone[:len(left)] != left {
+			owner := newOwnerWithMembers(2, 6)
+			for name, record := range owner.table {
+				if len(left) == 0 || record.member.Zone[:len(left)] != left {
 					delete(owner.table, name)
 				}
 			}
-			owner.ordered = nil
-			shares(owner, 10)
+			owner.sortedNames = nil
+			countMessages(owner, 10)
 			Expect(owner.active).To(HaveLen(min(activeSize, len(owner.table))), "only %q left", left)
 		}
 	})
 
-	It("given a whole region that falls silent, when it gossips, then the silent ones leave its view", func() {
-		owner := knowing(3, 6)
-		shares(owner, 10)
+	It("given a whole region that is not heard any more, when it gossips, then its members leave the active view", func() {
+		owner := newOwnerWithMembers(3, 6)
+		countMessages(owner, 10)
 		now := 10*owner.bounds.GossipInterval() + owner.bounds.SuspicionTimeout()
-		for _, known := range owner.table {
-			if known.member.Region == "a" {
-				known.advanced, known.heard = now, now
+		for _, record := range owner.table {
+			if record.member.Region == "a" {
+				record.heartbeatAt, record.heard = now, now
 			}
 		}
 		owner.tick(now)
--- a/neighbour/neighbour.go
+++ b/neighbour/neighbour.go
@@ -1,4 +1,4 @@
-// Package neighbour keeps partial views of the fleet, shuffled between neighbours, and each member's condition.
+// Package neighbour is the gossip membership: each node shuffles samples of the live members with a few neighbours.
 package neighbour
 
 import (
@@ -16,81 +16,87 @@
 )
 
 const (
-	activeSize  = 4
-	shuffleSize = 48
-	wholeRows   = 1
-	tableSize   = 1024
-	leastOdds   = 6
-	renewOdds   = 8
+	activeSize  = 4    // members in the active view, with which a node gossips
+	shuffleSize = 48   // members in one shuffle
+	fullRows    = 1    // members of a shuffle that are sent in full though unchanged
+	tableSize   = 1024 // members that a node remembers
+	minHealOdds = 6    // see healOdds
+	renewOdds   = 8    // one gossip in renewOdds replaces a neighbour of a full active view
 )
 
-type row struct {
-	member   contract.Member
-	advanced time.Duration
-	changed  time.Duration
-	moved    time.Duration
-	heard    time.Duration
-	told     int64
-	joined   time.Duration
-	gone     bool
+type memberRecord struct {
+	member          contract.Member
+	heartbeatAt     time.Duration // when its heartbeat last advanced
+	changedAt       time.Duration // when anything but heartbeat and position last changed
+	positionAt      time.Duration // when its position last changed
+	heard           time.Duration // last message received from it directly, 0 for none
+	mergedHeartbeat int64         // heartbeat of the last full row that was merged
+	activeSince     time.Duration // when it entered the active view
+	departed        bool          // it has announced that it leaves
 }
 
+// Owner holds one node's view of the fleet and decides with whom it gossips.
 type Owner struct {
-	bounds   env.Bounds
-	self     contract.Member
-	seeds    []string
-	table    map[string]*row
-	active   []string
-	random   *rand.Rand
-	next     time.Duration
-	cached   []contract.Member
-	cachedAt time.Duration
-	ordered  []string
-	spoken   time.Duration
-	left     bool
+	bounds         env.Bounds
+	self           contract.Member
+	seeds          []string
+	table          map[string]*memberRecord
+	active         []string // names of the members in the active view
+	random         *rand.Rand
+	nextGossip     time.Duration
+	liveMembers    []contract.Member // cache of Members as of cachedAt
+	cachedAt       time.Duration
+	sortedNames    []string      // cache of the table's names, nil if outdated
+	outsideHeardAt time.Duration // last message from a node on another machine
+	hasLeft        bool          // this node has announced that it leaves
 }
 
-// Shuffle carries whole rows of members that are new or changed lately and a few others, and beats of the rest. Here has the bits of
-// the beats whose members are at the sender's own place.
+// Shuffle carries full rows of new or recently changed members and a few others, and only heartbeats of the rest, as "name incarnation
+// heartbeat" joined by semicolons. Bit i of SamePosition is set if the i-th of these has the sender's own position.
 type Shuffle struct {
-	Members []contract.Member `json:"members"`
-	Beats   string            `json:"beats,omitempty"`
-	Here    uint64            `json:"here,omitempty"`
-	Answer  bool              `json:"answer,omitempty"`
+	Members      []contract.Member `json:"members"`
+	Heartbeats   string            `json:"beats,omitempty"` // the outer word beats means heartbeats
+	SamePosition uint64            `json:"here,omitempty"`  // the outer word here means at the sender's position
+	IsReply      bool              `json:"answer,omitempty"`
 }
 
-// Bye carries the last beat, so that older news of the member don't bring it back.
-type Bye struct {
+// Leave announces that a node stops. It has its last heartbeat, so that older news of the member don't restore it.
+type Leave struct {
 	Name      string `json:"name"`
 	Boot      string `json:"boot"`
 	Heartbeat int64  `json:"heartbeat"`
 }
 
 const (
+	// MessageShuffle exchanges members in both directions (Shuffle), MessageLeave ends a membership (Leave).
 	MessageShuffle = "shuffle"
-	MessageBye     = "bye"
+	MessageLeave   = "bye"
 )
 
+// New returns the membership of the node self, which first contacts the seed addresses.
 func New(self contract.Member, seeds []string, bounds env.Bounds, random *rand.Rand) *Owner {
 	self.Incarnation = 1
-	return &Owner{bounds: bounds, self: self, seeds: seeds, table: map[string]*row{}, random: random}
+	return &Owner{bounds: bounds, self: self, seeds: seeds, table: map[string]*memberRecord{}, random: random}
 }
 
+// Self returns this node's own row.
 func (owner *Owner) Self() contract.Member { return owner.self }
 
-func (owner *Owner) Hold(place contract.Position, view int64, core bool) {
-	owner.self.Position, owner.self.View, owner.self.Core = place, view, core
-	owner.cached = nil
+// SetState sets what the others are told of this node: its position and view, and whether it can serve in the core.
+func (owner *Owner) SetState(position contract.Position, view int64, core bool) {
+	owner.self.Position, owner.self.View, owner.self.Core = position, view, core
+	owner.liveMembers = nil
 }
 
-// Identify sets the identity of this node's data folder, which the others are told.
-func (owner *Owner) Identify(coreID string) {
-	owner.self.CoreID, owner.cached = coreID, nil
+// SetIdentity sets the identity of this node's data folder, which the others are told.
+func (owner *Owner) SetIdentity(coreID string) {
+	owner.self.CoreID, owner.liveMembers = coreID, nil
 }
 
-// Seeds are other addresses to start from than those that this node was started with.
+// Seeds is an event that replaces the addresses that this node was started with.
 type Seeds struct{ Addresses []string }
 
+// Handle processes ticks, messages of the gossip and new Seeds.
 func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
 	switch event := event.(type) {
 	case Seeds:
@@ -104,14 +110,14 @@
 			if json.Unmarshal(event.Body, &shuffle) != nil {
 				return []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 			}
-			return owner.shuffled(now, event.From, shuffle)
-		case MessageBye:
-			var bye Bye
-			if json.Unmarshal(event.Body, &bye) == nil {
-				if known, there := owner.table[bye.Name]; there && known.member.Boot == bye.Boot {
-					known.gone, owner.cached = true, nil
-					known.member.Heartbeat = max(known.member.Heartbeat, bye.Heartbeat)
-					known.told = known.member.Heartbeat
+			return owner.handleShuffle(now, event.From, shuffle)
+		case MessageLeave:
+			var leave Leave
+			if json.Unmarshal(event.Body, &leave) == nil {
+				if record, found := owner.table[leave.Name]; found && record.member.Boot == leave.Boot {
+					record.departed, owner.liveMembers = true, nil
+					record.member.Heartbeat = max(record.member.Heartbeat, leave.Heartbeat)
+					record.mergedHeartbeat = record.member.Heartbeat
 				}
 			}
 		}
@@ -119,37 +125,38 @@
 	return nil
 }
 
-// Woke forgives the silence that a freeze of this process made of everybody else.
-func (owner *Owner) Woke(now, gap time.Duration) {
-	for _, known := range owner.table {
-		if now-known.advanced < owner.bounds.SuspicionTimeout()+gap {
-			known.advanced = now
+// ResumeAfterFreeze extends the members' heartbeats by the gap in which this process was frozen and could not hear them.
+func (owner *Owner) ResumeAfterFreeze(now, gap time.Duration) {
+	for _, record := range owner.table {
+		if now-record.heartbeatAt < owner.bounds.SuspicionTimeout()+gap {
+			record.heartbeatAt = now
 		}
 	}
 	owner.self.Incarnation++
-	owner.cached = nil
+	owner.liveMembers = nil
 }
 
-func (owner *Owner) Farewell() []contract.Command {
+// AnnounceLeave tells all members that this node stops; from then on it gossips no more.
+func (owner *Owner) AnnounceLeave() []contract.Command {
 	commands := []contract.Command{}
-	owner.left = true
+	owner.hasLeft = true
 	for _, name := range owner.names() {
-		commands = append(commands, contract.Send{To: owner.table[name].member.Address, Kind: MessageBye, Body: Bye{owner.self.Name, owner.self.Boot, owner.self.Heartbeat}})
+		commands = append(commands, contract.Send{To: owner.table[name].member.Address, Kind: MessageLeave, Body: Leave{owner.self.Name, owner.self.Boot, owner.self.Heartbeat}})
 	}
 	return commands
 }
 
 func (owner *Owner) tick(now time.Duration) []contract.Command {
-	if now < owner.next || owner.left {
+	if now < owner.nextGossip || owner.hasLeft {
 		return nil
 	}
-	owner.next = now + owner.bounds.GossipInterval()
+	owner.nextGossip = now + owner.bounds.GossipInterval()
 	owner.self.Heartbeat++
-	owner.forget(now)
-	owner.renewActive(now)
+	owner.forgetExpired(now)
+	owner.refreshActive(now)
 	targets := map[string]bool{}
 	for index := 0; index < 2 && len(owner.active) > 0; index++ {
-		name := owner.drawActive()
+		name := owner.pickGossipTarget()
 		targets[owner.table[name].member.Address] = true
 	}
 	if len(owner.active) < activeSize || owner.random.IntN(owner.healOdds()) == 0 {
@@ -157,12 +164,12 @@
 			targets[owner.seeds[owner.random.IntN(len(owner.seeds))]] = true
 		}
 	}
-	lonely := now-owner.spoken > owner.bounds.SuspicionTimeout()/4
-	if names := owner.names(); len(names) > 0 && (lonely || owner.random.IntN(owner.healOdds()) == 0) {
+	isolated := now-owner.outsideHeardAt > owner.bounds.SuspicionTimeout()/4
+	if names := owner.names(); len(names) > 0 && (isolated || owner.random.IntN(owner.healOdds()) == 0) {
 		targets[owner.table[names[owner.random.IntN(len(names))]].member.Address] = true
 	}
-	if lonely {
-		for _, name := range owner.lastHeard(activeSize) {
+	if isolated {
+		for _, name := range owner.mostRecentlyHeard(activeSize) {
 			targets[owner.table[name].member.Address] = true
 		}
 	}
@@ -179,26 +186,26 @@
 	return commands
 }
 
-func (owner *Owner) forget(now time.Duration) {
-	for name, known := range owner.table {
-		if now-known.advanced > owner.bounds.MemberExpiry() {
+func (owner *Owner) forgetExpired(now time.Duration) {
+	for name, record := range owner.table {
+		if now-record.heartbeatAt > owner.bounds.MemberExpiry() {
 			delete(owner.table, name)
-			owner.ordered = nil
+			owner.sortedNames = nil
 		}
 	}
 }
 
-func (owner *Owner) renewActive(now time.Duration) {
+func (owner *Owner) refreshActive(now time.Duration) {
 	kept := owner.active[:0]
 	for _, name := range owner.active {
-		if known := owner.table[name]; owner.Alive(now, name) && now-max(known.heard, known.joined) < owner.bounds.SuspicionTimeout() {
+		if record := owner.table[name]; owner.Alive(now, name) && now-max(record.heard, record.activeSince) < owner.bounds.SuspicionTimeout() {
 			kept = append(kept, name)
 		}
 	}
 	owner.active = kept
 	if len(owner.active) == activeSize && owner.random.IntN(renewOdds) == 0 {
-		place := owner.random.IntN(len(owner.active))
-		owner.active = append(owner.active[:place], owner.active[place+1:]...)
+		position := owner.random.IntN(len(owner.active))
+		owner.active = append(owner.active[:position], owner.active[position+1:]...)
 	}
 	passive := []string{}
 	for _, name := range owner.names() {
@@ -210,11 +217,11 @@
 		chosen := owner.chooseActive(now, passive)
 		passive = slices.DeleteFunc(passive, func(name string) bool { return name == chosen })
 		owner.active = append(owner.active, chosen)
-		owner.table[chosen].joined = now
+		owner.table[chosen].activeSince = now
 	}
 }
 
-// sample is a shuffled part of the live members; a newcomer gets them whole.
+// sample returns a random part of the live members; a newcomer gets full rows only.
 func (owner *Owner) sample(now time.Duration, newcomer bool) Shuffle {
 	shuffle := Shuffle{Members: []contract.Member{owner.self}}
 	names, beats := []string{}, []string{}
@@ -227,135 +234,135 @@
 	if len(names) > shuffleSize {
 		names = owner.controlsFirst(names)[:shuffleSize]
 	}
-	for place, name := range names {
-		known := owner.table[name]
-		here, lately := known.member.Position == owner.self.Position, owner.bounds.SuspicionTimeout()/2
-		if newcomer || place < wholeRows || now-known.changed < lately || now-known.moved < lately && !here {
-			shuffle.Members = append(shuffle.Members, known.member)
+	for position, name := range names {
+		record := owner.table[name]
+		samePosition, recent := record.member.Position == owner.self.Position, owner.bounds.SuspicionTimeout()/2
+		if newcomer || position < fullRows || now-record.changedAt < recent || now-record.positionAt < recent && !samePosition {
+			shuffle.Members = append(shuffle.Members, record.member)
 			continue
 		}
-		if here {
-			shuffle.Here |= 1 << len(beats)
+		if samePosition {
+			shuffle.SamePosition |= 1 << len(beats)
 		}
-		beats = append(beats, name+" "+strconv.FormatInt(known.member.Incarnation, 10)+" "+strconv.FormatInt(known.member.Heartbeat, 10))
+		beats = append(beats, name+" "+strconv.FormatInt(record.member.Incarnation, 10)+" "+strconv.FormatInt(record.member.Heartbeat, 10))
 	}
-	shuffle.Beats = strings.Join(beats, ";")
+	shuffle.Heartbeats = strings.Join(beats, ";")
 	return shuffle
 }
 
-func (owner *Owner) shuffled(now time.Duration, from string, shuffle Shuffle) []contract.Command {
-	address, boot, newcomer, told := "", "", true, contract.Position{}
-	if known, there := owner.table[from]; there {
-		newcomer = now-known.changed < owner.bounds.SuspicionTimeout()
+func (owner *Owner) handleShuffle(now time.Duration, from string, shuffle Shuffle) []contract.Command {
+	address, boot, newcomer, senderPosition := "", "", true, contract.Position{}
+	if record, found := owner.table[from]; found {
+		newcomer = now-record.changedAt < owner.bounds.SuspicionTimeout()
 	}
 	for index, member := range shuffle.Members {
 		if index > shuffleSize {
 			break
 		}
 		if member.Name == from {
-			address, boot, told = member.Address, member.Boot, member.Position
+			address, boot, senderPosition = member.Address, member.Boot, member.Position
 		}
-		owner.merge(now, member)
+		owner.mergeMember(now, member)
 	}
-	if known, there := owner.table[from]; there {
-		known.heard = now
-		if known.member.Zone != owner.self.Zone || contract.MachineOf(from) != contract.MachineOf(owner.self.Name) {
-			owner.spoken = now
+	if record, found := owner.table[from]; found {
+		record.heard = now
+		if record.member.Zone != owner.self.Zone || contract.MachineOf(from) != contract.MachineOf(owner.self.Name) {
+			owner.outsideHeardAt = now
 		}
 	}
-	for index, beat := range strings.Split(shuffle.Beats, ";") {
+	for index, heartbeatUpdate := range strings.Split(shuffle.Heartbeats, ";") {
 		if index > shuffleSize {
 			break
 		}
-		place := contract.Position{}
-		if shuffle.Here>>index&1 == 1 {
-			place = told
+		position := contract.Position{}
+		if shuffle.SamePosition>>index&1 == 1 {
+			position = senderPosition
 		}
-		owner.beat(now, beat, place)
+		owner.heartbeatUpdate(now, heartbeatUpdate, position)
 	}
-	if shuffle.Answer || address == "" || owner.left {
+	if shuffle.IsReply || address == "" || owner.hasLeft {
 		return nil
 	}
 	answer := owner.sample(now, newcomer)
-	answer.Answer = true
-	if known, there := owner.table[from]; there && known.member.Boot != boot {
-		answer.Members = append(answer.Members, known.member)
+	answer.IsReply = true
+	if record, found := owner.table[from]; found && record.member.Boot != boot {
+		answer.Members = append(answer.Members, record.member)
 	}
 	return []contract.Command{contract.Send{To: address, Kind: MessageShuffle, Body: answer}}
 }
 
-// beat moves a known member's heartbeat, and its place, which only goes forward within a life; whoever is not known by this incarnation
-// waits for its whole row.
-func (owner *Owner) beat(now time.Duration, text string, place contract.Position) {
+// heartbeatUpdate advances a member's heartbeat and position. It ignores other incarnations, which must come as full rows first.
+func (owner *Owner) heartbeatUpdate(now time.Duration, text string, position contract.Position) {
 	name, counts, _ := strings.Cut(text, " ")
-	first, second, _ := strings.Cut(counts, " ")
-	incarnation, err := strconv.ParseInt(first, 10, 64)
-	heartbeat, other := strconv.ParseInt(second, 10, 64)
-	known, there := owner.table[name]
-	if err != nil || other != nil || !there || known.member.Incarnation != incarnation {
+	incarnationText, heartbeatText, _ := strings.Cut(counts, " ")
+	incarnation, err := strconv.ParseInt(incarnationText, 10, 64)
+	heartbeat, heartbeatErr := strconv.ParseInt(heartbeatText, 10, 64)
+	record, found := owner.table[name]
+	if err != nil || heartbeatErr != nil || !found || record.member.Incarnation != incarnation {
 		return
 	}
-	if known.member.Position.Revision < place.Revision {
-		known.member.Position, known.moved, owner.cached = place, now, nil
+	if record.member.Position.Revision < position.Revision {
+		record.member.Position, record.positionAt, owner.liveMembers = position, now, nil
 	}
-	if heartbeat <= known.member.Heartbeat {
+	if heartbeat <= record.member.Heartbeat {
 		return
 	}
-	known.member.Heartbeat, known.advanced, known.gone = heartbeat, now, false
-	owner.cached = nil
+	record.member.Heartbeat, record.heartbeatAt, record.departed = heartbeat, now, false
+	owner.liveMembers = nil
 }
 
-func (owner *Owner) merge(now time.Duration, member contract.Member) {
+func (owner *Owner) mergeMember(now time.Duration, member contract.Member) {
 	if member.Name == owner.self.Name {
 		if member.Boot != owner.self.Boot && member.Incarnation >= owner.self.Incarnation {
 			owner.self.Incarnation = member.Incarnation + 1
 		}
 		return
 	}
-	known, there := owner.table[member.Name]
-	if !there {
-		if len(owner.table) < owner.room(member) && member.Name != "" && member.Address != "" {
-			owner.table[member.Name] = &row{member: member, advanced: now, changed: now, told: member.Heartbeat}
-			owner.cached, owner.ordered = nil, nil
+	record, found := owner.table[member.Name]
+	if !found {
+		if len(owner.table) < owner.capacityFor(member) && member.Name != "" && member.Address != "" {
+			owner.table[member.Name] = &memberRecord{member: member, heartbeatAt: now, changedAt: now, mergedHeartbeat: member.Heartbeat}
+			owner.liveMembers, owner.sortedNames = nil, nil
 		}
 		return
 	}
-	same := member.Incarnation == known.member.Incarnation
-	if member.Incarnation < known.member.Incarnation || same && member.Heartbeat <= known.told {
+	same := member.Incarnation == record.member.Incarnation
+	if member.Incarnation < record.member.Incarnation || same && member.Heartbeat <= record.mergedHeartbeat {
 		return
 	}
-	known.told = member.Heartbeat
-	if !same || member.Heartbeat > known.member.Heartbeat {
-		known.advanced, known.gone = now, false
+	record.mergedHeartbeat = member.Heartbeat
+	if !same || member.Heartbeat > record.member.Heartbeat {
+		record.heartbeatAt, record.departed = now, false
 	} else {
-		member.Heartbeat = known.member.Heartbeat
+		member.Heartbeat = record.member.Heartbeat
 	}
-	former := known.member
-	if same && member.Boot == former.Boot && member.Position.Revision < former.Position.Revision {
-		member.Position = former.Position
+	previous := record.member
+	if same && member.Boot == previous.Boot && member.Position.Revision < previous.Position.Revision {
+		member.Position = previous.Position
 	}
-	if former.Position != member.Position {
-		known.moved = now
+	if previous.Position != member.Position {
+		record.positionAt = now
 	}
-	former.Heartbeat, former.Position = member.Heartbeat, member.Position
-	if former != member {
-		known.changed = now
+	previous.Heartbeat, previous.Position = member.Heartbeat, member.Position
+	if previous != member {
+		record.changedAt = now
 	}
-	known.member, owner.cached = member, nil
+	record.member, owner.liveMembers = member, nil
 }
 
+// Alive reports whether a member's heartbeat advanced within the suspicion time.
 func (owner *Owner) Alive(now time.Duration, name string) bool {
 	if name == owner.self.Name {
 		return true
 	}
-	known, there := owner.table[name]
-	return there && !known.gone && now-known.advanced < owner.bounds.SuspicionTimeout()
+	record, found := owner.table[name]
+	return found && !record.departed && now-record.heartbeatAt < owner.bounds.SuspicionTimeout()
 }
 
-// Members gives the live members, this node among them, in the order of their names.
+// Members returns the live members including this node, in the order of their names.
 func (owner *Owner) Members(now time.Duration) []contract.Member {
-	if owner.cached != nil && owner.cachedAt == now {
-		return owner.cached
+	if owner.liveMembers != nil && owner.cachedAt == now {
+		return owner.liveMembers
 	}
 	members, placed := make([]contract.Member, 0, len(owner.table)+1), false
 	for _, name := range owner.names() {
@@ -369,10 +376,11 @@
 	if !placed {
 		members = append(members, owner.self)
 	}
-	owner.cached, owner.cachedAt = members, now
+	owner.liveMembers, owner.cachedAt = members, now
 	return members
 }
 
+// Live returns the live members that fit a condition.
 func (owner *Owner) Live(now time.Duration, fits func(contract.Member) bool) []contract.Member {
 	members := []contract.Member{}
 	for _, member := range owner.Members(now) {
@@ -383,10 +391,10 @@
 	return members
 }
 
-// names gives all that are known, in order.
+// names returns the names of all members in the table, sorted.
 func (owner *Owner) names() []string {
-	if owner.ordered == nil {
-		owner.ordered = manifest.SortedKeys(owner.table)
+	if owner.sortedNames == nil {
+		owner.sortedNames = manifest.SortedKeys(owner.table)
 	}
-	return owner.ordered
+	return owner.sortedNames
 }
--- a/neighbour/sample_test.go
+++ b/neighbour/sample_test.go
@@ -12,27 +12,27 @@
 	. "github.com/onsi/gomega"
 )
 
-// fleet is an owner that has known so many data and control nodes for longer than their rows count as changed.
-func fleet(data, controls int) (*Owner, time.Duration) {
+// newFleet returns an owner that has known data and control nodes for longer than their rows count as changed.
+func newFleet(data, controls int) (*Owner, time.Duration) {
 	owner := New(contract.Member{Name: "self-data", Address: "self"}, nil, env.DefaultBounds(), rand.New(rand.NewPCG(1, 1)))
 	add := func(kind string, count int) {
 		for index := range count {
 			name := fmt.Sprintf("node-%04d-%s", index, kind)
-			owner.merge(0, contract.Member{Name: name, Address: name, Kind: kind, Incarnation: 1, Heartbeat: 1})
+			owner.mergeMember(0, contract.Member{Name: name, Address: name, Kind: kind, Incarnation: 1, Heartbeat: 1})
 		}
 	}
 	add(contract.KindData, data)
 	add(contract.KindControl, controls)
 	now := owner.bounds.SuspicionTimeout()
-	for _, known := range owner.table {
-		known.advanced = now
+	for _, record := range owner.table {
+		record.heartbeatAt = now
 	}
 	return owner, now
 }
 
-// told gives the members of each kind that a shuffle tells of, and how many whole rows of others.
-func told(shuffle Shuffle) (data, controls []string, whole int) {
-	names := strings.Split(shuffle.Beats, ";")
+// contents returns the members of each kind in a shuffle, and how many of them are sent as full rows.
+func contents(shuffle Shuffle) (data, controls []string, whole int) {
+	names := strings.Split(shuffle.Heartbeats, ";")
 	for _, member := range shuffle.Members[1:] {
 		names, whole = append(names, member.Name), whole+1
 	}
@@ -46,38 +46,38 @@
 	return data, controls, whole
 }
 
-var _ = Describe("members that a shuffle tells of", func() {
-	It("given more members than a shuffle holds, when it is drawn, then it tells of every control node, which owns lists", func() {
-		owner, now := fleet(400, 4)
+var _ = Describe("members in a shuffle", func() {
+	It("given more members than a shuffle holds, when it is sampled, then it has every control node, since these own shards", func() {
+		owner, now := newFleet(400, 4)
 		for range 100 {
-			data, controls, _ := told(owner.sample(now, false))
+			data, controls, _ := contents(owner.sample(now, false))
 			Expect(controls).To(HaveLen(4))
 			Expect(len(data) + len(controls)).To(Equal(shuffleSize))
 		}
 	})
 
-	It("given more control nodes than half a shuffle holds, when it is drawn, then half of it is of them, and each comes in time", func() {
-		owner, now := fleet(900, 50)
-		often := map[string]int{}
+	It("given more control nodes than half a shuffle holds, when it is sampled, then they are half of it, and each occurs in time", func() {
+		owner, now := newFleet(900, 50)
+		timesSeen := map[string]int{}
 		for range 100 {
-			data, controls, _ := told(owner.sample(now, false))
+			data, controls, _ := contents(owner.sample(now, false))
 			Expect(len(controls)).To(BeNumerically(">=", shuffleSize/2))
-			Expect(len(data)).To(BeNumerically(">=", shuffleSize/2-wholeRows))
+			Expect(len(data)).To(BeNumerically(">=", shuffleSize/2-fullRows))
 			for _, name := range controls {
-				often[name]++
+				timesSeen[name]++
 			}
 		}
-		Expect(often).To(HaveLen(50))
-		Expect(often).To(HaveEach(BeNumerically(">", 20)))
+		Expect(timesSeen).To(HaveLen(50))
+		Expect(timesSeen).To(HaveEach(BeNumerically(">", 20)))
 	})
 
-	It("given a large fleet, when many shuffles are drawn, then the whole rows are of any member, so that newcomers are heard of", func() {
-		owner, now := fleet(400, 4)
+	It("given a large fleet, when many shuffles are sampled, then the full rows are of any member, so that newcomers become known", func() {
+		owner, now := newFleet(400, 4)
 		ofData := 0
 		for range 400 {
 			shuffle := owner.sample(now, false)
-			_, _, whole := told(shuffle)
-			Expect(whole).To(Equal(wholeRows))
+			_, _, whole := contents(shuffle)
+			Expect(whole).To(Equal(fullRows))
 			if shuffle.Members[1].Kind == contract.KindData {
 				ofData++
 			}
@@ -85,19 +85,19 @@
 		Expect(ofData).To(BeNumerically(">", 380))
 	})
 
-	It("given a fleet that a shuffle holds, when it is drawn, then everybody is in it, whatever their kind", func() {
-		owner, now := fleet(24, 24)
-		data, controls, _ := told(owner.sample(now, false))
+	It("given a fleet that a shuffle holds, when it is sampled, then every member is in it, whatever its kind", func() {
+		owner, now := newFleet(24, 24)
+		data, controls, _ := contents(owner.sample(now, false))
 		Expect([]int{len(data), len(controls)}).To(Equal([]int{24, 24}))
 	})
 })
 
 var _ = Describe("the table of members", func() {
-	It("given as many data nodes as it holds, when control nodes come, then there is room for them, up to an eighth more", func() {
-		owner, _ := fleet(1400, 200)
+	It("given as many data nodes as it holds, when control nodes are added, then it has room for an eighth more of them", func() {
+		owner, _ := newFleet(1400, 200)
 		controls := 0
-		for _, known := range owner.table {
-			if known.member.Kind == contract.KindControl {
+		for _, record := range owner.table {
+			if record.member.Kind == contract.KindControl {
 				controls++
 			}
 		}
