--- a/link/compress.go
+++ b/link/compress.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// compressFrom is the size in bytes from which a body is compressed: configurations shrink to a tenth, the beats of a large fleet to
-	// a third, a question for a list and a version that its keeper compressed (base64 in JSON) to three quarters.
-	compressFrom = 1 << 8
-	// encodingHeader is what a compressed body costs beside itself.
+	// minCompressSize is the size in bytes from which a body is compressed: configurations shrink to a tenth, the heartbeats of a large
+	// fleet to a third, a lease request and an already compressed version (base64 in JSON) to three quarters.
+	minCompressSize = 1 << 8
+	// encodingHeader is the extra header that a compressed body costs.
 	encodingHeader = "Content-Encoding: " + compression.Encoding + "\r\n"
 )
 
-// compress gives a body as it travels and the name of its encoding, which is empty for a plain one.
+// compress returns a body as it is sent and the name of its encoding, empty for a plain one.
 func compress(content []byte) ([]byte, string) {
-	if len(content) < compressFrom {
+	if len(content) < minCompressSize {
 		return content, ""
 	}
 	if compressed := compression.Compress(content); len(compressed)+len(encodingHeader) < len(content) {
@@ -26,11 +26,11 @@
 	return content, ""
 }
 
-// decompress reads a body that may be compressed, bounded as it unfolds; whoever has read it closes it.
+// decompress returns a reader of a body that may be compressed. The expanded size is bounded; the caller closes the reader.
 func decompress(request *http.Request) (io.ReadCloser, error) {
-	body := io.LimitReader(request.Body, mostBody)
+	body := io.LimitReader(request.Body, maxBodySize)
 	if request.Header.Get("Content-Encoding") != compression.Encoding {
 		return io.NopCloser(body), nil
 	}
-	return compression.Decompress(body, mostBody)
+	return compression.Decompress(body, maxBodySize)
 }
--- a/link/cost_test.go
+++ b/link/cost_test.go
@@ -20,7 +20,7 @@
 	. "github.com/onsi/gomega"
 )
 
-type counted struct {
+type countedListener struct {
 	net.Listener
 	count *atomic.Int64
 }
@@ -30,15 +30,15 @@
 	count *atomic.Int64
 }
 
-func (listener counted) Accept() (net.Conn, error) {
-	conn, failure := listener.Listener.Accept()
-	return countedConn{conn, listener.count}, failure
+func (listener countedListener) Accept() (net.Conn, error) {
+	conn, err := listener.Listener.Accept()
+	return countedConn{conn, listener.count}, err
 }
 
 func (conn countedConn) Read(content []byte) (int, error) {
-	size, failure := conn.Conn.Read(content)
+	size, err := conn.Conn.Read(content)
 	conn.count.Add(int64(size))
-	return size, failure
+	return size, err
 }
 
 func (conn countedConn) Write(content []byte) (int, error) {
@@ -46,11 +46,11 @@
 	return conn.Conn.Write(content)
 }
 
-type idle struct{}
+type idleOwner struct{}
 
-func (idle) Handle(time.Duration, contract.Event) []contract.Command { return nil }
+func (idleOwner) Handle(time.Duration, contract.Event) []contract.Command { return nil }
 
-// receiver takes messages on a real socket; at each post it tells the bytes of the wire both ways since the former one.
+// receiver accepts bundles on a real socket. For each post it yields the bytes on the wire in both directions since the one before.
 type receiver struct {
 	address string
 	wire    chan int64
@@ -58,11 +58,11 @@
 }
 
 func receive(stop <-chan struct{}) receiver {
-	listener, failure := net.Listen("tcp", "127.0.0.1:0")
-	if failure != nil {
-		panic(failure)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		panic(err)
 	}
-	loop := link.NewLoop(idle{}, time.Hour, nil, log.NewNopLogger())
+	loop := link.NewLoop(idleOwner{}, time.Hour, nil, log.NewNopLogger())
 	go loop.Run(stop)
 	receiver := receiver{listener.Addr().String(), make(chan int64, 1), make(chan []byte, 1)}
 	count, former, face := &atomic.Int64{}, int64(0), link.Receive(loop)
@@ -75,7 +75,7 @@
 		former = total
 		face.ServeHTTP(writer, request)
 	})}
-	go func() { _ = server.Serve(counted{listener, count}) }()
+	go func() { _ = server.Serve(countedListener{listener, count}) }()
 	go func() {
 		<-stop
 		_ = server.Close()
@@ -83,22 +83,22 @@
 	return receiver
 }
 
-func question() contract.LeaseRequest {
+func sampleRequest() contract.LeaseRequest {
 	return contract.LeaseRequest{Node: "machine-of-zone-1-17-data", Address: "10.1.2.3:7500", Region: "east", SentAt: 7 * time.Hour,
 		HighestEpoch: contract.Epoch{Number: 4, Node: "machine-of-zone-1-02-control", Incarnation: "9b1e7c20dd"}, Number: 17, ShardCount: 1, OmitUnchanged: true}
 }
 
 var _ = Describe("messages on the wire", func() {
-	It("given a kept connection, when a node asks for its list, then HTTP and the compressed bundle, both ways, take less than 9/8 of the plain bundle", func() {
+	It("given a kept connection, when a node sends a lease request, then HTTP and the compressed bundle, both ways, take less than 9/8 of the plain bundle", func() {
 		stop := make(chan struct{})
 		defer close(stop)
 		receiver := receive(stop)
 		self := contract.Member{Name: "machine-of-zone-1-17-data", Boot: "5f0c83d1a4"}
 		sender := link.NewSender(self, 5*time.Second, &link.Faults{}, stop)
-		body, _ := json.Marshal(question())
+		body, _ := json.Marshal(sampleRequest())
 		plain, _ := json.Marshal(link.Bundle{Messages: []contract.Message{{Kind: "lease-request", From: self.Name, Boot: self.Boot, Body: body}}})
 		for round := range 4 {
-			sender.Send(contract.Send{To: receiver.address, Kind: "lease-request", Body: question()})
+			sender.Send(contract.Send{To: receiver.address, Kind: "lease-request", Body: sampleRequest()})
 			wire, body := <-receiver.wire, <-receiver.body
 			if round > 0 {
 				AddReportEntry("bytes", fmt.Sprintf("%d on the wire, %d of them the bundle, which is %d plain", wire, len(body), len(plain)))
@@ -108,14 +108,14 @@
 	})
 
 	answer := func(agent string) *httptest.ResponseRecorder {
-		content, failure := json.Marshal(link.Bundle{Messages: []contract.Message{{Kind: "lease-request", From: "a", Boot: "b1", Body: json.RawMessage("{}")}}})
-		Expect(failure).NotTo(HaveOccurred())
+		content, err := json.Marshal(link.Bundle{Messages: []contract.Message{{Kind: "lease-request", From: "a", Boot: "b1", Body: json.RawMessage("{}")}}})
+		Expect(err).NotTo(HaveOccurred())
 		request := httptest.NewRequest(http.MethodPost, link.Path, bytes.NewReader(content))
 		if agent != "" {
 			request.Header.Set("User-Agent", agent)
 		}
 		recorder := httptest.NewRecorder()
-		link.Receive(link.NewLoop(idle{}, time.Hour, nil, log.NewNopLogger())).ServeHTTP(recorder, request)
+		link.Receive(link.NewLoop(idleOwner{}, time.Hour, nil, log.NewNopLogger())).ServeHTTP(recorder, request)
 		return recorder
 	}
 
@@ -125,7 +125,7 @@
 		Expect(recorder.Body.Len()).To(BeZero())
 	})
 
-	It("given an older sender, which takes nothing but 200 for arrived, when it posts, then it gets a 200", func() {
+	It("given an older sender, which accepts only 200, when it posts, then it gets a 200", func() {
 		Expect(answer("Go-http-client/1.1").Code).To(Equal(http.StatusOK))
 	})
 
@@ -139,7 +139,7 @@
 			}))
 			defer server.Close()
 			sender := link.NewSender(contract.Member{Name: "a", Boot: "b1"}, 5*time.Second, &link.Faults{}, stop)
-			sender.Counting(func(name string, _ int64) { losses <- name })
+			sender.SetCounter(func(name string, _ int64) { losses <- name })
 			for range 2 {
 				sender.Send(contract.Send{To: server.Listener.Addr().String(), Kind: "bye", Body: "x"})
 				<-posts
@@ -149,7 +149,7 @@
 		Entry("of a receiver of this version", http.StatusNoContent, false), Entry("of an older receiver", http.StatusOK, false), Entry("a refusal", http.StatusBadRequest, true))
 })
 
-// BenchmarkPost counts the bytes of one bundle with one message on a kept connection, both ways, the frame of HTTP with them.
+// BenchmarkPost counts the bytes, in both directions and including HTTP, of a bundle with one message on a kept connection.
 func BenchmarkPost(b *testing.B) {
 	for _, size := range []int{2, 2000} {
 		b.Run(fmt.Sprintf("body=%d", size), func(b *testing.B) {
--- a/link/disk.go
+++ b/link/disk.go
@@ -7,12 +7,13 @@
 	"github.com/rotisserie/eris"
 )
 
+// faultyDisk injects the faults into writes.
 type faultyDisk struct {
 	image.Files
 	faults *Faults
 }
 
-// FaultyDisk is the seam by which the test rig makes a disk full, slow or stalled.
+// FaultyDisk wraps files so that the test rig can make the disk full, slow or stalled; without a fault file it returns them as they are.
 func FaultyDisk(files image.Files, faults *Faults) image.Files {
 	if faults.path == "" {
 		return files
@@ -22,10 +23,10 @@
 
 func (disk faultyDisk) WriteAside(name string, content []byte) error {
 	for disk.faults.Disk() == "stalled" {
-		time.Sleep(faultPeriod)
+		time.Sleep(faultPollInterval)
 	}
 	if disk.faults.Disk() == "slow" {
-		time.Sleep(4 * faultPeriod)
+		time.Sleep(4 * faultPollInterval)
 	}
 	if disk.faults.Disk() == "full" {
 		return eris.New("no space left")
--- a/link/faults.go
+++ b/link/faults.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Faults is the seam by which the test rig cuts links and breaks disks; without a file it does nothing.
+// Faults injects faults for the test rig, read from a file: cut links, lost messages and disk trouble. Without a file it does nothing.
 type Faults struct {
 	path  string
 	lock  sync.Mutex
@@ -16,23 +16,24 @@
 }
 
 type faultState struct {
-	Cut  []string `json:"cut"`
-	Disk string   `json:"disk"`
-	Loss int      `json:"loss"`
+	Cut  []string `json:"cut"`  // addresses to which nothing is sent
+	Disk string   `json:"disk"` // empty, full, slow or stalled
+	Loss int      `json:"loss"` // percentage of bundles that are dropped
 }
 
-const faultPeriod = 50 * time.Millisecond
+const faultPollInterval = 50 * time.Millisecond // between two reads of the file
 
+// NewFaults reads the faults from the file at path until stop is closed; an empty path means none.
 func NewFaults(path string, stop <-chan struct{}) *Faults {
 	faults := &Faults{path: path}
 	if path != "" {
-		go faults.follow(stop)
+		go faults.reloadLoop(stop)
 	}
 	return faults
 }
 
-func (faults *Faults) follow(stop <-chan struct{}) {
-	ticker := time.NewTicker(faultPeriod)
+func (faults *Faults) reloadLoop(stop <-chan struct{}) {
+	ticker := time.NewTicker(faultPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -50,6 +51,7 @@
 	}
 }
 
+// Cut reports whether the link to an address is cut.
 func (faults *Faults) Cut(address string) bool {
 	faults.lock.Lock()
 	defer faults.lock.Unlock()
@@ -61,13 +63,14 @@
 	return false
 }
 
-// Lost tells, for a part of all that is sent, that it is to be lost.
-func (faults *Faults) Lost() bool {
+// DropMessage reports, at random with the configured loss, whether the next bundle is to be dropped.
+func (faults *Faults) DropMessage() bool {
 	faults.lock.Lock()
 	defer faults.lock.Unlock()
 	return faults.state.Loss > 0 && rand.IntN(100) < faults.state.Loss
 }
 
+// Disk returns the present fault of the disk: empty, full, slow or stalled.
 func (faults *Faults) Disk() string {
 	faults.lock.Lock()
 	defer faults.lock.Unlock()
--- a/link/loop.go
+++ b/link/loop.go
@@ -1,4 +1,4 @@
-// Package link carries messages between processes and runs an owner in a process: one goroutine a duty, joined by bounded rings.
+// Package link transports messages between processes and runs the event loop of an owner in one goroutine with a bounded queue.
 package link
 
 import (
@@ -9,36 +9,40 @@
 	"github.com/go-kit/log"
 )
 
-const ringSize = 4096
+const eventQueueSize = 4096 // events that wait for a loop
 
+// Loop runs an owner: it feeds it events and ticks one at a time and executes the resulting commands. Times are since its start.
 type Loop struct {
-	owner    contract.StateMachine
-	act      func(contract.Command) bool
-	events   chan contract.Event
-	began    time.Time
-	period   time.Duration
-	logger   log.Logger
-	lock     sync.Mutex
-	measures *measures
-	token    int64
-	waiting  map[int64]func(contract.Response)
-	sender   *Sender
+	owner          contract.StateMachine
+	execute        func(contract.Command) bool // commands that the loop does not know
+	events         chan contract.Event
+	startedAt      time.Time
+	tickInterval   time.Duration
+	logger         log.Logger
+	lock           sync.Mutex
+	metrics        *metrics
+	lastToken      int64                             // last token that was given out
+	answerHandlers map[int64]func(contract.Response) // by token: who waits for an answer
+	sender         *Sender
 }
 
-// NewLoop runs an owner; act carries out the commands that are not messages, counts, lines or answers.
-func NewLoop(owner contract.StateMachine, period time.Duration, sender *Sender, logger log.Logger) *Loop {
-	return &Loop{owner: owner, events: make(chan contract.Event, ringSize), began: time.Now(), period: period,
-		logger: logger, measures: newMeasures(), waiting: map[int64]func(contract.Response){}, sender: sender}
+// NewLoop returns the loop of an owner, with a tick at each interval. Run starts it.
+func NewLoop(owner contract.StateMachine, tickInterval time.Duration, sender *Sender, logger log.Logger) *Loop {
+	return &Loop{owner: owner, events: make(chan contract.Event, eventQueueSize), startedAt: time.Now(), tickInterval: tickInterval,
+		logger: logger, metrics: newMetrics(), answerHandlers: map[int64]func(contract.Response){}, sender: sender}
 }
 
-func (loop *Loop) Act(act func(contract.Command) bool) { loop.act = act }
+// SetExecutor sets what executes commands other than messages, metrics, log lines and answers; it returns false for an unknown command.
+func (loop *Loop) SetExecutor(execute func(contract.Command) bool) { loop.execute = execute }
 
-func (loop *Loop) Now() time.Duration { return time.Since(loop.began) }
+// Now returns the time since the loop was made, which is what the owner sees.
+func (loop *Loop) Now() time.Duration { return time.Since(loop.startedAt) }
 
-// Post waits for room in the ring; Try does not.
+// Post queues an event, and waits while the queue is full.
 func (loop *Loop) Post(event contract.Event) { loop.events <- event }
 
-func (loop *Loop) Try(event contract.Event) bool {
+// TryPost queues an event, or returns false and counts it if the queue is full.
+func (loop *Loop) TryPost(event contract.Event) bool {
 	select {
 	case loop.events <- event:
 		return true
@@ -48,47 +52,52 @@
 	}
 }
 
+// Count adds to a counter.
 func (loop *Loop) Count(name string, by int64) {
-	loop.measures.count(name, by)
+	loop.metrics.count(name, by)
 }
 
+// Counts returns a copy of all counters by their internal names.
 func (loop *Loop) Counts() map[string]int64 {
-	loop.measures.lock.Lock()
-	defer loop.measures.lock.Unlock()
+	loop.metrics.lock.Lock()
+	defer loop.metrics.lock.Unlock()
 	copied := map[string]int64{}
-	for name, count := range loop.measures.told {
+	for name, count := range loop.metrics.totals {
 		copied[name] = count
 	}
 	return copied
 }
 
-// Token makes a number for a question and remembers who takes its answer.
-func (loop *Loop) Token(take func(contract.Response)) int64 {
+// Token returns a new token for a question; its answer is passed to onAnswer, once.
+func (loop *Loop) Token(onAnswer func(contract.Response)) int64 {
 	loop.lock.Lock()
 	defer loop.lock.Unlock()
-	loop.token++
-	loop.waiting[loop.token] = take
-	return loop.token
+	loop.lastToken++
+	loop.answerHandlers[loop.lastToken] = onAnswer
+	return loop.lastToken
 }
 
+// Forget drops a token whose answer is no longer awaited.
 func (loop *Loop) Forget(token int64) {
 	loop.lock.Lock()
 	defer loop.lock.Unlock()
-	delete(loop.waiting, token)
+	delete(loop.answerHandlers, token)
 }
 
+// Answer passes an answer to the handler of its token; an answer that no one awaits is dropped.
 func (loop *Loop) Answer(answer contract.Response) {
 	loop.lock.Lock()
-	take := loop.waiting[answer.Token]
-	delete(loop.waiting, answer.Token)
+	onAnswer := loop.answerHandlers[answer.Token]
+	delete(loop.answerHandlers, answer.Token)
 	loop.lock.Unlock()
-	if take != nil {
-		take(answer)
+	if onAnswer != nil {
+		onAnswer(answer)
 	}
 }
 
+// Run processes events and ticks until stop is closed.
 func (loop *Loop) Run(stop <-chan struct{}) {
-	ticker := time.NewTicker(loop.period)
+	ticker := time.NewTicker(loop.tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -108,6 +117,7 @@
 	}
 }
 
+// Do executes one command; it panics if no one knows the command.
 func (loop *Loop) Do(command contract.Command) {
 	switch command := command.(type) {
 	case contract.Send:
@@ -115,15 +125,15 @@
 	case contract.AddCounter:
 		loop.Count(command.Name, command.Delta)
 	case contract.SetGauge:
-		loop.measures.gauge(command.Name, command.Value)
+		loop.metrics.gauge(command.Name, command.Value)
 	case contract.ObserveDuration:
-		loop.measures.span(command.Name, command.Class, command.Duration)
+		loop.metrics.observe(command.Name, command.Class, command.Duration)
 	case contract.Log:
 		_ = loop.logger.Log(append([]any{"what", command.Message}, command.Attributes...)...)
 	case contract.Response:
 		loop.Answer(command)
 	default:
-		if !loop.act(command) {
+		if !loop.execute(command) {
 			panic("a command that nobody carries out")
 		}
 	}
--- a/link/metrics.go
+++ b/link/metrics.go
@@ -10,110 +10,110 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// families are the counts that share a name and differ in one label.
+// families are counters that share a metric name and differ in one label; the rest of the internal name is the label's value.
 var families = []struct{ prefix, name, label, help string }{
-	{"outcomes_", "calls_ended", "outcome", "calls that ended here, by what became of them"},
-	{"attempts_", "attempts_ended", "proof", "attempts at servers, by what is known of their end"},
-	{"answers_", "answers", "status", "refusals and troubles told to callers, by status"},
-	{"writes_refused_", "writes_refused", "status", "operators' writes refused, by status"},
-	{"writes_answered_", "writes_answered", "status", "operators' writes answered, by status"},
-	{"passed_on_", "passed_on", "end", "calls passed on to their home, by whether it was reached"},
+	{"outcomes_", "calls_ended", "outcome", "calls that ended on this node, by outcome"},
+	{"attempts_", "attempts_ended", "proof", "attempts on servers, by what is known of their result"},
+	{"answers_", "answers", "status", "refusals and errors returned to callers, by status"},
+	{"writes_refused_", "writes_refused", "status", "operators' writes that were refused, by status"},
+	{"writes_answered_", "writes_answered", "status", "operators' writes that were answered, by status"},
+	{"passed_on_", "passed_on", "end", "calls forwarded to their home region, by whether it was reached"},
 }
 
-// helps tell what a count or a gauge is of, where its name does not say it all.
-var helps = map[string]string{
+// helpTexts are the help texts of counters and gauges whose name does not suffice.
+var helpTexts = map[string]string{
 	"calls":                 "calls that arrived at this node",
-	"calls_now":             "calls that this node works on now",
-	"calls_in_line":         "calls that wait here for a server now",
-	"callers_left":          "callers that went away before the end",
-	"readers_cut":           "callers cut because they read too slowly while too much waited",
-	"records":               "calls that this node remembers for others and itself",
-	"records_handed_over":   "records that peers gave to this node when it started",
-	"repeats_met":           "repeats answered from a record",
-	"repeats_after_not_run": "tries at another server after a proven not-run",
-	"repeats_hedged":        "lookups sent to a second server",
-	"leases_refused":        "pick lists of a lower epoch or another division",
-	"leases_late":           "pick lists older than the one held",
-	"leases_asked_around":   "questions for a lease that went by way of another node",
-	"calls_widened":         "calls that another region's data nodes were asked to keep, since half of the home region could not be",
-	"calls_displaced":       "calls refused to make room in a full line, since their caller had the most in it",
-	"reports_asked_around":  "reports read by a peer because this node could not",
-	"reports_broken":        "reports that could not be read",
-	"reports_partial":       "reports that said they were partial",
-	"listings_broken":       "listings of the platform that could not be read",
-	"blind":                 "times that this node gave its duties up because it could not read the platform",
-	"woken":                 "freezes of this process that it noticed",
+	"calls_now":             "calls in progress on this node",
+	"calls_in_line":         "calls queued on this node for a server",
+	"callers_left":          "callers that disconnected before the end of their call",
+	"readers_cut":           "callers disconnected because they read too slowly while too much data was buffered",
+	"records":               "call records that this node keeps for itself and others",
+	"records_handed_over":   "call records received from peers after a start",
+	"repeats_met":           "repeated calls answered from a record",
+	"repeats_after_not_run": "attempts on another server after the first provably did not run the call",
+	"repeats_hedged":        "hedged lookups sent to a second server",
+	"leases_refused":        "server lists refused for a lower epoch or another number of shards",
+	"leases_late":           "server lists older than the current one",
+	"leases_asked_around":   "lease requests sent through another node",
+	"calls_widened":         "calls whose records went to another region's data nodes because half of the home region's could not be reached",
+	"calls_displaced":       "queued calls refused to make room in a full queue because their caller had the most in it",
+	"reports_asked_around":  "server reports read by a peer because this node could not",
+	"reports_broken":        "server reports that could not be read",
+	"reports_partial":       "server reports marked as partial",
+	"listings_broken":       "platform listings that could not be read",
+	"blind":                 "times that this node gave up its shards because it could not read the platform",
+	"woken":                 "detected freezes of this process",
 	"take_overs":            "shards taken over",
 	"superseded":            "shards given up to a higher epoch",
-	"shards_owned":          "shards owned by this node now",
-	"shards_lapsed":         "shards that this node cannot pick from now",
-	"manifest_revision":     "revision of the manifest in force here",
-	"view":                  "number of the core's view known here",
-	"members":               "live members known here",
-	"view_campaigns":        "tries to agree on a new view",
-	"foundings_tried":       "tries to found the core",
-	"disk_failures":         "writes that the disk refused",
-	"feed_refused":          "changes refused because they were damaged",
-	"messages_broken":       "messages that could not be read",
-	"messages_dropped":      "messages dropped because a ring was full",
-	"messages_lost":         "messages that did not arrive",
-	"messages_cut":          "messages held back by the test rig",
-	"index_checked":         "calls that showed whether their prompt's place kept it",
-	"index_mismatches":      "calls that read a prompt anew at its place",
-	"index_places_left":     "places that left a server which missed their prompt again",
-	"index_losses_noticed":  "servers that were found to have lost all that they kept",
-	"ring_full":             "events refused because the ring was full",
+	"shards_owned":          "shards owned by this node",
+	"shards_lapsed":         "shards without a usable server list on this node",
+	"manifest_revision":     "revision of the manifest in force on this node",
+	"view":                  "number of the core's newest view known to this node",
+	"members":               "live members known to this node",
+	"view_campaigns":        "attempts to agree on a new view",
+	"foundings_tried":       "attempts to bootstrap the core",
+	"disk_failures":         "failed disk writes",
+	"feed_refused":          "configuration versions refused because they were invalid",
+	"messages_broken":       "messages that could not be decoded",
+	"messages_dropped":      "messages dropped because a send queue was full",
+	"messages_lost":         "messages lost in transmission",
+	"messages_cut":          "messages dropped by the test rig",
+	"index_checked":         "calls that showed whether their prompt was cached on the assigned server",
+	"index_mismatches":      "calls that found their prompt not cached on the assigned server",
+	"index_places_left":     "prompts reassigned after repeated cache misses",
+	"index_losses_noticed":  "servers found to have lost their whole cache",
+	"ring_full":             "events refused because the event queue was full",
 }
 
-// measures are a process's counters, gauges and times in the Prometheus text format.
-type measures struct {
-	lock     sync.Mutex
-	registry *prometheus.Registry
-	counts   map[string]*prometheus.CounterVec
-	gauges   map[string]prometheus.Gauge
-	spans    map[string]*prometheus.HistogramVec
-	told     map[string]int64
+// metrics are a process's counters, gauges and histograms, exported in the Prometheus text format.
+type metrics struct {
+	lock       sync.Mutex
+	registry   *prometheus.Registry
+	counters   map[string]*prometheus.CounterVec
+	gauges     map[string]prometheus.Gauge
+	histograms map[string]*prometheus.HistogramVec
+	totals     map[string]int64 // counters by their internal names
 }
 
-func newMeasures() *measures {
-	return &measures{registry: prometheus.NewRegistry(), counts: map[string]*prometheus.CounterVec{}, gauges: map[string]prometheus.Gauge{},
-		spans: map[string]*prometheus.HistogramVec{}, told: map[string]int64{}}
+func newMetrics() *metrics {
+	return &metrics{registry: prometheus.NewRegistry(), counters: map[string]*prometheus.CounterVec{}, gauges: map[string]prometheus.Gauge{},
+		histograms: map[string]*prometheus.HistogramVec{}, totals: map[string]int64{}}
 }
 
-func helpOf(name string) string {
-	if help, there := helps[name]; there {
+func helpFor(name string) string {
+	if help, found := helpTexts[name]; found {
 		return help
 	}
 	return strings.ReplaceAll(name, "_", " ")
 }
 
-func (measures *measures) count(name string, by int64) {
-	measures.lock.Lock()
-	defer measures.lock.Unlock()
-	measures.told[name] += by
-	metric, help, labels, values := name, helpOf(name), []string{}, []string{}
+func (metrics *metrics) count(name string, by int64) {
+	metrics.lock.Lock()
+	defer metrics.lock.Unlock()
+	metrics.totals[name] += by
+	metric, help, labels, values := name, helpFor(name), []string{}, []string{}
 	for _, family := range families {
-		if value, fine := strings.CutPrefix(name, family.prefix); fine {
+		if value, ok := strings.CutPrefix(name, family.prefix); ok {
 			metric, help, labels, values = family.name, family.help, []string{family.label}, []string{value}
 		}
 	}
-	vector, there := measures.counts[metric]
-	if !there {
+	vector, found := metrics.counters[metric]
+	if !found {
 		vector = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cedarreel", Name: metric + "_total", Help: help}, labels)
-		measures.registry.MustRegister(vector)
-		measures.counts[metric] = vector
+		metrics.registry.MustRegister(vector)
+		metrics.counters[metric] = vector
 	}
 	vector.WithLabelValues(values...).Add(float64(by))
 }
 
-func (measures *measures) gauge(name string, value int64) {
-	measures.lock.Lock()
-	defer measures.lock.Unlock()
-	known, there := measures.gauges[name]
-	if !there {
-		known = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cedarreel", Name: name, Help: helpOf(name)})
-		measures.registry.MustRegister(known)
-		measures.gauges[name] = known
+func (metrics *metrics) gauge(name string, value int64) {
+	metrics.lock.Lock()
+	defer metrics.lock.Unlock()
+	known, found := metrics.gauges[name]
+	if !found {
+		known = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cedarreel", Name: name, Help: helpFor(name)})
+		metrics.registry.MustRegister(known)
+		metrics.gauges[name] = known
 	}
 	known.Set(float64(value))
 }
@@ -124,20 +124,20 @@
 	bucketCount  = 14
 )
 
-func (measures *measures) span(name, class string, took time.Duration) {
-	measures.lock.Lock()
-	defer measures.lock.Unlock()
-	known, there := measures.spans[name]
-	if !there {
-		known = prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "cedarreel", Name: name + "_seconds", Help: helpOf(name) + ", in seconds, by class",
+func (metrics *metrics) observe(name, class string, took time.Duration) {
+	metrics.lock.Lock()
+	defer metrics.lock.Unlock()
+	known, found := metrics.histograms[name]
+	if !found {
+		known = prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "cedarreel", Name: name + "_seconds", Help: helpFor(name) + ", in seconds, by class",
 			Buckets: prometheus.ExponentialBuckets(firstBucket, bucketGrowth, bucketCount)}, []string{"class"})
-		measures.registry.MustRegister(known)
-		measures.spans[name] = known
+		metrics.registry.MustRegister(known)
+		metrics.histograms[name] = known
 	}
 	known.WithLabelValues(class).Observe(took.Seconds())
 }
 
-// Metrics is the counters' page.
+// Metrics returns the handler of the Prometheus metrics page.
 func Metrics(loop *Loop) http.Handler {
-	return promhttp.HandlerFor(loop.measures.registry, promhttp.HandlerOpts{})
+	return promhttp.HandlerFor(loop.metrics.registry, promhttp.HandlerOpts{})
 }
--- a/link/operators.go
+++ b/link/operators.go
@@ -19,35 +19,40 @@
 	kithttp "github.com/go-kit/kit/transport/http"
 )
 
-const forwardPath = "/forward"
+const forwardPath = "/forward" // path for questions that another node forwards
 
-// Operators is the face of every node towards operators; answers of other nodes are passed on as they are.
-type Operators struct {
+// OperatorAPI serves the operators' HTTP interface, which every node has. Answers of other nodes are passed on unchanged.
+type OperatorAPI struct {
 	loop    *Loop
 	client  *http.Client
-	bound   int64
-	patient time.Duration
+	maxBody int64         // bound of a request body in bytes
+	timeout time.Duration // wait for an answer of the loop or of another node
 	faults  *Faults
 }
 
-func NewOperators(loop *Loop, bound int64, patient time.Duration, faults *Faults) *Operators {
-	return &Operators{loop: loop, bound: bound, patient: patient, client: &http.Client{Timeout: patient}, faults: faults}
+// NewOperatorAPI returns the operators' interface of a loop, with a bound of request bodies in bytes and a timeout for answers.
+func NewOperatorAPI(loop *Loop, maxBody int64, timeout time.Duration, faults *Faults) *OperatorAPI {
+	return &OperatorAPI{loop: loop, maxBody: maxBody, timeout: timeout, client: &http.Client{Timeout: timeout}, faults: faults}
 }
 
-type given struct {
-	status int
-	after  time.Duration
-	body   json.RawMessage
+// httpAnswer is an answer as it is written to the client.
+type httpAnswer struct {
+	status     int
+	retryAfter time.Duration
+	body       json.RawMessage
 }
 
-type badAsk struct {
+// badRequest is an error with the HTTP status that it is answered with.
+type badRequest struct {
 	status int
 	text   string
 }
 
-func (bad badAsk) Error() string { return bad.text }
+// Error returns the text for the client.
+func (bad badRequest) Error() string { return bad.text }
 
-func (operators *Operators) Register(mux *http.ServeMux) {
+// Register adds the operators' routes and the path for forwarded questions to a mux.
+func (api *OperatorAPI) Register(mux *http.ServeMux) {
 	routes := map[string]string{
 		"PUT /v1/manifest": contract.VerbPut, "PATCH /v1/manifest": contract.VerbPatch, "GET /v1/manifest": contract.VerbGet,
 		"GET /v1/manifest/history": contract.VerbHistory, "GET /v1/operations/{subject}": contract.VerbOperation,
@@ -58,116 +63,117 @@
 	}
 	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(encodeError)}
 	for pattern, verb := range routes {
-		mux.Handle(pattern, kithttp.NewServer(operators.answer(), operators.decode(verb), encodeGiven, options...))
+		mux.Handle(pattern, kithttp.NewServer(api.answer(), api.decodeRequest(verb), encodeAnswer, options...))
 	}
-	mux.Handle("POST "+forwardPath, kithttp.NewServer(operators.answer(), operators.decodeForwarded, encodeGiven, options...))
+	mux.Handle("POST "+forwardPath, kithttp.NewServer(api.answer(), api.decodeForwarded, encodeAnswer, options...))
 }
 
-func (operators *Operators) read(request *http.Request, bound int64) ([]byte, error) {
-	content, err := io.ReadAll(io.LimitReader(request.Body, bound+1))
+func (api *OperatorAPI) readBody(request *http.Request, maxBody int64) ([]byte, error) {
+	content, err := io.ReadAll(io.LimitReader(request.Body, maxBody+1))
 	if err != nil {
-		return nil, badAsk{400, "the body could not be read"}
+		return nil, badRequest{400, "the body could not be read"}
 	}
-	if int64(len(content)) > bound {
-		return nil, badAsk{413, fmt.Sprintf("the body is larger than %d bytes", bound)}
+	if int64(len(content)) > maxBody {
+		return nil, badRequest{413, fmt.Sprintf("the body is larger than %d bytes", maxBody)}
 	}
 	return content, nil
 }
 
-func (operators *Operators) decode(verb string) kithttp.DecodeRequestFunc {
+func (api *OperatorAPI) decodeRequest(verb string) kithttp.DecodeRequestFunc {
 	return func(_ context.Context, request *http.Request) (any, error) {
-		content, err := operators.read(request, operators.bound)
+		content, err := api.readBody(request, api.maxBody)
 		if err != nil {
 			return nil, err
 		}
 		ask := contract.OperatorRequest{Verb: verb, Subject: request.PathValue("subject"), Body: content, Operation: request.Header.Get("Operation-Key")}
 		if len(ask.Operation) > 128 || strings.Contains(ask.Operation, "/") {
-			return nil, badAsk{400, "Operation-Key: at most 128 characters, no slash"}
+			return nil, badRequest{400, "Operation-Key: at most 128 characters, no slash"}
 		}
 		query := request.URL.Query()
 		for name := range query {
 			if name != "base" && name != "revision" {
-				return nil, badAsk{400, "query " + name + ": unknown field"}
+				return nil, badRequest{400, "query " + name + ": unknown field"}
 			}
 		}
 		if ask.HasBaseRevision = query.Has("base"); ask.HasBaseRevision {
 			if ask.BaseRevision, err = strconv.ParseInt(query.Get("base"), 10, 64); err != nil || ask.BaseRevision < 0 {
-				return nil, badAsk{400, "query base: want a revision"}
+				return nil, badRequest{400, "query base: want a revision"}
 			}
 		}
 		if query.Has("revision") {
 			if ask.Revision, err = strconv.ParseInt(query.Get("revision"), 10, 64); err != nil || ask.Revision < 1 {
-				return nil, badAsk{400, "query revision: want a revision"}
+				return nil, badRequest{400, "query revision: want a revision"}
 			}
 		}
 		return ask, nil
 	}
 }
 
-func (operators *Operators) decodeForwarded(_ context.Context, request *http.Request) (any, error) {
-	content, err := operators.read(request, 2*operators.bound)
+func (api *OperatorAPI) decodeForwarded(_ context.Context, request *http.Request) (any, error) {
+	content, err := api.readBody(request, 2*api.maxBody)
 	if err != nil {
 		return nil, err
 	}
 	var ask contract.OperatorRequest
 	if json.Unmarshal(content, &ask) != nil {
-		return nil, badAsk{400, "not an ask"}
+		return nil, badRequest{400, "not an ask"}
 	}
 	ask.Forwarded = true
 	return ask, nil
 }
 
-func (operators *Operators) answer() endpoint.Endpoint {
+func (api *OperatorAPI) answer() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		ask := request.(contract.OperatorRequest)
 		answers := make(chan contract.Response, 1)
-		ask.Token = operators.loop.Token(func(answer contract.Response) { answers <- answer })
-		defer operators.loop.Forget(ask.Token)
-		if !operators.loop.Try(ask) {
-			return nil, badAsk{503, "this node is overloaded; nothing was done"}
+		ask.Token = api.loop.Token(func(answer contract.Response) { answers <- answer })
+		defer api.loop.Forget(ask.Token)
+		if !api.loop.TryPost(ask) {
+			return nil, badRequest{503, "this node is overloaded; nothing was done"}
 		}
 		select {
 		case answer := <-answers:
-			if passed, fine := answer.Body.(given); fine {
-				return passed, nil
+			if forwarded, ok := answer.Body.(httpAnswer); ok {
+				return forwarded, nil
 			}
 			body, err := json.Marshal(answer.Body)
-			return given{answer.Status, answer.RetryAfter, body}, err
+			return httpAnswer{answer.Status, answer.RetryAfter, body}, err
 		case <-ctx.Done():
-			return nil, badAsk{504, "the asker left"}
-		case <-time.After(operators.patient):
-			return nil, badAsk{504, "no answer in time; ask by the operation key"}
+			return nil, badRequest{504, "the asker left"}
+		case <-time.After(api.timeout):
+			return nil, badRequest{504, "no answer in time; ask by the operation key"}
 		}
 	}
 }
 
-// Ask puts a question to this node and gives status, time to come back and body of the answer.
-func (operators *Operators) Ask(ctx context.Context, ask contract.OperatorRequest) (int, time.Duration, []byte) {
-	response, failure := operators.answer()(ctx, ask)
-	if failure != nil {
+// Ask puts a question to this node's loop and returns the status, the Retry-After time and the body of the answer.
+func (api *OperatorAPI) Ask(ctx context.Context, ask contract.OperatorRequest) (int, time.Duration, []byte) {
+	response, err := api.answer()(ctx, ask)
+	if err != nil {
 		status := http.StatusBadRequest
-		var bad badAsk
-		if errors.As(failure, &bad) {
+		var bad badRequest
+		if errors.As(err, &bad) {
 			status = bad.status
 		}
-		return status, 0, []byte(failure.Error())
+		return status, 0, []byte(err.Error())
 	}
-	answer := response.(given)
-	return answer.status, answer.after, answer.body
+	answer := response.(httpAnswer)
+	return answer.status, answer.retryAfter, answer.body
 }
 
-// Forward carries an ask to the authority; a lost answer to a write is unknown, never a refusal.
-func (operators *Operators) Forward(forward contract.Forward) {
+// Forward sends a question to the authority and passes its answer to the loop. If the answer is lost after a connection was made, the
+// outcome is unknown: a write may have taken effect, so this is never reported as a refusal.
+func (api *OperatorAPI) Forward(forward contract.Forward) {
 	fail := func(err error) {
-		var dialed *net.OpError
-		if errors.As(err, &dialed) && dialed.Op == "dial" {
-			operators.loop.Answer(contract.ErrorResponse(forward.Request.Token, 503, "the authority cannot be reached; nothing was done", operators.patient/12))
+		var dialErr *net.OpError
+		if errors.As(err, &dialErr) && dialErr.Op == "dial" {
+			api.loop.Answer(contract.ErrorResponse(forward.Request.Token, 503, "the authority cannot be reached; nothing was done", api.timeout/12))
 			return
 		}
 		body := contract.WriteResult{Outcome: "unknown", Operation: forward.Request.Operation, Error: "the authority's answer was lost: " + err.Error()}
-		operators.loop.Answer(contract.Response{Token: forward.Request.Token, Status: 504, Body: body})
+		api.loop.Answer(contract.Response{Token: forward.Request.Token, Status: 504, Body: body})
 	}
-	if operators.faults.Cut(forward.Address) {
+	if api.faults.Cut(forward.Address) {
 		fail(errors.New("link cut"))
 		return
 	}
@@ -181,52 +187,52 @@
 		fail(err)
 		return
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	defer func() {
-		operators.loop.Do(contract.ObserveDuration{Name: "forward", Class: forward.Request.Verb, Duration: time.Since(began)})
+		api.loop.Do(contract.ObserveDuration{Name: "forward", Class: forward.Request.Verb, Duration: time.Since(startedAt)})
 	}()
-	response, err := operators.client.Do(request)
+	response, err := api.client.Do(request)
 	if err != nil {
 		fail(err)
 		return
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, mostBody))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodySize))
 	if err != nil {
 		fail(err)
 		return
 	}
 	seconds, _ := strconv.ParseInt(response.Header.Get("Retry-After"), 10, 64)
-	operators.loop.Answer(contract.Response{Token: forward.Request.Token, Body: given{response.StatusCode, time.Duration(seconds) * time.Second, bytes.TrimSpace(body)}})
+	api.loop.Answer(contract.Response{Token: forward.Request.Token, Body: httpAnswer{response.StatusCode, time.Duration(seconds) * time.Second, bytes.TrimSpace(body)}})
 }
 
-// Given is status and body of another node's answer.
-func Given(answer contract.Response) (int, []byte) {
-	if passed, fine := answer.Body.(given); fine {
-		return passed.status, passed.body
+// ForwardedAnswer returns the status and body of another node's answer.
+func ForwardedAnswer(answer contract.Response) (int, []byte) {
+	if forwarded, ok := answer.Body.(httpAnswer); ok {
+		return forwarded.status, forwarded.body
 	}
 	return answer.Status, nil
 }
 
-func encodeGiven(_ context.Context, writer http.ResponseWriter, response any) error {
-	answer := response.(given)
+func encodeAnswer(_ context.Context, writer http.ResponseWriter, response any) error {
+	answer := response.(httpAnswer)
 	writer.Header().Set("Content-Type", "application/json")
-	RetryAfter(writer, answer.after)
+	RetryAfter(writer, answer.retryAfter)
 	writer.WriteHeader(answer.status)
 	_, err := writer.Write(append(answer.body, '\n'))
 	return err
 }
 
-// RetryAfter tells when to come back, in whole seconds rounded up.
-func RetryAfter(writer http.ResponseWriter, after time.Duration) {
-	if after > 0 {
-		writer.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
+// RetryAfter sets the Retry-After header, in whole seconds rounded up; zero sets none.
+func RetryAfter(writer http.ResponseWriter, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		writer.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
 	}
 }
 
 func encodeError(_ context.Context, err error, writer http.ResponseWriter) {
 	status := http.StatusBadRequest
-	var bad badAsk
+	var bad badRequest
 	if errors.As(err, &bad) {
 		status = bad.status
 	}
--- a/link/sender.go
+++ b/link/sender.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	rowSize   = 512
-	batchSize = 64
-	mostBody  = 32 << 20
-	Path      = "/link"
-	mostLinks = 1024
-	// largeBundle is the size in bytes from which it is told how long a bundle took.
-	largeBundle = 256 << 10
+	peerQueueSize     = 512      // messages that wait for one address
+	maxBundleMessages = 64       // messages in one bundle
+	maxBodySize       = 32 << 20 // bytes of a bundle or an answer
+	// Path is the HTTP path of the endpoint for bundles.
+	Path     = "/link"
+	maxPeers = 1024 // addresses with a queue
+	// largeBundleSize is the size in bytes from which a bundle is logged with the time that it took.
+	largeBundleSize = 256 << 10
 )
 
-// Bundle is what one process posts to another.
+// Bundle is the body that one process posts to another.
 type Bundle struct {
 	Messages []contract.Message `json:"messages"`
 }
 
-// Sender has one goroutine and one bounded ring for each address; what does not fit or does not arrive is lost and counted.
+// Sender has one goroutine and one bounded queue for each address. Messages that do not fit or do not arrive are lost and counted.
 type Sender struct {
 	self   contract.Member
 	client *http.Client
@@ -38,21 +39,24 @@
 	count  func(name string, by int64)
 	say    func(contract.Log)
 	lock   sync.Mutex
-	rings  map[string]chan contract.Message
+	queues map[string]chan contract.Message
 	stop   <-chan struct{}
 }
 
+// NewSender returns a sender for the member self; timeout bounds each post, and closing stop ends its goroutines.
 func NewSender(self contract.Member, timeout time.Duration, faults *Faults, stop <-chan struct{}) *Sender {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, MaxIdleConns: 256, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
 	return &Sender{self: self, client: &http.Client{Transport: transport, Timeout: timeout}, faults: faults,
-		count: func(string, int64) {}, say: func(contract.Log) {}, rings: map[string]chan contract.Message{}, stop: stop}
+		count: func(string, int64) {}, say: func(contract.Log) {}, queues: map[string]chan contract.Message{}, stop: stop}
 }
 
-func (sender *Sender) Counting(count func(name string, by int64)) { sender.count = count }
+// SetCounter sets the function that counts lost messages.
+func (sender *Sender) SetCounter(count func(name string, by int64)) { sender.count = count }
 
-// Saying has the sender tell of large bundles.
-func (sender *Sender) Saying(say func(contract.Log)) { sender.say = say }
+// SetLogger sets the function that logs large bundles.
+func (sender *Sender) SetLogger(say func(contract.Log)) { sender.say = say }
 
+// Send queues a message and does not wait; it is dropped and counted if the queue is full.
 func (sender *Sender) Send(command contract.Send) {
 	body, err := json.Marshal(command.Body)
 	if err != nil {
@@ -60,47 +64,48 @@
 	}
 	message := contract.Message{Kind: command.Kind, From: sender.self.Name, Boot: sender.self.Boot, Body: body}
 	sender.lock.Lock()
-	ring, there := sender.rings[command.To]
-	if !there && len(sender.rings) < mostLinks {
-		ring = make(chan contract.Message, rowSize)
-		sender.rings[command.To] = ring
-		go sender.carry(command.To, ring)
+	queue, found := sender.queues[command.To]
+	if !found && len(sender.queues) < maxPeers {
+		queue = make(chan contract.Message, peerQueueSize)
+		sender.queues[command.To] = queue
+		go sender.sendLoop(command.To, queue)
 	}
 	sender.lock.Unlock()
 	select {
-	case ring <- message:
+	case queue <- message:
 	default:
 		sender.count("messages_dropped", 1)
 	}
 }
 
-func (sender *Sender) carry(address string, ring chan contract.Message) {
+// sendLoop posts the queued messages of one address in bundles.
+func (sender *Sender) sendLoop(address string, queue chan contract.Message) {
 	post := sender.endpoint(address)
 	for {
 		bundle := Bundle{}
 		select {
 		case <-sender.stop:
 			return
-		case message := <-ring:
+		case message := <-queue:
 			bundle.Messages = append(bundle.Messages, message)
 		}
 		size := len(bundle.Messages[0].Body)
-		for len(ring) > 0 && len(bundle.Messages) < batchSize && size < mostBody/4 {
-			message := <-ring
+		for len(queue) > 0 && len(bundle.Messages) < maxBundleMessages && size < maxBodySize/4 {
+			message := <-queue
 			size += len(message.Body)
 			bundle.Messages = append(bundle.Messages, message)
 		}
-		if sender.faults.Cut(address) || sender.faults.Lost() {
+		if sender.faults.Cut(address) || sender.faults.DropMessage() {
 			sender.count("messages_cut", int64(len(bundle.Messages)))
 			continue
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		_, err := post(context.Background(), bundle)
 		if err != nil {
 			sender.count("messages_lost", int64(len(bundle.Messages)))
 		}
-		if size >= largeBundle {
-			sender.say(contract.Log{Message: "large bundle", Attributes: []any{"to", address, "kind", bundle.Messages[0].Kind, "bytes", size, "ms", time.Since(began).Milliseconds(), "error", err}})
+		if size >= largeBundleSize {
+			sender.say(contract.Log{Message: "large bundle", Attributes: []any{"to", address, "kind", bundle.Messages[0].Kind, "bytes", size, "ms", time.Since(startedAt).Milliseconds(), "error", err}})
 		}
 	}
 }
@@ -112,9 +117,9 @@
 			return nil, err
 		}
 		body, encoding := compress(content)
-		posted, failure := http.NewRequest(http.MethodPost, "http://"+address+Path, io.NopCloser(bytes.NewReader(body)))
-		if failure != nil {
-			return nil, failure
+		posted, requestErr := http.NewRequest(http.MethodPost, "http://"+address+Path, io.NopCloser(bytes.NewReader(body)))
+		if requestErr != nil {
+			return nil, requestErr
 		}
 		posted.ContentLength = int64(len(body))
 		posted.Header["User-Agent"] = nil
@@ -127,42 +132,44 @@
 		if response.StatusCode != http.StatusNoContent && response.StatusCode != http.StatusOK {
 			return nil, eris.Errorf("link answered %d", response.StatusCode)
 		}
-		_, err := io.Copy(io.Discard, io.LimitReader(response.Body, mostBody))
+		_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBodySize))
 		return nil, err
 	}
 	return kithttp.NewExplicitClient(encode, decode, kithttp.SetClient(sender.client)).Endpoint()
 }
 
-// Receive is the face that takes messages from other processes.
+// Receive returns the HTTP handler that queues the messages of other processes in a loop.
 func Receive(loop *Loop) http.Handler {
 	decode := func(_ context.Context, request *http.Request) (any, error) {
 		var bundle Bundle
-		body, failure := decompress(request)
-		if failure != nil {
-			return bundle, failure
+		body, err := decompress(request)
+		if err != nil {
+			return bundle, err
 		}
 		defer body.Close()
 		return bundle, json.NewDecoder(body).Decode(&bundle)
 	}
-	take := func(_ context.Context, request any) (any, error) {
+	onAnswer := func(_ context.Context, request any) (any, error) {
 		for _, message := range request.(Bundle).Messages {
-			loop.Try(message)
+			loop.TryPost(message)
 		}
 		return struct{}{}, nil
 	}
-	return kithttp.NewServer(take, decode, arrived, kithttp.ServerBefore(noteAgent))
+	return kithttp.NewServer(onAnswer, decode, encodeReceived, kithttp.ServerBefore(withUserAgent))
 }
 
-type agentKey struct{}
+type userAgentKey struct{}
 
-func noteAgent(ctx context.Context, request *http.Request) context.Context {
-	return context.WithValue(ctx, agentKey{}, request.UserAgent())
+// withUserAgent keeps the User-Agent for encodeReceived.
+func withUserAgent(ctx context.Context, request *http.Request) context.Context {
+	return context.WithValue(ctx, userAgentKey{}, request.UserAgent())
 }
 
-// arrived answers with a status line alone. Older senders take only 200 for arrived; they are those that send a User-Agent.
-func arrived(ctx context.Context, writer http.ResponseWriter, _ any) error {
+// encodeReceived answers with a status line only: 204 for senders of this version, which send no User-Agent, and 200 for older ones,
+// which accept nothing else.
+func encodeReceived(ctx context.Context, writer http.ResponseWriter, _ any) error {
 	writer.Header()["Date"] = nil
-	if ctx.Value(agentKey{}) == "" {
+	if ctx.Value(userAgentKey{}) == "" {
 		writer.WriteHeader(http.StatusNoContent)
 	}
 	return nil
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -165,7 +165,7 @@
 		answers := make(chan contract.Response, 1)
 		look.Token = shell.Loop.Token(func(answer contract.Response) { answers <- answer })
 		defer shell.Loop.Forget(look.Token)
-		if !shell.Loop.Try(look) {
+		if !shell.Loop.TryPost(look) {
 			return nil, badCall{status: 503, text: "this node is overloaded", after: shell.Settings.Bounds.Round()}
 		}
 		select {
--- a/serve/control.go
+++ b/serve/control.go
@@ -77,7 +77,7 @@
 		}
 	}
 	shell.client = &http.Client{Timeout: settings.Bounds.PlatformPoll(), CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	shell.Loop.Act(shell.act)
+	shell.Loop.SetExecutor(shell.act)
 	go shell.write()
 	if face != nil {
 		shell.Reread = func() (env.Env, error) { return face.Settings(contract.KindControl) }
@@ -143,7 +143,7 @@
 			work()
 		}()
 	default:
-		shell.Loop.Try(full)
+		shell.Loop.TryPost(full)
 	}
 }
 
--- a/serve/data.go
+++ b/serve/data.go
@@ -37,7 +37,7 @@
 	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	shell.client = &http.Client{Transport: shell.transport(), CheckRedirect: noRedirects}
 	shell.asks = &http.Client{Timeout: settings.Bounds.Round(), CheckRedirect: noRedirects}
-	shell.Loop.Act(shell.act)
+	shell.Loop.SetExecutor(shell.act)
 	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(encodeBad)}
 	shell.Mux.Handle("POST /v1/chat/completions", kithttp.NewServer(shell.serve(), shell.decodeCall, encodeCall, options...))
 	shell.Mux.Handle("GET /v1/lookups/{route}/{key}", kithttp.NewServer(shell.serve(), shell.decodeLookup, encodeCall, options...))
--- a/serve/export_test.go
+++ b/serve/export_test.go
@@ -47,8 +47,8 @@
 func (test *TestGateway) AskAt(address string, stop chan struct{}) {
 	shell := test.shell
 	shell.Loop = link.NewLoop(forwarding{address}, time.Hour, nil, log.NewNopLogger())
-	shell.Loop.Act(shell.act)
-	shell.forward = link.NewOperators(shell.Loop, 1<<20, 10*time.Second, link.NewFaults("", stop))
+	shell.Loop.SetExecutor(shell.act)
+	shell.forward = link.NewOperatorAPI(shell.Loop, 1<<20, 10*time.Second, link.NewFaults("", stop))
 	go shell.Loop.Run(stop)
 }
 
--- a/serve/gateway.go
+++ b/serve/gateway.go
@@ -50,7 +50,7 @@
 	shell.limits.Store(&manifest.Limits{})
 	node := gateway.NewNode(settings, boot(), shell, random)
 	shell.Process = newProcess(settings, node.Self(), node, "")
-	shell.Loop.Act(shell.act)
+	shell.Loop.SetExecutor(shell.act)
 	shell.Reread = func() (env.Env, error) { return face.Settings(contract.KindData) }
 	ready, lookup := face.Paths()
 	checks, lookups := http.NewServeMux(), http.NewServeMux()
@@ -202,7 +202,7 @@
 	answers := make(chan contract.Response, 1)
 	ask.Token = shell.Loop.Token(func(answer contract.Response) { answers <- answer })
 	defer shell.Loop.Forget(ask.Token)
-	if !shell.Loop.Try(ask) {
+	if !shell.Loop.TryPost(ask) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/serve/place.go
+++ b/serve/place.go
@@ -16,7 +16,7 @@
 	placed, answers := gateway.Placed{Token: asked.Token, Late: true}, make(chan gateway.Placed, 1)
 	token := shell.Loop.Token(func(answer contract.Response) {
 		var place index.Place
-		status, body := link.Given(answer)
+		status, body := link.ForwardedAnswer(answer)
 		if status == 200 && json.Unmarshal(body, &place) == nil && place.Server != "" {
 			shell.handle(gateway.Relocated{Places: []index.Place{place}})
 			shell.Loop.Count("places_answered", 1)
@@ -25,7 +25,7 @@
 		}
 		answers <- gateway.Placed{Token: asked.Token, Late: !gateway.Refuses(status)}
 	})
-	if !shell.Loop.Try(gateway.AskPlace{Token: token, Ask: asked.Ask}) {
+	if !shell.Loop.TryPost(gateway.AskPlace{Token: token, Ask: asked.Ask}) {
 		shell.Loop.Forget(token)
 		return shell.decide(placed)
 	}
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -33,7 +33,7 @@
 	Reread   func() (env.Env, error)
 	stop     chan struct{}
 	server   *http.Server
-	forward  *link.Operators
+	forward  *link.OperatorAPI
 }
 
 func boot() string {
@@ -58,9 +58,9 @@
 	process.Faults = link.NewFaults(faultsPath, process.stop)
 	sender := link.NewSender(self, settings.Bounds.Round(), process.Faults, process.stop)
 	process.Loop = link.NewLoop(owner, settings.Bounds.Tick(), sender, logger)
-	sender.Counting(process.Loop.Count)
-	sender.Saying(func(line contract.Log) { process.Loop.Do(line) })
-	process.forward = link.NewOperators(process.Loop, settings.Bounds.BodyBytes, settings.Bounds.Deliver()*2, process.Faults)
+	sender.SetCounter(process.Loop.Count)
+	sender.SetLogger(func(line contract.Log) { process.Loop.Do(line) })
+	process.forward = link.NewOperatorAPI(process.Loop, settings.Bounds.BodyBytes, settings.Bounds.Deliver()*2, process.Faults)
 	process.forward.Register(process.Mux)
 	process.Mux.Handle("POST "+link.Path, link.Receive(process.Loop))
 	process.Mux.Handle("GET /metrics", link.Metrics(process.Loop))
--- a/serve/session.go
+++ b/serve/session.go
@@ -42,7 +42,7 @@
 		shell.lock.Lock()
 		shell.sessions[session.token] = session
 		shell.lock.Unlock()
-		if !shell.Loop.Try(data.Arrive{Token: session.token, Call: session.caller.call}) {
+		if !shell.Loop.TryPost(data.Arrive{Token: session.token, Call: session.caller.call}) {
 			session.close()
 			return nil, badCall{status: 503, text: "this node is overloaded", after: shell.Settings.Bounds.Round()}
 		}
