--- a/data/data.go
+++ b/data/data.go
@@ -102,9 +102,9 @@
 	Server string
 }
 
-// Owner is the state machine of one data-plane node. It owns the node's calls and its share of the idempotency records, and
-// implements contract.Owner. It is not safe for concurrent use: the process's event loop calls Handle for one event at a time.
-type Owner struct {
+// Router is the state machine of one data-plane node. It holds the node's calls and its share of the idempotency records, and implements
+// contract.StateMachine. It is not safe for concurrent use: the process's event loop calls Handle for one event at a time.
+type Router struct {
 	*machine.Node
 	settings    env.Env
 	shardLeases map[int]*shardLease
@@ -132,83 +132,83 @@
 }
 
 // New returns the state machine of a node. boot identifies this process start; random must be seeded by the caller.
-func New(settings env.Env, boot string, random *rand.Rand) *Owner {
+func New(settings env.Env, boot string, random *rand.Rand) *Router {
 	bounds := settings.Bounds
-	return &Owner{Node: machine.New(settings, contract.KindData, boot, random), settings: settings,
+	return &Router{Node: machine.New(settings, contract.KindData, boot, random), settings: settings,
 		shardLeases: map[int]*shardLease{}, jobs: map[int64]*job{}, searches: map[int64]*recordSearch{}, backoffs: map[string]backoff{}, exported: map[string]string{}, queues: line.New(), usages: map[string]pick.Usage{},
 		table:      call.NewTable(bounds.RecordRetention(), bounds.Records, bounds.ReplyBytes*maxKeptReplies),
 		affinities: newAffinity(maxAffinityEntries), traces: newTraces(maxTraces)}
 }
 
 // emit adds commands to those that Handle returns.
-func (owner *Owner) emit(commands ...contract.Command) { owner.out = append(owner.out, commands...) }
+func (router *Router) emit(added ...contract.Command) { router.out = append(router.out, added...) }
 
-func (owner *Owner) count(name string) { owner.emit(contract.AddCounter{Name: name, Delta: 1}) }
+func (router *Router) count(name string) { router.emit(contract.AddCounter{Name: name, Delta: 1}) }
 
 // Handle processes one event at time now, on the process's monotonic clock, and returns the commands to carry out.
-func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
-	return owner.HandleRelayed(now, event, owner.handle)
+func (router *Router) Handle(now time.Duration, event contract.Event) []contract.Command {
+	return router.HandleRelayed(now, event, router.handle)
 }
 
-func (owner *Owner) handle(now time.Duration, event contract.Event) []contract.Command {
-	owner.out = nil
-	if gap := owner.DetectFreeze(now); gap > 0 {
-		owner.afterFreeze(now, gap)
+func (router *Router) handle(now time.Duration, event contract.Event) []contract.Command {
+	router.out = nil
+	if gap := router.DetectFreeze(now); gap > 0 {
+		router.afterFreeze(now, gap)
 	}
-	for _, command := range owner.Node.Handle(now, event) {
+	for _, command := range router.Node.Handle(now, event) {
 		if adopted, ok := command.(contract.VersionAdopted); ok {
-			owner.retryBudget.Configure(owner.Feed.Manifest().RepeatPercent, owner.Feed.Manifest().RepeatAtOnce)
+			router.retryBudget.Configure(router.Feed.Manifest().RepeatPercent, router.Feed.Manifest().RepeatAtOnce)
 			command = contract.Log{Message: "manifest in force", Attributes: []any{"revision", adopted.Version.Position.Revision}}
 		}
-		owner.emit(command)
+		router.emit(command)
 	}
 	switch event := event.(type) {
 	case contract.Tick:
-		owner.tick(now)
+		router.tick(now)
 	case contract.Message:
-		owner.message(now, event)
+		router.message(now, event)
 	case Arrive:
-		owner.arrive(now, event)
+		router.arrive(now, event)
 	case Shutdown:
-		owner.stopping = true
+		router.stopping = true
 	case CallerLeft:
-		owner.callerLeft(now, event)
+		router.callerLeft(now, event)
 	case FirstChunk:
-		owner.firstChunk(now, event)
+		router.firstChunk(now, event)
 	case AttemptEnded:
-		owner.attemptEnded(now, event)
+		router.attemptEnded(now, event)
 	case HomeForwardEnded:
-		owner.forwardEnded(now, event)
+		router.forwardEnded(now, event)
 	case RecallAnswered:
-		owner.recallAnswered(now, event)
+		router.recallAnswered(now, event)
 	case Look:
-		owner.queryOutcome(now, event)
+		router.queryOutcome(now, event)
 	case contract.OperatorRequest:
-		owner.ask(now, event)
+		router.ask(now, event)
 	}
-	out := owner.out
-	owner.out = nil
+	out := router.out
+	router.out = nil
 	return out
 }
 
 // afterFreeze runs when the process resumes after it was paused for gap: leases from before no longer count, and calls that were not
 // dispatched are refused.
-func (owner *Owner) afterFreeze(now, gap time.Duration) {
-	owner.emit(contract.AddCounter{Name: "woken", Delta: 1}, contract.Log{Message: "woken from a freeze", Attributes: []any{"ms", gap.Milliseconds()}})
-	for _, current := range owner.shardLeases {
+func (router *Router) afterFreeze(now, gap time.Duration) {
+	router.emit(contract.AddCounter{Name: "woken", Delta: 1}, contract.Log{Message: "woken from a freeze", Attributes: []any{"ms", gap.Milliseconds()}})
+	for _, current := range router.shardLeases {
 		current.expiresAt = 0
 	}
-	for _, token := range owner.tokens() {
-		if job := owner.jobs[token]; job.phase != phaseRunning && job.phase != phaseForwarded {
-			owner.refuse(now, job, 503, "this node was frozen; the call did not run", owner.Bounds.Lease())
+	for _, token := range router.tokens() {
+		if job := router.jobs[token]; job.phase != phaseRunning && job.phase != phaseForwarded {
+			router.refuse(now, job, 503, "this node was frozen; the call did not run", router.Bounds.Lease())
 		}
 	}
 }
 
 // tokens returns the tokens of all jobs in ascending order, so that iteration is deterministic.
-func (owner *Owner) tokens() []int64 {
-	tokens := make([]int64, 0, len(owner.jobs))
-	for token := range owner.jobs {
+func (router *Router) tokens() []int64 {
+	tokens := make([]int64, 0, len(router.jobs))
+	for token := range router.jobs {
 		tokens = append(tokens, token)
 	}
 	slices.Sort(tokens)
@@ -216,52 +216,52 @@
 }
 
 // tick does the periodic work: expiry, lease requests, record exports, timeouts of calls, dispatch and gauges.
-func (owner *Owner) tick(now time.Duration) {
-	owner.table.Expire(now)
-	owner.expireAbandoned(now)
-	owner.requestLeases(now)
-	owner.requestExports(now)
-	owner.expireSearches(now)
-	owner.tickJobs(now)
-	owner.dispatchQueued(now)
-	owner.reportGauges()
+func (router *Router) tick(now time.Duration) {
+	router.table.Expire(now)
+	router.expireAbandoned(now)
+	router.requestLeases(now)
+	router.requestExports(now)
+	router.expireSearches(now)
+	router.tickJobs(now)
+	router.dispatchQueued(now)
+	router.reportGauges()
 }
 
-func (owner *Owner) message(now time.Duration, message contract.Message) {
+func (router *Router) message(now time.Duration, message contract.Message) {
 	switch message.Kind {
 	case shard.MessageLease:
-		decodeMessage(owner, message, func(lease contract.Lease) { owner.lease(now, message, lease) })
+		decodeMessage(router, message, func(lease contract.Lease) { router.lease(now, message, lease) })
 	case shard.MessageNotOwner:
-		decodeMessage(owner, message, func(hint contract.NotOwner) { owner.notOwner(hint) })
+		decodeMessage(router, message, func(hint contract.NotOwner) { router.notOwner(hint) })
 	case MessageClaim:
-		decodeMessage(owner, message, func(claim Claim) { owner.claim(now, claim) })
+		decodeMessage(router, message, func(claim Claim) { router.claim(now, claim) })
 	case MessageClaimReply:
-		decodeMessage(owner, message, func(claimReply ClaimReply) { owner.claimReply(now, message.From, claimReply) })
+		decodeMessage(router, message, func(claimReply ClaimReply) { router.claimReply(now, message.From, claimReply) })
 	case MessageFinish:
-		decodeMessage(owner, message, func(record call.Record) { owner.table.Finish(record) })
+		decodeMessage(router, message, func(record call.Record) { router.table.Finish(record) })
 	case MessageRelease:
-		decodeMessage(owner, message, func(record call.Record) { owner.table.Release(record) })
+		decodeMessage(router, message, func(record call.Record) { router.table.Release(record) })
 	case MessageFind:
-		decodeMessage(owner, message, func(ask Find) { owner.find(now, ask) })
+		decodeMessage(router, message, func(ask Find) { router.find(now, ask) })
 	case MessageFindReply:
-		decodeMessage(owner, message, func(findReply FindReply) { owner.findReply(now, message.From, findReply) })
+		decodeMessage(router, message, func(findReply FindReply) { router.findReply(now, message.From, findReply) })
 	case MessageExport:
-		decodeMessage(owner, message, func(ask Export) { owner.export(now, ask) })
+		decodeMessage(router, message, func(ask Export) { router.export(now, ask) })
 	case MessageExportReply:
-		decodeMessage(owner, message, func(exported ExportReply) { owner.importRecords(now, message, exported) })
+		decodeMessage(router, message, func(exported ExportReply) { router.importRecords(now, message, exported) })
 	case control.MessageWhyAsk:
-		decodeMessage(owner, message, func(ask control.StatusAsk) {
-			body, _ := json.Marshal(owner.traces.find(ask.Call))
-			owner.emit(contract.Send{To: ask.Address, Kind: control.MessageWhy, Body: control.Status{Token: ask.Token, Node: owner.Self().Name, Body: body}})
+		decodeMessage(router, message, func(ask control.StatusAsk) {
+			body, _ := json.Marshal(router.traces.find(ask.Call))
+			router.emit(contract.Send{To: ask.Address, Kind: control.MessageWhy, Body: control.Status{Token: ask.Token, Node: router.Self().Name, Body: body}})
 		})
 	}
 }
 
 // decodeMessage unmarshals a message's body and passes it to the handler; a malformed body is only counted.
-func decodeMessage[Body any](owner *Owner, message contract.Message, handler func(Body)) {
+func decodeMessage[Body any](router *Router, message contract.Message, handler func(Body)) {
 	var body Body
 	if json.Unmarshal(message.Body, &body) != nil {
-		owner.count("messages_broken")
+		router.count("messages_broken")
 		return
 	}
 	handler(body)
@@ -269,27 +269,27 @@
 
 // ask forwards an operator's request to the control-plane node that decides it. Why and gone requests can be answered by any
 // control-plane node.
-func (owner *Owner) ask(now time.Duration, ask contract.OperatorRequest) {
-	node, exists := ask.AuthoritativeNode(owner.Feed.View())
+func (router *Router) ask(now time.Duration, ask contract.OperatorRequest) {
+	node, exists := ask.AuthoritativeNode(router.Feed.View())
 	address := node.Address
 	if ask.Verb == contract.VerbWhy || ask.Verb == contract.VerbGone {
-		for _, member := range owner.Neighbours.Members(now) {
+		for _, member := range router.Neighbours.Members(now) {
 			if member.Kind == contract.KindControl {
 				address, exists = member.Address, true
 			}
 		}
 	}
 	if !exists || ask.Forwarded {
-		owner.emit(contract.ErrorResponse(ask.Token, 503, "no authority is known here yet; nothing was done", owner.Bounds.Round()))
+		router.emit(contract.ErrorResponse(ask.Token, 503, "no authority is known here yet; nothing was done", router.Bounds.Round()))
 		return
 	}
 	ask.Forwarded = true
-	owner.emit(contract.Forward{Request: ask, Address: address})
+	router.emit(contract.Forward{Request: ask, Address: address})
 }
 
-func (owner *Owner) reportGauges() {
-	_, lapsed := owner.candidates(owner.nextLeaseRequest)
-	for name, value := range map[string]int{"calls_now": len(owner.jobs), "calls_in_line": owner.queues.Total(), "records": owner.table.Len(), "shards_lapsed": len(lapsed)} {
-		owner.emit(contract.SetGauge{Name: name, Value: int64(value)})
+func (router *Router) reportGauges() {
+	_, lapsed := router.candidates(router.nextLeaseRequest)
+	for name, value := range map[string]int{"calls_now": len(router.jobs), "calls_in_line": router.queues.Total(), "records": router.table.Len(), "shards_lapsed": len(lapsed)} {
+		router.emit(contract.SetGauge{Name: name, Value: int64(value)})
 	}
 }
--- a/data/find.go
+++ b/data/find.go
@@ -27,45 +27,45 @@
 }
 
 // searchRecord starts the search for the record of a call that was first sent age ago.
-func (owner *Owner) searchRecord(now time.Duration, scopedKey string, age time.Duration, complete func(time.Duration, *call.Record, bool)) {
-	owner.token++
-	voters := owner.votersFor(scopedKey)
-	search := &recordSearch{token: owner.token, scopedKey: scopedKey, until: now + owner.Bounds.ReplicationTimeout(), voters: voters, complete: complete,
+func (router *Router) searchRecord(now time.Duration, scopedKey string, age time.Duration, complete func(time.Duration, *call.Record, bool)) {
+	router.token++
+	voters := router.votersFor(scopedKey)
+	search := &recordSearch{token: router.token, scopedKey: scopedKey, until: now + router.Bounds.ReplicationTimeout(), voters: voters, complete: complete,
 		waiting: mapset.NewThreadUnsafeSet[string](), confirmed: mapset.NewThreadUnsafeSet[string](), witness: mapset.NewThreadUnsafeSet[string]()}
-	owner.searches[owner.token] = search
-	ask := Find{Token: owner.token, ScopedKey: scopedKey, Age: age, Address: owner.Self().Address}
+	router.searches[router.token] = search
+	ask := Find{Token: router.token, ScopedKey: scopedKey, Age: age, Address: router.Self().Address}
 	for _, name := range voters {
-		if name == owner.Self().Name {
-			if owner.table.CoversAge(now, age) {
+		if name == router.Self().Name {
+			if router.table.CoversAge(now, age) {
 				search.confirmed.Add(name)
 			}
 			continue
 		}
-		if member, exists := owner.Neighbours.Look(name); exists {
+		if member, exists := router.Neighbours.Look(name); exists {
 			search.waiting.Add(name)
-			owner.emit(contract.Send{To: member.Address, Kind: MessageFind, Body: ask})
+			router.emit(contract.Send{To: member.Address, Kind: MessageFind, Body: ask})
 		}
 	}
-	witness := owner.witnessNodes()
+	witness := router.witnessNodes()
 	for _, name := range manifest.SortedKeys(witness) {
 		search.witness.Add(name)
-		owner.emit(contract.Send{To: witness[name].Address, Kind: MessageFind, Body: ask})
+		router.emit(contract.Send{To: witness[name].Address, Kind: MessageFind, Body: ask})
 	}
-	owner.concludeSearch(now, search)
+	router.concludeSearch(now, search)
 }
 
 // find answers a peer's search.
-func (owner *Owner) find(now time.Duration, ask Find) {
-	found := FindReply{Token: ask.Token, CoversAge: owner.table.CoversAge(now, ask.Age)}
-	if record, exists := owner.table.Find(now, ask.ScopedKey); exists {
+func (router *Router) find(now time.Duration, ask Find) {
+	found := FindReply{Token: ask.Token, CoversAge: router.table.CoversAge(now, ask.Age)}
+	if record, exists := router.table.Find(now, ask.ScopedKey); exists {
 		found.Record = &record
 	}
-	owner.emit(contract.Send{To: ask.Address, Kind: MessageFindReply, Body: found})
+	router.emit(contract.Send{To: ask.Address, Kind: MessageFindReply, Body: found})
 }
 
 // findReply handles an answer to a search of this node. A record with a final outcome takes precedence over a running one.
-func (owner *Owner) findReply(now time.Duration, from string, findReply FindReply) {
-	search, exists := owner.searches[findReply.Token]
+func (router *Router) findReply(now time.Duration, from string, findReply FindReply) {
+	search, exists := router.searches[findReply.Token]
 	witness := exists && search.witness.Contains(from)
 	if !exists || !witness && !search.waiting.Contains(from) {
 		return
@@ -81,66 +81,66 @@
 	} else if findReply.CoversAge {
 		search.confirmed.Add(from)
 	}
-	owner.concludeSearch(now, search)
+	router.concludeSearch(now, search)
 }
 
 // concludeSearch ends a search once a final record was found, all necessary answers came, or its time is over.
-func (owner *Owner) concludeSearch(now time.Duration, search *recordSearch) {
+func (router *Router) concludeSearch(now time.Duration, search *recordSearch) {
 	final := search.record != nil && search.record.Outcome != call.Running
-	pending := search.waiting.Cardinality() > 0 || search.witness.Cardinality() > 0 && search.record == nil && !owner.homeProvesUnseen(search)
+	pending := search.waiting.Cardinality() > 0 || search.witness.Cardinality() > 0 && search.record == nil && !router.homeProvesUnseen(search)
 	if !final && pending && now < search.until {
 		return
 	}
-	delete(owner.searches, search.token)
-	search.complete(now, search.record, owner.homeProvesUnseen(search) || owner.witnessesProveUnseen(search))
+	delete(router.searches, search.token)
+	search.complete(now, search.record, router.homeProvesUnseen(search) || router.witnessesProveUnseen(search))
 }
 
 // homeProvesUnseen reports whether this region's voters alone prove that the call was never dispatched. Every dispatch needs grants
 // from at least half of them, so more than half without a record are proof.
-func (owner *Owner) homeProvesUnseen(search *recordSearch) bool {
+func (router *Router) homeProvesUnseen(search *recordSearch) bool {
 	return search.confirmed.Cardinality()*2 > len(search.voters)
 }
 
 // witnessesProveUnseen reports whether exactly half of the voters and a majority of the witness region prove it together: a dispatch
 // with grants from just half of the voters needs a majority of the witness region too.
-func (owner *Owner) witnessesProveUnseen(search *recordSearch) bool {
-	return search.confirmed.Cardinality()*2 == len(search.voters) && owner.witnessMajority(search.witnessed)
+func (router *Router) witnessesProveUnseen(search *recordSearch) bool {
+	return search.confirmed.Cardinality()*2 == len(search.voters) && router.witnessMajority(search.witnessed)
 }
 
-func (owner *Owner) expireSearches(now time.Duration) {
+func (router *Router) expireSearches(now time.Duration) {
 	tokens := []int64{}
-	for token, search := range owner.searches {
+	for token, search := range router.searches {
 		if now >= search.until {
 			tokens = append(tokens, token)
 		}
 	}
 	slices.Sort(tokens)
 	for _, token := range tokens {
-		owner.concludeSearch(now, owner.searches[token])
+		router.concludeSearch(now, router.searches[token])
 	}
 }
 
 // startSearch looks for the record of a call that may have been sent before, and continues with what it finds.
-func (owner *Owner) startSearch(now time.Duration, job *job) {
+func (router *Router) startSearch(now time.Duration, job *job) {
 	job.phase, job.searched = phaseSearching, true
-	owner.searchRecord(now, job.call.ScopedKey(), job.call.Age, func(now time.Duration, record *call.Record, unseen bool) {
-		if owner.jobs[job.token] != job {
+	router.searchRecord(now, job.call.ScopedKey(), job.call.Age, func(now time.Duration, record *call.Record, unseen bool) {
+		if router.jobs[job.token] != job {
 			return
 		}
 		switch {
 		case record != nil:
-			owner.answerFromRecord(now, job, *record)
+			router.answerFromRecord(now, job, *record)
 		case unseen:
-			owner.startClaim(now, job)
+			router.startClaim(now, job)
 		default:
-			owner.fail(now, job, 503, call.Unknown, "too few of those who could know of this repeat remember", owner.jitter(owner.Bounds.Round()))
+			router.fail(now, job, 503, call.Unknown, "too few of those who could know of this repeat remember", router.jitter(router.Bounds.Round()))
 		}
 	})
 }
 
 // look tells a caller what became of a call; the call's home region answers.
-func (owner *Owner) queryOutcome(now time.Duration, event Look) {
-	if owner.forwardQuery(now, event) {
+func (router *Router) queryOutcome(now time.Duration, event Look) {
+	if router.forwardQuery(now, event) {
 		return
 	}
 	scopedKey := call.Call{Caller: event.Caller, Key: event.Key}.ScopedKey()
@@ -150,7 +150,7 @@
 		switch {
 		case record != nil:
 			body["outcome"], body["kept"] = record.Outcome, record.ReplyKept
-			if record.Outcome == call.Running && (record.Remaining <= 0 || !owner.stillRuns(now, *record)) {
+			if record.Outcome == call.Running && (record.Remaining <= 0 || !router.stillRuns(now, *record)) {
 				body["outcome"] = call.Unknown
 			}
 			if record.ReplyKept {
@@ -159,11 +159,11 @@
 		case unseen:
 			status, body["outcome"] = 404, call.Unseen
 		}
-		owner.emit(contract.Response{Token: event.Token, Status: status, Body: body})
+		router.emit(contract.Response{Token: event.Token, Status: status, Body: body})
 	}
-	if record, exists := owner.table.Find(now, scopedKey); exists && record.Outcome != call.Running {
+	if record, exists := router.table.Find(now, scopedKey); exists && record.Outcome != call.Running {
 		answer(now, &record, false)
 		return
 	}
-	owner.searchRecord(now, scopedKey, 0, answer)
+	router.searchRecord(now, scopedKey, 0, answer)
 }
--- a/data/handover.go
+++ b/data/handover.go
@@ -29,56 +29,56 @@
 }
 
 // requestExports asks the live data nodes of all regions for records until each has answered, for some time after a start.
-func (owner *Owner) requestExports(now time.Duration) {
-	if owner.table.Uptime(now) > owner.Bounds.Return() || now < owner.nextExport {
+func (router *Router) requestExports(now time.Duration) {
+	if router.table.Uptime(now) > router.Bounds.Return() || now < router.nextExport {
 		return
 	}
-	owner.nextExport = now + owner.Bounds.Round()
-	for _, member := range owner.Neighbours.Members(now) {
-		if owner.mayOweRecords(member) {
-			ask := Export{Address: owner.Self().Address, Region: owner.Self().Region, AllRegions: member.Region == owner.Self().Region}
-			owner.emit(contract.Send{To: member.Address, Kind: MessageExport, Body: ask})
+	router.nextExport = now + router.Bounds.Round()
+	for _, member := range router.Neighbours.Members(now) {
+		if router.mayOweRecords(member) {
+			ask := Export{Address: router.Self().Address, Region: router.Self().Region, AllRegions: member.Region == router.Self().Region}
+			router.emit(contract.Send{To: member.Address, Kind: MessageExport, Body: ask})
 		}
 	}
 }
 
 // mayOweRecords reports whether a member may have records for this node and has not exported them since its last start.
-func (owner *Owner) mayOweRecords(member contract.Member) bool {
-	return member.Kind == contract.KindData && member.Name != owner.Self().Name && owner.exported[member.Name] != member.Boot
+func (router *Router) mayOweRecords(member contract.Member) bool {
+	return member.Kind == contract.KindData && member.Name != router.Self().Name && router.exported[member.Name] != member.Boot
 }
 
 // caughtUp reports whether this node has received its peers' records after its start, or has waited long enough for them. Until
 // then its grants do not count, since it may have forgotten a claim.
-func (owner *Owner) caughtUp(now time.Duration) bool {
-	uptime := owner.table.Uptime(now)
-	if uptime > owner.Bounds.Deliver() {
+func (router *Router) caughtUp(now time.Duration) bool {
+	uptime := router.table.Uptime(now)
+	if uptime > router.Bounds.Deliver() {
 		return true
 	}
-	return uptime > owner.Bounds.Deliver()/3 && !slices.ContainsFunc(owner.Neighbours.Members(now), owner.mayOweRecords)
+	return uptime > router.Bounds.Deliver()/3 && !slices.ContainsFunc(router.Neighbours.Members(now), router.mayOweRecords)
 }
 
 // remoteReplicasFor returns the addresses of nodes in other regions that store a copy of a call's record. Their grants are not
 // waited for; they export the records again if all nodes of the home region restart at once.
-func (owner *Owner) remoteReplicasFor(now time.Duration, scopedKey string) []string {
-	return owner.dataNodes(now, "back/"+scopedKey, maxRemoteReplicas, func(region string) bool { return region != owner.Self().Region })
+func (router *Router) remoteReplicasFor(now time.Duration, scopedKey string) []string {
+	return router.dataNodes(now, "back/"+scopedKey, maxRemoteReplicas, func(region string) bool { return region != router.Self().Region })
 }
 
 // export sends a peer the records that it asks for, in batches. An empty result is sent too, as the last batch.
-func (owner *Owner) export(now time.Duration, ask Export) {
-	records := owner.table.Export(now, ask.Region, ask.AllRegions, maxExportedRecords)
+func (router *Router) export(now time.Duration, ask Export) {
+	records := router.table.Export(now, ask.Region, ask.AllRegions, maxExportedRecords)
 	for first := true; first || len(records) > 0; first = false {
 		count := min(exportBatchSize, len(records))
-		owner.emit(contract.Send{To: ask.Address, Kind: MessageExportReply, Body: ExportReply{Records: records[:count], Last: count == len(records)}})
+		router.emit(contract.Send{To: ask.Address, Kind: MessageExportReply, Body: ExportReply{Records: records[:count], Last: count == len(records)}})
 		records = records[count:]
 	}
 }
 
-func (owner *Owner) importRecords(now time.Duration, message contract.Message, exported ExportReply) {
+func (router *Router) importRecords(now time.Duration, message contract.Message, exported ExportReply) {
 	for _, record := range exported.Records {
-		owner.table.Import(now, record)
+		router.table.Import(now, record)
 	}
-	owner.emit(contract.AddCounter{Name: "records_handed_over", Delta: int64(len(exported.Records))})
+	router.emit(contract.AddCounter{Name: "records_handed_over", Delta: int64(len(exported.Records))})
 	if exported.Last {
-		owner.exported[message.From] = message.Boot
+		router.exported[message.From] = message.Boot
 	}
 }
--- a/data/job.go
+++ b/data/job.go
@@ -69,103 +69,103 @@
 }
 
 // jitter returns a random duration between delay and twice delay.
-func (owner *Owner) jitter(delay time.Duration) time.Duration {
-	return delay + time.Duration(owner.Random.Int64N(int64(delay)+1))
+func (router *Router) jitter(delay time.Duration) time.Duration {
+	return delay + time.Duration(router.Random.Int64N(int64(delay)+1))
 }
 
 // arrive checks a new call and forwards it to its home region, answers it from a record, or starts to claim it.
-func (owner *Owner) arrive(now time.Duration, event Arrive) {
-	config, request := owner.Feed.Manifest(), event.Call
-	home, ok := config.Home(request.Caller, request.Home, owner.Self().Region)
+func (router *Router) arrive(now time.Duration, event Arrive) {
+	config, request := router.Feed.Manifest(), event.Call
+	home, ok := config.Home(request.Caller, request.Home, router.Self().Region)
 	request.Home = home
 	job := &job{token: event.Token, call: request, arrivedAt: now, triedServers: map[string]bool{}, attempts: map[int]*attempt{},
-		trace: &Trace{Call: request.Key, Caller: request.Caller, Route: request.Route, Node: owner.Self().Name, Home: home, Revision: owner.Feed.Version().Position.Revision, arrivedAt: now}}
-	owner.traces.add(job.trace)
-	owner.count("calls")
-	if !owner.Feed.Known() || owner.stopping {
-		owner.refuse(now, job, 503, "this node does not serve now", owner.jitter(owner.Bounds.Round()))
+		trace: &Trace{Call: request.Key, Caller: request.Caller, Route: request.Route, Node: router.Self().Name, Home: home, Revision: router.Feed.Version().Position.Revision, arrivedAt: now}}
+	router.traces.add(job.trace)
+	router.count("calls")
+	if !router.Feed.Known() || router.stopping {
+		router.refuse(now, job, 503, "this node does not serve now", router.jitter(router.Bounds.Round()))
 		return
 	}
 	route, exists := config.Routes[request.Route]
 	job.route = route
 	switch {
 	case !exists || request.IsLookup != (route.Class == manifest.ClassLookup):
-		owner.refuse(now, job, 404, "no such route", 0)
+		router.refuse(now, job, 404, "no such route", 0)
 		return
 	case !ok:
-		owner.refuse(now, job, 400, fmt.Sprintf("home %q is not this caller's, or no region", event.Call.Home), 0)
+		router.refuse(now, job, 400, fmt.Sprintf("home %q is not this caller's, or no region", event.Call.Home), 0)
 		return
 	case route.Pools[home] == "":
-		owner.refuse(now, job, 404, "the route has no pool in the home region", 0)
+		router.refuse(now, job, 404, "the route has no pool in the home region", 0)
 		return
-	case int64(len(owner.jobs)) >= owner.Bounds.Calls:
-		owner.refuse(now, job, 503, "too many calls at this node", owner.jitter(owner.Bounds.Round()))
+	case int64(len(router.jobs)) >= router.Bounds.Calls:
+		router.refuse(now, job, 503, "too many calls at this node", router.jitter(router.Bounds.Round()))
 		return
 	}
 	if request.Deadline <= 0 {
 		request.Deadline = route.Deadline
 	}
-	job.deadline = now + min(request.Deadline, owner.Bounds.Deadline())
-	if home != owner.Self().Region {
-		owner.forwardHome(now, job)
+	job.deadline = now + min(request.Deadline, router.Bounds.Deadline())
+	if home != router.Self().Region {
+		router.forwardHome(now, job)
 		return
 	}
 	if job.call.Tokens == 0 {
 		job.call.Tokens = route.Tokens
 	}
-	owner.jobs[job.token] = job
+	router.jobs[job.token] = job
 	if request.IsLookup {
-		owner.enqueue(now, job)
+		router.enqueue(now, job)
 		return
 	}
-	if record, known := owner.table.Find(now, request.ScopedKey()); known {
-		owner.answerFromRecord(now, job, record)
+	if record, known := router.table.Find(now, request.ScopedKey()); known {
+		router.answerFromRecord(now, job, record)
 		return
 	}
 	if request.IsRetry {
-		owner.startSearch(now, job)
+		router.startSearch(now, job)
 		return
 	}
-	owner.startClaim(now, job)
+	router.startClaim(now, job)
 }
 
 // refuse answers a call that provably did not run. after is the time after which the caller may retry; 0 says nothing about it.
-func (owner *Owner) refuse(now time.Duration, job *job, status int, err string, after time.Duration) {
-	owner.fail(now, job, status, call.NotRun, err, after)
+func (router *Router) refuse(now time.Duration, job *job, status int, err string, after time.Duration) {
+	router.fail(now, job, status, call.NotRun, err, after)
 }
 
 // fail ends a call with an error answer.
-func (owner *Owner) fail(now time.Duration, job *job, status int, outcome call.Outcome, err string, after time.Duration) {
+func (router *Router) fail(now time.Duration, job *job, status int, outcome call.Outcome, err string, after time.Duration) {
 	job.trace.Error = err
-	owner.count(fmt.Sprintf("answers_%d", status))
-	owner.finish(now, job, outcome, contract.Response{Token: job.token, Status: status, RetryAfter: after,
+	router.count(fmt.Sprintf("answers_%d", status))
+	router.finish(now, job, outcome, contract.Response{Token: job.token, Status: status, RetryAfter: after,
 		Body: contract.ErrorBody{Outcome: string(outcome), Error: err, RetryAfterMs: after.Milliseconds()}})
 }
 
 // finish removes a call from its queue, records its outcome, cancels its attempts and emits its answer, if there is one to give.
-func (owner *Owner) finish(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
-	owner.queues.Leave(job.call.Route, job.token)
-	delete(owner.jobs, job.token)
-	owner.recordOutcome(job, outcome, nil)
+func (router *Router) finish(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
+	router.queues.Leave(job.call.Route, job.token)
+	delete(router.jobs, job.token)
+	router.recordOutcome(job, outcome, nil)
 	for _, attemptNumber := range sortedAttempts(job.attempts) {
-		owner.dropAttempt(now, job, attemptNumber, false)
-		owner.emit(CancelAttempt{Token: job.token, Attempt: attemptNumber})
+		router.dropAttempt(now, job, attemptNumber, false)
+		router.emit(CancelAttempt{Token: job.token, Attempt: attemptNumber})
 	}
-	owner.closeTrace(now, job, outcome, answer)
+	router.closeTrace(now, job, outcome, answer)
 	if answer != nil && !job.callerGone {
-		owner.emit(answer)
+		router.emit(answer)
 	}
 }
 
 // closeTrace completes a call's trace and counts its outcome.
-func (owner *Owner) closeTrace(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
+func (router *Router) closeTrace(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
 	job.trace.Outcome, job.trace.TookMs = string(outcome), (now - job.arrivedAt).Milliseconds()
 	if given, ok := answer.(contract.Response); ok {
 		job.trace.Status = given.Status
 	}
-	owner.count("outcomes_" + string(outcome))
+	router.count("outcomes_" + string(outcome))
 	if outcome == call.Done {
-		owner.emit(contract.ObserveDuration{Name: "call", Class: job.route.Class, Duration: now - job.arrivedAt})
+		router.emit(contract.ObserveDuration{Name: "call", Class: job.route.Class, Duration: now - job.arrivedAt})
 	}
 }
 
@@ -181,32 +181,32 @@
 }
 
 // enqueue puts a claimed call into its route's queue, or refuses it at once if it can't be expected to be served before its deadline.
-func (owner *Owner) enqueue(now time.Duration, job *job) {
-	wait := owner.queues.Wait(job.call.Route, owner.queues.Ahead(job.call.Route, job.call.Caller), owner.runningCalls(job.call.Route))
-	joined, displaced := owner.queues.Join(job.call.Route, job.call.Caller, job.token, job.route.QueueLimit)
-	if other, exists := owner.jobs[displaced]; exists {
-		owner.count("calls_displaced")
-		owner.refuse(now, other, 429, "the line is full, and most of it is of this caller", owner.jitter(max(wait/2, owner.Bounds.Round())))
+func (router *Router) enqueue(now time.Duration, job *job) {
+	wait := router.queues.Wait(job.call.Route, router.queues.Ahead(job.call.Route, job.call.Caller), router.runningCalls(job.call.Route))
+	joined, displaced := router.queues.Join(job.call.Route, job.call.Caller, job.token, job.route.QueueLimit)
+	if other, exists := router.jobs[displaced]; exists {
+		router.count("calls_displaced")
+		router.refuse(now, other, 429, "the line is full, and most of it is of this caller", router.jitter(max(wait/2, router.Bounds.Round())))
 	}
 	if !joined {
-		owner.refuse(now, job, 429, "the line is full", owner.jitter(max(wait/2, owner.Bounds.Round())))
+		router.refuse(now, job, 429, "the line is full", router.jitter(max(wait/2, router.Bounds.Round())))
 		return
 	}
 	job.phase = phaseQueued
-	owner.dispatchQueued(now)
-	if job.phase == phaseQueued && owner.allBackedOff(now, job) {
-		owner.refuse(now, job, 503, "its servers turn calls away; the call did not run", owner.jitter(owner.Bounds.Lease()))
+	router.dispatchQueued(now)
+	if job.phase == phaseQueued && router.allBackedOff(now, job) {
+		router.refuse(now, job, 503, "its servers turn calls away; the call did not run", router.jitter(router.Bounds.Lease()))
 		return
 	}
-	if job.phase == phaseQueued && now+wait+owner.queues.Service(job.call.Route) > job.deadline {
-		owner.refuse(now, job, 429, "it cannot be served before its deadline", owner.jitter(max(wait/2, owner.Bounds.Round())))
+	if job.phase == phaseQueued && now+wait+router.queues.Service(job.call.Route) > job.deadline {
+		router.refuse(now, job, 429, "it cannot be served before its deadline", router.jitter(max(wait/2, router.Bounds.Round())))
 	}
 }
 
 // runningCalls counts the calls of a route that are at servers.
-func (owner *Owner) runningCalls(route string) int {
+func (router *Router) runningCalls(route string) int {
 	count := 0
-	for _, job := range owner.jobs {
+	for _, job := range router.jobs {
 		if job.phase == phaseRunning && job.call.Route == route {
 			count++
 		}
@@ -215,49 +215,49 @@
 }
 
 // dispatchQueued sends queued calls to servers while there are servers for them.
-func (owner *Owner) dispatchQueued(now time.Duration) {
-	if owner.queues.Total() == 0 {
+func (router *Router) dispatchQueued(now time.Duration) {
+	if router.queues.Total() == 0 {
 		return
 	}
-	candidates, lapsed := owner.candidates(now)
-	owner.queues.Serve(func(token int64) bool {
-		job, exists := owner.jobs[token]
-		return !exists || owner.dispatch(now, job, candidates, lapsed)
+	candidates, lapsed := router.candidates(now)
+	router.queues.Serve(func(token int64) bool {
+		job, exists := router.jobs[token]
+		return !exists || router.dispatch(now, job, candidates, lapsed)
 	})
 }
 
 // dispatch picks a server for a call and emits the attempt. It reports whether it did; a call past its deadline is left to tickJobs.
-func (owner *Owner) dispatch(now time.Duration, job *job, candidates []contract.Candidate, lapsed []int) bool {
+func (router *Router) dispatch(now time.Duration, job *job, candidates []contract.Candidate, lapsed []int) bool {
 	if now >= job.deadline {
 		return false
 	}
-	want := pick.Want{Pool: job.route.Pools[job.call.Home], Class: job.route.Class, Zone: owner.Self().Zone, Prefix: job.call.Prefix, Avoid: job.triedServers, Resting: owner.inBackoff(now)}
+	want := pick.Want{Pool: job.route.Pools[job.call.Home], Class: job.route.Class, Zone: router.Self().Zone, Prefix: job.call.Prefix, Avoid: job.triedServers, Resting: router.inBackoff(now)}
 	if job.call.Session != "" {
 		want.Session = job.call.Caller + "\x1f" + job.call.Session
 	}
-	chosen, verdicts, ok := pick.Choose(want, candidates, owner.usages, owner.affinities.server, owner.Random)
+	chosen, verdicts, ok := pick.Choose(want, candidates, router.usages, router.affinities.server, router.Random)
 	if !ok {
 		return false
 	}
 	if job.attemptCount == 0 {
-		owner.retryBudget.Deposit()
+		router.retryBudget.Deposit()
 	}
 	job.phase = phaseRunning
 	job.attemptCount++
 	job.triedServers[chosen.Name] = true
 	job.attempts[job.attemptCount] = &attempt{server: chosen, startedAt: now}
-	usage := owner.usages[chosen.Name]
+	usage := router.usages[chosen.Name]
 	usage.Own++
-	owner.usages[chosen.Name] = usage
+	router.usages[chosen.Name] = usage
 	if want.Session != "" {
-		owner.affinities.set(want.Session, chosen.Name)
+		router.affinities.set(want.Session, chosen.Name)
 	}
 	if want.Prefix != "" {
-		owner.affinities.set("prefix/"+want.Prefix, chosen.Name)
+		router.affinities.set("prefix/"+want.Prefix, chosen.Name)
 	}
-	owner.fillTrace(job, chosen, verdicts, lapsed)
-	owner.emit(Dispatch{Token: job.token, Attempt: job.attemptCount, AttemptID: attemptID(owner.Self(), job, job.attemptCount), Server: chosen,
-		Timeout: job.deadline - now, SendBefore: min(owner.leaseExpiry(now, chosen.Name), job.deadline)})
+	router.fillTrace(job, chosen, verdicts, lapsed)
+	router.emit(Dispatch{Token: job.token, Attempt: job.attemptCount, AttemptID: attemptID(router.Self(), job, job.attemptCount), Server: chosen,
+		Timeout: job.deadline - now, SendBefore: min(router.leaseExpiry(now, chosen.Name), job.deadline)})
 	return true
 }
 
@@ -270,14 +270,14 @@
 const maxTraceVerdicts = 32
 
 // fillTrace adds an attempt to a call's trace, with the leases that the choice of its server was based on.
-func (owner *Owner) fillTrace(job *job, chosen contract.Candidate, verdicts []pick.Verdict, lapsed []int) {
+func (router *Router) fillTrace(job *job, chosen contract.Candidate, verdicts []pick.Verdict, lapsed []int) {
 	if len(verdicts) > maxTraceVerdicts {
 		verdicts = verdicts[:maxTraceVerdicts]
 	}
 	job.trace.Attempts = append(job.trace.Attempts, TraceAttempt{Server: chosen.Name, Verdicts: verdicts})
 	job.trace.Leases = nil
-	for _, index := range owner.shardIndexes() {
-		current := owner.shardLeases[index]
+	for _, index := range router.shardIndexes() {
+		current := router.shardLeases[index]
 		entry := TraceLease{Shard: index, Epoch: current.lease.Epoch, Number: current.lease.Number}
 		for _, other := range lapsed {
 			entry.Lapsed = entry.Lapsed || other == index
@@ -287,20 +287,20 @@
 }
 
 // tickJobs handles the time limits of all calls: claims, queueing and hedging.
-func (owner *Owner) tickJobs(now time.Duration) {
-	for _, token := range owner.tokens() {
-		job := owner.jobs[token]
+func (router *Router) tickJobs(now time.Duration) {
+	for _, token := range router.tokens() {
+		job := router.jobs[token]
 		switch {
-		case job.phase == phaseClaiming && now-job.claimedAt > owner.Bounds.ReplicationTimeout():
-			owner.refuse(now, job, 503, "too few keepers answered; the call did not run", owner.jitter(owner.Bounds.Round()))
+		case job.phase == phaseClaiming && now-job.claimedAt > router.Bounds.ReplicationTimeout():
+			router.refuse(now, job, 503, "too few keepers answered; the call did not run", router.jitter(router.Bounds.Round()))
 		case job.phase == phaseClaiming && job.contested:
-			owner.claimAgain(job)
+			router.claimAgain(job)
 		case job.phase == phaseClaiming:
-			owner.checkClaim(now, job)
-		case job.phase == phaseQueued && now+owner.queues.Service(job.call.Route)/2 >= job.deadline:
-			owner.refuse(now, job, 503, "no server was free in time; the call did not run", owner.jitter(owner.Bounds.Round()))
+			router.checkClaim(now, job)
+		case job.phase == phaseQueued && now+router.queues.Service(job.call.Route)/2 >= job.deadline:
+			router.refuse(now, job, 503, "no server was free in time; the call did not run", router.jitter(router.Bounds.Round()))
 		case job.phase == phaseRunning && job.call.IsLookup && !job.hedged:
-			owner.hedge(now, job)
+			router.hedge(now, job)
 		}
 	}
 }
@@ -309,18 +309,18 @@
 const hedgeFactor = 3
 
 // hedge sends a slow lookup to a second server as well, if the retry budget allows it.
-func (owner *Owner) hedge(now time.Duration, job *job) {
-	hedgeDelay := max(owner.queues.Service(job.call.Route)*hedgeFactor, owner.Bounds.LeaseRenewal())
+func (router *Router) hedge(now time.Duration, job *job) {
+	hedgeDelay := max(router.queues.Service(job.call.Route)*hedgeFactor, router.Bounds.LeaseRenewal())
 	first, exists := job.attempts[job.attemptCount]
 	if !exists || now-first.startedAt < hedgeDelay || job.attemptCount >= maxAttempts {
 		return
 	}
 	job.hedged = true
-	if !owner.retryBudget.TryWithdraw() {
+	if !router.retryBudget.TryWithdraw() {
 		return
 	}
-	candidates, lapsed := owner.candidates(now)
-	if owner.dispatch(now, job, candidates, lapsed) {
-		owner.count("repeats_hedged")
+	candidates, lapsed := router.candidates(now)
+	if router.dispatch(now, job, candidates, lapsed) {
+		router.count("repeats_hedged")
 	}
 }
--- a/data/keep.go
+++ b/data/keep.go
@@ -62,23 +62,23 @@
 }
 
 // record returns the idempotency record of a call that runs here.
-func (owner *Owner) record(job *job) call.Record {
-	self := owner.Self()
+func (router *Router) record(job *job) call.Record {
+	self := router.Self()
 	return call.Record{ScopedKey: job.call.ScopedKey(), Digest: job.call.Digest, Node: self.Name, Region: self.Region, Boot: self.Boot, Token: job.token, Outcome: call.Running, Remaining: job.deadline - job.arrivedAt}
 }
 
 // votersFor names the data nodes whose grants allow the dispatch of a call: those of this region's roster, or in a large region
 // maxVoters of them, chosen by the key. Every node computes the same voters for a call.
-func (owner *Owner) votersFor(scopedKey string) []string {
-	ordered := contract.RendezvousOrder("keep/"+scopedKey, owner.roster(owner.Self().Region))
+func (router *Router) votersFor(scopedKey string) []string {
+	ordered := contract.RendezvousOrder("keep/"+scopedKey, router.roster(router.Self().Region))
 	return ordered[:min(maxVoters, len(ordered))]
 }
 
 // liveReplicas returns those voters that are alive, by name.
-func (owner *Owner) liveReplicas(now time.Duration, voters []string) map[string]contract.Member {
+func (router *Router) liveReplicas(now time.Duration, voters []string) map[string]contract.Member {
 	replicas := map[string]contract.Member{}
 	for _, name := range voters {
-		if member, exists := owner.Neighbours.Look(name); exists && owner.Neighbours.Alive(now, name) {
+		if member, exists := router.Neighbours.Look(name); exists && router.Neighbours.Alive(now, name) {
 			replicas[name] = member
 		}
 	}
@@ -86,76 +86,76 @@
 }
 
 // roster names the data nodes that the manifest lists for a region.
-func (owner *Owner) roster(region string) []string {
+func (router *Router) roster(region string) []string {
 	names := []string{}
-	for _, name := range owner.Feed.Manifest().Regions[region].Machines {
+	for _, name := range router.Feed.Manifest().Regions[region].Machines {
 		names = append(names, name+"-"+contract.KindData)
 	}
 	return names
 }
 
 // startClaim stores the claim of a call here and asks the other replicas to grant it.
-func (owner *Owner) startClaim(now time.Duration, job *job) {
+func (router *Router) startClaim(now time.Duration, job *job) {
 	job.phase, job.claimedAt = phaseClaiming, now
-	job.granted, job.refusals, job.voters = map[string]bool{}, 0, owner.votersFor(job.call.ScopedKey())
+	job.granted, job.refusals, job.voters = map[string]bool{}, 0, router.votersFor(job.call.ScopedKey())
 	job.witness, job.witnessed = nil, map[string]bool{}
-	job.replicas, job.remoteReplicas = owner.liveReplicas(now, job.voters), owner.remoteReplicasFor(now, job.call.ScopedKey())
-	record := owner.record(job)
-	if _, ok, full := owner.table.Claim(now, record); !ok {
+	job.replicas, job.remoteReplicas = router.liveReplicas(now, job.voters), router.remoteReplicasFor(now, job.call.ScopedKey())
+	record := router.record(job)
+	if _, ok, full := router.table.Claim(now, record); !ok {
 		err := "the call is held by another"
 		if full {
 			err = "the records are full"
 		}
-		owner.refuse(now, job, 503, err, owner.jitter(owner.Bounds.Round()))
+		router.refuse(now, job, 503, err, router.jitter(router.Bounds.Round()))
 		return
 	}
-	if _, self := job.replicas[owner.Self().Name]; self && owner.caughtUp(now) {
-		job.granted[owner.Self().Name] = true
+	if _, self := job.replicas[router.Self().Name]; self && router.caughtUp(now) {
+		job.granted[router.Self().Name] = true
 	}
-	owner.sendToReplicas(job, MessageClaim, Claim{Record: record, Address: owner.Self().Address})
-	owner.checkClaim(now, job)
+	router.sendToReplicas(job, MessageClaim, Claim{Record: record, Address: router.Self().Address})
+	router.checkClaim(now, job)
 }
 
 // claimAgain repeats a contested claim at the replicas that have not granted it.
-func (owner *Owner) claimAgain(job *job) {
+func (router *Router) claimAgain(job *job) {
 	job.contested = false
-	claim := Claim{Record: owner.record(job), Address: owner.Self().Address}
+	claim := Claim{Record: router.record(job), Address: router.Self().Address}
 	for _, name := range manifest.SortedKeys(job.replicas) {
 		if !job.granted[name] {
-			owner.emit(contract.Send{To: job.replicas[name].Address, Kind: MessageClaim, Body: claim})
+			router.emit(contract.Send{To: job.replicas[name].Address, Kind: MessageClaim, Body: claim})
 		}
 	}
 }
 
 // sendToReplicas sends a message to all other nodes that store a call's record.
-func (owner *Owner) sendToReplicas(job *job, kind string, body any) {
+func (router *Router) sendToReplicas(job *job, kind string, body any) {
 	for _, name := range manifest.SortedKeys(job.replicas) {
-		if name != owner.Self().Name {
-			owner.emit(contract.Send{To: job.replicas[name].Address, Kind: kind, Body: body})
+		if name != router.Self().Name {
+			router.emit(contract.Send{To: job.replicas[name].Address, Kind: kind, Body: body})
 		}
 	}
 	for _, address := range job.remoteReplicas {
-		owner.emit(contract.Send{To: address, Kind: kind, Body: body})
+		router.emit(contract.Send{To: address, Kind: kind, Body: body})
 	}
 	for _, name := range manifest.SortedKeys(job.witness) {
-		owner.emit(contract.Send{To: job.witness[name].Address, Kind: kind, Body: body})
+		router.emit(contract.Send{To: job.witness[name].Address, Kind: kind, Body: body})
 	}
 }
 
 // claim answers another node's claim of a call.
-func (owner *Owner) claim(now time.Duration, claim Claim) {
-	known, ok, full := owner.table.Claim(now, claim.Record)
-	owner.emit(contract.Send{To: claim.Address, Kind: MessageClaimReply, Body: ClaimReply{Token: claim.Record.Token, ScopedKey: claim.Record.ScopedKey, Granted: ok, Full: full, CaughtUp: owner.caughtUp(now), Record: known}})
+func (router *Router) claim(now time.Duration, claim Claim) {
+	known, ok, full := router.table.Claim(now, claim.Record)
+	router.emit(contract.Send{To: claim.Address, Kind: MessageClaimReply, Body: ClaimReply{Token: claim.Record.Token, ScopedKey: claim.Record.ScopedKey, Granted: ok, Full: full, CaughtUp: router.caughtUp(now), Record: known}})
 }
 
 // claimReply handles an answer to a claim of this node.
-func (owner *Owner) claimReply(now time.Duration, from string, claimReply ClaimReply) {
-	job, exists := owner.jobs[claimReply.Token]
+func (router *Router) claimReply(now time.Duration, from string, claimReply ClaimReply) {
+	job, exists := router.jobs[claimReply.Token]
 	if !exists || job.phase != phaseClaiming || job.call.ScopedKey() != claimReply.ScopedKey {
 		return
 	}
 	if _, keeper := job.replicas[from]; !keeper && (claimReply.Granted || claimReply.Full) {
-		owner.witnessed(now, job, from, claimReply)
+		router.witnessed(now, job, from, claimReply)
 		return
 	}
 	switch {
@@ -163,49 +163,49 @@
 		if claimReply.CaughtUp {
 			job.granted[from] = true
 		}
-		owner.checkClaim(now, job)
+		router.checkClaim(now, job)
 	case claimReply.Full:
 		if job.refusals++; (len(job.replicas)-job.refusals)*2 < len(job.voters) {
-			owner.refuse(now, job, 503, "the records are full", owner.jitter(owner.Bounds.Round()))
+			router.refuse(now, job, 503, "the records are full", router.jitter(router.Bounds.Round()))
 			return
 		}
-		owner.checkClaim(now, job)
-	case owner.takesPrecedence(now, job, claimReply.Record):
+		router.checkClaim(now, job)
+	case router.takesPrecedence(now, job, claimReply.Record):
 		job.contested = true
 	default:
-		owner.release(job)
-		owner.answerFromRecord(now, job, claimReply.Record)
+		router.release(job)
+		router.answerFromRecord(now, job, claimReply.Record)
 	}
 }
 
 // takesPrecedence reports whether this node persists with its claim against another node's concurrent claim of the same call. The node
 // with the lower name persists and the other gives way, so that one of the two calls runs.
-func (owner *Owner) takesPrecedence(now time.Duration, job *job, other call.Record) bool {
-	window := owner.Bounds.ReplicationTimeout() / 2
-	return other.Outcome == call.Running && other.Age < window && now-job.claimedAt < window && owner.Self().Name < other.Node
+func (router *Router) takesPrecedence(now time.Duration, job *job, other call.Record) bool {
+	window := router.Bounds.ReplicationTimeout() / 2
+	return other.Outcome == call.Running && other.Age < window && now-job.claimedAt < window && router.Self().Name < other.Node
 }
 
 // checkClaim queues a call once every live replica has granted its claim. After a short wait for silent replicas a quorum is enough,
 // which must include a replica that was up for longer than a record lives, if there is one. If exactly half of the voters granted it,
 // the witness region is asked too.
-func (owner *Owner) checkClaim(now time.Duration, job *job) {
+func (router *Router) checkClaim(now time.Duration, job *job) {
 	all := len(job.granted)+job.refusals >= len(job.replicas)
 	half := len(job.granted)*2 >= len(job.voters) && len(job.granted) > 0
-	if job.contested || !half || !all && now-job.claimedAt < owner.Bounds.ReplicationTimeout()/4 {
+	if job.contested || !half || !all && now-job.claimedAt < router.Bounds.ReplicationTimeout()/4 {
 		return
 	}
-	if !owner.quorum(job) {
-		owner.askWitnesses(job)
+	if !router.quorum(job) {
+		router.askWitnesses(job)
 		return
 	}
-	if all || owner.grantedByOldReplica(job) {
-		owner.enqueue(now, job)
+	if all || router.grantedByOldReplica(job) {
+		router.enqueue(now, job)
 	}
 }
 
 // grantedByOldReplica reports whether a replica that was up for longer than a record lives granted the claim, or there is no such replica.
-func (owner *Owner) grantedByOldReplica(job *job) bool {
-	old := int64(owner.Bounds.RecordRetention() / owner.Bounds.GossipInterval())
+func (router *Router) grantedByOldReplica(job *job) bool {
+	old := int64(router.Bounds.RecordRetention() / router.Bounds.GossipInterval())
 	any := false
 	for name, keeper := range job.replicas {
 		if keeper.Heartbeat >= old {
@@ -220,59 +220,59 @@
 
 // answerFromRecord answers a call whose key has a record; the call is not run again. A running record of another node is searched for
 // once more first, since its outcome may be known elsewhere.
-func (owner *Owner) answerFromRecord(now time.Duration, job *job, record call.Record) {
+func (router *Router) answerFromRecord(now time.Duration, job *job, record call.Record) {
 	job.replicas = nil
-	if record.Outcome == call.Running && record.Node != owner.Self().Name && !job.searched {
-		owner.startSearch(now, job)
+	if record.Outcome == call.Running && record.Node != router.Self().Name && !job.searched {
+		router.startSearch(now, job)
 		return
 	}
 	if record.Digest != job.call.Digest {
-		owner.refuse(now, job, 422, "this key was used with another body", 0)
+		router.refuse(now, job, 422, "this key was used with another body", 0)
 		return
 	}
-	owner.count("repeats_met")
+	router.count("repeats_met")
 	job.trace.Error = "met the record of " + record.Node + ": " + string(record.Outcome)
 	switch {
 	case record.Outcome == call.Done && record.ReplyKept:
-		owner.finish(now, job, call.Done, contract.Response{Token: job.token, Status: 200, Body: Reply{Chunks: record.Chunks}})
+		router.finish(now, job, call.Done, contract.Response{Token: job.token, Status: 200, Body: Reply{Chunks: record.Chunks}})
 	case record.Outcome == call.Done:
-		owner.fail(now, job, 410, call.Done, "the call was done; its reply is no longer kept", 0)
+		router.fail(now, job, 410, call.Done, "the call was done; its reply is no longer kept", 0)
 	case record.Outcome == call.Interrupted:
-		owner.fail(now, job, 502, call.Interrupted, "the call was interrupted", 0)
-	case record.Outcome == call.Running && record.Remaining > 0 && owner.stillRuns(now, record):
-		after := min(max(owner.queues.Service(job.call.Route)/2, owner.Bounds.Round()), record.Remaining+owner.Bounds.Round())
-		owner.fail(now, job, 409, call.Running, "the call is still running", owner.jitter(after))
+		router.fail(now, job, 502, call.Interrupted, "the call was interrupted", 0)
+	case record.Outcome == call.Running && record.Remaining > 0 && router.stillRuns(now, record):
+		after := min(max(router.queues.Service(job.call.Route)/2, router.Bounds.Round()), record.Remaining+router.Bounds.Round())
+		router.fail(now, job, 409, call.Running, "the call is still running", router.jitter(after))
 	default:
-		owner.fail(now, job, 502, call.Unknown, "the call was taken and its end is not known", 0)
+		router.fail(now, job, 502, call.Unknown, "the call was taken and its end is not known", 0)
 	}
 }
 
 // stillRuns reports whether the node that claimed a call is alive and has not restarted since.
-func (owner *Owner) stillRuns(now time.Duration, record call.Record) bool {
-	member, exists := owner.Neighbours.Look(record.Node)
-	return exists && member.Boot == record.Boot && owner.Neighbours.Alive(now, record.Node)
+func (router *Router) stillRuns(now time.Duration, record call.Record) bool {
+	member, exists := router.Neighbours.Look(record.Node)
+	return exists && member.Boot == record.Boot && router.Neighbours.Alive(now, record.Node)
 }
 
 // release withdraws the claim of a call that did not run.
-func (owner *Owner) release(job *job) {
-	record := owner.record(job)
-	owner.table.Release(record)
-	owner.sendToReplicas(job, MessageRelease, record)
+func (router *Router) release(job *job) {
+	record := router.record(job)
+	router.table.Release(record)
+	router.sendToReplicas(job, MessageRelease, record)
 	job.replicas = nil
 }
 
 // recordOutcome tells the replicas how a call ended. The claim of a call that did not run is withdrawn instead, so that a retry may run.
-func (owner *Owner) recordOutcome(job *job, outcome call.Outcome, pieces []string) {
+func (router *Router) recordOutcome(job *job, outcome call.Outcome, pieces []string) {
 	if job.call.IsLookup || job.replicas == nil {
 		return
 	}
 	if outcome == call.NotRun {
-		owner.release(job)
+		router.release(job)
 		return
 	}
-	record := owner.record(job)
+	record := router.record(job)
 	record.Outcome, record.Chunks = outcome, pieces
-	owner.table.Finish(record)
-	owner.sendToReplicas(job, MessageFinish, record)
+	router.table.Finish(record)
+	router.sendToReplicas(job, MessageFinish, record)
 	job.replicas = nil
 }
--- a/data/leases.go
+++ b/data/leases.go
@@ -24,55 +24,57 @@
 
 // requestLeases asks for a new lease of every shard in each interval. It asks the shard's first owner, the node of the last lease and
 // the hinted owner.
-func (owner *Owner) requestLeases(now time.Duration) {
-	if now < owner.nextLeaseRequest || !owner.Feed.Known() {
+func (router *Router) requestLeases(now time.Duration) {
+	if now < router.nextLeaseRequest || !router.Feed.Known() {
 		return
 	}
-	owner.nextLeaseRequest = now + owner.Bounds.LeaseRenewal()
-	region := owner.Self().Region
-	members, shards := owner.Neighbours.Members(now), owner.shards()
+	router.nextLeaseRequest = now + router.Bounds.LeaseRenewal()
+	region := router.Self().Region
+	members, shards := router.Neighbours.Members(now), router.shards()
 	for index := 0; index < shards; index++ {
-		current, exists := owner.shardLeases[index]
+		current, exists := router.shardLeases[index]
 		if !exists {
 			current = &shardLease{}
-			owner.shardLeases[index] = current
+			router.shardLeases[index] = current
 		}
 		targets := map[string]bool{current.hint: true, current.lease.Epoch.Node: true}
 		first := shard.PreferredOwner(members, region, index)
 		targets[first] = true
-		request := contract.LeaseRequest{Node: owner.Self().Name, Address: owner.Self().Address, Region: region, Shard: index,
+		request := contract.LeaseRequest{Node: router.Self().Name, Address: router.Self().Address, Region: region, Shard: index,
 			SentAt: now, HighestEpoch: current.highest, Number: current.lease.Number, ShardCount: shards}
-		request.Calls, request.Abandoned = owner.callsOnShard(index)
+		request.Calls, request.Abandoned = router.callsOnShard(index)
 		for _, name := range manifest.SortedKeys(targets) {
-			if member, exists := owner.Neighbours.Look(name); exists && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
-				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageLeaseRequest, Body: request})
+			if member, exists := router.Neighbours.Look(name); exists && member.Kind == contract.KindControl && router.Neighbours.Alive(now, name) {
+				router.emit(contract.Send{To: member.Address, Kind: shard.MessageLeaseRequest, Body: request})
 			}
 		}
-		owner.requestByRelay(now, current, first, request)
+		router.requestByRelay(now, current, first, request)
 	}
 }
 
 // requestByRelay asks a shard's first owner through other members after it was silent for a third of a lease, so that a broken link
 // between the two nodes does not stop the shard.
-func (owner *Owner) requestByRelay(now time.Duration, current *shardLease, first string, request contract.LeaseRequest) {
-	silent := now-current.requestedAt > owner.Bounds.Lease()/3
-	target, exists := owner.Neighbours.Look(first)
+func (router *Router) requestByRelay(now time.Duration, current *shardLease, first string, request contract.LeaseRequest) {
+	silent := now-current.requestedAt > router.Bounds.Lease()/3
+	target, exists := router.Neighbours.Look(first)
 	if !exists {
 		return
 	}
 	if route, tried, needed := current.detour.Next(silent); needed {
-		owner.emit(owner.SendByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageLeaseRequest, Body: request}, route, tried)...)
+		router.emit(router.SendByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageLeaseRequest, Body: request}, route, tried)...)
 	}
 }
 
 // shards returns the number of shards of this node's region.
-func (owner *Owner) shards() int { return owner.Feed.Manifest().Regions[owner.Self().Region].Shards }
+func (router *Router) shards() int {
+	return router.Feed.Manifest().Regions[router.Self().Region].Shards
+}
 
 // callsOnShard counts this node's calls per server of a shard: those that run, and abandoned ones that may still run.
-func (owner *Owner) callsOnShard(index int) (calls, lingering map[string]int64) {
-	shards := owner.shards()
+func (router *Router) callsOnShard(index int) (calls, lingering map[string]int64) {
+	shards := router.shards()
 	calls, lingering = map[string]int64{}, map[string]int64{}
-	for name, usage := range owner.usages {
+	for name, usage := range router.usages {
 		if contract.ShardOf(name, shards) != index {
 			continue
 		}
@@ -88,58 +90,58 @@
 
 // lease takes up a shard's lease unless a higher epoch was seen. It expires Life after this node requested it, so that no clocks are
 // compared. For each new load report of a server it notes how many of this node's calls the report already includes.
-func (owner *Owner) lease(now time.Duration, message contract.Message, lease contract.Lease) {
-	current, exists := owner.shardLeases[lease.Shard]
-	if !exists || lease.Region != owner.Self().Region {
+func (router *Router) lease(now time.Duration, message contract.Message, lease contract.Lease) {
+	current, exists := router.shardLeases[lease.Shard]
+	if !exists || lease.Region != router.Self().Region {
 		return
 	}
-	if lease.Epoch.Before(current.highest) || lease.ShardCount != owner.shards() {
-		owner.count("leases_refused")
+	if lease.Epoch.Before(current.highest) || lease.ShardCount != router.shards() {
+		router.count("leases_refused")
 		return
 	}
 	same := lease.Epoch == current.highest
 	if lease.RequestSentAt > now || same && (lease.Number < current.lease.Number || lease.RequestSentAt < current.requestedAt) {
-		owner.count("leases_late")
+		router.count("leases_late")
 		return
 	}
 	if now >= current.expiresAt {
-		owner.backoffs = map[string]backoff{}
+		router.backoffs = map[string]backoff{}
 	}
 	previous := current.lease.Withdraw
 	current.detour.RecordAnswer(message.ReturnRoute, current.requestedAt == lease.RequestSentAt)
 	current.highest, current.lease, current.requestedAt, current.hint = lease.Epoch, lease, lease.RequestSentAt, ""
 	current.expiresAt = lease.RequestSentAt + lease.Duration
 	for _, candidate := range lease.Servers {
-		usage := owner.usages[candidate.Name]
+		usage := router.usages[candidate.Name]
 		if usage.Report != candidate.ReportNumber {
 			usage.Report, usage.AtReport = candidate.ReportNumber, usage.Own
-			owner.usages[candidate.Name] = usage
+			router.usages[candidate.Name] = usage
 		}
 	}
 	for _, name := range lease.Withdraw {
 		if !slices.Contains(previous, name) {
-			owner.affinities.forgetServer(name)
+			router.affinities.forgetServer(name)
 		}
 	}
-	owner.recall(lease.Recall)
-	owner.dispatchQueued(now)
+	router.recall(lease.Recall)
+	router.dispatchQueued(now)
 }
 
 // notOwner remembers the owner that a control-plane node named in place of itself.
-func (owner *Owner) notOwner(hint contract.NotOwner) {
-	if current, exists := owner.shardLeases[hint.Shard]; exists && hint.Region == owner.Self().Region {
+func (router *Router) notOwner(hint contract.NotOwner) {
+	if current, exists := router.shardLeases[hint.Shard]; exists && hint.Region == router.Self().Region {
 		current.hint = hint.Owner
 	}
 }
 
 // candidates returns the servers of all unexpired leases, and the shards whose lease has expired, whose servers can't be picked.
-func (owner *Owner) candidates(now time.Duration) ([]contract.Candidate, []int) {
-	candidates, lapsed, shards, previous := []contract.Candidate{}, []int{}, owner.shards(), false
-	for _, current := range owner.shardLeases {
+func (router *Router) candidates(now time.Duration) ([]contract.Candidate, []int) {
+	candidates, lapsed, shards, previous := []contract.Candidate{}, []int{}, router.shards(), false
+	for _, current := range router.shardLeases {
 		previous = previous || now < current.expiresAt && current.lease.ShardCount != shards
 	}
-	for _, index := range owner.shardIndexes() {
-		current := owner.shardLeases[index]
+	for _, index := range router.shardIndexes() {
+		current := router.shardLeases[index]
 		if now >= current.expiresAt {
 			if index < shards && !previous {
 				lapsed = append(lapsed, index)
@@ -147,7 +149,7 @@
 			continue
 		}
 		for _, candidate := range current.lease.Servers {
-			if owner.shardLeaseOf(now, candidate.Name) == current {
+			if router.shardLeaseOf(now, candidate.Name) == current {
 				candidates = append(candidates, candidate)
 			}
 		}
@@ -157,14 +159,14 @@
 
 // shardLeaseOf returns the lease that a server is picked under. After a change of the number of shards, leases of the previous number
 // stay in use until they expire or are replaced.
-func (owner *Owner) shardLeaseOf(now time.Duration, server string) *shardLease {
-	shards := owner.shards()
-	current, exists := owner.shardLeases[contract.ShardOf(server, shards)]
+func (router *Router) shardLeaseOf(now time.Duration, server string) *shardLease {
+	shards := router.shards()
+	current, exists := router.shardLeases[contract.ShardOf(server, shards)]
 	if exists && now < current.expiresAt && current.lease.ShardCount == shards {
 		return current
 	}
-	for _, index := range owner.shardIndexes() {
-		previous := owner.shardLeases[index]
+	for _, index := range router.shardIndexes() {
+		previous := router.shardLeases[index]
 		if now < previous.expiresAt && previous.lease.ShardCount != shards && contract.ShardOf(server, previous.lease.ShardCount) == index {
 			return previous
 		}
@@ -173,17 +175,17 @@
 }
 
 // leaseExpiry returns until when a call may be sent to a server; 0 if there is no lease.
-func (owner *Owner) leaseExpiry(now time.Duration, server string) time.Duration {
-	if current := owner.shardLeaseOf(now, server); current != nil {
+func (router *Router) leaseExpiry(now time.Duration, server string) time.Duration {
+	if current := router.shardLeaseOf(now, server); current != nil {
 		return current.expiresAt
 	}
 	return 0
 }
 
 // shardIndexes returns the numbers of all known shards in ascending order.
-func (owner *Owner) shardIndexes() []int {
+func (router *Router) shardIndexes() []int {
 	indexes := []int{}
-	for index := range owner.shardLeases {
+	for index := range router.shardLeases {
 		indexes = append(indexes, index)
 	}
 	sort.Ints(indexes)
--- a/data/outer.go
+++ b/data/outer.go
@@ -9,9 +9,9 @@
 
 // witnessRegion names the region that breaks the tie when exactly half of this region's voters can be reached: the first other one in
 // order of names, so that all nodes of this region choose the same. It is empty if there is no other region.
-func (owner *Owner) witnessRegion() string {
-	for _, name := range manifest.SortedKeys(owner.Feed.Manifest().Regions) {
-		if name != owner.Self().Region {
+func (router *Router) witnessRegion() string {
+	for _, name := range manifest.SortedKeys(router.Feed.Manifest().Regions) {
+		if name != router.Self().Region {
 			return name
 		}
 	}
@@ -19,10 +19,10 @@
 }
 
 // witnessNodes returns the data nodes of the witness region's roster that are known here, by name.
-func (owner *Owner) witnessNodes() map[string]contract.Member {
+func (router *Router) witnessNodes() map[string]contract.Member {
 	nodes := map[string]contract.Member{}
-	for _, name := range owner.roster(owner.witnessRegion()) {
-		if member, exists := owner.Neighbours.Look(name); exists {
+	for _, name := range router.roster(router.witnessRegion()) {
+		if member, exists := router.Neighbours.Look(name); exists {
 			nodes[name] = member
 		}
 	}
@@ -30,35 +30,35 @@
 }
 
 // witnessMajority reports whether count is a majority of the witness region's roster; any two majorities share a node.
-func (owner *Owner) witnessMajority(count int) bool {
-	roster := len(owner.roster(owner.witnessRegion()))
+func (router *Router) witnessMajority(count int) bool {
+	roster := len(router.roster(router.witnessRegion()))
 	return roster > 0 && count*2 > roster
 }
 
 // askWitnesses asks the witness region to grant the claim as well, once exactly half of the voters have granted it.
-func (owner *Owner) askWitnesses(job *job) {
+func (router *Router) askWitnesses(job *job) {
 	if job.witness != nil {
 		return
 	}
-	owner.count("calls_widened")
-	job.witness = owner.witnessNodes()
-	claim := Claim{Record: owner.record(job), Address: owner.Self().Address}
+	router.count("calls_widened")
+	job.witness = router.witnessNodes()
+	claim := Claim{Record: router.record(job), Address: router.Self().Address}
 	for _, name := range manifest.SortedKeys(job.witness) {
-		owner.emit(contract.Send{To: job.witness[name].Address, Kind: MessageClaim, Body: claim})
+		router.emit(contract.Send{To: job.witness[name].Address, Kind: MessageClaim, Body: claim})
 	}
 }
 
 // witnessed handles a witness's answer to a claim. The grant of one that may have forgotten records after a restart does not count.
-func (owner *Owner) witnessed(now time.Duration, job *job, from string, claimReply ClaimReply) {
+func (router *Router) witnessed(now time.Duration, job *job, from string, claimReply ClaimReply) {
 	if _, asked := job.witness[from]; asked && claimReply.Granted && claimReply.CaughtUp {
 		job.witnessed[from] = true
-		owner.checkClaim(now, job)
+		router.checkClaim(now, job)
 	}
 }
 
 // quorum reports whether more than half of the voters granted the claim, or exactly half of them and a majority of the witness region.
 // Any two such sets share a node, so a second claim of the same call reaches a node that knows of the first.
-func (owner *Owner) quorum(job *job) bool {
+func (router *Router) quorum(job *job) bool {
 	granted := len(job.granted) * 2
-	return granted > len(job.voters) || granted == len(job.voters) && owner.witnessMajority(len(job.witnessed))
+	return granted > len(job.voters) || granted == len(job.voters) && router.witnessMajority(len(job.witnessed))
 }
--- a/data/pass.go
+++ b/data/pass.go
@@ -27,14 +27,14 @@
 const maxForwardNodes = 3
 
 // homeNodes returns addresses of live data nodes of a call's home region, in an order that depends on the call.
-func (owner *Owner) homeNodes(now time.Duration, home, subject string) []string {
-	return owner.dataNodes(now, "pass/"+subject, maxForwardNodes, func(region string) bool { return region == home })
+func (router *Router) homeNodes(now time.Duration, home, subject string) []string {
+	return router.dataNodes(now, "pass/"+subject, maxForwardNodes, func(region string) bool { return region == home })
 }
 
 // dataNodes returns the addresses of at most limit live data nodes in accepted regions, in an order that depends on the subject.
-func (owner *Owner) dataNodes(now time.Duration, subject string, limit int, accepts func(region string) bool) []string {
+func (router *Router) dataNodes(now time.Duration, subject string, limit int, accepts func(region string) bool) []string {
 	addresses, names := map[string]string{}, []string{}
-	for _, member := range owner.Neighbours.Members(now) {
+	for _, member := range router.Neighbours.Members(now) {
 		if member.Kind == contract.KindData && accepts(member.Region) {
 			names, addresses[member.Name] = append(names, member.Name), member.Address
 		}
@@ -49,33 +49,33 @@
 }
 
 // forwardHome has a call forwarded to its home region, the only one whose servers may run it. It is refused if no node there is known.
-func (owner *Owner) forwardHome(now time.Duration, job *job) {
+func (router *Router) forwardHome(now time.Duration, job *job) {
 	if job.call.Forwarded {
-		owner.refuse(now, job, 400, "a call that was passed on arrived outside its home", 0)
+		router.refuse(now, job, 400, "a call that was passed on arrived outside its home", 0)
 		return
 	}
-	nodes := owner.homeNodes(now, job.call.Home, job.call.ScopedKey())
+	nodes := router.homeNodes(now, job.call.Home, job.call.ScopedKey())
 	if len(nodes) == 0 {
-		owner.refuseUnreachable(now, job, "no node of the call's home can be reached; it did not run")
+		router.refuseUnreachable(now, job, "no node of the call's home can be reached; it did not run")
 		return
 	}
-	owner.count("calls_passed_on")
+	router.count("calls_passed_on")
 	job.phase = phaseForwarded
-	owner.jobs[job.token] = job
-	owner.emit(contract.Response{Token: job.token, Body: HomeForward{Home: job.call.Home, Nodes: nodes, Timeout: job.deadline - now}})
+	router.jobs[job.token] = job
+	router.emit(contract.Response{Token: job.token, Body: HomeForward{Home: job.call.Home, Nodes: nodes, Timeout: job.deadline - now}})
 }
 
 // refuseUnreachable refuses a call whose home region can't be reached.
-func (owner *Owner) refuseUnreachable(now time.Duration, job *job, err string) {
-	after := owner.jitter(owner.Bounds.Round())
+func (router *Router) refuseUnreachable(now time.Duration, job *job, err string) {
+	after := router.jitter(router.Bounds.Round())
 	job.trace.Error = err
-	owner.count("answers_503")
-	owner.finish(now, job, call.NotRun, contract.Response{Token: job.token, Status: 503, RetryAfter: after, Body: contract.ErrorBody{Outcome: string(call.NotRun),
+	router.count("answers_503")
+	router.finish(now, job, call.NotRun, contract.Response{Token: job.token, Status: 503, RetryAfter: after, Body: contract.ErrorBody{Outcome: string(call.NotRun),
 		Error: err, Home: job.call.Home, RetryAfterMs: after.Milliseconds()}})
 }
 
-func (owner *Owner) forwardEnded(now time.Duration, event HomeForwardEnded) {
-	job, exists := owner.jobs[event.Token]
+func (router *Router) forwardEnded(now time.Duration, event HomeForwardEnded) {
+	job, exists := router.jobs[event.Token]
 	if !exists {
 		return
 	}
@@ -83,28 +83,28 @@
 	if event.Status == 0 {
 		proof, outcome = string(call.NotSent), call.NotRun
 	}
-	owner.count("passed_on_" + map[bool]string{true: "answered", false: "unreached"}[event.Status > 0])
+	router.count("passed_on_" + map[bool]string{true: "answered", false: "unreached"}[event.Status > 0])
 	job.trace.Attempts = append(job.trace.Attempts, TraceAttempt{Server: "node " + event.Node, Result: proof, Error: event.Error})
 	job.trace.Status = event.Status
-	owner.finish(now, job, outcome, nil)
+	router.finish(now, job, outcome, nil)
 }
 
 // forwardQuery has a question about a call forwarded to the call's home region, or refuses it. It reports false if this region is home.
-func (owner *Owner) forwardQuery(now time.Duration, event Look) bool {
-	home, ok := owner.Feed.Manifest().Home(event.Caller, event.Home, owner.Self().Region)
+func (router *Router) forwardQuery(now time.Duration, event Look) bool {
+	home, ok := router.Feed.Manifest().Home(event.Caller, event.Home, router.Self().Region)
 	answer := contract.Response{Token: event.Token, Status: 400, Body: contract.ErrorBody{Error: "the home is not this caller's, or no region"}}
 	switch {
-	case ok && home == owner.Self().Region:
+	case ok && home == router.Self().Region:
 		return false
 	case ok && event.Forwarded:
 		answer.Body = contract.ErrorBody{Error: "a question that was passed on arrived outside its home"}
 	case ok:
-		nodes := owner.homeNodes(now, home, event.Key)
-		answer = contract.ErrorResponse(event.Token, 503, "no node of the call's home can be reached", owner.jitter(owner.Bounds.Round()))
+		nodes := router.homeNodes(now, home, event.Key)
+		answer = contract.ErrorResponse(event.Token, 503, "no node of the call's home can be reached", router.jitter(router.Bounds.Round()))
 		if len(nodes) > 0 {
-			answer = contract.Response{Token: event.Token, Body: HomeForward{Home: home, Nodes: nodes, Timeout: owner.Bounds.Deliver()}}
+			answer = contract.Response{Token: event.Token, Body: HomeForward{Home: home, Nodes: nodes, Timeout: router.Bounds.Deliver()}}
 		}
 	}
-	owner.emit(answer)
+	router.emit(answer)
 	return true
 }
--- a/data/rest.go
+++ b/data/rest.go
@@ -14,24 +14,24 @@
 const maxBackoffFactor = 4
 
 // backOff starts or extends the backoff of a server.
-func (owner *Owner) backOff(now time.Duration, server string) {
-	previous, exists := owner.backoffs[server]
-	delay := owner.Bounds.Lease()
+func (router *Router) backOff(now time.Duration, server string) {
+	previous, exists := router.backoffs[server]
+	delay := router.Bounds.Lease()
 	if exists {
-		delay = min(previous.delay*2, owner.Bounds.Lease()*maxBackoffFactor)
+		delay = min(previous.delay*2, router.Bounds.Lease()*maxBackoffFactor)
 	}
 	if exists && now < previous.until {
 		delay = previous.delay
 	}
-	owner.backoffs[server] = backoff{until: now + delay, delay: delay}
+	router.backoffs[server] = backoff{until: now + delay, delay: delay}
 }
 
 // inBackoff returns the servers that must not be picked now. It forgets a backoff some time after its end, which resets the delay.
-func (owner *Owner) inBackoff(now time.Duration) map[string]bool {
+func (router *Router) inBackoff(now time.Duration) map[string]bool {
 	inBackoff := map[string]bool{}
-	for name, backoff := range owner.backoffs {
-		if now > backoff.until+owner.Bounds.Lease()*maxBackoffFactor {
-			delete(owner.backoffs, name)
+	for name, backoff := range router.backoffs {
+		if now > backoff.until+router.Bounds.Lease()*maxBackoffFactor {
+			delete(router.backoffs, name)
 		}
 		if now < backoff.until {
 			inBackoff[name] = true
@@ -41,9 +41,9 @@
 }
 
 // allBackedOff reports whether there are servers for a call and all of them are in backoff.
-func (owner *Owner) allBackedOff(now time.Duration, job *job) bool {
-	inBackoff, count := owner.inBackoff(now), 0
-	candidates, _ := owner.candidates(now)
+func (router *Router) allBackedOff(now time.Duration, job *job) bool {
+	inBackoff, count := router.inBackoff(now), 0
+	candidates, _ := router.candidates(now)
 	for _, candidate := range candidates {
 		if candidate.Pool != job.route.Pools[job.call.Home] {
 			continue
