--- a/cmd/cedarcp/main.go
+++ b/cmd/cedarcp/main.go
@@ -8,7 +8,7 @@
 
 func main() {
 	if platform.Present() {
-		serve.MainWith("cedarcp", platform.Face{}, serve.ControlWith)
+		serve.MainWithAdapter("cedarcp", platform.Face{}, serve.ControlWithAdapter)
 		return
 	}
 	serve.Main("cedarcp", serve.Control)
--- a/cmd/cedardp/main.go
+++ b/cmd/cedardp/main.go
@@ -8,7 +8,7 @@
 
 func main() {
 	if platform.Present() {
-		serve.MainWith("cedardp", platform.Face{}, serve.Gateway)
+		serve.MainWithAdapter("cedardp", platform.Face{}, serve.Gateway)
 		return
 	}
 	serve.Main("cedardp", serve.Data)
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -19,120 +19,127 @@
 	"github.com/go-kit/kit/endpoint"
 )
 
-type badCall struct {
-	status int
-	text   string
-	after  time.Duration
+// requestError refuses a request before it becomes a call. retryAfter is when the caller may try again; 0 says nothing about it.
+type requestError struct {
+	status     int
+	message    string
+	retryAfter time.Duration
 }
 
-func (bad badCall) Error() string { return bad.text }
+func (requestErr requestError) Error() string { return requestErr.message }
 
-const longestName = 256
+// maxNameLength bounds the names and keys that callers send, in bytes.
+const maxNameLength = 256
 
-func name(request *http.Request, header string, must bool) (string, error) {
+// nameHeader reads a header that holds a name or a key.
+func nameHeader(request *http.Request, header string, required bool) (string, error) {
 	value := request.Header.Get(header)
-	if value == "" && must {
-		return "", badCall{status: 400, text: header + ": is missing"}
+	if value == "" && required {
+		return "", requestError{status: 400, message: header + ": is missing"}
 	}
-	if len(value) > longestName {
-		return "", badCall{status: 400, text: fmt.Sprintf("%s: longer than %d characters", header, longestName)}
+	if len(value) > maxNameLength {
+		return "", requestError{status: 400, message: fmt.Sprintf("%s: longer than %d characters", header, maxNameLength)}
 	}
-	for _, message := range value {
-		if message < ' ' {
-			return "", badCall{status: 400, text: header + ": has a control character"}
+	for _, character := range value {
+		if character < ' ' {
+			return "", requestError{status: 400, message: header + ": has a control character"}
 		}
 	}
 	return value, nil
 }
 
-func milliseconds(request *http.Request, header string) (time.Duration, error) {
+// durationHeader reads a header that holds a positive number of milliseconds up to an hour; it returns 0 if the header is absent.
+func durationHeader(request *http.Request, header string) (time.Duration, error) {
 	value := request.Header.Get(header)
 	if value == "" {
 		return 0, nil
 	}
 	count, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || count <= 0 || count > int64(time.Hour/time.Millisecond) {
-		return 0, badCall{status: 400, text: fmt.Sprintf("%s: %q is not a time left in milliseconds", header, value)}
+		return 0, requestError{status: 400, message: fmt.Sprintf("%s: %q is not a time left in milliseconds", header, value)}
 	}
 	return time.Duration(count) * time.Millisecond, nil
 }
 
-// common reads the headers that every call may carry, collecting errors in one look.
-func common(request *http.Request) (call.Call, error) {
+// commonHeaders reads the headers that every request may carry, and returns the first error.
+func commonHeaders(request *http.Request) (call.Call, error) {
 	var errs [7]error
-	asked := call.Call{}
-	asked.Caller, errs[0] = name(request, "Cedar-Caller", true)
-	asked.Session, errs[1] = name(request, "Cedar-Session", false)
-	asked.Home, errs[2] = name(request, "Cedar-Home", false)
-	asked.Deadline, errs[3] = milliseconds(request, "Cedar-Deadline-Ms")
-	asked.Age, errs[4] = milliseconds(request, "Cedar-Age-Ms")
-	asked.Forwarded, errs[6] = hop(request)
-	if tries := request.Header.Get("Cedar-Attempt"); tries != "" {
-		number, err := strconv.Atoi(tries)
+	parsed := call.Call{}
+	parsed.Caller, errs[0] = nameHeader(request, "Cedar-Caller", true)
+	parsed.Session, errs[1] = nameHeader(request, "Cedar-Session", false)
+	parsed.Home, errs[2] = nameHeader(request, "Cedar-Home", false)
+	parsed.Deadline, errs[3] = durationHeader(request, "Cedar-Deadline-Ms")
+	parsed.Age, errs[4] = durationHeader(request, "Cedar-Age-Ms")
+	parsed.Forwarded, errs[6] = wasForwarded(request)
+	if attempt := request.Header.Get("Cedar-Attempt"); attempt != "" {
+		number, err := strconv.Atoi(attempt)
 		if err != nil || number < 1 {
-			errs[5] = badCall{status: 400, text: fmt.Sprintf("Cedar-Attempt: %q is not a number from 1 on", tries)}
+			errs[5] = requestError{status: 400, message: fmt.Sprintf("Cedar-Attempt: %q is not a number from 1 on", attempt)}
 		}
-		asked.IsRetry = number > 1
+		parsed.IsRetry = number > 1
 	}
 	for _, err := range errs {
 		if err != nil {
-			return asked, err
+			return parsed, err
 		}
 	}
-	return asked, nil
+	return parsed, nil
 }
 
-type caller struct {
+// callRequest is a decoded call. path is where it is sent at the model server.
+type callRequest struct {
 	call   call.Call
 	body   []byte
 	stream bool
 	path   string
 }
 
-const tokenBytes = 4
+// bytesPerToken is the assumed size of a token, for an estimate of the prompt's length.
+const bytesPerToken = 4
 
-func (shell *dataShell) decodeCall(_ context.Context, request *http.Request) (any, error) {
-	asked, err := common(request)
+// decodeCall decodes and checks a completion request.
+func (process *dataProcess) decodeCall(_ context.Context, request *http.Request) (any, error) {
+	parsed, err := commonHeaders(request)
 	if err != nil {
 		return nil, err
 	}
-	if asked.Route, err = name(request, "Cedar-Route", true); err != nil {
+	if parsed.Route, err = nameHeader(request, "Cedar-Route", true); err != nil {
 		return nil, err
 	}
-	if asked.Key, err = name(request, "Idempotency-Key", true); err != nil {
+	if parsed.Key, err = nameHeader(request, "Idempotency-Key", true); err != nil {
 		return nil, err
 	}
-	bound := shell.Settings.Bounds.BodyBytes
-	body, err := io.ReadAll(io.LimitReader(request.Body, bound+1))
+	limit := process.Settings.Bounds.BodyBytes
+	body, err := io.ReadAll(io.LimitReader(request.Body, limit+1))
 	if err != nil {
-		return nil, badCall{status: 400, text: "the body could not be read"}
+		return nil, requestError{status: 400, message: "the body could not be read"}
 	}
-	if int64(len(body)) > bound {
-		return nil, badCall{status: 413, text: fmt.Sprintf("the body is larger than %d bytes", bound)}
+	if int64(len(body)) > limit {
+		return nil, requestError{status: 413, message: fmt.Sprintf("the body is larger than %d bytes", limit)}
 	}
 	tree, err := manifest.ParseObject(body)
 	if err != nil {
-		return nil, badCall{status: 400, text: "body: " + err.Error()}
+		return nil, requestError{status: 400, message: "body: " + err.Error()}
 	}
 	reader := manifest.NewReader(tree)
 	streamed := reader.Bool("stream")
-	messages, fine := tree["messages"].([]any)
-	if !fine || len(messages) == 0 {
+	messages, ok := tree["messages"].([]any)
+	if !ok || len(messages) == 0 {
 		reader.Errorf("messages", "want a list that is not empty")
 	}
 	if err = reader.Err(); err != nil {
-		return nil, badCall{status: 400, text: "body: " + err.Error()}
+		return nil, requestError{status: 400, message: "body: " + err.Error()}
 	}
-	asked.Digest = contract.Digest(append([]byte(asked.Route+"\x00"), body...))
-	asked.Tokens = int64(len(body) / tokenBytes)
-	asked.Prefix = prefix(messages)
-	return caller{call: asked, body: body, stream: streamed, path: "/v1/chat/completions"}, nil
+	parsed.Digest = contract.Digest(append([]byte(parsed.Route+"\x00"), body...))
+	parsed.Tokens = int64(len(body) / bytesPerToken)
+	parsed.Prefix = prefixKey(messages)
+	return callRequest{call: parsed, body: body, stream: streamed, path: "/v1/chat/completions"}, nil
 }
 
-// prefix names a shared beginning: the system message that a contract's text comes in.
-func prefix(messages []any) string {
-	first, fine := messages[0].(map[string]any)
-	if !fine || first["role"] != "system" || len(messages) < 2 {
+// prefixKey returns a digest of the system message, which calls with a shared prompt have in common, or "" if there is none.
+func prefixKey(messages []any) string {
+	first, ok := messages[0].(map[string]any)
+	if !ok || first["role"] != "system" || len(messages) < 2 {
 		return ""
 	}
 	content, err := json.Marshal(first["content"])
@@ -142,48 +149,51 @@
 	return contract.Digest(content)[:16]
 }
 
-func (shell *dataShell) decodeLookup(_ context.Context, request *http.Request) (any, error) {
-	asked, err := common(request)
+func (process *dataProcess) decodeLookup(_ context.Context, request *http.Request) (any, error) {
+	parsed, err := commonHeaders(request)
 	if err != nil {
 		return nil, err
 	}
-	asked.Route, asked.Key, asked.IsLookup = request.PathValue("route"), request.PathValue("key"), true
-	if len(asked.Key) > longestName {
-		return nil, badCall{status: 400, text: "key: too long"}
+	parsed.Route, parsed.Key, parsed.IsLookup = request.PathValue("route"), request.PathValue("key"), true
+	if len(parsed.Key) > maxNameLength {
+		return nil, requestError{status: 400, message: "key: too long"}
 	}
-	return caller{call: asked, path: "/lookup/" + asked.Key}, nil
+	return callRequest{call: parsed, path: "/lookup/" + parsed.Key}, nil
 }
 
-func decodeLook(_ context.Context, request *http.Request) (any, error) {
-	asked, err := common(request)
-	return data.Look{Caller: asked.Caller, Key: request.PathValue("key"), Home: asked.Home, Forwarded: asked.Forwarded}, err
+// decodeOutcomeQuery decodes a caller's question about the outcome of an earlier call.
+func decodeOutcomeQuery(_ context.Context, request *http.Request) (any, error) {
+	parsed, err := commonHeaders(request)
+	return data.Look{Caller: parsed.Caller, Key: request.PathValue("key"), Home: parsed.Home, Forwarded: parsed.Forwarded}, err
 }
 
-func (shell *dataShell) look() endpoint.Endpoint {
+// query answers questions about the outcome of an earlier call, here or at the call's home region.
+func (process *dataProcess) query() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		look := request.(data.Look)
+		query := request.(data.Look)
 		answers := make(chan contract.Response, 1)
-		look.Token = shell.Loop.Token(func(answer contract.Response) { answers <- answer })
-		defer shell.Loop.Forget(look.Token)
-		if !shell.Loop.Try(look) {
-			return nil, badCall{status: 503, text: "this node is overloaded", after: shell.Settings.Bounds.Round()}
+		query.Token = process.Loop.Token(func(answer contract.Response) { answers <- answer })
+		defer process.Loop.Forget(query.Token)
+		if !process.Loop.Try(query) {
+			return nil, requestError{status: 503, message: "this node is overloaded", retryAfter: process.Settings.Bounds.Round()}
 		}
 		select {
 		case answer := <-answers:
-			if pass, away := answer.Body.(data.HomeForward); away {
-				return &passage{shell: shell, pass: pass, method: http.MethodGet, path: "/v1/calls/" + url.PathEscape(look.Key),
-					headers: map[string]string{"Cedar-Caller": look.Caller}}, nil
+			if target, isForward := answer.Body.(data.HomeForward); isForward {
+				return &homeRequest{process: process, target: target, method: http.MethodGet, path: "/v1/calls/" + url.PathEscape(query.Key),
+					headers: map[string]string{"Cedar-Caller": query.Caller}}, nil
 			}
 			return answer, nil
 		case <-ctx.Done():
-			return nil, badCall{status: 503, text: "the asker left"}
+			return nil, requestError{status: 503, message: "the asker left"}
 		}
 	}
 }
 
+// encodeAnswer writes a JSON answer, or relays that of the call's home region.
 func encodeAnswer(ctx context.Context, writer http.ResponseWriter, response any) error {
-	if away, fine := response.(*passage); fine {
-		if status, _ := away.carry(ctx, writer, away.shell.Loop.Now()+away.pass.Timeout); status < 0 {
+	if forward, ok := response.(*homeRequest); ok {
+		if status, _ := forward.relayAnswer(ctx, writer, forward.process.Loop.Now()+forward.target.Timeout); status < 0 {
 			panic(http.ErrAbortHandler)
 		}
 		return nil
@@ -195,11 +205,12 @@
 	return json.NewEncoder(writer).Encode(answer.Body)
 }
 
-func encodeBad(_ context.Context, err error, writer http.ResponseWriter) {
-	bad := badCall{status: http.StatusBadRequest, text: err.Error()}
-	errors.As(err, &bad)
+// encodeError writes an error that kept a request from becoming a call.
+func encodeError(_ context.Context, err error, writer http.ResponseWriter) {
+	requestErr := requestError{status: http.StatusBadRequest, message: err.Error()}
+	errors.As(err, &requestErr)
 	writer.Header().Set("Content-Type", "application/json")
-	link.RetryAfter(writer, bad.after)
-	writer.WriteHeader(bad.status)
-	_ = json.NewEncoder(writer).Encode(contract.ErrorBody{Outcome: string(call.NotRun), Error: bad.text, RetryAfterMs: bad.after.Milliseconds()})
+	link.RetryAfter(writer, requestErr.retryAfter)
+	writer.WriteHeader(requestErr.status)
+	_ = json.NewEncoder(writer).Encode(contract.ErrorBody{Outcome: string(call.NotRun), Error: requestErr.message, RetryAfterMs: requestErr.retryAfter.Milliseconds()})
 }
--- a/serve/control.go
+++ b/serve/control.go
@@ -24,35 +24,39 @@
 )
 
 const (
-	readersAtOnce = 64
-	diskRing      = 16
+	// maxConcurrentReads bounds the requests to the platform and to model servers that run at the same time.
+	maxConcurrentReads = 64
+	// diskQueueLength bounds the writes to disk that wait; more block the event loop.
+	diskQueueLength = 16
 )
 
-type controlShell struct {
+// controlProcess runs the state machine of a control-plane node: it carries out its disk writes and its requests to the platform and to
+// model servers. adapter is nil if the platform speaks the built-in protocol.
+type controlProcess struct {
 	*Process
-	files   image.Files
-	disk    chan chain.Persist
-	readers chan struct{}
-	client  *http.Client
-	face    Face
+	files     image.Files
+	writes    chan chain.Persist
+	readSlots chan struct{}
+	client    *http.Client
+	adapter   Adapter
 }
 
-// Control runs a cedarcp until it is told to stop.
+// Control runs a control-plane node (cedarcp) until a signal stops it. faultsPath names a file of faults for tests, or is empty.
 func Control(settings env.Env, faultsPath string) error { return runControl(settings, faultsPath, nil) }
 
-// ControlWith runs a cedarcp that speaks in a face's manner too.
-func ControlWith(face Face) error {
-	settings, failure := face.Settings(contract.KindControl)
-	if failure != nil {
-		return failure
+// ControlWithAdapter runs a control-plane node that reaches its platform and its operators through an adapter.
+func ControlWithAdapter(adapter Adapter) error {
+	settings, err := adapter.Settings(contract.KindControl)
+	if err != nil {
+		return err
 	}
-	return runControl(settings, "", face)
+	return runControl(settings, "", adapter)
 }
 
-func runControl(settings env.Env, faultsPath string, face Face) error {
-	name := boot()
+func runControl(settings env.Env, faultsPath string, adapter Adapter) error {
+	bootID := newBootID()
 	var recovered *chain.Recovered
-	shell := &controlShell{face: face, disk: make(chan chain.Persist, diskRing), readers: make(chan struct{}, readersAtOnce)}
+	process := &controlProcess{adapter: adapter, writes: make(chan chain.Persist, diskQueueLength), readSlots: make(chan struct{}, maxConcurrentReads)}
 	if settings.Folder != "" {
 		folder, err := image.Open(settings.Folder)
 		if err != nil {
@@ -62,93 +66,97 @@
 		if err != nil {
 			return err
 		}
-		recovered, shell.files = &loaded, folder
+		recovered, process.files = &loaded, folder
 	}
-	owner := control.New(settings, name, recovered, source())
-	shell.Process = newProcess(settings, owner.Self(), owner, faultsPath)
+	owner := control.New(settings, bootID, recovered, newRandom())
+	process.Process = newProcess(settings, owner.Self(), owner, faultsPath)
 	if recovered != nil {
-		snapshot, damaged := image.LoadIndex(shell.files)
+		snapshot, damaged := image.LoadIndex(process.files)
 		owner.Restore(snapshot)
-		shell.Loop.Count("index_snapshots_damaged", int64(damaged))
-		shell.Loop.Count("index_places_restored", int64(len(snapshot.Places)))
-		shell.files = link.FaultyDisk(shell.files, shell.Faults)
+		process.Loop.Count("index_snapshots_damaged", int64(damaged))
+		process.Loop.Count("index_places_restored", int64(len(snapshot.Places)))
+		process.files = link.FaultyDisk(process.files, process.Faults)
 		for _, err := range recovered.Damaged {
-			_ = shell.Logger.Log("what", "image put aside", "error", err)
+			_ = process.Logger.Log("what", "damaged file set aside", "error", err)
 		}
 	}
-	shell.client = &http.Client{Timeout: settings.Bounds.PlatformPoll(), CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	shell.Loop.Act(shell.act)
-	go shell.write()
-	if face != nil {
-		shell.Reread = func() (env.Env, error) { return face.Settings(contract.KindControl) }
-		for _, order := range face.Orders() {
-			shell.Mux.HandleFunc(order.Pattern, shell.operate(order))
+	process.client = &http.Client{Timeout: settings.Bounds.PlatformPoll(), CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	process.Loop.Act(process.act)
+	go process.writeLoop()
+	if adapter != nil {
+		process.ReloadSettings = func() (env.Env, error) { return adapter.Settings(contract.KindControl) }
+		for _, endpoint := range adapter.OperatorEndpoints() {
+			process.Mux.HandleFunc(endpoint.Pattern, process.operatorHandler(endpoint))
 		}
 	}
-	return shell.run(settings.Control, func() {
-		shell.Loop.Post(control.Leave{})
-		settle(settings.Bounds.GossipInterval())
+	return process.run(settings.Control, func() {
+		process.Loop.Post(control.Leave{})
+		pause(settings.Bounds.GossipInterval())
 	})
 }
 
-func (shell *controlShell) act(command contract.Command) bool {
+// act carries out a command of the state machine. It reports whether it knows the command.
+func (process *controlProcess) act(command contract.Command) bool {
 	switch command := command.(type) {
 	case chain.Persist:
-		shell.disk <- command
+		process.writes <- command
 	case index.Persist:
-		go shell.writeIndex(command)
+		go process.writeIndex(command)
 	case shard.ReadPlatform:
-		shell.read(func() { shell.readPlatform(command) }, shard.ListingResult{Error: "too many reads at once"})
+		process.startRead(func() { process.readPlatform(command) }, shard.ListingResult{Error: "too many reads at once"})
 	case shard.ReadReport:
-		shell.read(func() { shell.readReport(command) }, shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Error: "too many reads at once"}})
+		process.startRead(func() { process.readReport(command) }, shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Error: "too many reads at once"}})
 	case shard.Order:
-		shell.read(func() { shell.order(command) }, shard.OrderResult{Server: command.Server, Load: command.Load, Error: "too many reads at once"})
+		process.startRead(func() { process.sendOrder(command) }, shard.OrderResult{Server: command.Server, Load: command.Load, Error: "too many reads at once"})
 	case contract.Forward:
-		go shell.forward.Forward(command)
+		go process.operators.Forward(command)
 	default:
 		return false
 	}
 	return true
 }
 
-func (shell *controlShell) write() {
+// writeLoop writes versions to disk one after the other and reports the result of each.
+func (process *controlProcess) writeLoop() {
 	for {
 		select {
-		case <-shell.stop:
+		case <-process.stop:
 			return
-		case work := <-shell.disk:
+		case work := <-process.writes:
 			persisted := chain.Persisted{Token: work.Token}
-			if err := image.Save(shell.files, work); err != nil {
+			if err := image.Save(process.files, work); err != nil {
 				persisted.Error = err.Error()
 			}
-			shell.Loop.Post(persisted)
+			process.Loop.Post(persisted)
 		}
 	}
 }
 
-// writeIndex has a goroutine of its own, one at a time: a stalled disk leaves the index unsaved and nothing waits for it.
-func (shell *controlShell) writeIndex(work index.Persist) {
+// writeIndex saves a snapshot of the prompt index. It runs in its own goroutine, one at a time, so that a stalled disk delays nothing else.
+func (process *controlProcess) writeIndex(work index.Persist) {
 	persisted := index.Persisted{}
-	if failure := image.SaveIndex(shell.files, work.Snapshot); failure != nil {
-		persisted.Error = failure.Error()
+	if err := image.SaveIndex(process.files, work.Snapshot); err != nil {
+		persisted.Error = err.Error()
 	}
-	shell.Loop.Post(persisted)
+	process.Loop.Post(persisted)
 }
 
-func (shell *controlShell) read(work func(), full contract.Event) {
+// startRead runs work in a goroutine, or posts the event rejected if too many are running.
+func (process *controlProcess) startRead(work func(), rejected contract.Event) {
 	select {
-	case shell.readers <- struct{}{}:
+	case process.readSlots <- struct{}{}:
 		go func() {
-			defer func() { <-shell.readers }()
+			defer func() { <-process.readSlots }()
 			work()
 		}()
 	default:
-		shell.Loop.Try(full)
+		process.Loop.Try(rejected)
 	}
 }
 
-func (shell *controlShell) get(address string) ([]byte, error) {
-	bound := shell.Settings.Bounds.ReportBytes
+// get fetches a URL and returns the body of a 200 response within the size limit.
+func (process *controlProcess) get(address string) ([]byte, error) {
+	limit := process.Settings.Bounds.ReportBytes
 	encode := func(context.Context, any) (*http.Request, error) {
 		return http.NewRequest(http.MethodGet, address, nil)
 	}
@@ -156,64 +164,67 @@
 		if response.StatusCode != http.StatusOK {
 			return nil, eris.Errorf("answered %d", response.StatusCode)
 		}
-		content, err := io.ReadAll(io.LimitReader(response.Body, bound+1))
-		if err == nil && int64(len(content)) > bound {
-			err = eris.Errorf("larger than %d bytes", bound)
+		content, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
+		if err == nil && int64(len(content)) > limit {
+			err = eris.Errorf("larger than %d bytes", limit)
 		}
 		return content, err
 	}
-	content, err := kithttp.NewExplicitClient(encode, decode, kithttp.SetClient(shell.client)).Endpoint()(context.Background(), nil)
+	content, err := kithttp.NewExplicitClient(encode, decode, kithttp.SetClient(process.client)).Endpoint()(context.Background(), nil)
 	if err != nil {
 		return nil, err
 	}
 	return content.([]byte), nil
 }
 
-func (shell *controlShell) readPlatform(command shard.ReadPlatform) {
-	read := shard.ListingResult{Began: shell.Loop.Now()}
+// readPlatform reads the platform's list of servers.
+func (process *controlProcess) readPlatform(command shard.ReadPlatform) {
+	result := shard.ListingResult{Began: process.Loop.Now()}
 	var content []byte
 	var err error
-	if shell.face != nil {
-		read.Listing, err = shell.face.Listing(shell.Settings, shell.get)
-	} else if content, err = shell.get(shell.Settings.Platform + "/servers?region=" + url.QueryEscape(command.Region)); err == nil {
-		read.Listing, err = listing.ReadListing(content, command.Region)
+	if process.adapter != nil {
+		result.Listing, err = process.adapter.Listing(process.Settings, process.get)
+	} else if content, err = process.get(process.Settings.Platform + "/servers?region=" + url.QueryEscape(command.Region)); err == nil {
+		result.Listing, err = listing.ReadListing(content, command.Region)
 	}
 	if err != nil {
-		read.Error = err.Error()
+		result.Error = err.Error()
 	}
-	shell.Loop.Post(read)
+	process.Loop.Post(result)
 }
 
-func (shell *controlShell) readReport(command shard.ReadReport) {
-	read := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: shell.Loop.Now()}}
-	content, err := shell.get("http://" + command.Address + "/report")
+// readReport reads the load report of one model server.
+func (process *controlProcess) readReport(command shard.ReadReport) {
+	result := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: process.Loop.Now()}}
+	content, err := process.get("http://" + command.Address + "/report")
 	switch {
-	case err == nil && shell.face != nil:
-		read.Report, err = shell.face.Report(content, command.Server)
+	case err == nil && process.adapter != nil:
+		result.Report, err = process.adapter.Report(content, command.Server)
 	case err == nil:
-		read.Report, err = listing.ReadReport(content, command.Server)
+		result.Report, err = listing.ReadReport(content, command.Server)
 	}
 	if err != nil {
-		read.Error = err.Error()
+		result.Error = err.Error()
 	}
-	shell.Loop.Post(read)
+	process.Loop.Post(result)
 }
 
-func (shell *controlShell) order(command shard.Order) {
-	ordered := shard.OrderResult{Server: command.Server, Load: command.Load}
-	if shell.face != nil {
-		shell.Loop.Post(ordered)
+// sendOrder tells the platform to load or unload a model server. With an adapter there is nothing to tell.
+func (process *controlProcess) sendOrder(command shard.Order) {
+	result := shard.OrderResult{Server: command.Server, Load: command.Load}
+	if process.adapter != nil {
+		process.Loop.Post(result)
 		return
 	}
 	verb := "unload"
 	if command.Load {
 		verb = "load"
 	}
-	body, err := json.Marshal(map[string]any{"region": shell.Settings.Region, "shard": command.Shard, "epoch": command.Epoch})
+	body, err := json.Marshal(map[string]any{"region": process.Settings.Region, "shard": command.Shard, "epoch": command.Epoch})
 	if err == nil {
-		address := fmt.Sprintf("%s/servers/%s/%s", shell.Settings.Platform, url.PathEscape(command.Server), verb)
+		address := fmt.Sprintf("%s/servers/%s/%s", process.Settings.Platform, url.PathEscape(command.Server), verb)
 		var response *http.Response
-		response, err = shell.client.Post(address, "application/json", io.NopCloser(bytes.NewReader(body)))
+		response, err = process.client.Post(address, "application/json", io.NopCloser(bytes.NewReader(body)))
 		if err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode != http.StatusOK {
@@ -222,7 +233,7 @@
 		}
 	}
 	if err != nil {
-		ordered.Error = err.Error()
+		result.Error = err.Error()
 	}
-	shell.Loop.Post(ordered)
+	process.Loop.Post(result)
 }
--- a/serve/data.go
+++ b/serve/data.go
@@ -12,72 +12,79 @@
 	kithttp "github.com/go-kit/kit/transport/http"
 )
 
+// attemptKey identifies one attempt of a call of this node.
 type attemptKey struct {
 	token   int64
 	attempt int
 }
 
-type dataShell struct {
+// dataProcess runs the state machine of a data-plane node with the built-in protocol: it serves callers and sends calls to model
+// servers. bufferedBytes is the size of all reply chunks that wait for slow callers. recallClient has a short timeout.
+type dataProcess struct {
 	*Process
-	lock     sync.Mutex
-	sessions map[int64]*session
-	cancels  map[attemptKey]context.CancelFunc
-	held     atomic.Int64
-	client   *http.Client
-	asks     *http.Client
+	lock          sync.Mutex
+	sessions      map[int64]*session
+	cancels       map[attemptKey]context.CancelFunc
+	bufferedBytes atomic.Int64
+	client        *http.Client
+	recallClient  *http.Client
 }
 
-// heldReplies is how many largest replies may wait for slow readers at once.
-const heldReplies = 32
+// maxBufferedReplies is how many replies of the largest allowed size may wait for slow callers together.
+const maxBufferedReplies = 32
 
-// Data runs a cedardp until it is told to stop.
+// Data runs a data-plane node (cedardp) with the built-in protocol until a signal stops it. faultsPath names a file of faults for tests,
+// or is empty.
 func Data(settings env.Env, faultsPath string) error {
-	owner := data.New(settings, boot(), source())
-	shell := &dataShell{Process: newProcess(settings, owner.Self(), owner, faultsPath), sessions: map[int64]*session{}, cancels: map[attemptKey]context.CancelFunc{}}
+	owner := data.New(settings, newBootID(), newRandom())
+	process := &dataProcess{Process: newProcess(settings, owner.Self(), owner, faultsPath), sessions: map[int64]*session{}, cancels: map[attemptKey]context.CancelFunc{}}
 	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	shell.client = &http.Client{Transport: shell.transport(), CheckRedirect: noRedirects}
-	shell.asks = &http.Client{Timeout: settings.Bounds.Round(), CheckRedirect: noRedirects}
-	shell.Loop.Act(shell.act)
-	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(encodeBad)}
-	shell.Mux.Handle("POST /v1/chat/completions", kithttp.NewServer(shell.serve(), shell.decodeCall, encodeCall, options...))
-	shell.Mux.Handle("GET /v1/lookups/{route}/{key}", kithttp.NewServer(shell.serve(), shell.decodeLookup, encodeCall, options...))
-	shell.Mux.Handle("GET /v1/calls/{key}", kithttp.NewServer(shell.look(), decodeLook, encodeAnswer, options...))
-	return shell.run(settings.Data, func() { shell.Loop.Post(data.Shutdown{}) })
+	process.client = &http.Client{Transport: process.transport(), CheckRedirect: noRedirects}
+	process.recallClient = &http.Client{Timeout: settings.Bounds.Round(), CheckRedirect: noRedirects}
+	process.Loop.Act(process.act)
+	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(encodeError)}
+	process.Mux.Handle("POST /v1/chat/completions", kithttp.NewServer(process.serveCall(), process.decodeCall, encodeCall, options...))
+	process.Mux.Handle("GET /v1/lookups/{route}/{key}", kithttp.NewServer(process.serveCall(), process.decodeLookup, encodeCall, options...))
+	process.Mux.Handle("GET /v1/calls/{key}", kithttp.NewServer(process.query(), decodeOutcomeQuery, encodeAnswer, options...))
+	return process.run(settings.Data, func() { process.Loop.Post(data.Shutdown{}) })
 }
 
-func (shell *dataShell) act(command contract.Command) bool {
+// act carries out a command of the state machine. It reports whether it knows the command.
+func (process *dataProcess) act(command contract.Command) bool {
 	switch command := command.(type) {
 	case data.Dispatch:
-		shell.dispatch(command)
+		process.dispatch(command)
 	case data.CancelAttempt:
-		shell.cancel(attemptKey{command.Token, command.Attempt})
+		process.cancel(attemptKey{command.Token, command.Attempt})
 	case data.RecallAttempt:
-		go shell.recall(command)
+		go process.recall(command)
 	case contract.Forward:
-		go shell.forward.Forward(command)
+		go process.operators.Forward(command)
 	default:
 		return false
 	}
 	return true
 }
 
-func (shell *dataShell) session(token int64) *session {
-	shell.lock.Lock()
-	defer shell.lock.Unlock()
-	return shell.sessions[token]
+// session returns the caller's session with this token, or nil if it has ended.
+func (process *dataProcess) session(token int64) *session {
+	process.lock.Lock()
+	defer process.lock.Unlock()
+	return process.sessions[token]
 }
 
-func (shell *dataShell) keep(key attemptKey, cancel context.CancelFunc) {
-	shell.lock.Lock()
-	defer shell.lock.Unlock()
-	shell.cancels[key] = cancel
+func (process *dataProcess) registerCancel(key attemptKey, cancel context.CancelFunc) {
+	process.lock.Lock()
+	defer process.lock.Unlock()
+	process.cancels[key] = cancel
 }
 
-func (shell *dataShell) cancel(key attemptKey) {
-	shell.lock.Lock()
-	cancel := shell.cancels[key]
-	delete(shell.cancels, key)
-	shell.lock.Unlock()
+// cancel aborts an attempt, if it still runs, and forgets it.
+func (process *dataProcess) cancel(key attemptKey) {
+	process.lock.Lock()
+	cancel := process.cancels[key]
+	delete(process.cancels, key)
+	process.lock.Unlock()
 	if cancel != nil {
 		cancel()
 	}
--- a/serve/dispatch.go
+++ b/serve/dispatch.go
@@ -18,83 +18,87 @@
 	"github.com/rotisserie/eris"
 )
 
-func nowPlus(span time.Duration) time.Time { return time.Now().Add(span) }
+// deadlineIn returns the wall-clock time a duration from now, for deadlines of connections.
+func deadlineIn(duration time.Duration) time.Time { return time.Now().Add(duration) }
 
-type sendingKey struct{}
+// guardKey is the context key of an attempt's guard.
+type guardKey struct{}
 
-// sending is one attempt's lease to send, and whether a byte of it may have left.
-type sending struct {
-	shell *dataShell
-	until time.Duration
-	sent  atomic.Bool
+// guard allows an attempt to send its first byte only until sendBefore, when the lease expires, and notes whether a byte may have left.
+type guard struct {
+	process    *dataProcess
+	sendBefore time.Duration
+	sent       atomic.Bool
 }
 
-func (sending *sending) lapsed() bool { return sending.shell.Loop.Now() >= sending.until }
+func (guard *guard) expired() bool { return guard.process.Loop.Now() >= guard.sendBefore }
 
-// leasedLink is a link whose first byte leaves only under the lease.
-type leasedLink struct {
+// leasedConn is a connection whose first write fails once its guard has expired.
+type leasedConn struct {
 	net.Conn
-	*sending
+	*guard
 }
 
-func (link leasedLink) Write(content []byte) (int, error) {
-	if !link.sent.Load() && link.lapsed() {
+func (leased leasedConn) Write(content []byte) (int, error) {
+	if !leased.sent.Load() && leased.expired() {
 		return 0, eris.New("the lease lapsed before a byte was sent")
 	}
-	link.sent.Store(true)
-	return link.Conn.Write(content)
+	leased.sent.Store(true)
+	return leased.Conn.Write(content)
 }
 
-// transport makes a new link for each call, gives up soon on one that cannot be made, and closes one that was made too late:
-// a process that froze between the pick and the first byte sends nothing when it wakes.
-func (shell *dataShell) transport() *http.Transport {
-	dialer := net.Dialer{Timeout: shell.Settings.Bounds.Round()}
+// transport returns an HTTP transport that dials a new connection for each call, with a short timeout, and closes one that was
+// established after the lease expired. A process that was paused between the choice of a server and the first byte thus sends nothing
+// when it resumes.
+func (process *dataProcess) transport() *http.Transport {
+	dialer := net.Dialer{Timeout: process.Settings.Bounds.Round()}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		made, err := dialer.DialContext(ctx, network, address)
+		conn, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		sending, there := ctx.Value(sendingKey{}).(*sending)
-		if !there {
-			return made, nil
+		guard, exists := ctx.Value(guardKey{}).(*guard)
+		if !exists {
+			return conn, nil
 		}
-		if sending.lapsed() {
-			_ = made.Close()
+		if guard.expired() {
+			_ = conn.Close()
 			return nil, eris.New("the lease lapsed before the link was made")
 		}
-		return leasedLink{made, sending}, nil
+		return leasedConn{conn, guard}, nil
 	}
 	return &http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true}
 }
 
-// dispatch runs one attempt in its own goroutine; it ends with one Ended event.
-func (shell *dataShell) dispatch(command data.Dispatch) {
-	session := shell.session(command.Token)
+// dispatch runs one attempt in its own goroutine. It ends with exactly one data.AttemptEnded event.
+func (process *dataProcess) dispatch(command data.Dispatch) {
+	session := process.session(command.Token)
 	ctx, cancel := context.WithTimeout(context.Background(), command.Timeout)
 	key := attemptKey{command.Token, command.Attempt}
-	shell.keep(key, cancel)
+	process.registerCancel(key, cancel)
 	go func() {
-		defer shell.cancel(key)
+		defer process.cancel(key)
 		ended := data.AttemptEnded{Token: command.Token, Attempt: command.Attempt, Result: call.CallerLeft}
 		if session != nil {
-			ended = shell.attempt(ctx, session, command)
+			ended = process.runAttempt(ctx, session, command)
 		}
-		shell.Loop.Post(ended)
+		process.Loop.Post(ended)
 	}()
 }
 
-func (shell *dataShell) attempt(ctx context.Context, session *session, command data.Dispatch) data.AttemptEnded {
+// runAttempt sends the call to the server and reads the reply.
+func (process *dataProcess) runAttempt(ctx context.Context, session *session, command data.Dispatch) data.AttemptEnded {
 	ended := data.AttemptEnded{Token: command.Token, Attempt: command.Attempt, Result: call.NotSent}
-	sending := &sending{shell: shell, until: command.SendBefore}
-	request, err := session.request(context.WithValue(ctx, sendingKey{}, sending), command)
+	guard := &guard{process: process, sendBefore: command.SendBefore}
+	request, err := session.request(context.WithValue(ctx, guardKey{}, guard), command)
 	if err != nil {
 		ended.Error = err.Error()
 		return ended
 	}
-	response, err := shell.client.Do(request)
+	response, err := process.client.Do(request)
 	if err != nil {
 		ended.Error = err.Error()
-		if sending.sent.Load() {
+		if guard.sent.Load() {
 			ended.Result = call.NoReply
 		}
 		return ended
@@ -106,63 +110,65 @@
 		ended.Result, ended.Error = call.Refused, "the server refused the call"
 	case response.StatusCode != http.StatusOK:
 		ended.Error = "the server answered " + response.Status
-	case session.caller.stream:
-		shell.relay(ctx, session, response, command, &ended)
+	case session.callRequest.stream:
+		process.relayStream(ctx, session, response, command, &ended)
 	default:
-		shell.whole(session, response, command, &ended)
+		process.readReply(session, response, command, &ended)
 	}
 	return ended
 }
 
-// request is never replayable: no GetBody, a new link for each call, and the caller's key is not passed on.
+// request builds the request to the server. net/http must never replay it, so its body has no GetBody. The caller's idempotency key is
+// not passed on.
 func (session *session) request(ctx context.Context, command data.Dispatch) (*http.Request, error) {
-	address := "http://" + command.Server.Address + session.caller.path
+	address := "http://" + command.Server.Address + session.callRequest.path
 	method, body := http.MethodGet, io.Reader(nil)
-	if !session.caller.call.IsLookup {
-		method, body = http.MethodPost, io.NopCloser(bytes.NewReader(session.caller.body))
+	if !session.callRequest.call.IsLookup {
+		method, body = http.MethodPost, io.NopCloser(bytes.NewReader(session.callRequest.body))
 	}
 	request, err := http.NewRequestWithContext(ctx, method, address, body)
 	if err != nil {
 		return nil, eris.Wrap(err, "no request for the server")
 	}
-	if !session.caller.call.IsLookup {
-		request.ContentLength = int64(len(session.caller.body))
+	if !session.callRequest.call.IsLookup {
+		request.ContentLength = int64(len(session.callRequest.body))
 		request.Header.Set("Content-Type", "application/json")
 	}
 	request.Header.Set("Cedar-Call", command.AttemptID)
 	request.Header.Set("Cedar-Incarnation", command.Server.Incarnation)
-	request.Header.Set("Cedar-Prefix", session.caller.call.Prefix)
+	request.Header.Set("Cedar-Prefix", session.callRequest.call.Prefix)
 	return request, nil
 }
 
-func (shell *dataShell) relay(ctx context.Context, session *session, response *http.Response, command data.Dispatch, ended *data.AttemptEnded) {
+// relayStream passes a streamed reply to the caller, chunk by chunk, and sets the attempt's result.
+func (process *dataProcess) relayStream(ctx context.Context, session *session, response *http.Response, command data.Dispatch, ended *data.AttemptEnded) {
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		ended.Error = "the server did not stream"
 		return
 	}
-	relay := stream.NewParser(command.AttemptID, shell.Settings.Bounds.ReplyBytes)
+	parser := stream.NewParser(command.AttemptID, process.Settings.Bounds.ReplyBytes)
 	buffer := make([]byte, 16<<10)
-	for !relay.Finished() && relay.Err() == nil {
+	for !parser.Finished() && parser.Err() == nil {
 		count, err := response.Body.Read(buffer)
-		for _, piece := range relay.Feed(buffer[:count]) {
+		for _, piece := range parser.Feed(buffer[:count]) {
 			if len(ended.Chunks) == 0 {
-				shell.Loop.Post(data.FirstChunk{Token: command.Token, Attempt: command.Attempt})
+				process.Loop.Post(data.FirstChunk{Token: command.Token, Attempt: command.Attempt})
 			}
 			ended.Chunks = append(ended.Chunks, piece)
-			if !session.box.put(item{piece: piece}) {
+			if !session.pending.put(replyItem{piece: piece}) {
 				ended.Error = "the caller reads too slowly, and too much waits for callers"
-				shell.Loop.Count("readers_cut", 1)
+				process.Loop.Count("readers_cut", 1)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			ended.Error = "cut at its deadline"
-		case <-session.gone:
+		case <-session.callerGone:
 			ended.Result = call.CallerLeft
 			return
 		default:
 		}
-		if err != nil && !relay.Finished() {
+		if err != nil && !parser.Finished() {
 			if !errors.Is(err, io.EOF) {
 				ended.Error = err.Error()
 			} else {
@@ -174,27 +180,28 @@
 			break
 		}
 	}
-	if relay.Finished() && ended.Error == "" {
+	if parser.Finished() && ended.Error == "" {
 		ended.Result = call.CompleteReply
 		return
 	}
-	if relay.Err() != nil {
-		ended.Error = relay.Err().Error()
+	if parser.Err() != nil {
+		ended.Error = parser.Err().Error()
 	}
 	if len(ended.Chunks) > 0 {
 		ended.Result = call.BrokenReply
-		session.box.put(item{broken: ended.Error})
+		session.pending.put(replyItem{errorText: ended.Error})
 	}
 }
 
-func (shell *dataShell) whole(session *session, response *http.Response, command data.Dispatch, ended *data.AttemptEnded) {
-	bound := shell.Settings.Bounds.ReplyBytes
+// readReply reads a reply that is not streamed and sets the attempt's result.
+func (process *dataProcess) readReply(session *session, response *http.Response, command data.Dispatch, ended *data.AttemptEnded) {
+	bound := process.Settings.Bounds.ReplyBytes
 	content, err := io.ReadAll(io.LimitReader(response.Body, bound+1))
 	if err == nil && int64(len(content)) > bound {
 		err = eris.New("the reply is larger than its bound")
 	}
-	if err == nil && session.caller.call.IsLookup {
-		err = wholeLookup(content, command.AttemptID, session.caller.call.Key)
+	if err == nil && session.callRequest.call.IsLookup {
+		err = checkLookupReply(content, command.AttemptID, session.callRequest.call.Key)
 		ended.Chunks = []string{string(content)}
 	} else if err == nil {
 		ended.Chunks, err = stream.CompleteReply(content, command.AttemptID)
@@ -206,26 +213,27 @@
 	ended.Result = call.CompleteReply
 }
 
-func wholeLookup(content []byte, identity, key string) error {
-	var read struct {
+// checkLookupReply returns an error unless the content is the complete reply to this lookup attempt.
+func checkLookupReply(content []byte, identity, key string) error {
+	var reply struct {
 		ID    string           `json:"id"`
 		Key   string           `json:"key"`
 		Value *json.RawMessage `json:"value"`
 	}
-	if err := json.Unmarshal(content, &read); err != nil {
+	if err := json.Unmarshal(content, &reply); err != nil {
 		return eris.Wrap(err, "reply is not JSON")
 	}
-	if read.ID != identity || read.Key != key || read.Value == nil {
+	if reply.ID != identity || reply.Key != key || reply.Value == nil {
 		return eris.New("reply is of another lookup")
 	}
 	return nil
 }
 
-// recall asks a server to give back a call that it never started; only its clear yes counts.
-func (shell *dataShell) recall(command data.RecallAttempt) {
+// recall asks a server to give back a call that it has not started. Anything but an explicit confirmation counts as a no.
+func (process *dataProcess) recall(command data.RecallAttempt) {
 	recalled := data.RecallAnswered{Token: command.Token, Attempt: command.Attempt}
 	address := "http://" + command.Server.Address + "/calls/" + command.AttemptID + "/recall"
-	response, err := shell.asks.Post(address, "application/json", nil)
+	response, err := process.recallClient.Post(address, "application/json", nil)
 	if err == nil {
 		var answer struct {
 			Call         string `json:"call"`
@@ -235,5 +243,5 @@
 		_ = response.Body.Close()
 		recalled.Confirmed = err == nil && response.StatusCode == http.StatusOK && answer.Call == command.AttemptID && answer.NeverStarted
 	}
-	shell.Loop.Post(recalled)
+	process.Loop.Post(recalled)
 }
--- a/serve/exchange.go
+++ b/serve/exchange.go
@@ -17,114 +17,117 @@
 	"github.com/cedarreel/cedarreel/upstream"
 )
 
-// exchange carries one call to servers, one after the other, and the answer back.
-type exchange struct {
-	shell    *gatewayShell
-	writer   http.ResponseWriter
-	request  *http.Request
-	body     []byte
-	identity string
-	after    string
-	begun    bool
-	status   int
-	header   http.Header
-	reply    []byte
+// proxyCall is an opaque call that a gateway proxies to one server after the other until one answers. started is set once a part of a
+// streamed answer went to the caller; lastEventID is the ID of the last event that the caller has. The reply fields hold a complete answer.
+type proxyCall struct {
+	process     *gatewayProcess
+	writer      http.ResponseWriter
+	request     *http.Request
+	body        []byte
+	attemptID   string
+	lastEventID string
+	started     bool
+	replyStatus int
+	replyHeader http.Header
+	replyBody   []byte
 }
 
-// run sends the call to one server and gives what comes next, as the owner of the calls decides.
-func (one *exchange) run(dispatch gateway.Dispatch) contract.Command {
-	ctx, shell := one.request.Context(), one.shell
-	ended := gateway.Ended{Token: dispatch.Token, Attempt: dispatch.Attempt}
-	var watch *watch
-	end := func(outcome gateway.Outcome, reason string) contract.Command {
-		if command := watch.decided(); command != nil {
+// attempt sends the call to one server and returns the state machine's next command for the call.
+func (call *proxyCall) attempt(dispatch gateway.Dispatch) contract.Command {
+	ctx, process := call.request.Context(), call.process
+	serveErr := gateway.Ended{Token: dispatch.Token, Attempt: dispatch.Attempt}
+	var watchdog *watchdog
+	finish := func(outcome gateway.Outcome, reason string) contract.Command {
+		if command := watchdog.decision(); command != nil {
 			return command
 		}
-		ended.Outcome, ended.Begun, ended.Reason = outcome, one.begun, reason
+		serveErr.Outcome, serveErr.Begun, serveErr.Reason = outcome, call.started, reason
 		if ctx.Err() != nil && outcome != gateway.Whole {
-			ended.Outcome = gateway.Left
+			serveErr.Outcome = gateway.Left
 		}
-		return shell.decide(ended)
+		return process.decide(serveErr)
 	}
-	limit := time.Now().Add(dispatch.Left)
-	conn, failure := shell.dial(ctx, dispatch)
-	if failure != nil {
-		return end(gateway.Unsent, "no connection")
+	deadline := time.Now().Add(dispatch.Left)
+	conn, err := process.dial(ctx, dispatch)
+	if err != nil {
+		return finish(gateway.Unsent, "no connection")
 	}
-	watch = newWatch(one, conn, dispatch, limit)
-	defer watch.stop()
-	lost := func(failure error, reason string) contract.Command {
+	watchdog = newWatchdog(call, conn, dispatch, deadline)
+	defer watchdog.stop()
+	lost := func(err error, reason string) contract.Command {
 		_ = conn.Close()
-		if !time.Now().Before(limit) {
-			return end(gateway.Late, reason)
+		if !time.Now().Before(deadline) {
+			return finish(gateway.Late, reason)
 		}
-		return end(gateway.Broken, reason+": "+failure.Error())
+		return finish(gateway.Broken, reason+": "+err.Error())
 	}
-	written, failure := conn.Write(one.message(dispatch))
-	if failure != nil && written == 0 {
+	written, err := conn.Write(call.requestBytes(dispatch))
+	if err != nil && written == 0 {
 		_ = conn.Close()
-		return end(gateway.Unsent, "nothing could be written")
+		return finish(gateway.Unsent, "nothing could be written")
 	}
-	if failure != nil {
-		return lost(failure, "not written")
+	if err != nil {
+		return lost(err, "not written")
 	}
-	response, failure := http.ReadResponse(conn.Reader, one.request)
-	if failure != nil {
-		return lost(failure, "no answer")
+	response, err := http.ReadResponse(conn.Reader, call.request)
+	if err != nil {
+		return lost(err, "no answer")
 	}
-	head := shell.face.Head(response)
-	ended.Load = head.Load
-	if head.Identity != "" && head.Identity != one.identity {
+	head := process.adapter.Head(response)
+	serveErr.Load = head.Load
+	if head.AttemptID != "" && head.AttemptID != call.attemptID {
 		return lost(errors.New("another identity"), "the answer is another call's")
 	}
-	watch.touch()
+	watchdog.noteActivity()
 	if head.Moved || head.NotRun {
-		_, failure = io.Copy(io.Discard, io.LimitReader(response.Body, 1<<16))
-		one.keep(conn, response, failure, dispatch)
+		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, 1<<16))
+		call.returnConn(conn, response, err, dispatch)
 		if head.Moved {
-			return end(gateway.Moved, "another server has the address")
+			return finish(gateway.Moved, "another server has the address")
 		}
-		return end(gateway.NotRun, "the server did not run it")
+		return finish(gateway.NotRun, "the server did not run it")
 	}
 	if response.StatusCode < 200 {
 		return lost(errors.New(response.Status), "not a final answer")
 	}
-	fine := response.StatusCode/100 == 2
-	if fine && (!head.Sealed || head.Identity == "") {
+	success := response.StatusCode/100 == 2
+	if success && (!head.Sealed || head.AttemptID == "") {
 		return lost(errors.New("no mark"), "not a server's answer")
 	}
-	if fine && response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+	if success && response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return lost(errors.New("no length"), "nothing tells where the answer ends")
 	}
-	shell.handle(gateway.Head{Token: dispatch.Token, Attempt: dispatch.Attempt, Load: head.Load})
-	ended.Failed = response.StatusCode >= 500
-	if fine && dispatch.Stream {
-		failure = one.relay(response, dispatch, watch)
-	} else if one.begun {
+	process.handle(gateway.Head{Token: dispatch.Token, Attempt: dispatch.Attempt, Load: head.Load})
+	serveErr.Failed = response.StatusCode >= 500
+	if success && dispatch.Stream {
+		err = call.relayEvents(response, dispatch, watchdog)
+	} else if call.started {
 		return lost(errors.New(response.Status), "no going on")
 	} else {
-		one.reply, failure = io.ReadAll(http.MaxBytesReader(nil, response.Body, mostReplyBytes))
-		one.status, one.header = response.StatusCode, response.Header
+		call.replyBody, err = io.ReadAll(http.MaxBytesReader(nil, response.Body, maxReplyBytes))
+		call.replyStatus, call.replyHeader = response.StatusCode, response.Header
 	}
-	if failure != nil {
-		return lost(failure, "the answer broke off")
+	if err != nil {
+		return lost(err, "the answer broke off")
 	}
-	one.keep(conn, response, nil, dispatch)
-	return end(gateway.Whole, "")
+	call.returnConn(conn, response, nil, dispatch)
+	return finish(gateway.Whole, "")
 }
 
-func (one *exchange) keep(conn *upstream.Conn, response *http.Response, failure error, dispatch gateway.Dispatch) {
-	if failure != nil || response.Close {
+// returnConn gives a connection back to the pool, or closes it if it can't be used again.
+func (call *proxyCall) returnConn(conn *upstream.Conn, response *http.Response, err error, dispatch gateway.Dispatch) {
+	if err != nil || response.Close {
 		_ = conn.Close()
 		return
 	}
-	one.shell.pool.Put(dispatch.Server.Address, conn, keepAlive(response.Header))
+	call.process.pool.Put(dispatch.Server.Address, conn, keepAliveTimeout(response.Header))
 }
 
-func keepAlive(header http.Header) time.Duration {
+// keepAliveTimeout returns how long the server announced that it keeps an idle connection open, or 0.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		if name, value, found := strings.Cut(strings.TrimSpace(part), "="); found && strings.EqualFold(name, "timeout") {
-			if seconds, failure := strconv.Atoi(strings.TrimSpace(value)); failure == nil && seconds > 0 {
+			if seconds, err := strconv.Atoi(strings.TrimSpace(value)); err == nil && seconds > 0 {
 				return time.Duration(seconds) * time.Second
 			}
 		}
@@ -132,44 +135,47 @@
 	return 0
 }
 
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-func endToEnd(header http.Header) http.Header {
-	kept := header.Clone()
+// endToEndHeaders returns a copy without hop-by-hop headers and without those that the Connection header names.
+func endToEndHeaders(header http.Header) http.Header {
+	filtered := header.Clone()
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
-			kept.Del(textproto.TrimString(name))
+			filtered.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
-		kept.Del(name)
+	for _, name := range hopByHopHeaders {
+		filtered.Del(name)
 	}
-	return kept
+	return filtered
 }
 
-// message is the call as it goes to a server: method, path and body as they came.
-func (one *exchange) message(dispatch gateway.Dispatch) []byte {
-	header := endToEnd(one.request.Header)
+// requestBytes returns the call as it is sent to a server, with method, path and body as they came from the caller.
+func (call *proxyCall) requestBytes(dispatch gateway.Dispatch) []byte {
+	header := endToEndHeaders(call.request.Header)
 	header.Del("Content-Length")
 	header.Del("Expect")
-	one.shell.face.Send(header, dispatch, one.after)
-	buffer := bytes.NewBuffer(make([]byte, 0, len(one.body)+1024))
-	buffer.WriteString(one.request.Method + " " + one.request.RequestURI + " HTTP/1.1\r\nHost: " + one.request.Host + "\r\n")
+	call.process.adapter.SetServerHeaders(header, dispatch, call.lastEventID)
+	buffer := bytes.NewBuffer(make([]byte, 0, len(call.body)+1024))
+	buffer.WriteString(call.request.Method + " " + call.request.RequestURI + " HTTP/1.1\r\nHost: " + call.request.Host + "\r\n")
 	_ = header.Write(buffer)
-	if len(one.body) > 0 || one.request.ContentLength != 0 || one.request.Method == http.MethodPost || one.request.Method == http.MethodPut {
-		buffer.WriteString("Content-Length: " + strconv.Itoa(len(one.body)) + "\r\n")
+	if len(call.body) > 0 || call.request.ContentLength != 0 || call.request.Method == http.MethodPost || call.request.Method == http.MethodPut {
+		buffer.WriteString("Content-Length: " + strconv.Itoa(len(call.body)) + "\r\n")
 	}
 	buffer.WriteString("\r\n")
-	buffer.Write(one.body)
+	buffer.Write(call.body)
 	return buffer.Bytes()
 }
 
-func (one *exchange) answerHeader(from http.Header, length int) {
-	header := one.writer.Header()
-	for name, values := range endToEnd(from) {
+// setReplyHeader copies a server's headers to the caller's answer. A negative length means that the body is streamed.
+func (call *proxyCall) setReplyHeader(from http.Header, length int) {
+	header := call.writer.Header()
+	for name, values := range endToEndHeaders(from) {
 		header[name] = values
 	}
-	if _, there := from["Content-Type"]; !there {
+	if _, exists := from["Content-Type"]; !exists {
 		header["Content-Type"] = nil
 	}
 	header.Del("Content-Length")
@@ -178,94 +184,98 @@
 	}
 }
 
-// pass ends the call with the server's answer: a stream has gone already.
-func (one *exchange) pass() {
-	if one.begun {
+// sendReply ends the call with the server's complete answer; a streamed one has been sent already.
+func (call *proxyCall) sendReply() {
+	if call.started {
 		return
 	}
-	one.answerHeader(one.header, len(one.reply))
-	one.writer.WriteHeader(one.status)
-	_, _ = one.writer.Write(one.reply)
+	call.setReplyHeader(call.replyHeader, len(call.replyBody))
+	call.writer.WriteHeader(call.replyStatus)
+	_, _ = call.writer.Write(call.replyBody)
 }
 
-// fail ends a call that may have run: one that began must not look complete.
-func (one *exchange) fail(fail gateway.Fail) {
-	one.shell.Loop.Count("failed", 1)
-	if one.begun || one.request.Context().Err() != nil {
+// fail ends a call that may have run with an error. If its answer has started, the connection is aborted, so that it can't look complete.
+func (call *proxyCall) fail(fail gateway.Fail) {
+	call.process.Loop.Count("failed", 1)
+	if call.started || call.request.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
 	}
-	one.writer.WriteHeader(fail.Status)
+	call.writer.WriteHeader(fail.Status)
 }
 
-// watch ends an exchange when its time is over, its caller leaves, or the owner of the calls gives the server up for its silence.
-type watch struct {
-	one      *exchange
-	conn     *upstream.Conn
-	dispatch gateway.Dispatch
-	lock     sync.Mutex
-	timer    *time.Timer
-	touched  time.Time
-	patience time.Duration
-	command  contract.Command
-	over     bool
-	unhook   func() bool
+// watchdog interrupts an attempt when its deadline passes, its caller leaves, or the server is silent for timeout and the state machine
+// gives it up. command is what the state machine decided in that case.
+type watchdog struct {
+	call         *proxyCall
+	conn         *upstream.Conn
+	dispatch     gateway.Dispatch
+	lock         sync.Mutex
+	timer        *time.Timer
+	lastActivity time.Time
+	timeout      time.Duration
+	command      contract.Command
+	finished     bool
+	detach       func() bool
 }
 
-func newWatch(one *exchange, conn *upstream.Conn, dispatch gateway.Dispatch, limit time.Time) *watch {
-	made := &watch{one: one, conn: conn, dispatch: dispatch, touched: time.Now(), patience: dispatch.Patience}
+func newWatchdog(call *proxyCall, conn *upstream.Conn, dispatch gateway.Dispatch, limit time.Time) *watchdog {
+	created := &watchdog{call: call, conn: conn, dispatch: dispatch, lastActivity: time.Now(), timeout: dispatch.Patience}
 	_ = conn.SetDeadline(limit)
-	made.lock.Lock()
-	made.timer = time.AfterFunc(dispatch.Patience, made.fire)
-	made.lock.Unlock()
-	made.unhook = context.AfterFunc(one.request.Context(), made.cut)
-	return made
+	created.lock.Lock()
+	created.timer = time.AfterFunc(dispatch.Patience, created.expire)
+	created.lock.Unlock()
+	created.detach = context.AfterFunc(call.request.Context(), created.interrupt)
+	return created
 }
 
-func (watch *watch) cut() { _ = watch.conn.SetDeadline(time.Now().Add(-time.Second)) }
+// interrupt makes pending reads and writes of the connection fail.
+func (watchdog *watchdog) interrupt() { _ = watchdog.conn.SetDeadline(time.Now().Add(-time.Second)) }
 
-func (watch *watch) touch() {
-	watch.lock.Lock()
-	watch.touched = time.Now()
-	watch.lock.Unlock()
+// noteActivity restarts the silence timeout.
+func (watchdog *watchdog) noteActivity() {
+	watchdog.lock.Lock()
+	watchdog.lastActivity = time.Now()
+	watchdog.lock.Unlock()
 }
 
-func (watch *watch) fire() {
-	watch.lock.Lock()
-	defer watch.lock.Unlock()
-	if watch.over {
+// expire runs when the timer fires. If the server was silent all the time, the state machine says whether to wait longer.
+func (watchdog *watchdog) expire() {
+	watchdog.lock.Lock()
+	defer watchdog.lock.Unlock()
+	if watchdog.finished {
 		return
 	}
-	if rest := watch.patience - time.Since(watch.touched); rest > 0 {
-		watch.timer.Reset(rest)
+	if remaining := watchdog.timeout - time.Since(watchdog.lastActivity); remaining > 0 {
+		watchdog.timer.Reset(remaining)
 		return
 	}
-	command := watch.one.shell.decide(gateway.Silent{Token: watch.dispatch.Token, Attempt: watch.dispatch.Attempt})
-	if wait, fine := command.(gateway.Wait); fine {
-		if watch.patience = wait.Patience; wait.Patience > 0 {
-			watch.touched = time.Now()
-			watch.timer.Reset(wait.Patience)
+	command := watchdog.call.process.decide(gateway.Silent{Token: watchdog.dispatch.Token, Attempt: watchdog.dispatch.Attempt})
+	if wait, ok := command.(gateway.Wait); ok {
+		if watchdog.timeout = wait.Patience; wait.Patience > 0 {
+			watchdog.lastActivity = time.Now()
+			watchdog.timer.Reset(wait.Patience)
 		}
 		return
 	}
-	watch.command, watch.over = command, true
-	watch.cut()
+	watchdog.command, watchdog.finished = command, true
+	watchdog.interrupt()
 }
 
-// decided gives what the owner of the calls wanted instead of more waiting.
-func (watch *watch) decided() contract.Command {
-	if watch == nil {
+// decision ends the watch and returns the command that the state machine gave instead of more waiting, if it did.
+func (watchdog *watchdog) decision() contract.Command {
+	if watchdog == nil {
 		return nil
 	}
-	watch.lock.Lock()
-	defer watch.lock.Unlock()
-	watch.over = true
-	return watch.command
+	watchdog.lock.Lock()
+	defer watchdog.lock.Unlock()
+	watchdog.finished = true
+	return watchdog.command
 }
 
-func (watch *watch) stop() {
-	watch.unhook()
-	watch.lock.Lock()
-	watch.over = true
-	watch.lock.Unlock()
-	watch.timer.Stop()
+func (watchdog *watchdog) stop() {
+	watchdog.detach()
+	watchdog.lock.Lock()
+	watchdog.finished = true
+	watchdog.lock.Unlock()
+	watchdog.timer.Stop()
 }
--- a/serve/export_test.go
+++ b/serve/export_test.go
@@ -14,48 +14,48 @@
 	"github.com/go-kit/log"
 )
 
-// TestGateway is the shell that takes opaque calls, without its node.
-type TestGateway struct{ shell *gatewayShell }
-
-func NewTestGateway(settings env.Env, face Face) *TestGateway {
-	shell := &gatewayShell{Process: &Process{Settings: settings, Loop: link.NewLoop(deaf{}, time.Hour, nil, log.NewNopLogger())}, face: face,
-		traffic: gateway.NewTraffic(settings, source()), pool: upstream.NewPool(idlePerServer, time.Minute)}
-	shell.limits.Store(&manifest.Limits{})
-	return &TestGateway{shell}
+// TestGateway is a gateway process without its node.
+type TestGateway struct{ process *gatewayProcess }
+
+func NewTestGateway(settings env.Env, adapter Adapter) *TestGateway {
+	process := &gatewayProcess{Process: &Process{Settings: settings, Loop: link.NewLoop(idleMachine{}, time.Hour, nil, log.NewNopLogger())}, adapter: adapter,
+		traffic: gateway.NewTraffic(settings, newRandom()), pool: upstream.NewPool(maxIdlePerServer, time.Minute)}
+	process.limits.Store(&manifest.Limits{})
+	return &TestGateway{process}
 }
 
-func (test *TestGateway) Handler() http.Handler { return http.HandlerFunc(test.shell.serve) }
+func (test *TestGateway) Handler() http.Handler { return http.HandlerFunc(test.process.serveCall) }
 
-func (test *TestGateway) Learn(event contract.Event) { test.shell.act(gateway.Update{Event: event}) }
+func (test *TestGateway) Apply(event contract.Event) { test.process.act(gateway.Update{Event: event}) }
 
-// forwarding has every question for a place asked at one address.
-type forwarding struct{ address string }
+// placeForwarder is a node that forwards all queries of the prompt index to one address.
+type placeForwarder struct{ address string }
 
-func (owner forwarding) Handle(_ time.Duration, event contract.Event) []contract.Command {
-	asked, fine := event.(gateway.AskPlace)
-	if !fine {
+func (owner placeForwarder) Handle(_ time.Duration, event contract.Event) []contract.Command {
+	query, ok := event.(gateway.AskPlace)
+	if !ok {
 		return nil
 	}
-	body, failure := json.Marshal(asked.Ask)
-	if failure != nil {
-		panic(failure)
+	body, err := json.Marshal(query.Ask)
+	if err != nil {
+		panic(err)
 	}
-	return []contract.Command{contract.Forward{Request: contract.OperatorRequest{Token: asked.Token, Verb: contract.VerbPlace, Body: body}, Address: owner.address}}
+	return []contract.Command{contract.Forward{Request: contract.OperatorRequest{Token: query.Token, Verb: contract.VerbPlace, Body: body}, Address: owner.address}}
 }
 
-// AskAt has questions for places go to a control node on a real socket until stop is closed.
+// AskAt sends queries of the prompt index to a control node at an address until stop is closed.
 func (test *TestGateway) AskAt(address string, stop chan struct{}) {
-	shell := test.shell
-	shell.Loop = link.NewLoop(forwarding{address}, time.Hour, nil, log.NewNopLogger())
-	shell.Loop.Act(shell.act)
-	shell.forward = link.NewOperators(shell.Loop, 1<<20, 10*time.Second, link.NewFaults("", stop))
-	go shell.Loop.Run(stop)
+	process := test.process
+	process.Loop = link.NewLoop(placeForwarder{address}, time.Hour, nil, log.NewNopLogger())
+	process.Loop.Act(process.act)
+	process.operators = link.NewOperators(process.Loop, 1<<20, 10*time.Second, link.NewFaults("", stop))
+	go process.Loop.Run(stop)
 }
 
-func (test *TestGateway) Counts() map[string]int64 { return test.shell.Loop.Counts() }
+func (test *TestGateway) Counts() map[string]int64 { return test.process.Loop.Counts() }
 
-func (test *TestGateway) Running() int { return int(test.shell.running.Load()) }
+func (test *TestGateway) Running() int { return int(test.process.inFlight.Load()) }
 
-func (test *TestGateway) Idle() int { return test.shell.pool.Idle() }
+func (test *TestGateway) Idle() int { return test.process.pool.Idle() }
 
-const MostReplyBytes = mostReplyBytes
+const MaxReplyBytes = maxReplyBytes
--- a/serve/face.go
+++ b/serve/face.go
@@ -9,44 +9,49 @@
 	"github.com/cedarreel/cedarreel/gateway"
 )
 
-// Face is a manner of speaking with callers, servers and the list of servers: names, formats and calls, no decisions.
-type Face interface {
-	// Settings reads what a process is told, for one of the two programs.
+// Adapter translates between this system and the protocols of a hosting platform: its settings, its list of servers, and the headers and
+// formats of callers, model servers and operators. It makes no decisions.
+type Adapter interface {
+	// Settings reads the settings of a process. kind is contract.KindData or contract.KindControl.
 	Settings(kind string) (env.Env, error)
-	// Arrive reads what a caller tells of its call, its key too, but for token and size; Identity is the name of its try.
-	Arrive(request *http.Request) (arrive gateway.Arrive, identity string)
-	// Send names the server that is meant, the tenant in the place of the caller's key, the time that is left, and the last piece of a
-	// stream that the caller has.
-	Send(header http.Header, dispatch gateway.Dispatch, after string)
-	// Head reads what a server's answer tells of itself.
+	// CallArrived reads a caller's call from its headers, including its API key. Token, host, path and size are filled in by the caller of
+	// this method. identity is the ID that the caller gave this attempt.
+	CallArrived(request *http.Request) (arrive gateway.Arrive, identity string)
+	// SetServerHeaders sets the headers of a request to a server: the intended server, the tenant in place of the caller's API key, the
+	// time left, and the ID of the last event of a stream that the caller has.
+	SetServerHeaders(header http.Header, dispatch gateway.Dispatch, after string)
+	// Head reads the headers of a server's answer.
 	Head(response *http.Response) Head
-	// After writes when a refused caller is to come back.
+	// After sets the header that tells a refused caller when to retry.
 	After(header http.Header, after time.Duration)
-	// Listing reads the whole list of servers, page by page.
+	// Listing reads the complete list of servers, page by page, with get.
 	Listing(settings env.Env, get func(address string) ([]byte, error)) (contract.Listing, error)
-	// Report reads one server's report.
+	// Report parses a server's load report.
 	Report(content []byte, server string) (contract.LoadReport, error)
-	// Lookup reads where a caller is, and Addresses writes where it should go.
+	// Lookup parses a caller's question for nodes to call, and Addresses formats the answer, which is valid for life.
 	Lookup(request *http.Request) gateway.Lookup
 	Addresses(found gateway.Addresses, life time.Duration) any
-	// Paths gives where readiness checks and look-ups come in.
+	// Paths returns the URL paths of the readiness check and of lookups.
 	Paths() (ready, lookup string)
-	// Orders gives the operators' calls: what each of them asks, and how the answer to it reads.
-	Orders() []Order
+	// OperatorEndpoints returns the HTTP endpoints for operators.
+	OperatorEndpoints() []OperatorEndpoint
 }
 
-// Head is what the head of a server's answer says. Whole tells that it bears the mark of a server's own answer.
+// Head is what the headers of a server's answer say. AttemptID names the attempt that it answers. Sealed means that the model server
+// itself sent the answer, NotRun that it did not run the call, and Moved that another server has the address now. Load is nil if the
+// answer does not report it.
 type Head struct {
-	Identity string
-	Sealed   bool
-	NotRun   bool
-	Moved    bool
-	Load     *gateway.Load
+	AttemptID string
+	Sealed    bool
+	NotRun    bool
+	Moved     bool
+	Load      *gateway.Load
 }
 
-// Order is one call of an operator.
-type Order struct {
-	Pattern string
-	Read    func(settings env.Env, request *http.Request, body []byte) (contract.OperatorRequest, error)
-	Write   func(status int, body []byte) (int, any)
+// OperatorEndpoint is one HTTP endpoint for operators: a pattern for http.ServeMux, the parser of its requests, and the formatter of the
+// answers, which returns the status and the JSON body.
+type OperatorEndpoint struct {
+	Pattern      string
+	ParseRequest func(settings env.Env, request *http.Request, body []byte) (contract.OperatorRequest, error)
+	FormatAnswer func(status int, body []byte) (int, any)
 }
--- a/serve/gateway.go
+++ b/serve/gateway.go
@@ -21,188 +21,202 @@
 )
 
 const (
-	idlePerServer  = 64
-	mostBodyBytes  = 64 << 20
-	mostReplyBytes = 16 << 20
+	// maxIdlePerServer bounds the idle connections to one server.
+	maxIdlePerServer = 64
+	// defaultMaxBodyBytes bounds request bodies if the configuration does not.
+	defaultMaxBodyBytes = 64 << 20
+	// maxReplyBytes bounds replies that are not streamed.
+	maxReplyBytes = 16 << 20
 )
 
-type gatewayShell struct {
+// gatewayProcess runs a data-plane node that proxies opaque calls for a platform. It has two state machines: the node, which the event
+// loop runs, and traffic, which decides about calls under the lock and without waiting for the loop.
+type gatewayProcess struct {
 	*Process
-	face    Face
-	lock    sync.Mutex
-	traffic *gateway.Traffic
-	pool    *upstream.Pool
-	token   atomic.Int64
-	limits  atomic.Pointer[manifest.Limits]
-	leaving atomic.Bool
-	running atomic.Int64
-	touched atomic.Int64
+	adapter    Adapter
+	lock       sync.Mutex
+	traffic    *gateway.Traffic
+	pool       *upstream.Pool
+	token      atomic.Int64
+	limits     atomic.Pointer[manifest.Limits]
+	draining   atomic.Bool
+	inFlight   atomic.Int64
+	lastCallAt atomic.Int64
 }
 
-// Gateway runs a cedardp that takes opaque calls in a face's manner, until it is told to stop.
-func Gateway(face Face) error {
-	settings, failure := face.Settings(contract.KindData)
-	if failure != nil {
-		return failure
+// Gateway runs a data-plane node (cedardp) that proxies opaque calls in the protocol of an adapter, until a signal stops it.
+func Gateway(adapter Adapter) error {
+	settings, err := adapter.Settings(contract.KindData)
+	if err != nil {
+		return err
 	}
-	random := source()
-	shell := &gatewayShell{face: face, traffic: gateway.NewTraffic(settings, source()), pool: upstream.NewPool(idlePerServer, settings.Gateway.Contact*2)}
-	shell.limits.Store(&manifest.Limits{})
-	node := gateway.NewNode(settings, boot(), shell, random)
-	shell.Process = newProcess(settings, node.Self(), node, "")
-	shell.Loop.Act(shell.act)
-	shell.Reread = func() (env.Env, error) { return face.Settings(contract.KindData) }
-	ready, lookup := face.Paths()
+	random := newRandom()
+	process := &gatewayProcess{adapter: adapter, traffic: gateway.NewTraffic(settings, newRandom()), pool: upstream.NewPool(maxIdlePerServer, settings.Gateway.Contact*2)}
+	process.limits.Store(&manifest.Limits{})
+	node := gateway.NewNode(settings, newBootID(), process, random)
+	process.Process = newProcess(settings, node.Self(), node, "")
+	process.Loop.Act(process.act)
+	process.ReloadSettings = func() (env.Env, error) { return adapter.Settings(contract.KindData) }
+	ready, lookup := adapter.Paths()
 	checks, lookups := http.NewServeMux(), http.NewServeMux()
-	checks.HandleFunc("GET "+ready, shell.checkReady)
-	lookups.HandleFunc("GET "+lookup, shell.lookup)
+	checks.HandleFunc("GET "+ready, process.checkReady)
+	lookups.HandleFunc("GET "+lookup, process.lookup)
 	servers := []*http.Server{}
-	listen := func(address string, handler http.Handler, first func()) (*http.Server, error) {
-		listener, failure := net.Listen("tcp", address)
-		if failure != nil {
-			return nil, eris.Wrap(failure, "cannot listen")
+	listen := func(address string, handler http.Handler, beforeServing func()) (*http.Server, error) {
+		listener, err := net.Listen("tcp", address)
+		if err != nil {
+			return nil, eris.Wrap(err, "cannot listen")
 		}
-		server := &http.Server{Handler: handler, ReadHeaderTimeout: settings.Bounds.Return(), IdleTimeout: settings.Bounds.Deadline(), ErrorLog: quietLog()}
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: settings.Bounds.Return(), IdleTimeout: settings.Bounds.Deadline(), ErrorLog: discardLog()}
 		servers = append(servers, server)
 		go func() {
-			first()
+			beforeServing()
 			_ = server.Serve(listener)
 		}()
 		return server, nil
 	}
-	traffic, failure := listen(settings.Gateway.Traffic, http.HandlerFunc(shell.serve), shell.awaitReady)
-	if failure != nil {
-		return failure
+	traffic, err := listen(settings.Gateway.Traffic, http.HandlerFunc(process.serveCall), process.awaitReady)
+	if err != nil {
+		return err
 	}
-	if _, failure = listen(settings.Gateway.Ready, checks, func() {}); failure != nil {
-		return failure
+	if _, err = listen(settings.Gateway.Ready, checks, func() {}); err != nil {
+		return err
 	}
-	if _, failure = listen(settings.Gateway.Lookup, lookups, func() {}); failure != nil {
-		return failure
+	if _, err = listen(settings.Gateway.Lookup, lookups, func() {}); err != nil {
+		return err
 	}
-	go shell.sweep()
-	return shell.run(settings.Data, func() { shell.leave(traffic) })
+	go process.closeIdleConns()
+	return process.run(settings.Data, func() { process.drain(traffic) })
 }
 
-func (shell *gatewayShell) handle(event contract.Event) []contract.Command {
-	shell.lock.Lock()
-	defer shell.lock.Unlock()
-	return shell.traffic.Handle(shell.Loop.Now(), event)
+// handle passes an event to the traffic state machine.
+func (process *gatewayProcess) handle(event contract.Event) []contract.Command {
+	process.lock.Lock()
+	defer process.lock.Unlock()
+	return process.traffic.Handle(process.Loop.Now(), event)
 }
 
-// decide gives the one command that the owner of the calls answers with.
-func (shell *gatewayShell) decide(event contract.Event) contract.Command {
-	commands := shell.handle(event)
+// decide passes an event of a call to the traffic state machine and returns the one command that it answers with.
+func (process *gatewayProcess) decide(event contract.Event) contract.Command {
+	commands := process.handle(event)
 	if len(commands) != 1 {
 		panic("an event of a call wants one command")
 	}
 	return commands[0]
 }
 
-func (shell *gatewayShell) Calls(region string) map[string]int64 {
-	shell.lock.Lock()
-	defer shell.lock.Unlock()
-	return shell.traffic.Calls(region)
+// Calls returns the number of this node's running calls per server of a region.
+func (process *gatewayProcess) Calls(region string) map[string]int64 {
+	process.lock.Lock()
+	defer process.lock.Unlock()
+	return process.traffic.Calls(region)
 }
 
-func (shell *gatewayShell) Stale(region string) map[string]int64 {
-	shell.lock.Lock()
-	defer shell.lock.Unlock()
-	return shell.traffic.Stale(region)
+// Stale returns the servers of a region whose prompt index this node found to be wrong.
+func (process *gatewayProcess) Stale(region string) map[string]int64 {
+	process.lock.Lock()
+	defer process.lock.Unlock()
+	return process.traffic.Stale(region)
 }
 
-func (shell *gatewayShell) Tallies(now time.Duration, region string) map[string]contract.CallTally {
-	shell.lock.Lock()
-	defer shell.lock.Unlock()
-	return shell.traffic.Tallies(now, region)
+// Tallies returns where calls to a region's servers failed recently.
+func (process *gatewayProcess) Tallies(now time.Duration, region string) map[string]contract.CallTally {
+	process.lock.Lock()
+	defer process.lock.Unlock()
+	return process.traffic.Tallies(now, region)
 }
 
-func (shell *gatewayShell) Observed(now time.Duration, region string) contract.CallObservations {
-	shell.lock.Lock()
-	defer shell.lock.Unlock()
-	return shell.traffic.Observed(now, region)
+// Observed returns what this node observed of the sizes of calls in a region.
+func (process *gatewayProcess) Observed(now time.Duration, region string) contract.CallObservations {
+	process.lock.Lock()
+	defer process.lock.Unlock()
+	return process.traffic.Observed(now, region)
 }
 
-// Uses gives what was sent to places of the index since it was last asked for.
-func (shell *gatewayShell) Uses() []index.Use {
-	shell.lock.Lock()
-	defer shell.lock.Unlock()
-	return shell.traffic.Uses()
+// Uses returns the uses of the prompt index's entries since the previous call of Uses.
+func (process *gatewayProcess) Uses() []index.Use {
+	process.lock.Lock()
+	defer process.lock.Unlock()
+	return process.traffic.Uses()
 }
 
-func (shell *gatewayShell) act(command contract.Command) bool {
+// act carries out a command of the node. It reports whether it knows the command.
+func (process *gatewayProcess) act(command contract.Command) bool {
 	switch command := command.(type) {
 	case gateway.Update:
-		shell.handle(command.Event)
-		shell.lock.Lock()
-		limits := shell.traffic.Limits()
-		shell.lock.Unlock()
-		shell.limits.Store(&limits)
+		process.handle(command.Event)
+		process.lock.Lock()
+		limits := process.traffic.Limits()
+		process.lock.Unlock()
+		process.limits.Store(&limits)
 	case contract.Forward:
-		go shell.forward.Forward(command)
+		go process.operators.Forward(command)
 	default:
 		return false
 	}
 	return true
 }
 
-// awaitReady leaves new connections unread for the moment that a start takes: whoever comes then is served, not refused. It is
-// bounded: a node that cannot get ready refuses with a time to come back.
-func (shell *gatewayShell) awaitReady() {
-	most := shell.Settings.Gateway.Contact * 3 / 20
-	for began := time.Now(); time.Since(began) < most; settle(most / 60) {
-		shell.lock.Lock()
-		ready := shell.traffic.Ready(shell.Loop.Now())
-		shell.lock.Unlock()
+// awaitReady delays the accepting of connections while the node starts, so that early callers are served instead of refused. The wait is
+// bounded: a node that does not get ready then refuses calls and names a time to retry.
+func (process *gatewayProcess) awaitReady() {
+	limit := process.Settings.Gateway.Contact * 3 / 20
+	for began := time.Now(); time.Since(began) < limit; pause(limit / 60) {
+		process.lock.Lock()
+		ready := process.traffic.Ready(process.Loop.Now())
+		process.lock.Unlock()
 		if ready {
 			return
 		}
 	}
 }
 
-func (shell *gatewayShell) sweep() {
-	ticker := time.NewTicker(shell.Settings.Gateway.Contact)
+// closeIdleConns periodically closes connections that have been idle for too long.
+func (process *gatewayProcess) closeIdleConns() {
+	ticker := time.NewTicker(process.Settings.Gateway.Contact)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-shell.stop:
+		case <-process.stop:
 			return
 		case <-ticker.C:
-			shell.pool.CloseExpired()
+			process.pool.CloseExpired()
 		}
 	}
 }
 
-// leave steers callers away first, then lets what runs come to its end within the grace.
-func (shell *gatewayShell) leave(traffic *http.Server) {
-	shell.leaving.Store(true)
-	shell.Loop.Post(gateway.Leave{})
-	grace, began := shell.Settings.Gateway.Grace, time.Now()
+// drain first steers callers to other nodes, then waits for running calls to end, within the grace period.
+func (process *gatewayProcess) drain(traffic *http.Server) {
+	process.draining.Store(true)
+	process.Loop.Post(gateway.Leave{})
+	grace, began := process.Settings.Gateway.Grace, time.Now()
 	traffic.SetKeepAlivesEnabled(false)
 	for time.Since(began) < grace*7/8 {
-		settle(grace / 80)
-		quiet := shell.Loop.Now() - time.Duration(shell.touched.Load())
-		if time.Since(began) > shell.Settings.Gateway.LookupLife*2 && shell.running.Load() == 0 && quiet > shell.Settings.Gateway.LookupLife {
+		pause(grace / 80)
+		idleFor := process.Loop.Now() - time.Duration(process.lastCallAt.Load())
+		if time.Since(began) > process.Settings.Gateway.LookupLife*2 && process.inFlight.Load() == 0 && idleFor > process.Settings.Gateway.LookupLife {
 			return
 		}
 	}
 }
 
-func (shell *gatewayShell) checkReady(writer http.ResponseWriter, _ *http.Request) {
-	shell.lock.Lock()
-	ready := shell.traffic.Ready(shell.Loop.Now())
-	shell.lock.Unlock()
-	if !ready || shell.leaving.Load() {
+// checkReady serves the readiness check.
+func (process *gatewayProcess) checkReady(writer http.ResponseWriter, _ *http.Request) {
+	process.lock.Lock()
+	ready := process.traffic.Ready(process.Loop.Now())
+	process.lock.Unlock()
+	if !ready || process.draining.Load() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (shell *gatewayShell) lookup(writer http.ResponseWriter, request *http.Request) {
-	ask := shell.face.Lookup(request)
+// lookup tells a caller the addresses of nodes to call.
+func (process *gatewayProcess) lookup(writer http.ResponseWriter, request *http.Request) {
+	query := process.adapter.Lookup(request)
 	answers := make(chan contract.Response, 1)
-	ask.Token = shell.Loop.Token(func(answer contract.Response) { answers <- answer })
-	defer shell.Loop.Forget(ask.Token)
-	if !shell.Loop.Try(ask) {
+	query.Token = process.Loop.Token(func(answer contract.Response) { answers <- answer })
+	defer process.Loop.Forget(query.Token)
+	if !process.Loop.Try(query) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -213,62 +227,62 @@
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		writeJSON(writer, http.StatusOK, shell.face.Addresses(found, shell.Settings.Gateway.LookupLife))
+		writeJSON(writer, http.StatusOK, process.adapter.Addresses(found, process.Settings.Gateway.LookupLife))
 	case <-request.Context().Done():
 	}
 }
 
-// serve takes one call: it reads it whole, has it decided, and carries out what was decided until it is over.
-func (shell *gatewayShell) serve(writer http.ResponseWriter, request *http.Request) {
-	shell.running.Add(1)
-	defer shell.running.Add(-1)
-	shell.touched.Store(int64(shell.Loop.Now()))
-	if shell.leaving.Load() {
+// serveCall serves one call: it reads the request completely and carries out the state machine's commands until the call is over.
+func (process *gatewayProcess) serveCall(writer http.ResponseWriter, request *http.Request) {
+	process.inFlight.Add(1)
+	defer process.inFlight.Add(-1)
+	process.lastCallAt.Store(int64(process.Loop.Now()))
+	if process.draining.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	came := time.Now()
-	limits := shell.limits.Load()
+	arrivedAt := time.Now()
+	limits := process.limits.Load()
 	if limits.HeaderBytes > 0 && headerSize(request) > limits.HeaderBytes {
 		writer.WriteHeader(http.StatusRequestHeaderFieldsTooLarge)
 		return
 	}
-	most := int64(mostBodyBytes)
+	limit := int64(defaultMaxBodyBytes)
 	if limits.BodyBytes > 0 {
-		most = limits.BodyBytes
+		limit = limits.BodyBytes
 	}
-	body, failure := readBody(writer, request, most)
-	if failure != nil {
-		var large *http.MaxBytesError
-		if errors.As(failure, &large) {
+	body, err := readBody(writer, request, limit)
+	if err != nil {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
 			writer.WriteHeader(http.StatusRequestEntityTooLarge)
 			return
 		}
 		panic(http.ErrAbortHandler)
 	}
-	arrive, identity := shell.face.Arrive(request)
-	arrive.Token, arrive.Host, arrive.Path, arrive.Size = shell.token.Add(1), request.Host, request.URL.EscapedPath(), int64(len(body))
+	arrive, attemptID := process.adapter.CallArrived(request)
+	arrive.Token, arrive.Host, arrive.Path, arrive.Size = process.token.Add(1), request.Host, request.URL.EscapedPath(), int64(len(body))
 	if arrive.Left > 0 {
-		arrive.Left = max(time.Millisecond, arrive.Left-time.Since(came))
+		arrive.Left = max(time.Millisecond, arrive.Left-time.Since(arrivedAt))
 	}
-	one := &exchange{shell: shell, writer: writer, request: request, body: body, identity: identity, after: arrive.After}
-	command := shell.decide(arrive)
+	call := &proxyCall{process: process, writer: writer, request: request, body: body, attemptID: attemptID, lastEventID: arrive.After}
+	command := process.decide(arrive)
 	for command != nil {
 		switch next := command.(type) {
 		case gateway.Dispatch:
-			command = one.run(next)
+			command = call.attempt(next)
 		case gateway.Place:
-			command = shell.place(request.Context(), next)
+			command = process.place(request.Context(), next)
 		case gateway.Pass:
-			one.pass()
+			call.sendReply()
 			return
 		case gateway.Refuse:
-			if one.begun {
+			if call.started {
 				panic(http.ErrAbortHandler)
 			}
-			shell.refuse(writer, next)
+			process.refuse(writer, next)
 			return
 		case gateway.Fail:
-			one.fail(next)
+			call.fail(next)
 			return
 		default:
 			panic("a command that nobody carries out")
@@ -276,16 +290,18 @@
 	}
 }
 
-func readBody(writer http.ResponseWriter, request *http.Request, most int64) ([]byte, error) {
-	reader := http.MaxBytesReader(writer, request.Body, most)
-	if request.ContentLength >= 0 && request.ContentLength <= most {
+// readBody reads a request body of at most limit bytes.
+func readBody(writer http.ResponseWriter, request *http.Request, limit int64) ([]byte, error) {
+	reader := http.MaxBytesReader(writer, request.Body, limit)
+	if request.ContentLength >= 0 && request.ContentLength <= limit {
 		content := make([]byte, request.ContentLength)
-		_, failure := io.ReadFull(reader, content)
-		return content, failure
+		_, err := io.ReadFull(reader, content)
+		return content, err
 	}
 	return io.ReadAll(reader)
 }
 
+// headerSize returns the approximate size of a request's head in bytes.
 func headerSize(request *http.Request) int64 {
 	size := int64(len(request.Method) + len(request.RequestURI) + len(request.Host) + 20)
 	for name, values := range request.Header {
@@ -296,17 +312,19 @@
 	return size
 }
 
-func (shell *gatewayShell) refuse(writer http.ResponseWriter, refuse gateway.Refuse) {
-	shell.Loop.Count("refused_"+strconv.Itoa(refuse.Status), 1)
+// refuse answers a call that did not run.
+func (process *gatewayProcess) refuse(writer http.ResponseWriter, refuse gateway.Refuse) {
+	process.Loop.Count("refused_"+strconv.Itoa(refuse.Status), 1)
 	if refuse.After > 0 {
-		shell.face.After(writer.Header(), refuse.After)
+		process.adapter.After(writer.Header(), refuse.After)
 	}
 	writer.WriteHeader(refuse.Status)
 }
 
-func (shell *gatewayShell) dial(ctx context.Context, dispatch gateway.Dispatch) (*upstream.Conn, error) {
-	if conn := shell.pool.Get(dispatch.Server.Address, dispatch.Idle); conn != nil {
+// dial returns a connection to the server, from the pool if there is one.
+func (process *gatewayProcess) dial(ctx context.Context, dispatch gateway.Dispatch) (*upstream.Conn, error) {
+	if conn := process.pool.Get(dispatch.Server.Address, dispatch.Idle); conn != nil {
 		return conn, nil
 	}
-	return shell.pool.Dial(ctx, dispatch.Server.Address, min(dispatch.Connect, dispatch.Left))
+	return process.pool.Dial(ctx, dispatch.Server.Address, min(dispatch.Connect, dispatch.Left))
 }
--- a/serve/main.go
+++ b/serve/main.go
@@ -10,6 +10,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
+// arguments are the command-line flags of both programs.
 type arguments struct {
 	Env      string   `long:"env" description:"settings file (JSON); flags win over it"`
 	Name     string   `long:"name" description:"this machine's name"`
@@ -25,24 +26,25 @@
 	Version  bool     `long:"version" description:"print the version and stop"`
 }
 
+// Exit codes of the programs.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// Main reads flags and settings and runs one of the two programs.
+// Main reads the flags and settings of a program and calls run with the settings and the path of the faults file. It exits on errors.
 func Main(program string, run func(env.Env, string) error) {
 	catchSignals()
 	var given arguments
 	parser := flags.NewParser(&given, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = program
 	if rest, err := parser.Parse(); err != nil || len(rest) > 0 {
-		var asked *flags.Error
-		if errors.As(err, &asked) && asked.Type == flags.ErrHelp {
-			fmt.Println(asked.Message)
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
+			fmt.Println(flagsErr.Message)
 			return
 		}
-		fail(exitUsage, fmt.Sprint(program, ": ", err, rest))
+		exit(exitUsage, fmt.Sprint(program, ": ", err, rest))
 	}
 	if given.Version {
 		fmt.Println(program, Version)
@@ -57,32 +59,33 @@
 		err = settings.Check()
 	}
 	if err != nil {
-		fail(exitUsage, program+": "+err.Error())
+		exit(exitUsage, program+": "+err.Error())
 	}
 	if given.Check {
 		return
 	}
 	if err = run(settings, given.Faults); err != nil {
-		fail(exitFailed, program+": "+err.Error())
+		exit(exitFailed, program+": "+err.Error())
 	}
 }
 
-// heapGrowth is how much of what lives, in hundredths, the heap may grow by before it is collected: on a platform's small machines memory
-// costs more than the processor time that this takes. GOGC in the environment of a process wins over it.
-const heapGrowth = 40
+// heapGrowthPercent is the default of GOGC on a platform. It is lower than Go's, since on small machines memory costs more than the CPU
+// time of garbage collection.
+const heapGrowthPercent = 40
 
-// MainWith runs one of the two programs where a platform tells it its place.
-func MainWith(program string, face Face, run func(Face) error) {
+// MainWithAdapter runs a program that gets its settings from a platform through an adapter. It exits on errors.
+func MainWithAdapter(program string, adapter Adapter, run func(Adapter) error) {
 	catchSignals()
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(heapGrowth)
+		debug.SetGCPercent(heapGrowthPercent)
 	}
-	if failure := run(face); failure != nil {
-		fail(exitFailed, program+": "+failure.Error())
+	if err := run(adapter); err != nil {
+		exit(exitFailed, program+": "+err.Error())
 	}
 }
 
-func fail(code int, text string) {
+// exit prints an error and ends the process.
+func exit(code int, text string) {
 	fmt.Fprintln(os.Stderr, text)
 	os.Exit(code)
 }
--- a/serve/outbox.go
+++ b/serve/outbox.go
@@ -5,61 +5,62 @@
 	"sync/atomic"
 )
 
-// outbox holds what waits for a caller to read it, so that a slow one keeps no server's slot and no other call waiting. One
-// call's reply is bounded by its relay; all that wait together are bounded by most, and whoever would pass it is cut.
-type outbox struct {
-	lock    sync.Mutex
-	waiting []item
-	ready   chan struct{}
-	held    *atomic.Int64
-	most    int64
-	closed  bool
+// replyBuffer holds the parts of a reply that wait for a slow caller, so that it occupies no slot of a server and delays no other call.
+// The reply of one call is bounded by its parser. bufferedBytes, which all buffers share, is bounded by maxBytes; a call whose reply
+// would exceed it is aborted.
+type replyBuffer struct {
+	lock          sync.Mutex
+	waiting       []replyItem
+	ready         chan struct{}
+	bufferedBytes *atomic.Int64
+	maxBytes      int64
+	closed        bool
 }
 
-func newOutbox(held *atomic.Int64, most int64) *outbox {
-	return &outbox{ready: make(chan struct{}, 1), held: held, most: most}
+func newReplyBuffer(bufferedBytes *atomic.Int64, maxBytes int64) *replyBuffer {
+	return &replyBuffer{ready: make(chan struct{}, 1), bufferedBytes: bufferedBytes, maxBytes: maxBytes}
 }
 
-// put never waits; it tells whether there was room.
-func (box *outbox) put(next item) bool {
-	box.lock.Lock()
-	defer box.lock.Unlock()
-	size := int64(len(next.piece))
-	if box.closed {
+// put adds an item without waiting, and reports whether there was room. A closed buffer drops it.
+func (buffer *replyBuffer) put(item replyItem) bool {
+	buffer.lock.Lock()
+	defer buffer.lock.Unlock()
+	size := int64(len(item.piece))
+	if buffer.closed {
 		return true
 	}
-	if box.held.Add(size) > box.most && size > 0 {
-		box.held.Add(-size)
+	if buffer.bufferedBytes.Add(size) > buffer.maxBytes && size > 0 {
+		buffer.bufferedBytes.Add(-size)
 		return false
 	}
-	box.waiting = append(box.waiting, next)
+	buffer.waiting = append(buffer.waiting, item)
 	select {
-	case box.ready <- struct{}{}:
+	case buffer.ready <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// take gives the oldest that waits.
-func (box *outbox) take() (item, bool) {
-	box.lock.Lock()
-	defer box.lock.Unlock()
-	if len(box.waiting) == 0 {
-		return item{}, false
+// take removes and returns the oldest item, if there is one.
+func (buffer *replyBuffer) take() (replyItem, bool) {
+	buffer.lock.Lock()
+	defer buffer.lock.Unlock()
+	if len(buffer.waiting) == 0 {
+		return replyItem{}, false
 	}
-	next := box.waiting[0]
-	box.waiting = box.waiting[1:]
-	box.held.Add(-int64(len(next.piece)))
-	return next, true
+	item := buffer.waiting[0]
+	buffer.waiting = buffer.waiting[1:]
+	buffer.bufferedBytes.Add(-int64(len(item.piece)))
+	return item, true
 }
 
-// close lets go of all that waits; what a server still says to a caller that is gone is held by nobody.
-func (box *outbox) close() {
-	box.lock.Lock()
-	defer box.lock.Unlock()
-	box.closed = true
-	for _, left := range box.waiting {
-		box.held.Add(-int64(len(left.piece)))
+// close drops all items and those that are put later, when the caller is gone.
+func (buffer *replyBuffer) close() {
+	buffer.lock.Lock()
+	defer buffer.lock.Unlock()
+	buffer.closed = true
+	for _, item := range buffer.waiting {
+		buffer.bufferedBytes.Add(-int64(len(item.piece)))
 	}
-	box.waiting = nil
+	buffer.waiting = nil
 }
--- a/serve/pass.go
+++ b/serve/pass.go
@@ -17,13 +17,14 @@
 	"github.com/cedarreel/cedarreel/link"
 )
 
-const hopHeader = "Cedar-Hop"
+// forwardedHeader marks a request that a node of another region forwarded to the home region of its call.
+const forwardedHeader = "Cedar-Hop"
 
-// passage carries one question on to a node of its home and that node's answer back, byte by byte. A node is left for the next
-// one only if no link to it was made.
-type passage struct {
-	shell   *dataShell
-	pass    data.HomeForward
+// homeRequest forwards a request to a node of the call's home region and relays its answer. The next node is tried only if no connection
+// to the previous one was established; sent is set once one was.
+type homeRequest struct {
+	process *dataProcess
+	target  data.HomeForward
 	method  string
 	path    string
 	headers map[string]string
@@ -32,75 +33,77 @@
 	node    string
 }
 
-func (session *session) passage(pass data.HomeForward) *passage {
-	asked := session.caller.call
-	made := &passage{shell: session.shell, pass: pass, method: http.MethodPost, path: "/v1/chat/completions", body: session.caller.body, headers: map[string]string{
-		"Content-Type": "application/json", "Cedar-Caller": asked.Caller, "Cedar-Route": asked.Route, "Cedar-Session": asked.Session, "Idempotency-Key": asked.Key}}
-	if asked.IsLookup {
-		made.method, made.body = http.MethodGet, nil
-		made.path = "/v1/lookups/" + url.PathEscape(asked.Route) + "/" + url.PathEscape(asked.Key)
+// homeRequest returns the forwarded request of a call.
+func (session *session) homeRequest(target data.HomeForward) *homeRequest {
+	parsed := session.callRequest.call
+	home := &homeRequest{process: session.process, target: target, method: http.MethodPost, path: "/v1/chat/completions", body: session.callRequest.body, headers: map[string]string{
+		"Content-Type": "application/json", "Cedar-Caller": parsed.Caller, "Cedar-Route": parsed.Route, "Cedar-Session": parsed.Session, "Idempotency-Key": parsed.Key}}
+	if parsed.IsLookup {
+		home.method, home.body = http.MethodGet, nil
+		home.path = "/v1/lookups/" + url.PathEscape(parsed.Route) + "/" + url.PathEscape(parsed.Key)
 	}
-	if asked.IsRetry {
-		made.headers["Cedar-Attempt"] = "2"
+	if parsed.IsRetry {
+		home.headers["Cedar-Attempt"] = "2"
 	}
-	if asked.Age > 0 {
-		made.headers["Cedar-Age-Ms"] = strconv.FormatInt(max(1, asked.Age.Milliseconds()), 10)
+	if parsed.Age > 0 {
+		home.headers["Cedar-Age-Ms"] = strconv.FormatInt(max(1, parsed.Age.Milliseconds()), 10)
 	}
-	return made
+	return home
 }
 
-// ask tries the home's nodes in turn and gives the first answer.
-func (passage *passage) ask(ctx context.Context) (*http.Response, error) {
-	var last error
-	for _, node := range passage.pass.Nodes {
-		if passage.shell.Faults.Cut(node) {
+// send tries the nodes of the home region in turn and returns the first answer.
+func (homeRequest *homeRequest) send(ctx context.Context) (*http.Response, error) {
+	var lastErr error
+	for _, node := range homeRequest.target.Nodes {
+		if homeRequest.process.Faults.Cut(node) {
 			continue
 		}
 		request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-			GotConn: func(httptrace.GotConnInfo) { passage.sent = true }}), passage.method, "http://"+node+passage.path, passage.reader())
+			GotConn: func(httptrace.GotConnInfo) { homeRequest.sent = true }}), homeRequest.method, "http://"+node+homeRequest.path, homeRequest.bodyReader())
 		if err != nil {
 			return nil, err
 		}
-		request.ContentLength = int64(len(passage.body))
-		for name, value := range passage.headers {
+		request.ContentLength = int64(len(homeRequest.body))
+		for name, value := range homeRequest.headers {
 			if value != "" {
 				request.Header.Set(name, value)
 			}
 		}
-		request.Header.Set("Cedar-Home", passage.pass.Home)
-		request.Header.Set("Cedar-Deadline-Ms", strconv.FormatInt(max(1, passage.pass.Timeout.Milliseconds()), 10))
-		request.Header.Set(hopHeader, "1")
-		passage.node = node
-		response, err := passage.shell.client.Do(request)
-		if err == nil || passage.sent {
+		request.Header.Set("Cedar-Home", homeRequest.target.Home)
+		request.Header.Set("Cedar-Deadline-Ms", strconv.FormatInt(max(1, homeRequest.target.Timeout.Milliseconds()), 10))
+		request.Header.Set(forwardedHeader, "1")
+		homeRequest.node = node
+		response, err := homeRequest.process.client.Do(request)
+		if err == nil || homeRequest.sent {
 			return response, err
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-func (passage *passage) reader() io.Reader {
-	if passage.body == nil {
+func (homeRequest *homeRequest) bodyReader() io.Reader {
+	if homeRequest.body == nil {
 		return http.NoBody
 	}
-	return io.NopCloser(bytes.NewReader(passage.body))
+	return io.NopCloser(bytes.NewReader(homeRequest.body))
 }
 
-// carry writes the home's answer out and tells its status; a status of none says that no node was reached.
-func (passage *passage) carry(ctx context.Context, writer http.ResponseWriter, until time.Duration) (int, string) {
-	bounds := passage.shell.Settings.Bounds
-	limited, cancel := context.WithTimeout(ctx, passage.pass.Timeout+bounds.Round()/2)
+// relayAnswer writes the home region's answer to the caller and returns its status and an error text. The status is 0 if no node was
+// reached, and negative if the answer broke off.
+func (homeRequest *homeRequest) relayAnswer(ctx context.Context, writer http.ResponseWriter, until time.Duration) (int, string) {
+	bounds := homeRequest.process.Settings.Bounds
+	limitedCtx, cancel := context.WithTimeout(ctx, homeRequest.target.Timeout+bounds.Round()/2)
 	defer cancel()
-	response, err := passage.ask(limited)
-	if !passage.sent {
-		trouble := contract.ErrorBody{Outcome: string(call.NotRun), Error: "no node of the call's home can be reached; it did not run", Home: passage.pass.Home,
+	response, err := homeRequest.send(limitedCtx)
+	if !homeRequest.sent {
+		body := contract.ErrorBody{Outcome: string(call.NotRun), Error: "no node of the call's home can be reached; it did not run", Home: homeRequest.target.Home,
 			RetryAfterMs: bounds.Round().Milliseconds()}
-		passage.tell(writer, http.StatusServiceUnavailable, bounds.Round(), trouble)
-		return 0, trouble.Error
+		homeRequest.writeError(writer, http.StatusServiceUnavailable, bounds.Round(), body)
+		return 0, body.Error
 	}
 	if err != nil {
-		passage.tell(writer, http.StatusBadGateway, 0, contract.ErrorBody{Outcome: string(call.Unknown), Home: passage.pass.Home,
+		homeRequest.writeError(writer, http.StatusBadGateway, 0, contract.ErrorBody{Outcome: string(call.Unknown), Home: homeRequest.target.Home,
 			Error: "passed on to its home, and no answer came"})
 		return http.StatusBadGateway, err.Error()
 	}
@@ -111,30 +114,31 @@
 		}
 	}
 	writer.WriteHeader(response.StatusCode)
-	if err = passage.copy(writer, response.Body, until); err != nil {
+	if err = homeRequest.copy(writer, response.Body, until); err != nil {
 		return -response.StatusCode, err.Error()
 	}
 	return response.StatusCode, ""
 }
 
-func (passage *passage) tell(writer http.ResponseWriter, status int, after time.Duration, trouble contract.ErrorBody) {
+// writeError answers the caller with an error of this node.
+func (homeRequest *homeRequest) writeError(writer http.ResponseWriter, status int, retryAfter time.Duration, body contract.ErrorBody) {
 	writer.Header().Set("Content-Type", "application/json")
-	link.RetryAfter(writer, after)
+	link.RetryAfter(writer, retryAfter)
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(trouble)
+	_ = json.NewEncoder(writer).Encode(body)
 }
 
-// copy ends without an error only when the home's whole answer came and was written.
-func (passage *passage) copy(writer http.ResponseWriter, from io.Reader, until time.Duration) error {
-	control, buffer := http.NewResponseController(writer), make([]byte, 16<<10)
+// copy relays the body of the answer. It returns nil only if the complete body was received and written.
+func (homeRequest *homeRequest) copy(writer http.ResponseWriter, from io.Reader, until time.Duration) error {
+	controller, buffer := http.NewResponseController(writer), make([]byte, 16<<10)
 	for {
 		count, err := from.Read(buffer)
-		_ = control.SetWriteDeadline(nowPlus(min(passage.shell.Settings.Bounds.Return(), until-passage.shell.Loop.Now())))
-		if _, other := writer.Write(buffer[:count]); other != nil {
-			return other
+		_ = controller.SetWriteDeadline(deadlineIn(min(homeRequest.process.Settings.Bounds.Return(), until-homeRequest.process.Loop.Now())))
+		if _, writeErr := writer.Write(buffer[:count]); writeErr != nil {
+			return writeErr
 		}
-		if other := control.Flush(); other != nil {
-			return other
+		if writeErr := controller.Flush(); writeErr != nil {
+			return writeErr
 		}
 		if err == io.EOF {
 			return nil
@@ -145,29 +149,29 @@
 	}
 }
 
-// passOn is a call's whole answer by way of its home; a break is passed on as a break.
-func (out *writerOf) passOn(ctx context.Context, pass data.HomeForward) error {
+// forwardHome answers a call through its home region. If the answer breaks off, the caller's connection is aborted too.
+func (out *replyWriter) forwardHome(ctx context.Context, target data.HomeForward) error {
 	session := out.session
-	made := session.passage(pass)
-	status, err := made.carry(ctx, out.writer, session.until)
-	session.shell.Loop.Post(data.HomeForwardEnded{Token: session.token, Node: made.node, Status: max(status, -status), Error: err})
+	home := session.homeRequest(target)
+	status, err := home.relayAnswer(ctx, out.writer, session.giveUpAt)
+	session.process.Loop.Post(data.HomeForwardEnded{Token: session.token, Node: home.node, Status: max(status, -status), Error: err})
 	if status < 0 {
 		panic(http.ErrAbortHandler)
 	}
 	return nil
 }
 
-// hop reads whether a call was passed on already; only one hop is known.
-func hop(request *http.Request) (bool, error) {
-	switch value := request.Header.Get(hopHeader); value {
+// wasForwarded reports whether a request was already forwarded by another node. It can be forwarded only once.
+func wasForwarded(request *http.Request) (bool, error) {
+	switch value := request.Header.Get(forwardedHeader); value {
 	case "":
 		return false, nil
 	case "1":
 		if request.Header.Get("Cedar-Home") == "" {
-			return false, badCall{status: http.StatusBadRequest, text: hopHeader + ": a call that is passed on names its home"}
+			return false, requestError{status: http.StatusBadRequest, message: forwardedHeader + ": a call that is passed on names its home"}
 		}
 		return true, nil
 	default:
-		return false, badCall{status: http.StatusBadRequest, text: hopHeader + ": want 1 or nothing"}
+		return false, requestError{status: http.StatusBadRequest, message: forwardedHeader + ": want 1 or nothing"}
 	}
 }
--- a/serve/place.go
+++ b/serve/place.go
@@ -11,32 +11,33 @@
 	"github.com/cedarreel/cedarreel/link"
 )
 
-// place asks where a call's prompt belongs and goes on after its patience with or without an answer; a late one serves later calls.
-func (shell *gatewayShell) place(caller context.Context, asked gateway.Place) contract.Command {
-	placed, answers := gateway.Placed{Token: asked.Token, Late: true}, make(chan gateway.Placed, 1)
-	token := shell.Loop.Token(func(answer contract.Response) {
+// place asks the prompt index for the server of a call's prompt. After the query's patience the call continues without an answer; a late
+// answer still serves later calls.
+func (process *gatewayProcess) place(ctx context.Context, query gateway.Place) contract.Command {
+	placed, answers := gateway.Placed{Token: query.Token, Late: true}, make(chan gateway.Placed, 1)
+	token := process.Loop.Token(func(answer contract.Response) {
 		var place index.Place
 		status, body := link.Given(answer)
 		if status == 200 && json.Unmarshal(body, &place) == nil && place.Server != "" {
-			shell.handle(gateway.Relocated{Places: []index.Place{place}})
-			shell.Loop.Count("places_answered", 1)
-			answers <- gateway.Placed{Token: asked.Token, Place: place}
+			process.handle(gateway.Relocated{Places: []index.Place{place}})
+			process.Loop.Count("places_answered", 1)
+			answers <- gateway.Placed{Token: query.Token, Place: place}
 			return
 		}
-		answers <- gateway.Placed{Token: asked.Token, Late: !gateway.Refuses(status)}
+		answers <- gateway.Placed{Token: query.Token, Late: !gateway.Refuses(status)}
 	})
-	if !shell.Loop.Try(gateway.AskPlace{Token: token, Ask: asked.Ask}) {
-		shell.Loop.Forget(token)
-		return shell.decide(placed)
+	if !process.Loop.Try(gateway.AskPlace{Token: token, Ask: query.Ask}) {
+		process.Loop.Forget(token)
+		return process.decide(placed)
 	}
-	timer := time.NewTimer(asked.Patience)
+	timer := time.NewTimer(query.Patience)
 	defer timer.Stop()
 	select {
 	case placed = <-answers:
-	case <-caller.Done():
-		return shell.decide(gateway.Ended{Token: asked.Token, Outcome: gateway.Left})
+	case <-ctx.Done():
+		return process.decide(gateway.Ended{Token: query.Token, Outcome: gateway.Left})
 	case <-timer.C:
-		shell.Loop.Count("places_unanswered", 1)
+		process.Loop.Count("places_unanswered", 1)
 	}
-	return shell.decide(placed)
+	return process.decide(placed)
 }
--- a/serve/plain.go
+++ b/serve/plain.go
@@ -7,13 +7,13 @@
 	"net/http"
 )
 
-// quietLog keeps the web server's own lines out of the logs: what they tell is counted.
-func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
+// discardLog returns a logger for HTTP servers that drops their messages, since what they report is counted in metrics.
+func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
 func writeJSON(writer http.ResponseWriter, status int, body any) {
-	content, failure := json.Marshal(body)
-	if failure != nil {
-		panic(failure)
+	content, err := json.Marshal(body)
+	if err != nil {
+		panic(err)
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -9,74 +9,75 @@
 	"github.com/cedarreel/cedarreel/gateway"
 )
 
-var errCaller = errors.New("the caller went away")
+var errCallerLeft = errors.New("the caller went away")
 
-const mostEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
-// relay passes a stream on event by event, so that what was passed always ends where another server can go on.
-func (one *exchange) relay(response *http.Response, dispatch gateway.Dispatch, watch *watch) error {
-	control := http.NewResponseController(one.writer)
-	waiting, chunk := []byte{}, make([]byte, 4096)
+// relayEvents relays a stream in complete events, so that what the caller got always ends where another server can resume.
+func (call *proxyCall) relayEvents(response *http.Response, dispatch gateway.Dispatch, watchdog *watchdog) error {
+	controller := http.NewResponseController(call.writer)
+	buffered, buffer := []byte{}, make([]byte, 4096)
 	first := true
 	for {
-		count, failure := response.Body.Read(chunk)
+		count, err := response.Body.Read(buffer)
 		if count > 0 {
-			watch.touch()
-			waiting = append(waiting, chunk[:count]...)
+			watchdog.noteActivity()
+			buffered = append(buffered, buffer[:count]...)
 		}
-		whole := eventsEnd(waiting)
-		if errors.Is(failure, io.EOF) {
-			whole = len(waiting)
+		completeBytes := eventsEnd(buffered)
+		if errors.Is(err, io.EOF) {
+			completeBytes = len(buffered)
 		}
-		if whole > 0 || errors.Is(failure, io.EOF) && !one.begun {
-			if !one.begun {
-				one.begun = true
-				one.answerHeader(response.Header, -1)
-				one.writer.WriteHeader(response.StatusCode)
+		if completeBytes > 0 || errors.Is(err, io.EOF) && !call.started {
+			if !call.started {
+				call.started = true
+				call.setReplyHeader(response.Header, -1)
+				call.writer.WriteHeader(response.StatusCode)
 			}
 			if first {
 				first = false
-				one.shell.handle(gateway.First{Token: dispatch.Token, Attempt: dispatch.Attempt})
+				call.process.handle(gateway.First{Token: dispatch.Token, Attempt: dispatch.Attempt})
 			}
-			if last := lastID(waiting[:whole]); last != "" {
-				one.after = last
+			if last := lastID(buffered[:completeBytes]); last != "" {
+				call.lastEventID = last
 			}
-			if _, trouble := one.writer.Write(waiting[:whole]); trouble != nil {
-				return errCaller
+			if _, writeErr := call.writer.Write(buffered[:completeBytes]); writeErr != nil {
+				return errCallerLeft
 			}
-			if control.Flush() != nil {
-				return errCaller
+			if controller.Flush() != nil {
+				return errCallerLeft
 			}
-			waiting = append(waiting[:0], waiting[whole:]...)
+			buffered = append(buffered[:0], buffered[completeBytes:]...)
 		}
-		if errors.Is(failure, io.EOF) {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		if failure != nil {
-			return failure
+		if err != nil {
+			return err
 		}
-		if len(waiting) > mostEvent {
+		if len(buffered) > maxEventBytes {
 			return errors.New("an event without an end")
 		}
 	}
 }
 
-// eventsEnd gives where the last whole event ends: an empty line ends one.
+// eventsEnd returns the length of the complete events at the start of the content. An empty line ends an event.
 func eventsEnd(content []byte) int {
 	end := 0
-	for _, mark := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
-		if place := bytes.LastIndex(content, mark); place >= 0 {
-			end = max(end, place+len(mark))
+	for _, separator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
+		if index := bytes.LastIndex(content, separator); index >= 0 {
+			end = max(end, index+len(separator))
 		}
 	}
 	return end
 }
 
-// lastID gives the identity of the last event that has one.
+// lastID returns the ID of the last event that has one.
 func lastID(content []byte) string {
 	last := ""
-	for _, row := range bytes.Split(content, []byte("\n")) {
-		if value, found := bytes.CutPrefix(row, []byte("id:")); found {
+	for _, line := range bytes.Split(content, []byte("\n")) {
+		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
 			last = string(bytes.TrimSpace(value))
 		}
 	}
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -1,4 +1,5 @@
-// Package serve runs the owners as processes: it meets callers, servers, the platform, disks and the clock.
+// Package serve runs the state machines of the nodes as processes. It does their I/O: HTTP for callers, operators and model servers, the
+// platform's API, disks, signals and clocks.
 package serve
 
 import (
@@ -21,22 +22,25 @@
 	"github.com/rotisserie/eris"
 )
 
+// Version is the version of all programs.
 const Version = "0.1.0"
 
-// Process is what both programs share: a loop, its links, and a face for operators and other processes.
+// Process is what all programs share: the event loop, the links to other nodes, and an HTTP server for them and for operators.
+// ReloadSettings, if set, reads the settings again after a SIGHUP. Faults injects faults in tests.
 type Process struct {
-	Settings env.Env
-	Loop     *link.Loop
-	Logger   log.Logger
-	Faults   *link.Faults
-	Mux      *http.ServeMux
-	Reread   func() (env.Env, error)
-	stop     chan struct{}
-	server   *http.Server
-	forward  *link.Operators
+	Settings       env.Env
+	Loop           *link.Loop
+	Logger         log.Logger
+	Faults         *link.Faults
+	Mux            *http.ServeMux
+	ReloadSettings func() (env.Env, error)
+	stop           chan struct{}
+	server         *http.Server
+	operators      *link.Operators
 }
 
-func boot() string {
+// newBootID returns a random identifier of this process start.
+func newBootID() string {
 	content := make([]byte, 6)
 	if _, err := rand.Read(content); err != nil {
 		panic(err)
@@ -44,7 +48,8 @@
 	return hex.EncodeToString(content)
 }
 
-func source() *random.Rand {
+// newRandom returns a securely seeded random generator.
+func newRandom() *random.Rand {
 	content := [32]byte{}
 	if _, err := rand.Read(content[:]); err != nil {
 		panic(err)
@@ -52,6 +57,7 @@
 	return random.New(random.NewChaCha8(content))
 }
 
+// newProcess sets up the loop, the links and the HTTP handlers of a node.
 func newProcess(settings env.Env, self contract.Member, owner contract.StateMachine, faultsPath string) *Process {
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "node", self.Name, "time", log.DefaultTimestampUTC)
 	process := &Process{Settings: settings, Logger: logger, stop: make(chan struct{}), Mux: http.NewServeMux()}
@@ -60,35 +66,35 @@
 	process.Loop = link.NewLoop(owner, settings.Bounds.Tick(), sender, logger)
 	sender.Counting(process.Loop.Count)
 	sender.Saying(func(line contract.Log) { process.Loop.Do(line) })
-	process.forward = link.NewOperators(process.Loop, settings.Bounds.BodyBytes, settings.Bounds.Deliver()*2, process.Faults)
-	process.forward.Register(process.Mux)
+	process.operators = link.NewOperators(process.Loop, settings.Bounds.BodyBytes, settings.Bounds.Deliver()*2, process.Faults)
+	process.operators.Register(process.Mux)
 	process.Mux.Handle("POST "+link.Path, link.Receive(process.Loop))
 	process.Mux.Handle("GET /metrics", link.Metrics(process.Loop))
 	return process
 }
 
-// run serves until a signal comes; farewell then has its time to end what runs.
-func (process *Process) run(address string, farewell func()) error {
+// run serves until a signal comes. It then calls beforeShutdown and shuts the HTTP server down.
+func (process *Process) run(address string, beforeShutdown func()) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return eris.Wrap(err, "cannot listen")
 	}
-	process.server = &http.Server{Handler: boundedReading(process.Mux, process.Settings.Bounds.Return()), ReadHeaderTimeout: process.Settings.Bounds.Deliver(),
+	process.server = &http.Server{Handler: limitBodyTime(process.Mux, process.Settings.Bounds.Return()), ReadHeaderTimeout: process.Settings.Bounds.Deliver(),
 		IdleTimeout: process.Settings.Bounds.Deadline(), MaxHeaderBytes: 1 << 16}
 	catchSignals()
-	go process.reread(hangups)
-	ended := make(chan error, 1)
-	go func() { ended <- process.server.Serve(listener) }()
+	go process.reloadSeeds(reloadSignals)
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- process.server.Serve(listener) }()
 	go process.Loop.Run(process.stop)
 	_ = process.Logger.Log("what", "started", "address", address, "version", Version)
 	select {
-	case err = <-ended:
-	case <-stops:
+	case err = <-serveErr:
+	case <-stopSignals:
 		_ = process.Logger.Log("what", "stopping")
-		farewell()
-		patience, cancel := context.WithTimeout(context.Background(), process.Settings.Bounds.Deadline()/2)
+		beforeShutdown()
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), process.Settings.Bounds.Deadline()/2)
 		defer cancel()
-		err = process.server.Shutdown(patience)
+		err = process.server.Shutdown(shutdownCtx)
 	}
 	close(process.stop)
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, context.DeadlineExceeded) {
@@ -98,45 +104,46 @@
 	return err
 }
 
-// reread takes up the seeds of a settings file that changed; all else of it is for the next start.
-func (process *Process) reread(hangups <-chan os.Signal) {
+// reloadSeeds applies the seed addresses of changed settings after a SIGHUP. All other settings need a restart.
+func (process *Process) reloadSeeds(reloadSignals <-chan os.Signal) {
 	for {
 		select {
 		case <-process.stop:
 			return
-		case <-hangups:
-			if process.Reread == nil {
+		case <-reloadSignals:
+			if process.ReloadSettings == nil {
 				continue
 			}
-			settings, failure := process.Reread()
-			if failure != nil {
-				_ = process.Logger.Log("what", "settings not taken up", "why", failure.Error())
+			settings, err := process.ReloadSettings()
+			if err != nil {
+				_ = process.Logger.Log("what", "settings not reloaded", "why", err.Error())
 				continue
 			}
 			process.Loop.Post(neighbour.Seeds{Addresses: settings.Seeds})
-			_ = process.Logger.Log("what", "settings taken up", "seeds", len(settings.Seeds))
+			_ = process.Logger.Log("what", "settings reloaded", "seeds", len(settings.Seeds))
 		}
 	}
 }
 
-// boundedReading gives a slow body a bounded time, which ends when the whole body has come.
-func boundedReading(inner http.Handler, patience time.Duration) http.Handler {
+// limitBodyTime bounds the time in which a request body must arrive.
+func limitBodyTime(next http.Handler, limit time.Duration) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.Body != nil && request.Body != http.NoBody {
-			control := http.NewResponseController(writer)
-			_ = control.SetReadDeadline(time.Now().Add(patience))
-			request.Body = slowBody{request.Body, control}
+			controller := http.NewResponseController(writer)
+			_ = controller.SetReadDeadline(time.Now().Add(limit))
+			request.Body = timedBody{request.Body, controller}
 		}
-		inner.ServeHTTP(writer, request)
+		next.ServeHTTP(writer, request)
 	})
 }
 
-type slowBody struct {
+// timedBody is a request body that lifts the read deadline once it was read completely.
+type timedBody struct {
 	io.ReadCloser
 	control *http.ResponseController
 }
 
-func (body slowBody) Read(content []byte) (int, error) {
+func (body timedBody) Read(content []byte) (int, error) {
 	count, err := body.ReadCloser.Read(content)
 	if errors.Is(err, io.EOF) {
 		_ = body.control.SetReadDeadline(time.Time{})
@@ -144,4 +151,4 @@
 	return count, err
 }
 
-func settle(span time.Duration) { time.Sleep(span) }
+func pause(duration time.Duration) { time.Sleep(duration) }
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -27,12 +27,13 @@
 	RunSpecs(t, "serve")
 }
 
-type deaf struct{}
+// idleMachine is a state machine that ignores all events.
+type idleMachine struct{}
 
-func (deaf) Handle(time.Duration, contract.Event) []contract.Command { return nil }
+func (idleMachine) Handle(time.Duration, contract.Event) []contract.Command { return nil }
 
-// attempted sends one call to a server of the test's making and gives its end.
-func attempted(handler http.HandlerFunc, until time.Duration) (data.AttemptEnded, int64) {
+// runOneAttempt sends one call to a server with this handler, and returns the result and the number of requests that the server got.
+func runOneAttempt(handler http.HandlerFunc, until time.Duration) (data.AttemptEnded, int64) {
 	var seen atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		seen.Add(1)
@@ -41,21 +42,21 @@
 	}))
 	defer server.Close()
 	settings := env.New()
-	process := &Process{Settings: settings, Loop: link.NewLoop(deaf{}, time.Hour, nil, log.NewNopLogger())}
-	shell := &dataShell{Process: process, sessions: map[int64]*session{}, cancels: map[attemptKey]context.CancelFunc{}}
-	shell.client = &http.Client{Transport: shell.transport(), CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	open := &session{shell: shell, caller: caller{path: "/v1/chat/completions", body: []byte(`{"messages":[{}]}`)}, box: newOutbox(&shell.held, 1<<20), gone: make(chan struct{})}
+	base := &Process{Settings: settings, Loop: link.NewLoop(idleMachine{}, time.Hour, nil, log.NewNopLogger())}
+	process := &dataProcess{Process: base, sessions: map[int64]*session{}, cancels: map[attemptKey]context.CancelFunc{}}
+	process.client = &http.Client{Transport: process.transport(), CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	open := &session{process: process, callRequest: callRequest{path: "/v1/chat/completions", body: []byte(`{"messages":[{}]}`)}, pending: newReplyBuffer(&process.bufferedBytes, 1<<20), callerGone: make(chan struct{})}
 	command := data.Dispatch{Token: 1, Attempt: 1, AttemptID: "identity", SendBefore: until, Timeout: time.Minute,
 		Server: contract.Candidate{Name: "s", Address: strings.TrimPrefix(server.URL, "http://")}}
-	ended := shell.attempt(context.Background(), open, command)
-	return ended, seen.Load()
+	result := process.runAttempt(context.Background(), open, command)
+	return result, seen.Load()
 }
 
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-var _ = DescribeTable("an attempt at a server", func(handler http.HandlerFunc, until time.Duration, proof call.Result, sent int64) {
-	ended, seen := attempted(handler, until)
-	Expect(ended.Result).To(Equal(proof), ended.Error)
+var _ = DescribeTable("an attempt at a server", func(handler http.HandlerFunc, until time.Duration, result call.Result, sent int64) {
+	ended, seen := runOneAttempt(handler, until)
+	Expect(ended.Result).To(Equal(result), ended.Error)
 	Expect(seen).To(Equal(sent))
 },
 	Entry("after its lease lapsed sends nothing", http.HandlerFunc(abort), time.Duration(0), call.NotSent, int64(0)),
@@ -84,46 +85,46 @@
 )
 
 var _ = It("a link that was made in time sends nothing when its first byte comes late", func() {
-	here, there := net.Pipe()
-	shell := &dataShell{Process: &Process{Settings: env.New(), Loop: link.NewLoop(deaf{}, time.Hour, nil, log.NewNopLogger())}}
-	late := leasedLink{here, &sending{shell: shell, until: 0}}
+	local, remote := net.Pipe()
+	process := &dataProcess{Process: &Process{Settings: env.New(), Loop: link.NewLoop(idleMachine{}, time.Hour, nil, log.NewNopLogger())}}
+	late := leasedConn{local, &guard{process: process, sendBefore: 0}}
 	_, err := late.Write([]byte("call"))
 	Expect(err).To(HaveOccurred())
 	Expect(late.sent.Load()).To(BeFalse())
-	Expect(here.Close()).To(Succeed())
-	left, _ := io.ReadAll(there)
+	Expect(local.Close()).To(Succeed())
+	left, _ := io.ReadAll(remote)
 	Expect(left).To(BeEmpty())
 })
 
 var _ = It("what a server says to a caller that has gone is not held", func() {
-	held := atomic.Int64{}
-	box := newOutbox(&held, 100)
-	Expect(box.put(item{piece: "before"})).To(BeTrue())
-	box.close()
-	Expect(box.put(item{piece: "after"})).To(BeTrue())
-	Expect(held.Load()).To(BeZero())
+	bufferedBytes := atomic.Int64{}
+	buffer := newReplyBuffer(&bufferedBytes, 100)
+	Expect(buffer.put(replyItem{piece: "before"})).To(BeTrue())
+	buffer.close()
+	Expect(buffer.put(replyItem{piece: "after"})).To(BeTrue())
+	Expect(bufferedBytes.Load()).To(BeZero())
 })
 
 var _ = It("a caller that reads nothing holds no server, and is cut when too much waits for callers", func() {
-	shell := &dataShell{Process: &Process{Settings: env.New(), Loop: link.NewLoop(deaf{}, time.Hour, nil, log.NewNopLogger())},
+	process := &dataProcess{Process: &Process{Settings: env.New(), Loop: link.NewLoop(idleMachine{}, time.Hour, nil, log.NewNopLogger())},
 		sessions: map[int64]*session{}, cancels: map[attemptKey]context.CancelFunc{}}
-	shell.client = &http.Client{Transport: shell.transport()}
+	process.client = &http.Client{Transport: process.transport()}
 	stream := func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "text/event-stream")
-		for place := range 500 {
-			_, _ = fmt.Fprintf(writer, "data: {\"id\":\"identity\",\"number\":%d,\"choices\":[{\"delta\":{\"content\":\"%s\"},\"finish_reason\":null}]}\n\n", place, strings.Repeat("x", 1000))
+		for position := range 500 {
+			_, _ = fmt.Fprintf(writer, "data: {\"id\":\"identity\",\"number\":%d,\"choices\":[{\"delta\":{\"content\":\"%s\"},\"finish_reason\":null}]}\n\n", position, strings.Repeat("x", 1000))
 		}
 		_, _ = io.WriteString(writer, "data: {\"id\":\"identity\",\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n")
 	}
 	server := httptest.NewServer(http.HandlerFunc(stream))
 	defer server.Close()
-	unread := func(most int64) data.AttemptEnded {
-		open := &session{shell: shell, caller: caller{path: "/", stream: true}, box: newOutbox(&shell.held, most), gone: make(chan struct{})}
-		return shell.attempt(context.Background(), open, data.Dispatch{Token: 1, Attempt: 1, AttemptID: "identity", SendBefore: time.Hour, Timeout: time.Minute,
+	unread := func(limit int64) data.AttemptEnded {
+		open := &session{process: process, callRequest: callRequest{path: "/", stream: true}, pending: newReplyBuffer(&process.bufferedBytes, limit), callerGone: make(chan struct{})}
+		return process.runAttempt(context.Background(), open, data.Dispatch{Token: 1, Attempt: 1, AttemptID: "identity", SendBefore: time.Hour, Timeout: time.Minute,
 			Server: contract.Candidate{Address: strings.TrimPrefix(server.URL, "http://")}})
 	}
 	Expect(unread(1<<20).Result).To(Equal(call.CompleteReply), "the server's end does not wait for the reader")
-	Expect(shell.held.Load()).To(Equal(int64(500000)))
+	Expect(process.bufferedBytes.Load()).To(Equal(int64(500000)))
 	Expect(unread(600000).Result).To(Equal(call.BrokenReply), "what waits for all callers together is bounded")
-	Expect(shell.Loop.Counts()).To(HaveKeyWithValue("readers_cut", BeNumerically(">", 0)))
+	Expect(process.Loop.Counts()).To(HaveKeyWithValue("readers_cut", BeNumerically(">", 0)))
 })
--- a/serve/session.go
+++ b/serve/session.go
@@ -12,81 +12,83 @@
 	"github.com/go-kit/kit/endpoint"
 )
 
-// item is one thing that a session writes to its caller: a piece or a break.
-type item struct {
-	piece  string
-	broken string
+// replyItem is one thing to write to a caller: the content of a chunk, or the error that ends the reply.
+type replyItem struct {
+	piece     string
+	errorText string
 }
 
-// session is one caller's connection from its call to its end.
+// session is one caller's request from its arrival to its answer. giveUpAt, on the loop's clock, is when writing to the caller ends.
 type session struct {
-	shell  *dataShell
-	caller caller
-	token  int64
-	box    *outbox
-	answer chan contract.Response
-	gone   <-chan struct{}
-	until  time.Duration
+	process     *dataProcess
+	callRequest callRequest
+	token       int64
+	pending     *replyBuffer
+	answer      chan contract.Response
+	callerGone  <-chan struct{}
+	giveUpAt    time.Duration
 }
 
-func (shell *dataShell) serve() endpoint.Endpoint {
+// serveCall returns the endpoint that starts the session of a decoded call.
+func (process *dataProcess) serveCall() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		session := &session{shell: shell, caller: request.(caller), box: newOutbox(&shell.held, shell.Settings.Bounds.ReplyBytes*heldReplies),
-			answer: make(chan contract.Response, 1), gone: ctx.Done()}
-		bounds := shell.Settings.Bounds
-		session.until = shell.Loop.Now() + bounds.Deadline() + bounds.Round()
-		if deadline := session.caller.call.Deadline; deadline > 0 {
-			session.until = shell.Loop.Now() + deadline + bounds.Round()
+		session := &session{process: process, callRequest: request.(callRequest), pending: newReplyBuffer(&process.bufferedBytes, process.Settings.Bounds.ReplyBytes*maxBufferedReplies),
+			answer: make(chan contract.Response, 1), callerGone: ctx.Done()}
+		bounds := process.Settings.Bounds
+		session.giveUpAt = process.Loop.Now() + bounds.Deadline() + bounds.Round()
+		if deadline := session.callRequest.call.Deadline; deadline > 0 {
+			session.giveUpAt = process.Loop.Now() + deadline + bounds.Round()
 		}
-		session.token = shell.Loop.Token(func(answer contract.Response) { session.answer <- answer })
-		shell.lock.Lock()
-		shell.sessions[session.token] = session
-		shell.lock.Unlock()
-		if !shell.Loop.Try(data.Arrive{Token: session.token, Call: session.caller.call}) {
+		session.token = process.Loop.Token(func(answer contract.Response) { session.answer <- answer })
+		process.lock.Lock()
+		process.sessions[session.token] = session
+		process.lock.Unlock()
+		if !process.Loop.Try(data.Arrive{Token: session.token, Call: session.callRequest.call}) {
 			session.close()
-			return nil, badCall{status: 503, text: "this node is overloaded", after: shell.Settings.Bounds.Round()}
+			return nil, requestError{status: 503, message: "this node is overloaded", retryAfter: process.Settings.Bounds.Round()}
 		}
 		return session, nil
 	}
 }
 
 func (session *session) close() {
-	session.shell.Loop.Forget(session.token)
-	session.shell.lock.Lock()
-	defer session.shell.lock.Unlock()
-	delete(session.shell.sessions, session.token)
-	session.box.close()
+	session.process.Loop.Forget(session.token)
+	session.process.lock.Lock()
+	defer session.process.lock.Unlock()
+	delete(session.process.sessions, session.token)
+	session.pending.close()
 }
 
-// encodeCall writes a session out. Whatever is not the whole reply ends in an error event and a broken connection.
+// encodeCall writes the reply of a session. A streamed reply that can't be completed ends with an error event and an aborted connection.
 func encodeCall(ctx context.Context, writer http.ResponseWriter, response any) error {
 	session := response.(*session)
 	defer session.close()
-	out := &writerOf{session: session, writer: writer, control: http.NewResponseController(writer)}
+	out := &replyWriter{session: session, writer: writer, control: http.NewResponseController(writer)}
 	for {
 		select {
 		case <-ctx.Done():
-			session.shell.Loop.Post(data.CallerLeft{Token: session.token})
+			session.process.Loop.Post(data.CallerLeft{Token: session.token})
 			return ctx.Err()
-		case <-session.box.ready:
-			if err := out.drain(); err != nil {
-				session.shell.Loop.Post(data.CallerLeft{Token: session.token})
+		case <-session.pending.ready:
+			if err := out.writePending(); err != nil {
+				session.process.Loop.Post(data.CallerLeft{Token: session.token})
 				return err
 			}
 		case answer := <-session.answer:
-			if err := out.drain(); err != nil {
+			if err := out.writePending(); err != nil {
 				return err
 			}
-			if pass, away := answer.Body.(data.HomeForward); away {
-				return out.passOn(ctx, pass)
+			if target, isForward := answer.Body.(data.HomeForward); isForward {
+				return out.forwardHome(ctx, target)
 			}
-			return out.end(answer)
+			return out.finish(answer)
 		}
 	}
 }
 
-func (out *writerOf) drain() error {
-	for next, there := out.session.box.take(); there; next, there = out.session.box.take() {
+// writePending writes all buffered items.
+func (out *replyWriter) writePending() error {
+	for next, exists := out.session.pending.take(); exists; next, exists = out.session.pending.take() {
 		if err := out.next(next); err != nil {
 			return err
 		}
@@ -94,18 +96,19 @@
 	return nil
 }
 
-func (out *writerOf) next(next item) error {
-	if next.broken != "" {
-		out.err(next.broken)
+func (out *replyWriter) next(next replyItem) error {
+	if next.errorText != "" {
+		out.abort(next.errorText)
 	}
 	return out.piece(next.piece)
 }
 
-type writerOf struct {
+// replyWriter writes a session's reply to the caller. chunks counts the chunks that were written.
+type replyWriter struct {
 	session *session
 	writer  http.ResponseWriter
 	control *http.ResponseController
-	pieces  int64
+	chunks  int64
 }
 
 type delta struct {
@@ -113,11 +116,12 @@
 }
 
 type choice struct {
-	Index  int     `json:"index"`
-	Delta  delta   `json:"delta"`
-	Finish *string `json:"finish_reason"`
+	Index        int     `json:"index"`
+	Delta        delta   `json:"delta"`
+	FinishReason *string `json:"finish_reason"`
 }
 
+// chunk is one streamed completion chunk, with its delta and choice as in the OpenAI API. Number counts the chunks of a reply from 0.
 type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -125,7 +129,8 @@
 	Choices []choice `json:"choices"`
 }
 
-func (out *writerOf) event(kind string, body any) error {
+// writeEvent writes a server-sent event with a JSON body; an empty kind omits the event's type.
+func (out *replyWriter) writeEvent(kind string, body any) error {
 	content, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -134,74 +139,78 @@
 	if kind != "" {
 		text = "event: " + kind + "\n" + text
 	}
-	return out.raw(text)
+	return out.write(text)
 }
 
-// patience is how long a slow reader may take for one write: never past the call's own deadline by more than a round.
-func (out *writerOf) patience() time.Duration {
-	return min(out.session.shell.Settings.Bounds.Return(), out.session.until-out.session.shell.Loop.Now())
+// writeTimeout returns how long one write to a slow caller may take, which never extends past giveUpAt.
+func (out *replyWriter) writeTimeout() time.Duration {
+	return min(out.session.process.Settings.Bounds.Return(), out.session.giveUpAt-out.session.process.Loop.Now())
 }
 
-func (out *writerOf) raw(text string) error {
-	_ = out.control.SetWriteDeadline(nowPlus(out.patience()))
+func (out *replyWriter) write(text string) error {
+	_ = out.control.SetWriteDeadline(deadlineIn(out.writeTimeout()))
 	if _, err := out.writer.Write([]byte(text)); err != nil {
 		return err
 	}
 	return out.control.Flush()
 }
 
-func (out *writerOf) piece(text string) error {
-	if out.pieces == 0 {
+// piece writes one chunk with the given content.
+func (out *replyWriter) piece(text string) error {
+	if out.chunks == 0 {
 		out.writer.Header().Set("Content-Type", "text/event-stream")
 		out.writer.Header().Set("Cache-Control", "no-store")
 		out.writer.WriteHeader(http.StatusOK)
 	}
-	next := chunk{ID: out.session.caller.call.Key, Object: "chat.completion.chunk", Number: out.pieces, Choices: []choice{{Delta: delta{Content: text}}}}
-	out.pieces++
-	return out.event("", next)
+	next := chunk{ID: out.session.callRequest.call.Key, Object: "chat.completion.chunk", Number: out.chunks, Choices: []choice{{Delta: delta{Content: text}}}}
+	out.chunks++
+	return out.writeEvent("", next)
 }
 
-func (out *writerOf) err(text string) {
-	_ = out.event("error", contract.ErrorBody{Outcome: string(call.Interrupted), Error: text})
+// abort writes an error event and breaks the connection, so that the reply can't look complete.
+func (out *replyWriter) abort(text string) {
+	_ = out.writeEvent("error", contract.ErrorBody{Outcome: string(call.Interrupted), Error: text})
 	panic(http.ErrAbortHandler)
 }
 
-func (out *writerOf) end(answer contract.Response) error {
-	_ = out.control.SetWriteDeadline(nowPlus(out.patience()))
-	reply, whole := answer.Body.(data.Reply)
-	if !whole {
-		if out.pieces > 0 {
-			out.err("the call ended early")
+// finish writes the call's answer, or what remains of it after the chunks that were streamed.
+func (out *replyWriter) finish(answer contract.Response) error {
+	_ = out.control.SetWriteDeadline(deadlineIn(out.writeTimeout()))
+	reply, isReply := answer.Body.(data.Reply)
+	if !isReply {
+		if out.chunks > 0 {
+			out.abort("the call ended early")
 		}
 		return encodeAnswer(context.Background(), out.writer, answer)
 	}
-	if out.session.caller.call.IsLookup {
+	if out.session.callRequest.call.IsLookup {
 		out.writer.Header().Set("Content-Type", "application/json")
 		_, err := out.writer.Write([]byte(reply.Chunks[0]))
 		return err
 	}
-	if !out.session.caller.stream {
-		return out.unary(answer, reply)
+	if !out.session.callRequest.stream {
+		return out.writeUnary(answer, reply)
 	}
-	for out.pieces < int64(len(reply.Chunks)) {
-		if err := out.piece(reply.Chunks[out.pieces]); err != nil {
+	for out.chunks < int64(len(reply.Chunks)) {
+		if err := out.piece(reply.Chunks[out.chunks]); err != nil {
 			return err
 		}
 	}
-	finish := "stop"
-	last := chunk{ID: out.session.caller.call.Key, Object: "chat.completion.chunk", Number: out.pieces, Choices: []choice{{Finish: &finish}}}
-	if err := out.event("", last); err != nil {
+	finishReason := "stop"
+	last := chunk{ID: out.session.callRequest.call.Key, Object: "chat.completion.chunk", Number: out.chunks, Choices: []choice{{FinishReason: &finishReason}}}
+	if err := out.writeEvent("", last); err != nil {
 		return err
 	}
-	return out.raw("data: [DONE]\n\n")
+	return out.write("data: [DONE]\n\n")
 }
 
-func (out *writerOf) unary(answer contract.Response, reply data.Reply) error {
+// writeUnary writes a reply that is not streamed.
+func (out *replyWriter) writeUnary(answer contract.Response, reply data.Reply) error {
 	text := ""
-	for _, piece := range reply.Chunks {
-		text += piece
+	for _, content := range reply.Chunks {
+		text += content
 	}
-	answer.Body = map[string]any{"id": out.session.caller.call.Key, "object": "chat.completion", "choices": []any{
+	answer.Body = map[string]any{"id": out.session.callRequest.call.Key, "object": "chat.completion", "choices": []any{
 		map[string]any{"index": 0, "finish_reason": "stop", "message": map[string]any{"role": "assistant", "content": text}}}}
 	return encodeAnswer(context.Background(), out.writer, answer)
 }
--- a/serve/signals.go
+++ b/serve/signals.go
@@ -6,15 +6,15 @@
 	"syscall"
 )
 
-// stops and hangups hold the signals that came, from the first lines of a program on: one that comes while a process starts must neither end
-// it nor be lost. More than one of a kind counts once.
+// stopSignals and reloadSignals receive signals from the start of a program on, so that one during startup neither kills the process nor
+// is lost. Several pending signals of a kind count once.
 var (
-	stops   = make(chan os.Signal, 1)
-	hangups = make(chan os.Signal, 1)
+	stopSignals   = make(chan os.Signal, 1)
+	reloadSignals = make(chan os.Signal, 1)
 )
 
-// catchSignals takes SIGTERM and SIGINT as an order to stop, and SIGHUP as word of a changed settings file.
+// catchSignals treats SIGTERM and SIGINT as requests to stop, and SIGHUP as a request to reload the settings.
 func catchSignals() {
-	signal.Notify(stops, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(hangups, syscall.SIGHUP)
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 }
--- a/serve/standin_test.go
+++ b/serve/standin_test.go
@@ -21,78 +21,78 @@
 	. "github.com/onsi/gomega"
 )
 
-// took is one call as a stand-in server read it.
-type took struct {
+// received is one call as a fake server read it.
+type received struct {
 	server     string
 	connection int
 	request    *http.Request
 	body       string
 }
 
-// play answers one call on its connection; the connection is closed when it gives false.
-type play func(conn net.Conn, call took) bool
+// responder answers one call on its connection. The connection is closed if it returns false.
+type responder func(conn net.Conn, call received) bool
 
-// stage is a gateway shell on a real socket with stand-in servers that follow one script, call by call.
-type stage struct {
+// fixture is a gateway on a real socket with fake servers, which share a list of responders for the calls in their order.
+type fixture struct {
 	lock        sync.Mutex
-	script      []play
-	calls       []took
+	responders  []responder
+	calls       []received
 	connections int
 	closed      int
 	open        []net.Conn
-	shell       *serve.TestGateway
-	front       *httptest.Server
+	proxy       *serve.TestGateway
+	frontend    *httptest.Server
 }
 
-func (stage *stage) took() []took {
-	stage.lock.Lock()
-	defer stage.lock.Unlock()
-	return append([]took{}, stage.calls...)
+func (fixture *fixture) received() []received {
+	fixture.lock.Lock()
+	defer fixture.lock.Unlock()
+	return append([]received{}, fixture.calls...)
 }
 
-func (stage *stage) left() int {
-	stage.lock.Lock()
-	defer stage.lock.Unlock()
-	return stage.closed
+func (fixture *fixture) closedConnections() int {
+	fixture.lock.Lock()
+	defer fixture.lock.Unlock()
+	return fixture.closed
 }
 
-func (stage *stage) end() {
-	stage.lock.Lock()
-	defer stage.lock.Unlock()
-	for _, conn := range stage.open {
+func (fixture *fixture) closeAll() {
+	fixture.lock.Lock()
+	defer fixture.lock.Unlock()
+	for _, conn := range fixture.open {
 		_ = conn.Close()
 	}
 }
 
-func (stage *stage) serve(name string, conn net.Conn) {
+func (fixture *fixture) serve(name string, conn net.Conn) {
 	defer GinkgoRecover()
-	stage.lock.Lock()
-	stage.connections++
-	number := stage.connections
-	stage.lock.Unlock()
+	fixture.lock.Lock()
+	fixture.connections++
+	number := fixture.connections
+	fixture.lock.Unlock()
 	reader := bufio.NewReader(conn)
 	for {
-		request, failure := http.ReadRequest(reader)
-		if failure != nil {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
 			break
 		}
 		body, _ := io.ReadAll(request.Body)
-		call := took{name, number, request, string(body)}
-		stage.lock.Lock()
-		stage.calls = append(stage.calls, call)
-		played := stage.script[min(len(stage.calls), len(stage.script))-1]
-		stage.lock.Unlock()
-		if !played(conn, call) {
+		call := received{name, number, request, string(body)}
+		fixture.lock.Lock()
+		fixture.calls = append(fixture.calls, call)
+		respond := fixture.responders[min(len(fixture.calls), len(fixture.responders))-1]
+		fixture.lock.Unlock()
+		if !respond(conn, call) {
 			break
 		}
 	}
 	_ = conn.Close()
-	stage.lock.Lock()
-	stage.closed++
-	stage.lock.Unlock()
+	fixture.lock.Lock()
+	fixture.closed++
+	fixture.lock.Unlock()
 }
 
-const aim = 5 * time.Second
+const latencyTarget = 5 * time.Second
 
 func routes(attempts int64) gateway.Configured {
 	read := manifest.Manifest{Regions: map[string]manifest.Region{"north": {Shards: 1}}, Zones: map[string]manifest.Zone{"north-1": {Region: "north"}},
@@ -100,102 +100,102 @@
 			Limits: manifest.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20}}}
 	for _, route := range []manifest.GatewayRoute{{Name: "read", Kind: manifest.KindReadOnly}, {Name: "write", Kind: manifest.KindMutating},
 		{Name: "stream", Kind: manifest.KindStreaming}, {Name: "resumed", Kind: manifest.KindStreaming, Resumable: true}} {
-		route.Host, route.Prefix, route.Timeout, route.LatencyTarget, route.MaxAttempts = "h.example", "/"+route.Name+"/", 20*time.Second, aim, attempts
+		route.Host, route.Prefix, route.Timeout, route.LatencyTarget, route.MaxAttempts = "h.example", "/"+route.Name+"/", 20*time.Second, latencyTarget, attempts
 		route.Split = []manifest.WeightedService{{Service: "s", Weight: 1}}
 		read.Gateway.Routes = read.Gateway.Routes.With(route)
 	}
 	return gateway.Configured{Manifest: read}
 }
 
-func staged(servers int, script ...play) *stage {
+func setUp(servers int, script ...responder) *fixture {
 	GinkgoHelper()
-	return stagedFor(4*time.Second, servers, script...)
+	return setUpWithContact(4*time.Second, servers, script...)
 }
 
-// stagedFor is a stage with a contact time of its own.
-func stagedFor(contact time.Duration, servers int, script ...play) *stage {
+// setUpWithContact returns a fixture with the given contact time.
+func setUpWithContact(contact time.Duration, servers int, script ...responder) *fixture {
 	GinkgoHelper()
-	return newStage(contact, servers, func(end func()) { DeferCleanup(end) }, script...)
+	return newFixture(contact, servers, func(end func()) { DeferCleanup(end) }, script...)
 }
 
-// newStage is a stage that cleanup ends; it needs no suite around it.
-func newStage(contact time.Duration, servers int, cleanup func(func()), script ...play) *stage {
+// newFixture returns a fixture that cleanup ends. It can be used outside of a Ginkgo suite.
+func newFixture(contact time.Duration, servers int, cleanup func(func()), responders ...responder) *fixture {
 	settings := env.New(env.WithName("node"), env.WithZone("north-1"), env.WithRegion("north"))
 	settings.Gateway = env.Gateway{RepeatRatio: 0.2, RepeatWindow: 10 * time.Second, RepeatAllowance: 100, Contact: contact}
-	made := &stage{script: script, shell: serve.NewTestGateway(settings, platform.Face{})}
+	created := &fixture{responders: responders, proxy: serve.NewTestGateway(settings, platform.Face{})}
 	listed := gateway.Listed{Region: "north"}
-	for place := range servers {
-		listener, failure := net.Listen("tcp", "127.0.0.1:0")
-		if failure != nil {
-			panic(failure)
+	for position := range servers {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			panic(err)
 		}
 		cleanup(func() { _ = listener.Close() })
-		name := fmt.Sprint("server", place)
+		name := fmt.Sprint("server", position)
 		listed.Servers = append(listed.Servers, contract.Candidate{Name: name, Address: listener.Addr().String(), Zone: "north-1", Pool: "s", Slots: 8})
 		go func() {
 			for {
-				conn, failure := listener.Accept()
-				if failure != nil {
+				conn, err := listener.Accept()
+				if err != nil {
 					return
 				}
-				made.lock.Lock()
-				made.open = append(made.open, conn)
-				made.lock.Unlock()
-				go made.serve(name, conn)
+				created.lock.Lock()
+				created.open = append(created.open, conn)
+				created.lock.Unlock()
+				go created.serve(name, conn)
 			}
 		}()
 	}
-	cleanup(made.end)
-	made.shell.Learn(routes(3))
-	made.shell.Learn(listed)
-	made.front = httptest.NewServer(made.shell.Handler())
-	cleanup(made.front.Close)
-	return made
+	cleanup(created.closeAll)
+	created.proxy.Apply(routes(3))
+	created.proxy.Apply(listed)
+	created.frontend = httptest.NewServer(created.proxy.Handler())
+	cleanup(created.frontend.Close)
+	return created
 }
 
-const identity = "9c41d07be2a35f68"
+const attemptID = "9c41d07be2a35f68"
 
-func (stage *stage) request(path, body string, headers ...string) *http.Request {
+func (fixture *fixture) request(path, body string, headers ...string) *http.Request {
 	GinkgoHelper()
-	request, failure := http.NewRequest(http.MethodPost, stage.front.URL+path, strings.NewReader(body))
-	Expect(failure).NotTo(HaveOccurred())
+	request, err := http.NewRequest(http.MethodPost, fixture.frontend.URL+path, strings.NewReader(body))
+	Expect(err).NotTo(HaveOccurred())
 	request.Host = "h.example"
-	request.Header.Set("X-Attempt-Id", identity)
+	request.Header.Set("X-Attempt-Id", attemptID)
 	request.Header.Set("X-Deadline-Ms", "15000")
-	for place := 0; place < len(headers); place += 2 {
-		request.Header.Set(headers[place], headers[place+1])
+	for position := 0; position < len(headers); position += 2 {
+		request.Header.Set(headers[position], headers[position+1])
 	}
 	return request
 }
 
-// ask gives the answer, its body as far as it came, and why it ended.
-func (stage *stage) ask(path, body string, headers ...string) (*http.Response, string, error) {
+// ask sends a call and returns the answer, its body as far as it arrived, and the error that ended it.
+func (fixture *fixture) ask(path, body string, headers ...string) (*http.Response, string, error) {
 	GinkgoHelper()
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}
-	response, failure := client.Do(stage.request(path, body, headers...))
-	Expect(failure).NotTo(HaveOccurred())
+	response, err := client.Do(fixture.request(path, body, headers...))
+	Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
-	content, failure := io.ReadAll(response.Body)
-	return response, string(content), failure
+	content, err := io.ReadAll(response.Body)
+	return response, string(content), err
 }
 
 func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-func says(text string, stays bool) play {
-	return func(conn net.Conn, _ took) bool {
+func respondWith(text string, stays bool) responder {
+	return func(conn net.Conn, _ received) bool {
 		write(conn, text)
 		return stays
 	}
 }
 
-func headOf(status string, headers ...string) string {
+func responseHead(status string, headers ...string) string {
 	return "HTTP/1.1 " + status + "\r\n" + strings.Join(append(headers, ""), "\r\n") + "\r\n"
 }
 
-var marked = []string{"X-Attempt-Id: " + identity, "X-Server-Seal: 3e1b.07"}
+var serverHeaders = []string{"X-Attempt-Id: " + attemptID, "X-Server-Seal: 3e1b.07"}
 
-func sized(status, body string, headers ...string) string {
-	return headOf(status, append(headers, fmt.Sprint("Content-Length: ", len(body)))...) + body
+func sizedResponse(status, body string, headers ...string) string {
+	return responseHead(status, append(headers, fmt.Sprint("Content-Length: ", len(body)))...) + body
 }
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
@@ -211,5 +211,5 @@
 }
 
 func streamHead() string {
-	return headOf("200 OK", append(marked, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")...)
+	return responseHead("200 OK", append(serverHeaders, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")...)
 }
