--- a/cmd/cedarcp/main.go
+++ b/cmd/cedarcp/main.go
@@ -7,8 +7,8 @@
 )
 
 func main() {
-	if platform.Present() {
-		serve.MainWithAdapter("cedarcp", platform.Face{}, serve.ControlWithAdapter)
+	if platform.StartedByPlatform() {
+		serve.MainWithAdapter("cedarcp", platform.Adapter{}, serve.ControlWithAdapter)
 		return
 	}
 	serve.Main("cedarcp", serve.Control)
--- a/cmd/cedardp/main.go
+++ b/cmd/cedardp/main.go
@@ -7,8 +7,8 @@
 )
 
 func main() {
-	if platform.Present() {
-		serve.MainWithAdapter("cedardp", platform.Face{}, serve.Gateway)
+	if platform.StartedByPlatform() {
+		serve.MainWithAdapter("cedardp", platform.Adapter{}, serve.Gateway)
 		return
 	}
 	serve.Main("cedardp", serve.Data)
--- a/serve/standin_test.go
+++ b/serve/standin_test.go
@@ -122,7 +122,7 @@
 func newFixture(contact time.Duration, servers int, cleanup func(func()), responders ...responder) *fixture {
 	settings := env.New(env.WithName("node"), env.WithZone("north-1"), env.WithRegion("north"))
 	settings.Gateway = env.Gateway{RepeatRatio: 0.2, RepeatWindow: 10 * time.Second, RepeatAllowance: 100, Contact: contact}
-	created := &fixture{responders: responders, proxy: serve.NewTestGateway(settings, platform.Face{})}
+	created := &fixture{responders: responders, proxy: serve.NewTestGateway(settings, platform.Adapter{})}
 	listed := gateway.Listed{Region: "north"}
 	for position := range servers {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/serve/tenants_test.go
+++ b/serve/tenants_test.go
@@ -27,7 +27,7 @@
 func configured(revision string, tenants ...string) gateway.Configured {
 	GinkgoHelper()
 	whole := strings.NewReplacer("REVISION", revision, "TENANTS", strings.Join(tenants, ",")).Replace(withTenants)
-	content, err := platform.ReplaceIn([]byte(whole), map[string]string{"north-1": "north", "south-1": "south"})
+	content, err := platform.ImportReplacement([]byte(whole), map[string]string{"north-1": "north", "south-1": "south"})
 	Expect(err).NotTo(HaveOccurred())
 	read, err := manifest.Parse(content)
 	Expect(err).NotTo(HaveOccurred())
