--- a/cmd/cedarcp/main.go
+++ b/cmd/cedarcp/main.go
@@ -8,7 +8,7 @@
 
 func main() {
 	if platform.StartedByPlatform() {
-		serve.MainWith("cedarcp", platform.Adapter{}, serve.ControlWith)
+		serve.MainWithAdapter("cedarcp", platform.Adapter{}, serve.ControlWithAdapter)
 		return
 	}
 	serve.Main("cedarcp", serve.Control)
--- a/cmd/cedardp/main.go
+++ b/cmd/cedardp/main.go
@@ -8,7 +8,7 @@
 
 func main() {
 	if platform.StartedByPlatform() {
-		serve.MainWith("cedardp", platform.Adapter{}, serve.Gateway)
+		serve.MainWithAdapter("cedardp", platform.Adapter{}, serve.Gateway)
 		return
 	}
 	serve.Main("cedardp", serve.Data)
