--- a/cmd/cedarrig/main.go
+++ b/cmd/cedarrig/main.go
@@ -129,7 +129,7 @@
 			return false, err
 		}
 	}
-	if described, err = described.Grown(given.Machines); err != nil {
+	if described, err = described.WithMachines(given.Machines); err != nil {
 		return false, err
 	}
 	return rig.Play(rig.Plan{Site: described, Bin: given.Bin, OtherBin: given.OtherBin, Folder: given.Folder, Span: time.Duration(given.Seconds) * time.Second,
--- a/data/data.go
+++ b/data/data.go
@@ -110,7 +110,7 @@
 	shardLeases map[int]*shardLease
 	jobs        map[int64]*job
 	table       *call.Table
-	queues      *line.Lines
+	queues      *line.Queues
 	retryBudget call.RetryBudget
 	// usages counts this node's calls per server; abandoned lists those whose end at the server is not known, oldest first.
 	usages    map[string]pick.Usage
--- a/data/end.go
+++ b/data/end.go
@@ -83,7 +83,7 @@
 	switch {
 	case event.Result == call.CompleteReply:
 		delete(owner.backoffs, attempt.server.Name)
-		owner.queues.Served(job.call.Route, now-attempt.startedAt)
+		owner.queues.ObserveDuration(job.call.Route, now-attempt.startedAt)
 		owner.succeed(now, job, attempt, event)
 	case event.Result.NeverRan() || job.call.IsLookup && event.Result == call.NoReply:
 		owner.retry(now, job, event)
--- a/data/job.go
+++ b/data/job.go
@@ -144,7 +144,7 @@
 
 // finish removes a call from its queue, records its outcome, cancels its attempts and emits its answer, if there is one to give.
 func (owner *Owner) finish(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
-	owner.queues.Leave(job.call.Route, job.token)
+	owner.queues.Remove(job.call.Route, job.token)
 	delete(owner.jobs, job.token)
 	owner.recordOutcome(job, outcome, nil)
 	for _, attemptNumber := range sortedAttempts(job.attempts) {
@@ -182,8 +182,8 @@
 
 // enqueue puts a claimed call into its route's queue, or refuses it at once if it can't be expected to be served before its deadline.
 func (owner *Owner) enqueue(now time.Duration, job *job) {
-	wait := owner.queues.Wait(job.call.Route, owner.queues.Ahead(job.call.Route, job.call.Caller), owner.runningCalls(job.call.Route))
-	joined, displaced := owner.queues.Join(job.call.Route, job.call.Caller, job.token, job.route.QueueLimit)
+	wait := owner.queues.EstimateWait(job.call.Route, owner.queues.Ahead(job.call.Route, job.call.Caller), owner.runningCalls(job.call.Route))
+	joined, displaced := owner.queues.Enqueue(job.call.Route, job.call.Caller, job.token, job.route.QueueLimit)
 	if other, exists := owner.jobs[displaced]; exists {
 		owner.count("calls_displaced")
 		owner.refuse(now, other, 429, "the line is full, and most of it is of this caller", owner.jitter(max(wait/2, owner.Bounds.Round())))
@@ -198,7 +198,7 @@
 		owner.refuse(now, job, 503, "its servers turn calls away; the call did not run", owner.jitter(owner.Bounds.Lease()))
 		return
 	}
-	if job.phase == phaseQueued && now+wait+owner.queues.Service(job.call.Route) > job.deadline {
+	if job.phase == phaseQueued && now+wait+owner.queues.MeanDuration(job.call.Route) > job.deadline {
 		owner.refuse(now, job, 429, "it cannot be served before its deadline", owner.jitter(max(wait/2, owner.Bounds.Round())))
 	}
 }
@@ -220,7 +220,7 @@
 		return
 	}
 	candidates, lapsed := owner.candidates(now)
-	owner.queues.Serve(func(token int64) bool {
+	owner.queues.Dispatch(func(token int64) bool {
 		job, exists := owner.jobs[token]
 		return !exists || owner.dispatch(now, job, candidates, lapsed)
 	})
@@ -297,7 +297,7 @@
 			owner.claimAgain(job)
 		case job.phase == phaseClaiming:
 			owner.checkClaim(now, job)
-		case job.phase == phaseQueued && now+owner.queues.Service(job.call.Route)/2 >= job.deadline:
+		case job.phase == phaseQueued && now+owner.queues.MeanDuration(job.call.Route)/2 >= job.deadline:
 			owner.refuse(now, job, 503, "no server was free in time; the call did not run", owner.jitter(owner.Bounds.Round()))
 		case job.phase == phaseRunning && job.call.IsLookup && !job.hedged:
 			owner.hedge(now, job)
@@ -310,7 +310,7 @@
 
 // hedge sends a slow lookup to a second server as well, if the retry budget allows it.
 func (owner *Owner) hedge(now time.Duration, job *job) {
-	hedgeDelay := max(owner.queues.Service(job.call.Route)*hedgeFactor, owner.Bounds.LeaseRenewal())
+	hedgeDelay := max(owner.queues.MeanDuration(job.call.Route)*hedgeFactor, owner.Bounds.LeaseRenewal())
 	first, exists := job.attempts[job.attemptCount]
 	if !exists || now-first.startedAt < hedgeDelay || job.attemptCount >= maxAttempts {
 		return
--- a/data/keep.go
+++ b/data/keep.go
@@ -240,7 +240,7 @@
 	case record.Outcome == call.Interrupted:
 		owner.fail(now, job, 502, call.Interrupted, "the call was interrupted", 0)
 	case record.Outcome == call.Running && record.Remaining > 0 && owner.stillRuns(now, record):
-		after := min(max(owner.queues.Service(job.call.Route)/2, owner.Bounds.Round()), record.Remaining+owner.Bounds.Round())
+		after := min(max(owner.queues.MeanDuration(job.call.Route)/2, owner.Bounds.Round()), record.Remaining+owner.Bounds.Round())
 		owner.fail(now, job, 409, call.Running, "the call is still running", owner.jitter(after))
 	default:
 		owner.fail(now, job, 502, call.Unknown, "the call was taken and its end is not known", 0)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -46,7 +46,7 @@
 
 // New makes a fleet that has not started yet.
 func New(described site.Site, seed uint64, options ...Option) *Fleet {
-	fleet := &Fleet{World: newWorld(seed, time.Duration(described.GapMs)*time.Millisecond), Site: described, Bounds: env.DefaultBounds(),
+	fleet := &Fleet{World: newWorld(seed, time.Duration(described.RegionLatencyMs)*time.Millisecond), Site: described, Bounds: env.DefaultBounds(),
 		processes: map[string]*Process{}, byName: map[string]*Server{}, awaiting: map[string]time.Duration{}, undrained: map[string]int64{}, overlays: map[any]*overlay{}, lastTurn: map[string]string{}}
 	for _, option := range options {
 		option(fleet)
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -164,7 +164,7 @@
 	server.Taken++
 	fleet.Ledger.Began(next.scoped, next.identity, server.Name, fleet.World.Now)
 	if visit.kind.Class == "lookup" {
-		fleet.World.After(site.LookupTime, func() { server.finishLookup(next) })
+		fleet.World.After(site.LookupDuration, func() { server.finishLookup(next) })
 		return
 	}
 	if former, there := fleet.lastTurn[visit.session]; there && visit.session != "" {
@@ -174,17 +174,17 @@
 		}
 	}
 	fleet.lastTurn[visit.session] = server.Name
-	span := time.Duration(visit.kind.Tokens) * site.PrefillPerToken
+	span := time.Duration(visit.kind.Tokens) * site.PrefillTimePerToken
 	if visit.prefix != "" {
 		server.PrefixAsked++
 		if slices.Contains(server.prefixes, visit.prefixName()) {
 			server.PrefixHits++
-			span /= site.PrefixGain
-		} else if server.prefixes = append(server.prefixes, visit.prefixName()); len(server.prefixes) > site.HeldPrefixes {
+			span /= site.CachedPrefixSpeedup
+		} else if server.prefixes = append(server.prefixes, visit.prefixName()); len(server.prefixes) > site.CachedPrefixes {
 			server.prefixes = server.prefixes[1:]
 		}
 	}
-	fleet.World.After(span+site.DecodePerPiece, func() { server.decode(next) })
+	fleet.World.After(span+site.DecodeTimePerPiece, func() { server.decode(next) })
 }
 
 func (server *Server) live(next *run) bool { return server.running[next.identity] == next }
@@ -221,7 +221,7 @@
 		next.attempt.bytes(fmt.Sprintf("data: %s\n\n", content))
 	}
 	if len(next.told) < int(visit.kind.Pieces) {
-		server.fleet.World.After(site.DecodePerPiece, func() { server.decode(next) })
+		server.fleet.World.After(site.DecodeTimePerPiece, func() { server.decode(next) })
 		return
 	}
 	server.finish(next, id)
--- a/line/line.go
+++ b/line/line.go
@@ -1,5 +1,5 @@
-// Package line holds bounded lines, one a route, served in turn so that no class starves another and no caller the others of its
-// route.
+// Package line holds the bounded queues of calls that wait for a server, one queue a route. Routes take turns, so that no class of calls
+// starves another, and so do the callers of a route.
 package line
 
 import (
@@ -7,138 +7,149 @@
 	"time"
 )
 
-// lane is the line of one route: each caller's calls in their order, the callers in turn.
-type lane struct {
+// queue holds the waiting calls of one route: first in, first out for each caller, round-robin over the callers.
+type queue struct {
 	callers []string
 	calls   map[string][]int64
 	length  int64
 }
 
-type Lines struct {
+// Queues holds the queues of all routes. Calls are identified by a token. The zero value is not usable; see New.
+type Queues struct {
 	routes  []string
-	lanes   map[string]*lane
-	next    int
-	service map[string]time.Duration
+	byRoute map[string]*queue
+	// next is the index of the route that was served last.
+	next int
+	// mean is the moving mean of how long a call runs, by route.
+	mean map[string]time.Duration
 }
 
-func New() *Lines { return &Lines{lanes: map[string]*lane{}, service: map[string]time.Duration{}} }
+// New returns empty queues.
+func New() *Queues { return &Queues{byRoute: map[string]*queue{}, mean: map[string]time.Duration{}} }
 
-// Join puts a call at the end of its caller's part of the route's line. When the line is full, the newest call of the caller with
-// the most in it makes room, unless that is this caller itself; it is given back, to be refused at once.
-func (lines *Lines) Join(route, caller string, token, most int64) (joined bool, displaced int64) {
-	known, there := lines.lanes[route]
-	if !there {
-		known = &lane{calls: map[string][]int64{}}
-		lines.routes, lines.lanes[route] = append(lines.routes, route), known
+// Enqueue adds a call at the end of its caller's calls in the queue of a route. When the queue is full, the newest call of the caller with
+// the most calls is displaced, unless the new call's caller would then have as many: the new call is not enqueued in that case. The token of
+// a displaced call is returned, so that it can be refused at once; 0 means that none was.
+func (queues *Queues) Enqueue(route, caller string, token, capacity int64) (joined bool, displaced int64) {
+	current, found := queues.byRoute[route]
+	if !found {
+		current = &queue{calls: map[string][]int64{}}
+		queues.routes, queues.byRoute[route] = append(queues.routes, route), current
 	}
-	if known.length >= most {
-		greedy := known.greedy()
-		if len(known.calls[greedy]) <= len(known.calls[caller])+1 {
+	if current.length >= capacity {
+		longestCaller := current.longestCaller()
+		if len(current.calls[longestCaller]) <= len(current.calls[caller])+1 {
 			return false, 0
 		}
-		waiting := known.calls[greedy]
+		waiting := current.calls[longestCaller]
 		displaced = waiting[len(waiting)-1]
-		known.leave(displaced)
+		current.remove(displaced)
 	}
-	if len(known.calls[caller]) == 0 {
-		known.callers = append(known.callers, caller)
+	if len(current.calls[caller]) == 0 {
+		current.callers = append(current.callers, caller)
 	}
-	known.calls[caller] = append(known.calls[caller], token)
-	known.length++
+	current.calls[caller] = append(current.calls[caller], token)
+	current.length++
 	return true, displaced
 }
 
-// greedy gives the caller with the most calls in the line, the first to come of several.
-func (lane *lane) greedy() string {
+// longestCaller returns the caller with the most calls in the queue, of several the one whose turn is first.
+func (queue *queue) longestCaller() string {
 	chosen := ""
-	for _, caller := range lane.callers {
-		if len(lane.calls[caller]) > len(lane.calls[chosen]) {
+	for _, caller := range queue.callers {
+		if len(queue.calls[caller]) > len(queue.calls[chosen]) {
 			chosen = caller
 		}
 	}
 	return chosen
 }
 
-func (lane *lane) leave(token int64) {
-	for at, caller := range lane.callers {
-		place := slices.Index(lane.calls[caller], token)
-		if place < 0 {
+// remove removes a call, if it waits.
+func (queue *queue) remove(token int64) {
+	for callerIndex, caller := range queue.callers {
+		index := slices.Index(queue.calls[caller], token)
+		if index < 0 {
 			continue
 		}
-		lane.length--
-		lane.calls[caller] = slices.Delete(lane.calls[caller], place, place+1)
-		if len(lane.calls[caller]) == 0 {
-			delete(lane.calls, caller)
-			lane.callers = slices.Delete(lane.callers, at, at+1)
+		queue.length--
+		queue.calls[caller] = slices.Delete(queue.calls[caller], index, index+1)
+		if len(queue.calls[caller]) == 0 {
+			delete(queue.calls, caller)
+			queue.callers = slices.Delete(queue.callers, callerIndex, callerIndex+1)
 		}
 		return
 	}
 }
 
-func (lines *Lines) Leave(route string, token int64) {
-	if known, there := lines.lanes[route]; there {
-		known.leave(token)
+// Remove removes a call that no longer waits, such as one whose caller has left.
+func (queues *Queues) Remove(route string, token int64) {
+	if current, found := queues.byRoute[route]; found {
+		current.remove(token)
 	}
 }
 
-// Serve offers the front of each line in turn until none is taken; within a line the callers take turns.
-func (lines *Lines) Serve(take func(token int64) bool) {
+// Dispatch offers the first call of each queue in turn to take, and removes it if take returns true, until take has refused all of them.
+// Within a queue the callers take turns.
+func (queues *Queues) Dispatch(take func(token int64) bool) {
 	refused := 0
-	for refused < len(lines.routes) {
-		lines.next = (lines.next + 1) % len(lines.routes)
-		known := lines.lanes[lines.routes[lines.next]]
-		if known.length == 0 || !take(known.calls[known.callers[0]][0]) {
+	for refused < len(queues.routes) {
+		queues.next = (queues.next + 1) % len(queues.routes)
+		current := queues.byRoute[queues.routes[queues.next]]
+		if current.length == 0 || !take(current.calls[current.callers[0]][0]) {
 			refused++
 			continue
 		}
 		refused = 0
-		caller := known.callers[0]
-		known.leave(known.calls[caller][0])
-		if len(known.callers) > 1 && known.callers[0] == caller {
-			known.callers = append(known.callers[1:], caller)
+		caller := current.callers[0]
+		current.remove(current.calls[caller][0])
+		if len(current.callers) > 1 && current.callers[0] == caller {
+			current.callers = append(current.callers[1:], caller)
 		}
 	}
 }
 
-// Ahead counts the calls that are served before a new one of a caller.
-func (lines *Lines) Ahead(route, caller string) int {
-	known, there := lines.lanes[route]
-	if !there {
+// Ahead returns the number of calls that are served before a new call of a caller.
+func (queues *Queues) Ahead(route, caller string) int {
+	current, found := queues.byRoute[route]
+	if !found {
 		return 0
 	}
-	own := len(known.calls[caller])
+	own := len(current.calls[caller])
 	ahead := own
-	for _, other := range known.callers {
+	for _, other := range current.callers {
 		if other != caller {
-			ahead += min(len(known.calls[other]), own+1)
+			ahead += min(len(current.calls[other]), own+1)
 		}
 	}
 	return ahead
 }
 
-func (lines *Lines) Total() int {
+// Total returns the number of waiting calls of all routes.
+func (queues *Queues) Total() int {
 	total := int64(0)
-	for _, known := range lines.lanes {
-		total += known.length
+	for _, current := range queues.byRoute {
+		total += current.length
 	}
 	return int(total)
 }
 
-const weight = 8
+// smoothing is the inverse weight of a new sample in the moving mean.
+const smoothing = 8
 
-// Served remembers how long calls of a route take, as a moving mean.
-func (lines *Lines) Served(route string, took time.Duration) {
-	mean, there := lines.service[route]
-	if !there {
-		lines.service[route] = took
+// ObserveDuration adds the duration of a call of a route to the moving mean.
+func (queues *Queues) ObserveDuration(route string, duration time.Duration) {
+	former, found := queues.mean[route]
+	if !found {
+		queues.mean[route] = duration
 		return
 	}
-	lines.service[route] = mean + (took-mean)/weight
+	queues.mean[route] = former + (duration-former)/smoothing
 }
 
-func (lines *Lines) Service(route string) time.Duration { return lines.service[route] }
+// MeanDuration returns the moving mean of how long calls of a route run, or 0 if none has ended yet.
+func (queues *Queues) MeanDuration(route string) time.Duration { return queues.mean[route] }
 
-// Wait estimates how long a call at a place in the line waits while so many run.
-func (lines *Lines) Wait(route string, place, running int) time.Duration {
-	return lines.service[route] * time.Duration(place+1) / time.Duration(max(1, running))
+// EstimateWait estimates how long a call waits at a position in the queue, from 0 on, while a number of calls of the route run.
+func (queues *Queues) EstimateWait(route string, position, running int) time.Duration {
+	return queues.mean[route] * time.Duration(position+1) / time.Duration(max(1, running))
 }
--- a/listing/platform.go
+++ b/listing/platform.go
@@ -1,4 +1,4 @@
-// Package listing reads what outside systems tell: the listing of servers and the servers' reports.
+// Package listing parses what other systems report: the platform's listing of servers and the servers' load reports.
 package listing
 
 import (
@@ -9,30 +9,34 @@
 	"github.com/rotisserie/eris"
 )
 
-const mostServers = 4096
-const mostPrefixes = 256
+// maxServers bounds the servers of a listing; a longer one is refused.
+const maxServers = 4096
 
-// ReadListing refuses whatever is not a whole, well-formed listing: a broken one is never an empty one.
+// maxPrefixes bounds the cached prefixes of a report; further ones are left out.
+const maxPrefixes = 256
+
+// ReadListing parses the listing of a region. Anything that is not complete and well-formed is an error, so that a broken listing is never
+// taken for an empty one.
 func ReadListing(content []byte, region string) (contract.Listing, error) {
 	listing := contract.Listing{}
 	tree, err := manifest.ParseObject(content)
 	if err != nil {
 		return listing, eris.Wrap(err, "listing")
 	}
-	items, fine := tree["servers"].([]any)
-	if complete, _ := tree["complete"].(bool); !fine || !complete || tree["region"] != region || len(items) > mostServers {
+	items, ok := tree["servers"].([]any)
+	if complete, _ := tree["complete"].(bool); !ok || !complete || tree["region"] != region || len(items) > maxServers {
 		return listing, eris.New("listing: not a complete listing of this region")
 	}
 	listing.Region = region
 	names := map[string]bool{}
 	for _, item := range items {
-		row, fine := item.(map[string]any)
-		if !fine {
+		row, ok := item.(map[string]any)
+		if !ok {
 			return listing, eris.New("listing: a server is not an object")
 		}
 		reader := manifest.NewReader(row)
-		for _, must := range []string{"name", "address", "zone", "pool", "incarnation"} {
-			reader.Require(must)
+		for _, field := range []string{"name", "address", "zone", "pool", "incarnation"} {
+			reader.Require(field)
 		}
 		server := contract.ListedServer{Name: reader.Text("name", ""), Address: reader.Text("address", ""), Region: region,
 			Zone: reader.Text("zone", ""), Pool: reader.Text("pool", ""), Incarnation: reader.Text("incarnation", ""),
@@ -49,7 +53,7 @@
 	return listing, nil
 }
 
-// ReadReport gives a report only when every figure in it is there; a partial one comes back as not complete.
+// ReadReport parses the load report of a server. A report that lacks a figure is returned as not complete.
 func ReadReport(content []byte, server string) (contract.LoadReport, error) {
 	report := contract.LoadReport{Server: server}
 	tree, err := manifest.ParseObject(content)
@@ -64,12 +68,12 @@
 	report.Waiting = reader.Number("waiting", 0, 0, 1<<30)
 	report.AgeMs = reader.Number("ageMs", 0, 0, 1<<40)
 	report.Prefixes = reader.Texts("prefixes")
-	if len(report.Prefixes) > mostPrefixes {
-		report.Prefixes = report.Prefixes[:mostPrefixes]
+	if len(report.Prefixes) > maxPrefixes {
+		report.Prefixes = report.Prefixes[:maxPrefixes]
 	}
 	report.Complete = reader.Bool("complete")
 	for _, field := range []string{"number", "running", "waiting", "ageMs"} {
-		if _, there := tree[field].(json.Number); !there {
+		if _, found := tree[field].(json.Number); !found {
 			report.Complete = false
 		}
 	}
--- a/listing/platform_test.go
+++ b/listing/platform_test.go
@@ -10,13 +10,13 @@
 
 func TestPlatform(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "platform")
+	RunSpecs(t, "listing")
 }
 
 const listing = `{"region":"r","complete":true,"servers":[{"name":"s","address":"10.0.0.1:1","zone":"h","pool":"p","incarnation":"1","leaving":true,"remainingMs":900}]}`
 const report = `{"server":"s","incarnation":"1","number":7,"running":1,"waiting":2,"prefixes":["a"],"complete":true,"ageMs":5}`
 
-var _ = DescribeTable("a broken listing is no listing", func(from, to string) {
+var _ = DescribeTable("a broken listing is refused", func(from, to string) {
 	_, err := ReadListing([]byte(strings.Replace(listing, from, to, 1)), "r")
 	Expect(err).To(HaveOccurred())
 },
@@ -26,17 +26,17 @@
 	Entry("cut short", `"remainingMs":900}]}`, ``),
 	Entry("a server without an incarnation", `"incarnation":"1",`, ``),
 	Entry("a server without a name", `"name":"s"`, `"name":""`),
-	Entry("a mark that is no truth", `"leaving":true`, `"leaving":"yes"`),
+	Entry("a flag that is text", `"leaving":true`, `"leaving":"yes"`),
 	Entry("empty", listing, ``),
 )
 
-var _ = DescribeTable("a broken report is no report", func(from, to string) {
+var _ = DescribeTable("a broken report is refused or not complete", func(from, to string) {
 	read, err := ReadReport([]byte(strings.Replace(report, from, to, 1)), "s")
 	Expect(err != nil || !read.Complete).To(BeTrue())
 },
 	Entry("running is missing", `"running":1,`, ``),
 	Entry("waiting is text", `"waiting":2`, `"waiting":"2"`),
-	Entry("below zero", `"running":1`, `"running":-1`),
+	Entry("negative", `"running":1`, `"running":-1`),
 	Entry("another server's", `"server":"s"`, `"server":"t"`),
 	Entry("no incarnation", `"incarnation":"1",`, ``),
 	Entry("says it is partial", `"complete":true`, `"complete":false`),
@@ -60,7 +60,7 @@
 		read, err := ReadListing(content, "r")
 		for _, server := range read.Servers {
 			if err == nil && (server.Name == "" || server.Region != "r") {
-				t.Fatal("a broken listing was taken")
+				t.Fatal("a broken listing was accepted")
 			}
 		}
 	})
@@ -72,7 +72,7 @@
 	f.Fuzz(func(t *testing.T, content []byte) {
 		read, err := ReadReport(content, "s")
 		if err == nil && (read.Running < 0 || read.Waiting < 0) {
-			t.Fatal("a broken report was taken")
+			t.Fatal("a broken report was accepted")
 		}
 		if err == nil && read.Complete && !strings.Contains(string(content), "running") && !strings.Contains(string(content), `\u`) {
 			t.Fatal("a partial report counts as complete")
--- a/rig/model.go
+++ b/rig/model.go
@@ -178,16 +178,16 @@
 	defer server.lock.Unlock()
 	for _, held := range server.prefixes {
 		if prefix != "" && held == prefix {
-			return time.Duration(tokens) * site.PrefillPerToken / site.PrefixGain
+			return time.Duration(tokens) * site.PrefillTimePerToken / site.CachedPrefixSpeedup
 		}
 	}
 	if prefix != "" {
 		server.prefixes = append(server.prefixes, prefix)
-		if len(server.prefixes) > site.HeldPrefixes {
+		if len(server.prefixes) > site.CachedPrefixes {
 			server.prefixes = server.prefixes[1:]
 		}
 	}
-	return time.Duration(tokens) * site.PrefillPerToken
+	return time.Duration(tokens) * site.PrefillTimePerToken
 }
 
 type asked struct {
@@ -243,7 +243,7 @@
 	}
 	for place := range pieces {
 		piece := ledger.PieceOf(identity, scoped, place) + strings.Repeat("x", wide)
-		if !pause(request, site.DecodePerPiece) || mode == "cut" && place >= pieces/2 {
+		if !pause(request, site.DecodeTimePerPiece) || mode == "cut" && place >= pieces/2 {
 			server.rig.Ledger.Over(identity, told, false)
 			panic(http.ErrAbortHandler)
 		}
@@ -283,7 +283,7 @@
 		return
 	}
 	server.rig.Ledger.Began(key, identity, server.Row.Name, server.rig.now())
-	if !pause(request, site.LookupTime) {
+	if !pause(request, site.LookupDuration) {
 		return
 	}
 	server.rig.Ledger.Over(identity, nil, true)
--- a/site/speeds.go
+++ b/site/speeds.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// The speeds of the stand-in servers, the same in memory and as processes. They are ours and tell of no real model.
+// Speeds of the simulated servers, both in memory and as processes. They do not describe a real model. A server caches CachedPrefixes
+// prompt prefixes; the prompt of a call with a cached prefix is read CachedPrefixSpeedup times as fast.
 const (
-	PrefillPerToken = 100 * time.Microsecond
-	DecodePerPiece  = 20 * time.Millisecond
-	LookupTime      = 2 * time.Millisecond
-	HeldPrefixes    = 4
-	PrefixGain      = 8
+	PrefillTimePerToken = 100 * time.Microsecond
+	DecodeTimePerPiece  = 20 * time.Millisecond
+	LookupDuration      = 2 * time.Millisecond
+	CachedPrefixes      = 4
+	CachedPrefixSpeedup = 8
 )
