--- a/emulator/control.go
+++ b/emulator/control.go
@@ -84,7 +84,7 @@
 
 // ask puts an operator's question to this process.
 func (shell *controlShell) ask(ask contract.OperatorRequest, take func(contract.Response)) {
-	shell.Do(func() {
+	shell.Run(func() {
 		shell.token++
 		ask.Token = shell.token
 		shell.asks[ask.Token] = take
@@ -99,7 +99,7 @@
 		if !given {
 			given = true
 			answer.Token = forward.Request.Token
-			process.Do(func() { give(answer) })
+			process.Run(func() { give(answer) })
 		}
 	}
 	process.after(process.machine.settings().Bounds.Deliver()*2, func() {
@@ -185,7 +185,7 @@
 	end := func(answer any) {
 		if !done {
 			done = true
-			process.Do(func() { take(answer) })
+			process.Run(func() { take(answer) })
 		}
 	}
 	process.after(limit, func() { end(nil) })
--- a/emulator/data.go
+++ b/emulator/data.go
@@ -76,7 +76,7 @@
 
 // lookup answers a caller that asks where to go, with the machines' addresses.
 func (shell *dataShell) lookup(region, zone string, take func([]string)) {
-	shell.Do(func() {
+	shell.Run(func() {
 		shell.token++
 		shell.answers[shell.token] = func(answer contract.Response) {
 			found := answer.Body.(gateway.Addresses)
--- a/emulator/disk.go
+++ b/emulator/disk.go
@@ -24,7 +24,7 @@
 func newDisk(world *World) *disk {
 	made := &disk{}
 	latency := func() time.Duration { return time.Duration(float64(syncTime*syncsPerSave) * max(1, made.slow)) }
-	made.Disk = virtual.NewDisk(&world.Scheduler, virtual.DiskOptions{Latency: latency, LosesUnsynced: true, Serial: true, Retry: diskPause})
+	made.Disk = virtual.NewDisk(&world.Scheduler, virtual.DiskOptions{Latency: latency, LosesUnsynced: true, Serial: true, StallRetryInterval: diskPause})
 	return made
 }
 
--- a/emulator/exchange.go
+++ b/emulator/exchange.go
@@ -103,7 +103,7 @@
 	}
 	shell.callers[conn] = nil
 	conn.closed[far] = func() {
-		shell.Do(func() {
+		shell.Run(func() {
 			left := shell.callers[conn]
 			delete(shell.callers, conn)
 			if left != nil {
@@ -116,7 +116,7 @@
 
 // serve takes one call, has it decided, and carries out what was decided until it is over.
 func (shell *dataShell) serve(conn *conn, request *request, back caller) {
-	shell.Do(func() {
+	shell.Run(func() {
 		if _, there := shell.callers[conn]; !there {
 			return
 		}
@@ -247,7 +247,7 @@
 			}
 			return
 		}
-		shell.Do(func() {
+		shell.Run(func() {
 			switch {
 			case one.over || one.number != number:
 				if opened != nil {
@@ -266,7 +266,7 @@
 func (one *exchange) write(upstream *conn) {
 	shell, number, dispatch := one.shell, one.number, one.dispatch
 	guard := func(then func()) {
-		shell.Do(func() {
+		shell.Run(func() {
 			if !one.over && one.number == number {
 				then()
 			}
--- a/emulator/index_test.go
+++ b/emulator/index_test.go
@@ -127,7 +127,7 @@
 		waiting := 0
 		for _, machine := range day.machines {
 			if machine.disk != nil {
-				waiting = max(waiting, machine.disk.Waiting())
+				waiting = max(waiting, machine.disk.Pending())
 				machine.disk.stall(-1)
 			}
 		}
--- a/emulator/machine.go
+++ b/emulator/machine.go
@@ -132,7 +132,7 @@
 func (process *process) now() time.Duration { return process.day.world.Now - process.began }
 
 func (process *process) after(span time.Duration, then func()) {
-	process.day.world.After(span, func() { process.Do(then) })
+	process.day.world.After(span, func() { process.Run(then) })
 }
 
 func (process *process) tick(every time.Duration) {
@@ -140,7 +140,7 @@
 	process.after(every, func() { process.tick(every) })
 }
 
-func (process *process) event(event contract.Event) { process.Do(func() { process.handle(event) }) }
+func (process *process) event(event contract.Event) { process.Run(func() { process.handle(event) }) }
 
 func (process *process) handle(event contract.Event) {
 	for _, command := range process.owner.Handle(process.now(), event) {
--- a/fleet/caller.go
+++ b/fleet/caller.go
@@ -104,7 +104,7 @@
 			fleet.World.carry(machine.place(), visit.place(), false, func() { next.end("not_run", 0) }, lost)
 			return
 		}
-		process.Do(func() {
+		process.Run(func() {
 			if !next.over {
 				process.arrive(next, asked)
 			}
@@ -123,7 +123,7 @@
 	try.visit.fleet.open--
 	try.reply.Outcome = "left"
 	try.visit.fleet.Ledger.Answered(try.visit.scoped, try.index, try.visit.fleet.World.Now, try.reply)
-	open.process.Do(func() {
+	open.process.Run(func() {
 		if !open.over {
 			open.process.handle(data.CallerLeft{Token: open.token})
 			open.close()
@@ -190,7 +190,7 @@
 	visit, fleet := try.visit, try.visit.fleet
 	fleet.open--
 	if open := try.session; outcome == ledger.Silence && open != nil && !open.over {
-		open.process.Do(func() {
+		open.process.Run(func() {
 			if !open.over {
 				open.process.handle(data.CallerLeft{Token: open.token})
 				open.close()
--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -16,7 +16,7 @@
 
 func newDisk(world *World) *Disk {
 	made := &Disk{}
-	made.Disk = virtual.NewDisk(&world.Scheduler, virtual.DiskOptions{LosesUnsynced: true, Serial: true, Retry: syncBase, Latency: func() time.Duration {
+	made.Disk = virtual.NewDisk(&world.Scheduler, virtual.DiskOptions{LosesUnsynced: true, Serial: true, StallRetryInterval: syncBase, Latency: func() time.Duration {
 		return syncBase + time.Duration(world.Random.Int64N(int64(syncBase))) + made.Slow
 	}})
 	return made
--- a/fleet/passage.go
+++ b/fleet/passage.go
@@ -19,7 +19,7 @@
 	asked.Forwarded, asked.Deadline = true, pass.Timeout
 	reached, given := false, false
 	next := func() {
-		process.Do(func() {
+		process.Run(func() {
 			if !reached && !given && !session.over {
 				given = true
 				session.pass(pass, nodes[1:])
@@ -27,7 +27,7 @@
 		})
 	}
 	process.after(process.machine.env.Bounds.Round(), next)
-	process.after(pass.Timeout+process.machine.env.Bounds.Round()/2, func() { process.Do(session.lost) })
+	process.after(pass.Timeout+process.machine.env.Bounds.Round()/2, func() { process.Run(session.lost) })
 	target := fleet.processes[nodes[0]]
 	fleet.World.travel(process.machine.place(), target.machine.place(), false, func() {
 		if !target.Up {
@@ -38,7 +38,7 @@
 			return
 		}
 		reached = true
-		target.Do(func() { session.inner = target.open(session.try, asked, session) })
+		target.Run(func() { session.inner = target.open(session.try, asked, session) })
 	})
 }
 
@@ -51,7 +51,7 @@
 	outer := session.outer
 	session.last = max(session.last, world.Now+world.delay(here, there))
 	world.At(session.last, func() {
-		outer.process.Do(func() {
+		outer.process.Run(func() {
 			if !outer.over {
 				outer.written++
 				outer.towards(then)
@@ -65,7 +65,7 @@
 	if outer := session.outer; outer != nil {
 		session.outwards(func() {})
 		session.process.machine.fleet.World.At(session.last, func() {
-			outer.process.Do(func() {
+			outer.process.Run(func() {
 				if !outer.over && !session.stuck {
 					outer.process.handle(data.HomeForwardEnded{Token: outer.token, Node: session.process.machine.Name, Status: status})
 					outer.close()
@@ -81,7 +81,7 @@
 	if session.outer != nil {
 		outer = session.outer
 		world := session.process.machine.fleet.World
-		world.travel(session.process.machine.place(), outer.process.machine.place(), false, func() { outer.process.Do(outer.lost) })
+		world.travel(session.process.machine.place(), outer.process.machine.place(), false, func() { outer.process.Run(outer.lost) })
 		return
 	}
 	if outer.over {
@@ -100,7 +100,7 @@
 func (session *session) leave() {
 	world, outer := session.process.machine.fleet.World, session.outer
 	world.travel(outer.process.machine.place(), session.process.machine.place(), false, func() {
-		session.process.Do(func() {
+		session.process.Run(func() {
 			if !session.over {
 				session.process.handle(data.CallerLeft{Token: session.token})
 				session.close()
--- a/fleet/platform.go
+++ b/fleet/platform.go
@@ -112,7 +112,7 @@
 	end := func(content []byte) {
 		if !done {
 			done = true
-			process.Do(func() { take(content) })
+			process.Run(func() { take(content) })
 		}
 	}
 	process.after(limit, func() { end(nil) })
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -97,7 +97,7 @@
 func (process *Process) now() time.Duration { return process.machine.read() - process.began }
 
 // Event brings an event to the owner and carries out its commands.
-func (process *Process) Event(event contract.Event) { process.Do(func() { process.handle(event) }) }
+func (process *Process) Event(event contract.Event) { process.Run(func() { process.handle(event) }) }
 
 func (process *Process) handle(event contract.Event) {
 	for _, command := range process.owner.Handle(process.now(), event) {
@@ -167,7 +167,7 @@
 
 // Ask puts an operator's question to this process.
 func (process *Process) Ask(ask contract.OperatorRequest, take func(contract.Response)) {
-	process.Do(func() {
+	process.Run(func() {
 		process.token++
 		ask.Token = process.token
 		process.asks[ask.Token] = take
@@ -182,7 +182,7 @@
 		if !given {
 			given = true
 			answer.Token = token
-			process.Do(func() { process.answer(answer) })
+			process.Run(func() { process.answer(answer) })
 		}
 	}
 	lost := contract.Response{Status: 504, Body: contract.WriteResult{Outcome: "unknown", Operation: forward.Request.Operation}}
@@ -214,7 +214,7 @@
 		if err := image.Save(disk, work); err != nil {
 			persisted.Error = err.Error()
 		}
-		disk.Acknowledged()
+		disk.RecordSave()
 		process.Event(persisted)
 	})
 }
--- a/fleet/schedule.go
+++ b/fleet/schedule.go
@@ -108,18 +108,18 @@
 	}},
 	{"lying disk", func(fleet *Fleet, span time.Duration) {
 		machine := one(fleet, fleet.Cores())
-		machine.Disk.Lies = 1 + fleet.World.Random.IntN(6)
+		machine.Disk.LostSaves = 1 + fleet.World.Random.IntN(6)
 		fleet.KillFor([]*Machine{machine}, span)
 	}},
 	{"lying disks", func(fleet *Fleet, span time.Duration) {
 		for _, machine := range fleet.Cores() {
-			machine.Disk.Lies = 1 + fleet.World.Random.IntN(6)
+			machine.Disk.LostSaves = 1 + fleet.World.Random.IntN(6)
 		}
 		fleet.KillFor(fleet.Cores(), span/2)
 	}},
 	{"torn disk", func(fleet *Fleet, span time.Duration) {
 		machine := one(fleet, fleet.Cores())
-		machine.Disk.Torn = true
+		machine.Disk.TearLastFile = true
 		fleet.KillFor([]*Machine{machine}, span)
 	}},
 	{"full disk", onDisk(func(disk *Disk) *bool { return &disk.Full }, true)},
--- a/fleet/session.go
+++ b/fleet/session.go
@@ -151,11 +151,11 @@
 		if connected {
 			proof = call.NoReply
 		}
-		process.Do(func() { next.end(proof, "cut at its deadline") })
+		process.Run(func() { next.end(proof, "cut at its deadline") })
 	})
 	process.after(process.machine.env.Bounds.Round(), func() {
 		if !connected {
-			process.Do(func() { next.end(call.NotSent, "no link could be made") })
+			process.Run(func() { next.end(call.NotSent, "no link could be made") })
 		}
 	})
 	fleet.World.travel(process.machine.place(), next.server.place(), false, func() {
@@ -198,7 +198,7 @@
 		return
 	}
 	attempt.last = max(attempt.last, world.Now+world.delay(here, there))
-	world.At(attempt.last, func() { process.Do(then) })
+	world.At(attempt.last, func() { process.Run(then) })
 }
 
 func (attempt *attempt) refusedLink() {
--- a/modelcheck/action.go
+++ b/modelcheck/action.go
@@ -169,7 +169,7 @@
 
 func (cluster *Cluster) powerOff(member *member) {
 	member.owner, member.pending = nil, nil
-	member.disk.LosePowerByName(cluster.coin)
+	member.disk.LosePowerPartially(cluster.coin)
 }
 
 // tearWrite ends a process after so many operations of the write that its disk has under way, and takes the power too at odd places.
@@ -183,7 +183,7 @@
 	_ = image.Save(member.disk, work)
 	member.disk.budget = -1
 	if place%2 == 1 {
-		member.disk.LosePowerByName(cluster.coin)
+		member.disk.LosePowerPartially(cluster.coin)
 	}
 }
 
--- a/modelcheck/move.go
+++ b/modelcheck/move.go
@@ -202,7 +202,7 @@
 		member.owner, member.pending = nil, nil
 	case PowerHead, PowerMiddle, PowerTail:
 		member.owner, member.pending = nil, nil
-		member.disk.LosePowerByName(func() bool { return false })
+		member.disk.LosePowerPartially(func() bool { return false })
 	case EmptyHead, EmptyTail:
 		cluster.wipe(member)
 	case ReplaceHead, ReplaceTail:
--- a/nodecheck/node.go
+++ b/nodecheck/node.go
@@ -221,6 +221,6 @@
 func (node *node) kill(power bool) {
 	node.owner, node.lastRead = nil, nil
 	if power && node.core() {
-		node.disk.LosePowerByName(func() bool { return node.world.random.IntN(2) == 0 })
+		node.disk.LosePowerPartially(func() bool { return node.world.random.IntN(2) == 0 })
 	}
 }
--- a/stories/core/chain_test.go
+++ b/stories/core/chain_test.go
@@ -88,7 +88,7 @@
 		}
 		_, newest := played.Manifest(played.Machines[2])
 		for _, machine := range played.Cores() {
-			machine.Disk.Lies = 4
+			machine.Disk.LostSaves = 4
 		}
 		played.KillFor(played.Cores(), time.Second)
 		played.Run(12 * time.Second)
@@ -187,7 +187,7 @@
 			Expect(harness.Patched(played, played.Machines[index], index).Status).To(Equal(200))
 		}
 		for _, machine := range played.Cores() {
-			machine.Disk.Lies = 60
+			machine.Disk.LostSaves = 60
 		}
 		played.KillFor(played.Cores(), time.Second)
 		played.Run(15 * time.Second)
--- a/virtual/disk.go
+++ b/virtual/disk.go
@@ -9,170 +9,179 @@
 	"github.com/rotisserie/eris"
 )
 
-// DiskOptions are what simulated disks differ in. Without LosesUnsynced and Serial a disk is kinder than a real one, or as no process
-// uses one.
+// DiskOptions configures a simulated disk. Without LosesUnsynced a disk is more reliable than a real one; without Serial it is used in a way
+// that no process of this module uses one.
 type DiskOptions struct {
-	// Latency gives how long a save takes, asked as the save begins.
+	// Latency returns how long a save takes. It is called when the save begins.
 	Latency func() time.Duration
-	// LosesUnsynced lets a loss of power take what was written since the folder was synced; otherwise every write is kept at once.
+	// LosesUnsynced makes a power loss discard what was written since the folder was synced; otherwise every write is durable at once.
 	LosesUnsynced bool
-	// Serial lets one save begin when the one before is over, as the one goroutine for a disk does; otherwise saves overlap, and the
-	// latest may be over first.
+	// Serial starts a save when the one before has ended, like a process with one goroutine for its disk; otherwise saves overlap, and a
+	// later one may end first.
 	Serial bool
-	// Retry is how long a serial disk waits before it looks again whether it still stalls.
-	Retry time.Duration
+	// StallRetryInterval is the period at which a serial disk checks whether a stall has ended.
+	StallRetryInterval time.Duration
 }
 
-// Disk is a folder in memory, with the troubles of a disk. It may fill up, stall, tear a file, or lie about what it kept.
+// Disk simulates a folder on a disk in memory, with the faults of a disk: it may be full, stall, tear a file, or lose saves that it has
+// acknowledged.
 type Disk struct {
+	// Full makes writes fail. Stalled delays saves until it is reset; see Resume.
 	Full    bool
 	Stalled bool
-	// Lies is how many acknowledged saves the next loss of power takes back.
-	Lies int
-	// Torn lets the next loss of power cut the last file in half.
-	Torn bool
+	// LostSaves is how many acknowledged saves the next power loss undoes.
+	LostSaves int
+	// TearLastFile makes the next power loss cut the last file, in the order of names, in half.
+	TearLastFile bool
 
 	options   DiskOptions
 	scheduler *Scheduler
-	files     map[string][]byte
-	synced    map[string][]byte
-	history   []map[string][]byte
-	waiting   []func()
-	busy      bool
+	// files is the current state, synced that of the last sync of the folder, and history that after each acknowledged save since the last
+	// power loss.
+	files   map[string][]byte
+	synced  map[string][]byte
+	history []map[string][]byte
+	pending []func()
+	busy    bool
 }
 
+// NewDisk returns an empty disk.
 func NewDisk(scheduler *Scheduler, options DiskOptions) *Disk {
 	return &Disk{options: options, scheduler: scheduler, files: map[string][]byte{}, synced: map[string][]byte{}}
 }
 
-// Save does a piece of work after the time that the disk takes for it, later if it stalls then.
+// Save calls work, which writes files, after the latency of the disk, or later if the disk is stalled then.
 func (disk *Disk) Save(work func()) {
 	if !disk.options.Serial {
 		disk.scheduler.After(disk.options.Latency(), func() {
 			if disk.Stalled {
-				disk.waiting = append(disk.waiting, work)
+				disk.pending = append(disk.pending, work)
 				return
 			}
 			work()
 		})
 		return
 	}
-	disk.waiting = append(disk.waiting, work)
+	disk.pending = append(disk.pending, work)
 	if !disk.busy {
 		disk.busy = true
-		disk.next()
+		disk.runNext()
 	}
 }
 
-func (disk *Disk) next() {
-	if len(disk.waiting) == 0 {
+// runNext runs the pending saves of a serial disk one by one.
+func (disk *Disk) runNext() {
+	if len(disk.pending) == 0 {
 		disk.busy = false
 		return
 	}
 	disk.scheduler.After(disk.options.Latency(), func() {
 		if disk.Stalled {
-			disk.scheduler.After(disk.options.Retry, disk.next)
+			disk.scheduler.After(disk.options.StallRetryInterval, disk.runNext)
 			return
 		}
-		if len(disk.waiting) > 0 {
-			first := disk.waiting[0]
-			disk.waiting = disk.waiting[1:]
+		if len(disk.pending) > 0 {
+			first := disk.pending[0]
+			disk.pending = disk.pending[1:]
 			first()
 		}
-		disk.next()
+		disk.runNext()
 	})
 }
 
-// Resume lets the saves that a stall held up go on, unless it lasts. A serial disk goes on by itself.
+// Resume runs the saves that a stall has delayed, unless the disk is still stalled. A serial disk resumes by itself.
 func (disk *Disk) Resume() {
 	if disk.Stalled || disk.options.Serial {
 		return
 	}
-	held := disk.waiting
-	disk.waiting = nil
-	for _, work := range held {
+	stalled := disk.pending
+	disk.pending = nil
+	for _, work := range stalled {
 		work()
 	}
 }
 
-// Waiting counts the saves that have not begun.
-func (disk *Disk) Waiting() int { return len(disk.waiting) }
+// Pending returns the number of saves that have not been run.
+func (disk *Disk) Pending() int { return len(disk.pending) }
 
-// Abandon forgets the saves that wait, as the end of their process does.
-func (disk *Disk) Abandon() { disk.waiting = nil }
+// Abandon discards the pending saves, as the end of their process does.
+func (disk *Disk) Abandon() { disk.pending = nil }
 
-const historyMost = 64
+// maxHistory bounds the acknowledged saves that a power loss can undo.
+const maxHistory = 64
 
-// Acknowledged remembers the state after a save, so that a disk that lied can go back to it.
-func (disk *Disk) Acknowledged() {
-	disk.history = append(disk.history, copied(disk.files))
-	if len(disk.history) > historyMost {
+// RecordSave records the state after an acknowledged save, so that a power loss can undo later ones.
+func (disk *Disk) RecordSave() {
+	disk.history = append(disk.history, cloneFiles(disk.files))
+	if len(disk.history) > maxHistory {
 		disk.history = disk.history[1:]
 	}
 }
 
-// LosePower takes what was not synced and what the disk only said it kept, the latter once.
+// LosePower discards what was not synced and applies LostSaves and TearLastFile, which it resets.
 func (disk *Disk) LosePower() {
 	disk.Abandon()
 	if disk.options.LosesUnsynced {
-		disk.files = copied(disk.synced)
+		disk.files = cloneFiles(disk.synced)
 	}
-	if disk.Lies > 0 && len(disk.history) > 0 {
-		disk.files = disk.history[max(0, len(disk.history)-1-disk.Lies)]
+	if disk.LostSaves > 0 && len(disk.history) > 0 {
+		disk.files = disk.history[max(0, len(disk.history)-1-disk.LostSaves)]
 	}
-	if names, _ := disk.List(); disk.Torn && len(names) > 0 {
+	if names, _ := disk.List(); disk.TearLastFile && len(names) > 0 {
 		last := names[len(names)-1]
 		disk.files[last] = disk.files[last][:len(disk.files[last])/2]
 	}
-	disk.synced, disk.history, disk.Lies, disk.Torn = copied(disk.files), nil, 0, false
+	disk.synced, disk.history, disk.LostSaves, disk.TearLastFile = cloneFiles(disk.files), nil, 0, false
 }
 
-// LosePowerByName keeps or loses each name that is not as it was at the last sync of the folder, by itself, in the order of the names.
-func (disk *Disk) LosePowerByName(keeps func() bool) {
+// LosePowerPartially keeps or reverts each file that differs from the last sync of the folder. It calls keeps for each of them, in the order
+// of names.
+func (disk *Disk) LosePowerPartially(keeps func() bool) {
 	disk.Abandon()
-	for _, name := range disk.unsynced() {
+	for _, name := range disk.unsyncedNames() {
 		if keeps() {
 			continue
 		}
-		if content, there := disk.synced[name]; there {
+		if content, found := disk.synced[name]; found {
 			disk.files[name] = content
 		} else {
 			delete(disk.files, name)
 		}
 	}
-	disk.synced, disk.history = copied(disk.files), nil
+	disk.synced, disk.history = cloneFiles(disk.files), nil
 }
 
-// unsynced gives the names that were made, changed or removed since the last sync of the folder.
-func (disk *Disk) unsynced() []string {
+// unsyncedNames returns the names of files that were created, changed or removed since the last sync of the folder.
+func (disk *Disk) unsyncedNames() []string {
 	names := map[string]bool{}
 	for name, content := range disk.files {
-		if former, there := disk.synced[name]; !there || !slices.Equal(former, content) {
+		if former, found := disk.synced[name]; !found || !slices.Equal(former, content) {
 			names[name] = true
 		}
 	}
 	for name := range disk.synced {
-		if _, there := disk.files[name]; !there {
+		if _, found := disk.files[name]; !found {
 			names[name] = true
 		}
 	}
 	return manifest.SortedKeys(names)
 }
 
-// Wipe empties the folder, as a swap for an empty machine does.
+// Wipe empties the folder, like the replacement of the machine by an empty one.
 func (disk *Disk) Wipe() {
 	disk.Abandon()
 	disk.files, disk.synced, disk.history = map[string][]byte{}, map[string][]byte{}, nil
 }
 
-func copied(files map[string][]byte) map[string][]byte {
-	made := make(map[string][]byte, len(files))
+func cloneFiles(files map[string][]byte) map[string][]byte {
+	clone := make(map[string][]byte, len(files))
 	for name, content := range files {
-		made[name] = content
+		clone[name] = content
 	}
-	return made
+	return clone
 }
 
+// WriteAside writes a temporary file; see Settle.
 func (disk *Disk) WriteAside(name string, content []byte) error {
 	if disk.Full {
 		return eris.New("no space left")
@@ -181,9 +190,10 @@
 	return nil
 }
 
+// Settle renames a temporary file, in place of a file with the new name.
 func (disk *Disk) Settle(aside, name string) error {
-	content, there := disk.files[aside]
-	if !there {
+	content, found := disk.files[aside]
+	if !found {
 		return os.ErrNotExist
 	}
 	disk.files[name] = content
@@ -191,22 +201,26 @@
 	return nil
 }
 
+// SyncFolder makes the current state durable.
 func (disk *Disk) SyncFolder() error {
-	disk.synced = copied(disk.files)
+	disk.synced = cloneFiles(disk.files)
 	return nil
 }
 
+// Read returns the content of a file, or os.ErrNotExist.
 func (disk *Disk) Read(name string) ([]byte, error) {
-	content, there := disk.files[name]
-	if !there {
+	content, found := disk.files[name]
+	if !found {
 		return nil, os.ErrNotExist
 	}
 	return content, nil
 }
 
+// Remove removes a file. A missing one is no error.
 func (disk *Disk) Remove(name string) error {
 	delete(disk.files, name)
 	return nil
 }
 
+// List returns the names of all files in ascending order.
 func (disk *Disk) List() ([]string, error) { return manifest.SortedKeys(disk.files), nil }
--- a/virtual/disk_test.go
+++ b/virtual/disk_test.go
@@ -44,24 +44,24 @@
 		GinkgoHelper()
 		write(disk, name, content)
 		Expect(disk.SyncFolder()).To(Succeed())
-		disk.Acknowledged()
+		disk.RecordSave()
 	}
 	holds := func(disk *Disk) map[string]string {
 		GinkgoHelper()
-		names, failure := disk.List()
-		Expect(failure).NotTo(HaveOccurred())
-		held := map[string]string{}
+		names, err := disk.List()
+		Expect(err).NotTo(HaveOccurred())
+		pending := map[string]string{}
 		for _, name := range names {
-			content, failure := disk.Read(name)
-			Expect(failure).NotTo(HaveOccurred())
-			held[name] = string(content)
+			content, err := disk.Read(name)
+			Expect(err).NotTo(HaveOccurred())
+			pending[name] = string(content)
 		}
-		return held
+		return pending
 	}
 
-	for name, options := range map[string]DiskOptions{"kind": {}, "strict": {LosesUnsynced: true, Serial: true, Retry: 20 * time.Millisecond}} {
+	for name, options := range map[string]DiskOptions{"kind": {}, "strict": {LosesUnsynced: true, Serial: true, StallRetryInterval: 20 * time.Millisecond}} {
 		Context("that is "+name, func() {
-			It("is a folder whose names are sorted and whose files are its own", func() {
+			It("lists names in order and keeps its own copies of files", func() {
 				disk, content := given(options), []byte("one")
 				Expect(disk.WriteAside("b", content)).To(Succeed())
 				Expect(disk.WriteAside("a", []byte("two"))).To(Succeed())
@@ -71,8 +71,8 @@
 				Expect(disk.Settle("b", "a")).To(Succeed())
 				Expect(holds(disk)).To(Equal(map[string]string{"a": "one"}))
 				Expect(disk.Remove("a")).To(Succeed())
-				_, failure := disk.Read("a")
-				Expect(failure).To(MatchError(os.ErrNotExist))
+				_, err := disk.Read("a")
+				Expect(err).To(MatchError(os.ErrNotExist))
 				Expect(disk.Settle("a", "b")).To(MatchError(os.ErrNotExist))
 			})
 
@@ -86,7 +86,7 @@
 				Expect(disk.WriteAside("a", []byte("two"))).To(Succeed())
 			})
 
-			It("keeps through a loss of power what was synced", func() {
+			It("keeps what was synced through a power loss", func() {
 				disk := given(options)
 				saved(disk, "a", "one")
 				disk.LosePower()
@@ -94,43 +94,43 @@
 				Expect(holds(disk)).To(Equal(map[string]string{"a": "one"}))
 			})
 
-			It("takes back so many acknowledged saves as it lied about, once", func() {
+			It("loses the given number of acknowledged saves, once", func() {
 				disk := given(options)
 				for _, content := range []string{"one", "two", "three", "four"} {
 					saved(disk, "a", content)
 				}
-				disk.Lies = 2
+				disk.LostSaves = 2
 				disk.LosePower()
 				Expect(holds(disk)).To(Equal(map[string]string{"a": "two"}))
 				disk.LosePower()
 				Expect(holds(disk)).To(Equal(map[string]string{"a": "two"}))
-				disk.Lies = 9
+				disk.LostSaves = 9
 				saved(disk, "b", "five")
 				disk.LosePower()
-				Expect(holds(disk)).To(Equal(map[string]string{"a": "two", "b": "five"}), "the first save since is all that it knows")
+				Expect(holds(disk)).To(Equal(map[string]string{"a": "two", "b": "five"}), "it can only go back to the first save after the last power loss")
 			})
 
-			It("goes back no further than it remembers", func() {
+			It("loses no more saves than its history has", func() {
 				disk := given(options)
-				for number := range 3 * historyMost {
+				for number := range 3 * maxHistory {
 					saved(disk, "a", string(rune('A'+number)))
 				}
-				disk.Lies = 3 * historyMost
+				disk.LostSaves = 3 * maxHistory
 				disk.LosePower()
-				Expect(holds(disk)).To(Equal(map[string]string{"a": string(rune('A' + 2*historyMost))}))
+				Expect(holds(disk)).To(Equal(map[string]string{"a": string(rune('A' + 2*maxHistory))}))
 			})
 
-			It("cuts the last file in half when it is torn, once, and the image is put aside", func() {
+			It("cuts the last file in half, once, and the damaged image is moved aside", func() {
 				disk, version := given(options), contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", document.Empty())
 				Expect(image.Save(disk, chain.Persist{Writes: []chain.Write{{Version: version}}})).To(Succeed())
 				disk.LosePower()
-				recovered, failure := image.Load(disk)
-				Expect(failure).NotTo(HaveOccurred())
+				recovered, err := image.Load(disk)
+				Expect(err).NotTo(HaveOccurred())
 				Expect(recovered.Versions).To(HaveLen(1))
-				disk.Torn = true
+				disk.TearLastFile = true
 				disk.LosePower()
-				recovered, failure = image.Load(disk)
-				Expect(failure).NotTo(HaveOccurred())
+				recovered, err = image.Load(disk)
+				Expect(err).NotTo(HaveOccurred())
 				Expect(recovered.Versions).To(BeEmpty())
 				Expect(recovered.Damaged).To(HaveLen(1))
 				Expect(disk.SyncFolder()).To(Succeed())
@@ -139,14 +139,14 @@
 				Expect(holds(disk)).To(Equal(before))
 			})
 
-			It("is empty after a wipe, also when power is lost then, and forgets what waited", func() {
+			It("is empty after a wipe, also after a following power loss, and discards pending saves", func() {
 				disk := given(options)
 				saved(disk, "a", "one")
 				disk.Stalled = true
 				disk.Save(note("lost"))
 				scheduler.RunUntil(10 * time.Second)
 				disk.Wipe()
-				disk.Lies = 1
+				disk.LostSaves = 1
 				disk.LosePower()
 				disk.Stalled = false
 				disk.Resume()
@@ -155,7 +155,7 @@
 				Expect(seen).To(BeEmpty())
 			})
 
-			It("saves after its latency, not while it stalls, and never what was abandoned", func() {
+			It("saves after its latency, not while it is stalled, and never what was abandoned", func() {
 				disk := given(options)
 				disk.Save(note("a"))
 				scheduler.RunUntil(time.Second - 1)
@@ -166,7 +166,7 @@
 				disk.Save(note("b"))
 				scheduler.RunUntil(10 * time.Second)
 				disk.Resume()
-				Expect(seen).To(HaveLen(1), "the stall lasts")
+				Expect(seen).To(HaveLen(1), "the disk is still stalled")
 				disk.Abandon()
 				disk.Stalled = false
 				disk.Resume()
@@ -179,7 +179,7 @@
 		})
 	}
 
-	It("loses what was not synced only if it is told to", func() {
+	It("loses what was not synced only with that option", func() {
 		for _, loses := range []bool{false, true} {
 			disk := given(DiskOptions{LosesUnsynced: loses})
 			saved(disk, "a", "one")
@@ -194,7 +194,7 @@
 		}
 	})
 
-	It("keeps or loses each unsynced name by itself where it is asked to", func() {
+	It("keeps or reverts each unsynced file on its own in a partial power loss", func() {
 		for _, keeps := range []bool{true, false} {
 			disk := given(DiskOptions{LosesUnsynced: true})
 			saved(disk, "a", "one")
@@ -203,11 +203,11 @@
 			write(disk, "c", "four")
 			Expect(disk.Remove("b")).To(Succeed())
 			asked := 0
-			disk.LosePowerByName(func() bool {
+			disk.LosePowerPartially(func() bool {
 				asked++
 				return keeps
 			})
-			Expect(asked).To(Equal(3), "a is changed, b removed, c made")
+			Expect(asked).To(Equal(3), "a is changed, b removed, c created")
 			if keeps {
 				Expect(holds(disk)).To(Equal(map[string]string{"a": "three", "c": "four"}))
 			} else {
@@ -215,11 +215,11 @@
 			}
 			before := holds(disk)
 			disk.LosePower()
-			Expect(holds(disk)).To(Equal(before), "what is left lasts")
+			Expect(holds(disk)).To(Equal(before), "what is left is durable")
 		}
 	})
 
-	It("lets saves overlap, so that a later one may be over first", func() {
+	It("lets saves overlap, so that a later one may end first", func() {
 		disk := given(DiskOptions{})
 		latency = []time.Duration{3 * time.Second, time.Second}
 		disk.Save(note("first"))
@@ -228,7 +228,7 @@
 		Expect(seen).To(Equal([]string{"second at 1s", "first at 3s"}))
 	})
 
-	It("lets all saves that a stall held up go on at its end, in their order", func() {
+	It("runs all saves that a stall has delayed at its end, in order", func() {
 		disk := given(DiskOptions{})
 		disk.Stalled = true
 		disk.Save(note("first"))
@@ -239,7 +239,7 @@
 		Expect(seen).To(Equal([]string{"first at 10s", "second at 10s"}))
 	})
 
-	It("saves one after the other when it is serial, each with a latency of its own", func() {
+	It("saves one after the other when it is serial, each with its own latency", func() {
 		disk := given(DiskOptions{Serial: true})
 		latency = []time.Duration{3 * time.Second, time.Second}
 		disk.Save(note("first"))
@@ -248,8 +248,8 @@
 		Expect(seen).To(Equal([]string{"first at 3s", "second at 4s"}))
 	})
 
-	It("goes on by itself after a stall when it is serial, at the next look and after the latency", func() {
-		disk := given(DiskOptions{Serial: true, Retry: 300 * time.Millisecond})
+	It("resumes by itself after a stall when it is serial, at the next check and after the latency", func() {
+		disk := given(DiskOptions{Serial: true, StallRetryInterval: 300 * time.Millisecond})
 		disk.Stalled = true
 		disk.Save(note("first"))
 		disk.Save(note("second"))
--- a/virtual/process.go
+++ b/virtual/process.go
@@ -1,31 +1,32 @@
 package virtual
 
-// Process is one life of a program: while it is frozen everything waits for it, when it is dead everything is lost.
+// Process is one run of a program. Actions wait while it is frozen and are lost when it is killed. The zero value is a process that is not
+// running.
 type Process struct {
 	Up      bool
 	Frozen  bool
-	waiting []func()
+	pending []func()
 }
 
-// Do runs something inside the process: later if it is frozen, never if it died.
-func (process *Process) Do(then func()) {
+// Run performs an action of the process: at once, after the thaw if it is frozen, or never if it is not running.
+func (process *Process) Run(action func()) {
 	switch {
 	case !process.Up:
 	case process.Frozen:
-		process.waiting = append(process.waiting, then)
+		process.pending = append(process.pending, action)
 	default:
-		then()
+		action()
 	}
 }
 
-// Thaw ends a freeze; what waited happens in its order.
+// Thaw ends a freeze and performs the pending actions in order.
 func (process *Process) Thaw() {
-	waiting := process.waiting
-	process.Frozen, process.waiting = false, nil
-	for _, then := range waiting {
-		process.Do(then)
+	pending := process.pending
+	process.Frozen, process.pending = false, nil
+	for _, action := range pending {
+		process.Run(action)
 	}
 }
 
-// Kill ends the process, and with it what waited.
+// Kill ends the process and discards the pending actions.
 func (process *Process) Kill() { *process = Process{} }
--- a/virtual/process_test.go
+++ b/virtual/process_test.go
@@ -12,42 +12,42 @@
 
 	BeforeEach(func() { process, seen = &Process{Up: true}, nil })
 
-	It("does at once what comes while it runs", func() {
-		process.Do(note("a"))
+	It("performs an action at once while it is running", func() {
+		process.Run(note("a"))
 		Expect(seen).To(Equal([]string{"a"}))
 	})
 
-	It("does in order what came while it was frozen, when it thaws and once", func() {
+	It("performs actions that came during a freeze in order, when it thaws, once", func() {
 		process.Frozen = true
-		process.Do(note("a"))
-		process.Do(note("b"))
+		process.Run(note("a"))
+		process.Run(note("b"))
 		Expect(seen).To(BeEmpty())
 		process.Thaw()
 		Expect(process.Frozen).To(BeFalse())
 		process.Thaw()
-		process.Do(note("c"))
+		process.Run(note("c"))
 		Expect(seen).To(Equal([]string{"a", "b", "c"}))
 	})
 
-	It("loses what waited and what comes once it is dead", func() {
+	It("loses pending and new actions once it is killed", func() {
 		process.Frozen = true
-		process.Do(note("a"))
+		process.Run(note("a"))
 		process.Kill()
 		Expect(process.Up).To(BeFalse())
 		process.Thaw()
-		process.Do(note("b"))
+		process.Run(note("b"))
 		Expect(seen).To(BeEmpty())
 	})
 
-	It("does nothing more of what waited when that kills it, and holds the rest when that freezes it", func() {
+	It("drops the remaining actions when one kills it, and keeps them when one freezes it", func() {
 		process.Frozen = true
-		process.Do(note("a"))
-		process.Do(func() { process.Frozen = true })
-		process.Do(note("b"))
+		process.Run(note("a"))
+		process.Run(func() { process.Frozen = true })
+		process.Run(note("b"))
 		process.Thaw()
 		Expect(seen).To(Equal([]string{"a"}))
-		process.Do(process.Kill)
-		process.Do(note("c"))
+		process.Run(process.Kill)
+		process.Run(note("c"))
 		process.Thaw()
 		Expect(seen).To(Equal([]string{"a", "b"}))
 	})
--- a/virtual/queue.go
+++ b/virtual/queue.go
@@ -1,4 +1,4 @@
-// Package virtual is what the simulations share: the event queue, the scheduler that runs in virtual time, and a simulated disk.
+// Package virtual contains what the simulations share: an event queue, a scheduler in virtual time, a process and a disk.
 package virtual
 
 import (
@@ -6,51 +6,55 @@
 	"time"
 )
 
-// Queue is an event queue: it gives the earliest event first, and those of the same moment in the order in which they were pushed.
+// Queue is a priority queue of events. The earliest event comes first; events of the same time come in the order in which they were pushed.
+// The zero value is an empty queue.
 type Queue[Event any] struct {
-	events events[Event]
-	pushed int64
+	entries entries[Event]
+	pushed  int64
 }
 
+// Push adds an event that is due at a time.
 func (queue *Queue[Event]) Push(at time.Duration, event Event) {
 	queue.pushed++
-	heap.Push(&queue.events, &timed[Event]{at: at, number: queue.pushed, event: event})
+	heap.Push(&queue.entries, &entry[Event]{at: at, sequence: queue.pushed, event: event})
 }
 
-// Next tells when the earliest event is due, if there is one.
-func (queue *Queue[Event]) Next() (at time.Duration, there bool) {
-	if len(queue.events) == 0 {
+// NextTime returns when the earliest event is due, if there is one.
+func (queue *Queue[Event]) NextTime() (at time.Duration, found bool) {
+	if len(queue.entries) == 0 {
 		return 0, false
 	}
-	return queue.events[0].at, true
+	return queue.entries[0].at, true
 }
 
-// Pop takes the earliest event out of a queue that is not empty.
-func (queue *Queue[Event]) Pop() Event { return heap.Pop(&queue.events).(*timed[Event]).event }
+// Pop removes and returns the earliest event. The queue must not be empty.
+func (queue *Queue[Event]) Pop() Event { return heap.Pop(&queue.entries).(*entry[Event]).event }
 
-type timed[Event any] struct {
-	at     time.Duration
-	number int64
-	event  Event
+// entry is an event with its due time and its number in the order of pushes.
+type entry[Event any] struct {
+	at       time.Duration
+	sequence int64
+	event    Event
 }
 
-type events[Event any] []*timed[Event]
+// entries implements heap.Interface.
+type entries[Event any] []*entry[Event]
 
-func (events events[Event]) Len() int { return len(events) }
-func (events events[Event]) Less(left, right int) bool {
-	if events[left].at != events[right].at {
-		return events[left].at < events[right].at
+func (entries entries[Event]) Len() int { return len(entries) }
+func (entries entries[Event]) Less(left, right int) bool {
+	if entries[left].at != entries[right].at {
+		return entries[left].at < entries[right].at
 	}
-	return events[left].number < events[right].number
+	return entries[left].sequence < entries[right].sequence
 }
-func (events events[Event]) Swap(left, right int) {
-	events[left], events[right] = events[right], events[left]
+func (entries entries[Event]) Swap(left, right int) {
+	entries[left], entries[right] = entries[right], entries[left]
 }
-func (events *events[Event]) Push(item any) { *events = append(*events, item.(*timed[Event])) }
-func (events *events[Event]) Pop() any {
-	old := *events
+func (entries *entries[Event]) Push(item any) { *entries = append(*entries, item.(*entry[Event])) }
+func (entries *entries[Event]) Pop() any {
+	old := *entries
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
-	*events = old[:len(old)-1]
+	*entries = old[:len(old)-1]
 	return last
 }
--- a/virtual/queue_test.go
+++ b/virtual/queue_test.go
@@ -18,18 +18,18 @@
 var _ = Describe("the event queue", func() {
 	It("is empty at first and after the last event", func() {
 		queue := Queue[string]{}
-		_, there := queue.Next()
-		Expect(there).To(BeFalse())
+		_, found := queue.NextTime()
+		Expect(found).To(BeFalse())
 		queue.Push(0, "only")
-		at, there := queue.Next()
-		Expect(there).To(BeTrue())
+		at, found := queue.NextTime()
+		Expect(found).To(BeTrue())
 		Expect(at).To(BeZero())
 		Expect(queue.Pop()).To(Equal("only"))
-		_, there = queue.Next()
-		Expect(there).To(BeFalse())
+		_, found = queue.NextTime()
+		Expect(found).To(BeFalse())
 	})
 
-	It("gives events of the same moment in the order in which they were pushed", func() {
+	It("returns events of the same time in the order in which they were pushed", func() {
 		queue := Queue[int]{}
 		for number := range 100 {
 			queue.Push(time.Second, number)
@@ -39,7 +39,7 @@
 		}
 	})
 
-	It("gives what a stable sort by time gives, whatever is pushed and popped in between", func() {
+	It("returns what a stable sort by time returns, for random pushes and pops", func() {
 		type entry struct {
 			at     time.Duration
 			number int
@@ -55,9 +55,9 @@
 					slices.SortStableFunc(model, func(left, right entry) int { return int(left.at - right.at) })
 					continue
 				}
-				at, there := queue.Next()
-				Expect(there).To(Equal(len(model) > 0))
-				if there {
+				at, found := queue.NextTime()
+				Expect(found).To(Equal(len(model) > 0))
+				if found {
 					Expect(at).To(Equal(model[0].at))
 					Expect(queue.Pop()).To(Equal(model[0]))
 					model = model[1:]
--- a/virtual/scheduler.go
+++ b/virtual/scheduler.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Scheduler runs events one after the other in virtual time; nothing in it looks at a real clock.
+// Scheduler runs actions one after the other in virtual time, independently of any real clock. Now is the current virtual time.
 type Scheduler struct {
 	Now   time.Duration
 	queue Queue[func()]
 }
 
-// After lets something happen when a span has passed, at once if the span is negative, always after what is due now already.
-func (scheduler *Scheduler) After(span time.Duration, then func()) {
-	scheduler.queue.Push(scheduler.Now+max(0, span), then)
+// After schedules an action after a delay. A negative delay counts as 0; the action still runs after those that are already due.
+func (scheduler *Scheduler) After(delay time.Duration, action func()) {
+	scheduler.queue.Push(scheduler.Now+max(0, delay), action)
 }
 
-// At lets something happen at a moment, now if that is over.
-func (scheduler *Scheduler) At(moment time.Duration, then func()) {
-	scheduler.After(moment-scheduler.Now, then)
+// At schedules an action at a time, or now if that is past.
+func (scheduler *Scheduler) At(moment time.Duration, action func()) {
+	scheduler.After(moment-scheduler.Now, action)
 }
 
-// RunUntil lets everything happen up to and with a moment.
+// RunUntil runs all actions that are due up to a time, inclusive, and advances Now to it.
 func (scheduler *Scheduler) RunUntil(moment time.Duration) {
 	for {
-		at, there := scheduler.queue.Next()
-		if !there || at > moment {
+		at, found := scheduler.queue.NextTime()
+		if !found || at > moment {
 			break
 		}
 		scheduler.Now = at
--- a/virtual/scheduler_test.go
+++ b/virtual/scheduler_test.go
@@ -16,7 +16,7 @@
 
 	BeforeEach(func() { scheduler, seen = &Scheduler{}, nil })
 
-	It("runs what is due up to and with a moment, in order, and stands at that moment", func() {
+	It("runs what is due up to a time, inclusive, in order, and stops at that time", func() {
 		scheduler.After(2*time.Second, note("b"))
 		scheduler.After(time.Second, note("a"))
 		scheduler.At(2*time.Second, note("c"))
@@ -29,7 +29,7 @@
 		Expect(scheduler.Now).To(Equal(time.Minute))
 	})
 
-	It("lets an event lead to others, those of the same moment after what was due already", func() {
+	It("lets an action schedule others, which run after those of the same time that were scheduled before", func() {
 		scheduler.At(time.Second, func() {
 			note("first")()
 			scheduler.After(0, note("third"))
@@ -40,7 +40,7 @@
 		Expect(seen).To(Equal([]string{"first at 1s", "second at 1s", "third at 1s", "fourth at 2s"}))
 	})
 
-	It("never goes back: what is due in the past happens now", func() {
+	It("never goes back: an action that is due in the past runs now", func() {
 		scheduler.RunUntil(time.Minute)
 		scheduler.After(-time.Second, note("a"))
 		scheduler.At(time.Second, note("b"))
