--- a/data/keep.go
+++ b/data/keep.go
@@ -240,7 +240,7 @@
 	case record.Outcome == call.Interrupted:
 		router.fail(now, job, 502, call.Interrupted, "the call was interrupted", 0)
 	case record.Outcome == call.Running && record.Remaining > 0 && router.stillRuns(now, record):
-		after := min(max(router.queues.Service(job.call.Route)/2, router.Bounds.Round()), record.Remaining+router.Bounds.Round())
+		after := min(max(router.queues.MeanDuration(job.call.Route)/2, router.Bounds.Round()), record.Remaining+router.Bounds.Round())
 		router.fail(now, job, 409, call.Running, "the call is still running", router.jitter(after))
 	default:
 		router.fail(now, job, 502, call.Unknown, "the call was taken and its end is not known", 0)
