--- a/control/control.go
+++ b/control/control.go
@@ -81,10 +81,10 @@
 		self := contract.CoreNode{Name: node.Self().Name, ID: boot, Address: node.Self().Address}
 		controller.chain = chain.New(self, boot, int(settings.CoreSize), settings.Bounds, *recovered, random)
 		controller.chain.AllowBootstrap(!settings.Joins)
-		node.Neighbours.Identify(controller.chain.Self().ID)
+		node.Neighbours.SetIdentity(controller.chain.Self().ID)
 		controller.chain.SetFounders(settings.Founders)
 		if newest, found := recovered.NewestCommitted(); found && settings.Wide {
-			controller.Feed.Take(feed.Change{Versions: []contract.Version{newest}}, nil)
+			controller.Feed.Apply(feed.Change{Versions: []contract.Version{newest}}, nil)
 		}
 	}
 	controller.ownShards.SetAdvisoryLeases(settings.Wide)
@@ -120,7 +120,7 @@
 	case chain.Persisted:
 		commands = append(commands, controller.chain.Handle(now, event)...)
 	case Leave:
-		commands = append(commands, controller.Neighbours.Farewell()...)
+		commands = append(commands, controller.Neighbours.AnnounceLeave()...)
 	case contract.OperatorRequest:
 		commands = append(commands, controller.handleRequest(now, event)...)
 	default:
@@ -132,9 +132,9 @@
 func (controller *Controller) tick(now time.Duration) []contract.Command {
 	members := controller.Neighbours.Members(now)
 	commands := []contract.Command{}
-	controller.Neighbours.Blind(controller.ownShards.Blind() || controller.Neighbours.Deaf(now))
+	controller.Neighbours.Blind(controller.ownShards.Blind() || controller.Neighbours.Isolated(now))
 	if controller.chain != nil {
-		controller.Neighbours.Hold(controller.Feed.Version().Position, controller.Feed.View().Number, controller.chain.DiskHealthy())
+		controller.Neighbours.SetState(controller.Feed.Version().Position, controller.Feed.View().Number, controller.chain.DiskHealthy())
 		commands = append(commands, controller.chain.Handle(now, chain.Membership{Members: controller.Neighbours.Members(now), NewestVersion: controller.Feed.Version(), View: controller.Feed.View()})...)
 	}
 	commands = append(commands, controller.requestMissingVersions(now, members)...)
@@ -160,13 +160,13 @@
 	if first == 0 || member.Name == controller.Self().Name {
 		return nil
 	}
-	return []contract.Command{contract.Send{To: member.Address, Kind: feed.MessageLack, Body: feed.Lack{From: first, Address: controller.Self().Address, Base: controller.chain.DeltaBase()}}}
+	return []contract.Command{contract.Send{To: member.Address, Kind: feed.MessageHistoryRequest, Body: feed.HistoryRequest{From: first, Address: controller.Self().Address, Base: controller.chain.DeltaBase()}}}
 }
 
 // restoreVersions adds versions that another node kept to the log.
 func (controller *Controller) restoreVersions(now time.Duration, message contract.Message) []contract.Command {
-	var kept feed.Kept
-	if message.Kind != feed.MessageKept || json.Unmarshal(message.Body, &kept) != nil {
+	var kept feed.HistoryReply
+	if message.Kind != feed.MessageHistoryReply || json.Unmarshal(message.Body, &kept) != nil {
 		return nil
 	}
 	return controller.chain.Restore(now, kept.Records)
@@ -181,11 +181,11 @@
 		switch command := command.(type) {
 		case chain.Committed:
 			version := command.Version
-			commands = append(controller.Feed.Take(feed.Change{Versions: []contract.Version{version}}, controller.Neighbours.Active()), commands...)
+			commands = append(controller.Feed.Apply(feed.Change{Versions: []contract.Version{version}}, controller.Neighbours.ActiveAddresses()), commands...)
 			controller.markCommitted(now, version)
 		case chain.ViewInstalled:
 			view := command.View
-			commands = append(controller.Feed.Take(feed.Change{View: &view}, controller.Neighbours.Active()), commands...)
+			commands = append(controller.Feed.Apply(feed.Change{View: &view}, controller.Neighbours.ActiveAddresses()), commands...)
 		case chain.Confirmed:
 			commands = append(controller.handleConfirmed(now, command), commands...)
 		case contract.VersionAdopted:
@@ -236,7 +236,7 @@
 		return controller.chain.ConfirmTail(now, token)
 	case contract.VerbMembers:
 		return []contract.Command{contract.Response{Token: request.Token, Status: 200, Body: map[string]any{
-			"members": controller.Neighbours.Members(now), "silent": controller.Neighbours.Silent(now)}}}
+			"members": controller.Neighbours.Members(now), "silent": controller.Neighbours.Suspected(now)}}}
 	case contract.VerbChain:
 		return []contract.Command{contract.Response{Token: request.Token, Status: 200, Body: map[string]any{
 			"view": controller.chain.View(), "committed": controller.chain.Committed(), "sealed": controller.chain.Sealed(), "open": controller.chain.AcceptsWrites()}}}
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -173,10 +173,10 @@
 			if index == 0 {
 				b.StopTimer()
 				node = feed.New("node", bounds)
-				node.Take(feed.Change{Versions: versions}, nil)
+				node.Apply(feed.Change{Versions: versions}, nil)
 				b.StartTimer()
 			}
-			node.Handle(time.Second, contract.Message{Kind: feed.MessageChange, Body: deliveries[index]}, nil)
+			node.Handle(time.Second, contract.Message{Kind: feed.MessageDelivery, Body: deliveries[index]}, nil)
 			if node.Version().Position != later[index].Position {
 				b.Fatal("not in force")
 			}
@@ -190,19 +190,19 @@
 	for _, routes := range routeCounts {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
 			bounds, keeper := env.DefaultBounds(), feed.New("keeper", env.DefaultBounds())
-			keeper.Take(feed.Change{Versions: []contract.Version{plannedVersion(b, routes)}}, nil)
-			request, _ := json.Marshal(feed.News{From: "node"})
+			keeper.Apply(feed.Change{Versions: []contract.Version{plannedVersion(b, routes)}}, nil)
+			request, _ := json.Marshal(feed.VersionNotice{From: "node"})
 			bytes := 0
 			b.ResetTimer()
 			for range b.N {
 				node := feed.New("node", bounds)
-				commands := keeper.Handle(time.Second, contract.Message{Kind: feed.MessageAsk, Body: request}, nil)
+				commands := keeper.Handle(time.Second, contract.Message{Kind: feed.MessageRequest, Body: request}, nil)
 				response, err := json.Marshal(commands[0].(contract.Send).Body)
 				if err != nil {
 					b.Fatal(err)
 				}
 				bytes = len(response)
-				node.Handle(time.Second, contract.Message{Kind: feed.MessageChange, Body: response}, nil)
+				node.Handle(time.Second, contract.Message{Kind: feed.MessageDelivery, Body: response}, nil)
 				if !node.Known() {
 					b.Fatal("not in force")
 				}
@@ -233,7 +233,7 @@
 				for range b.N {
 					bytes = retainedHeap(func() any {
 						controller := feed.New("node", env.DefaultBounds())
-						controller.Take(feed.Change{Versions: changedVersions(b, plannedVersion(b, routes), kept)}, nil)
+						controller.Apply(feed.Change{Versions: changedVersions(b, plannedVersion(b, routes), kept)}, nil)
 						return controller
 					})
 				}
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, name := range manifest.SortedKeys(result.nodes) {
-		result.post(name, feed.MessageChange, feed.Delivery{Records: []contract.Record{versionOf(1, threeRegions).FullRecord()}})
+		result.post(name, feed.MessageDelivery, feed.Delivery{Records: []contract.Record{versionOf(1, threeRegions).FullRecord()}})
 	}
 	return result
 }
--- a/control/write.go
+++ b/control/write.go
@@ -277,7 +277,7 @@
 
 // nodesBehind returns the nodes that have not confirmed a revision, those that are silent included.
 func (controller *Controller) nodesBehind(now time.Duration, revision int64) []string {
-	behind := controller.Neighbours.Silent(now)
+	behind := controller.Neighbours.Suspected(now)
 	for _, member := range controller.Neighbours.Members(now) {
 		if member.Position.Revision < revision && member.Name != controller.Self().Name {
 			behind = append(behind, member.Name)
