--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -78,7 +78,7 @@
 	settings.Wide, settings.Gateway = true, env.Gateway{Traffic: "10.0.0.1:80", Contact: 4 * time.Second, RepeatWindow: 10 * time.Second}
 	boot := fmt.Sprint("boot", world.boots)
 	world.nodes[machine+"-control"] = &node{name: machine + "-control", region: region, owner: New(settings, boot, nil, world.random)}
-	world.nodes[machine+"-data"] = &node{name: machine + "-data", region: region, owner: gateway.NewNode(settings, boot, gateway.NewTraffic(settings, world.random), world.random), lists: map[string][]string{}}
+	world.nodes[machine+"-data"] = &node{name: machine + "-data", region: region, owner: gateway.NewNode(settings, boot, gateway.NewRouter(settings, world.random), world.random), lists: map[string][]string{}}
 	delete(world.down, machine+"-control")
 }
 
@@ -107,7 +107,7 @@
 			world.asked++
 			world.messages[from.name] = append(world.messages[from.name], shard.ListingRead{Region: command.Region, Began: world.now, Listing: world.listing})
 		case gateway.Update:
-			listed, fine := command.Event.(gateway.Listed)
+			listed, fine := command.Event.(gateway.ServersListed)
 			if !fine {
 				continue
 			}
--- a/emulator/cache.go
+++ b/emulator/cache.go
@@ -231,7 +231,7 @@
 // WithOracle has every node throw a server's index away at the moment of a loss: what noticing could bring at the most.
 func WithOracle() Option { return func(day *Day) { day.caches.oracle = true } }
 
-func (day *Day) foretold(listed gateway.Listed) gateway.Listed {
+func (day *Day) foretold(listed gateway.ServersListed) gateway.ServersListed {
 	listed.Servers = slices.Clone(listed.Servers)
 	for index := range listed.Servers {
 		listed.Servers[index].Cache += day.caches.told[listed.Servers[index].Name]
@@ -240,7 +240,7 @@
 }
 
 // told follows the counts of thrown indexes as they come to the nodes.
-func (day *Day) told(machine *machine, listed gateway.Listed) {
+func (day *Day) told(machine *machine, listed gateway.ServersListed) {
 	for _, candidate := range listed.Servers {
 		if candidate.Cache == 0 {
 			continue
--- a/emulator/data.go
+++ b/emulator/data.go
@@ -16,7 +16,7 @@
 type dataShell struct {
 	*process
 	settings  env.Env
-	traffic   *gateway.Traffic
+	traffic   *gateway.Router
 	pool      map[string][]*pooled
 	token     int64
 	answers   map[int64]func(contract.Answer)
@@ -26,12 +26,12 @@
 	leaving   bool
 	shut      bool
 	touched   time.Duration
-	listed    map[string]gateway.Listed
+	listed    map[string]gateway.ServersListed
 }
 
 func newDataShell(machine *machine, settings env.Env) *dataShell {
-	shell := &dataShell{settings: settings, traffic: gateway.NewTraffic(settings, machine.random()), pool: map[string][]*pooled{}, answers: map[int64]func(contract.Answer){},
-		callers: map[*conn]func(){}, servers: map[*conn]bool{}, listed: map[string]gateway.Listed{}}
+	shell := &dataShell{settings: settings, traffic: gateway.NewRouter(settings, machine.random()), pool: map[string][]*pooled{}, answers: map[int64]func(contract.Answer){},
+		callers: map[*conn]func(){}, servers: map[*conn]bool{}, listed: map[string]gateway.ServersListed{}}
 	shell.process = machine.process(contract.KindData, gateway.NewNode(settings, machine.boot(), shell.traffic, machine.random()))
 	shell.perform = shell.act
 	shell.sweep()
@@ -41,7 +41,7 @@
 func (shell *dataShell) act(command contract.Command) bool {
 	switch command := command.(type) {
 	case gateway.Update:
-		if listed, fine := command.Event.(gateway.Listed); fine {
+		if listed, fine := command.Event.(gateway.ServersListed); fine {
 			shell.day.told(shell.machine, listed)
 			shell.listed[listed.Region] = listed
 			command.Event = shell.day.foretold(listed)
@@ -87,10 +87,10 @@
 }
 
 // ask puts a question about a prompt's place and goes on after its patience; a late answer serves later calls.
-func (shell *dataShell) ask(asked gateway.Place, take func(gateway.Placed)) {
+func (shell *dataShell) ask(asked gateway.PlaceQuery, take func(gateway.PlaceAnswer)) {
 	shell.token++
 	token, over := shell.token, false
-	end := func(placed gateway.Placed) {
+	end := func(placed gateway.PlaceAnswer) {
 		if !over {
 			over = true
 			take(placed)
@@ -99,11 +99,11 @@
 	shell.answers[token] = func(answer contract.Answer) {
 		place, fine := answer.Body.(index.Place)
 		if fine {
-			shell.traffic.Handle(shell.now(), gateway.Relocated{Places: []index.Place{place}})
+			shell.traffic.Handle(shell.now(), gateway.PlacesMoved{Places: []index.Place{place}})
 		}
-		end(gateway.Placed{Token: asked.Token, Place: place, Late: !fine && !gateway.Refuses(answer.Status)})
+		end(gateway.PlaceAnswer{Token: asked.Token, Place: place, TimedOut: !fine && !gateway.IsRefusalStatus(answer.Status)})
 	}
-	shell.after(asked.Patience, func() { end(gateway.Placed{Token: asked.Token, Late: true}) })
+	shell.after(asked.Timeout, func() { end(gateway.PlaceAnswer{Token: asked.Token, TimedOut: true}) })
 	shell.handle(gateway.AskPlace{Token: token, Ask: asked.Ask})
 }
 
--- a/emulator/exchange.go
+++ b/emulator/exchange.go
@@ -93,7 +93,7 @@
 	touched  time.Duration
 	patience time.Duration
 	reply    head
-	ended    gateway.Ended
+	ended    gateway.DispatchEnded
 }
 
 // accept takes a caller's connection.
@@ -126,13 +126,13 @@
 		request.try.Read = shell.day.world.Now
 		one := &exchange{shell: shell, conn: conn, request: request, back: back, token: shell.token, after: request.try.After}
 		shell.callers[conn] = one.left
-		arrive := gateway.Arrive{Token: one.token, Host: request.host, Path: request.path, Left: request.left, Prompt: request.prompt, Size: request.size}
+		arrive := gateway.CallArrived{Token: one.token, Host: request.host, Path: request.path, Timeout: request.left, Prompt: request.prompt, Size: request.size}
 		if request.try.Key != "" {
 			digest := manifest.DigestKey(request.try.Key)
-			arrive.Key = &digest
+			arrive.KeyDigest = &digest
 		}
 		if request.try.After > 0 {
-			arrive.After = strconv.Itoa(request.try.After)
+			arrive.LastEventID = strconv.Itoa(request.try.After)
 		}
 		one.perform(shell.decide(arrive))
 	})
@@ -142,17 +142,17 @@
 	switch command := command.(type) {
 	case gateway.Dispatch:
 		one.run(command)
-	case gateway.Place:
-		one.shell.ask(command, func(placed gateway.Placed) {
+	case gateway.PlaceQuery:
+		one.shell.ask(command, func(placed gateway.PlaceAnswer) {
 			if !one.over {
 				one.perform(one.shell.decide(placed))
 			}
 		})
-	case gateway.Pass:
+	case gateway.PassAnswer:
 		one.answer(answer{status: one.reply.status, sealed: one.reply.sealed, of: one.reply.identity, whole: true})
 	case gateway.Refuse:
 		one.request.try.Reason = command.Reason
-		one.answer(answer{status: command.Status, after: command.After, whole: true})
+		one.answer(answer{status: command.Status, after: command.RetryAfter, whole: true})
 	case gateway.Fail:
 		one.request.try.Reason = command.Reason
 		if one.begun {
@@ -194,7 +194,7 @@
 		return
 	}
 	one.abandon()
-	one.decide(gateway.Left, "the caller went away")
+	one.decide(gateway.OutcomeCallerLeft, "the caller went away")
 }
 
 // abandon ends the connection to the server that has the call now.
@@ -208,7 +208,7 @@
 }
 
 func (one *exchange) decide(outcome gateway.Outcome, reason string) {
-	one.ended.Outcome, one.ended.Begun, one.ended.Reason = outcome, one.begun, reason
+	one.ended.Outcome, one.ended.AnswerStarted, one.ended.Reason = outcome, one.begun, reason
 	one.perform(one.shell.decide(one.ended))
 }
 
@@ -216,10 +216,10 @@
 func (one *exchange) lost(reason string) {
 	one.abandon()
 	if one.shell.now() >= one.limit {
-		one.decide(gateway.Late, reason)
+		one.decide(gateway.OutcomeDeadlineExceeded, reason)
 		return
 	}
-	one.decide(gateway.Broken, reason)
+	one.decide(gateway.OutcomeBroken, reason)
 }
 
 // run sends the call to one server.
@@ -227,9 +227,9 @@
 	shell := one.shell
 	one.number++
 	number := one.number
-	one.dispatch, one.ended = dispatch, gateway.Ended{Token: dispatch.Token, Attempt: dispatch.Attempt}
-	one.limit, one.patience, one.upstream = shell.now()+dispatch.Left, dispatch.Patience, nil
-	if kept := shell.take(dispatch.Server.Address, dispatch.Idle); kept != nil {
+	one.dispatch, one.ended = dispatch, gateway.DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt}
+	one.limit, one.patience, one.upstream = shell.now()+dispatch.Timeout, dispatch.SilenceTimeout, nil
+	if kept := shell.take(dispatch.Server.Address, dispatch.MaxIdle); kept != nil {
 		one.write(kept)
 		return
 	}
@@ -240,7 +240,7 @@
 		to, accept = server.place(), server.accept
 	}
 	shell.day.opened++
-	shell.day.world.dial(shell.machine.place(), to, min(dispatch.Connect, dispatch.Left), accept, func(opened *conn) {
+	shell.day.world.dial(shell.machine.place(), to, min(dispatch.ConnectTimeout, dispatch.Timeout), accept, func(opened *conn) {
 		if !shell.Up {
 			if opened != nil {
 				opened.close(near)
@@ -254,7 +254,7 @@
 					opened.close(near)
 				}
 			case opened == nil:
-				one.decide(gateway.Unsent, "no connection")
+				one.decide(gateway.OutcomeNotSent, "no connection")
 			default:
 				shell.servers[opened] = true
 				one.write(opened)
@@ -274,7 +274,7 @@
 	}
 	one.upstream, one.touched = upstream, shell.now()
 	upstream.closed[near] = func() { guard(func() { one.lost("the server broke off") }) }
-	asked := &query{request: one.request, target: dispatch.Server.Name, tenant: dispatch.Tenant, left: dispatch.Left, after: one.after, urgency: dispatch.Priority, presumed: dispatch.Presumed, machine: shell.machine,
+	asked := &query{request: one.request, target: dispatch.Server.Name, tenant: dispatch.Tenant, left: dispatch.Timeout, after: one.after, urgency: dispatch.Priority, presumed: dispatch.CachedTokens, machine: shell.machine,
 		sent: shell.day.world.Now}
 	asked.head = func(head head) { guard(func() { one.head(head) }) }
 	asked.piece = func(piece rules.Piece) { guard(func() { one.piece(piece) }) }
@@ -295,9 +295,9 @@
 			one.watch(number)
 			return
 		}
-		command := shell.decide(gateway.Silent{Token: one.dispatch.Token, Attempt: one.dispatch.Attempt})
+		command := shell.decide(gateway.ServerSilent{Token: one.dispatch.Token, Attempt: one.dispatch.Attempt})
 		if wait, fine := command.(gateway.Wait); fine {
-			if one.patience = wait.Patience; wait.Patience > 0 {
+			if one.patience = wait.SilenceTimeout; wait.SilenceTimeout > 0 {
 				one.touched = shell.now()
 				one.watch(number)
 			}
@@ -324,8 +324,8 @@
 		one.lost("not a server's answer")
 		return
 	}
-	one.shell.traffic.Handle(one.shell.now(), gateway.Head{Token: one.dispatch.Token, Attempt: one.dispatch.Attempt, Load: head.load})
-	one.ended.Failed = head.status >= 500
+	one.shell.traffic.Handle(one.shell.now(), gateway.HeadReceived{Token: one.dispatch.Token, Attempt: one.dispatch.Attempt, Load: head.load})
+	one.ended.ServerError = head.status >= 500
 	if one.begun && !fine {
 		one.lost("no going on")
 	}
@@ -340,7 +340,7 @@
 		one.conn.send(far, headBytes, func() { back.answered(reply) })
 	}
 	if piece.Number == one.after+1 || one.after == 0 {
-		one.shell.traffic.Handle(one.shell.now(), gateway.First{Token: one.dispatch.Token, Attempt: one.dispatch.Attempt})
+		one.shell.traffic.Handle(one.shell.now(), gateway.StreamStarted{Token: one.dispatch.Token, Attempt: one.dispatch.Attempt})
 	}
 	one.after = piece.Number
 	back := one.back
@@ -359,10 +359,10 @@
 	}
 	switch {
 	case reply.moved:
-		one.decide(gateway.Moved, "another server has the address")
+		one.decide(gateway.OutcomeWrongServer, "another server has the address")
 	case reply.notRun:
-		one.decide(gateway.NotRun, "the server did not run it")
+		one.decide(gateway.OutcomeNotRun, "the server did not run it")
 	default:
-		one.decide(gateway.Whole, "")
+		one.decide(gateway.OutcomeComplete, "")
 	}
 }
--- a/emulator/found_test.go
+++ b/emulator/found_test.go
@@ -40,25 +40,25 @@
 		}
 	})
 
-	for _, outcome := range []gateway.Outcome{gateway.Left, gateway.Late, gateway.NotRun} {
+	for _, outcome := range []gateway.Outcome{gateway.OutcomeCallerLeft, gateway.OutcomeDeadlineExceeded, gateway.OutcomeNotRun} {
 		It("a server that was doubted is tried again after a trial that ended as "+string(outcome), func() {
 			settings := env.Env{Region: "near", Zone: "a", Gateway: env.Gateway{Contact: 4 * time.Second, RepeatWindow: 10 * time.Second, RepeatRatio: 0.2, RepeatAllowance: 64}}
-			traffic := gateway.NewTraffic(settings, rand.New(rand.NewPCG(1, 1)))
+			traffic := gateway.NewRouter(settings, rand.New(rand.NewPCG(1, 1)))
 			route := manifest.GatewayRoute{Name: "a", Host: "h", Prefix: "/", Kind: manifest.KindMutating, Timeout: 8 * time.Second, Aim: time.Second, Attempts: 1,
 				Split: []manifest.Share{{Service: "s", Weight: 1}}}
 			read := manifest.Manifest{Gateway: manifest.Gateway{Revision: 1, Routes: manifest.Routes{}.With(route), Services: map[string]manifest.Service{"s": {}}}}
-			traffic.Handle(0, gateway.Configured{Manifest: read})
-			traffic.Handle(0, gateway.Listed{Region: "near", Servers: []contract.Candidate{{Name: "one", Pool: "s", Zone: "a", Slots: 100}, {Name: "two", Pool: "s", Zone: "a", Slots: 100}}})
+			traffic.Handle(0, gateway.ConfigurationChanged{Manifest: read})
+			traffic.Handle(0, gateway.ServersListed{Region: "near", Servers: []contract.Candidate{{Name: "one", Pool: "s", Zone: "a", Slots: 100}, {Name: "two", Pool: "s", Zone: "a", Slots: 100}}})
 			token := int64(0)
 			ask := func(now time.Duration) gateway.Dispatch {
 				token++
-				return traffic.Handle(now, gateway.Arrive{Token: token, Host: "h", Path: "/"})[0].(gateway.Dispatch)
+				return traffic.Handle(now, gateway.CallArrived{Token: token, Host: "h", Path: "/"})[0].(gateway.Dispatch)
 			}
 			end := func(now time.Duration, sent gateway.Dispatch, outcome gateway.Outcome) {
-				traffic.Handle(now, gateway.Ended{Token: sent.Token, Attempt: sent.Attempt, Outcome: outcome})
+				traffic.Handle(now, gateway.DispatchEnded{Token: sent.Token, Attempt: sent.Attempt, Outcome: outcome})
 			}
 			doubted, now := ask(0), 3*time.Second
-			end(1, doubted, gateway.Broken)
+			end(1, doubted, gateway.OutcomeBroken)
 			trial := doubted
 			for trial.Token == doubted.Token {
 				now += 100 * time.Millisecond
@@ -66,7 +66,7 @@
 					trial = sent
 					end(now+1, sent, outcome)
 				} else {
-					end(now+usual, sent, gateway.Whole)
+					end(now+usual, sent, gateway.OutcomeComplete)
 				}
 			}
 			again := 0
@@ -76,7 +76,7 @@
 				if sent.Server.Name == doubted.Server.Name {
 					again++
 				}
-				end(now+usual, sent, gateway.Whole)
+				end(now+usual, sent, gateway.OutcomeComplete)
 			}
 			Expect(again).To(BeNumerically(">", 20))
 		})
--- a/emulator/index_test.go
+++ b/emulator/index_test.go
@@ -67,9 +67,9 @@
 		day.world.RunUntil(8 * time.Second)
 		ask := func(lasts time.Duration) (refused, late int) {
 			for _, machine := range day.machines {
-				machine.data.ask(gateway.Place{Ask: index.Ask{Key: index.Key{Scope: "nobody's"}}, Patience: lasts / 2}, func(placed gateway.Placed) {
+				machine.data.ask(gateway.PlaceQuery{Ask: index.Ask{Key: index.Key{Scope: "nobody's"}}, Timeout: lasts / 2}, func(placed gateway.PlaceAnswer) {
 					Expect(placed.Place.Server).To(BeEmpty())
-					if placed.Late {
+					if placed.TimedOut {
 						late++
 					} else {
 						refused++
--- a/emulator/planted_test.go
+++ b/emulator/planted_test.go
@@ -37,8 +37,8 @@
 		trouble.AtS = 2
 		Expect(broken(Play(small("brazos"), 2, Plan{Troubles: []Trouble{trouble}}, option))).To(ContainElement(rule))
 	},
-		Entry("lists are not followed: a server that leaves", "DRAIN", Trouble{Kind: "scale_in", Service: "model", Share: 0.3}, deaf[gateway.Listed]()),
-		Entry("configurations are not followed: a change", "CONFIG", Trouble{Kind: "config_change", How: "idle"}, deaf[gateway.Configured]()),
+		Entry("lists are not followed: a server that leaves", "DRAIN", Trouble{Kind: "scale_in", Service: "model", Share: 0.3}, deaf[gateway.ServersListed]()),
+		Entry("configurations are not followed: a change", "CONFIG", Trouble{Kind: "config_change", How: "idle"}, deaf[gateway.ConfigurationChanged]()),
 		Entry("nothing is followed: an evacuation", "EVAC", Trouble{Kind: "evacuate", ForS: 12, Zone: "prairie-b"}, withSieve(func(machine *machine, event *contract.Event) bool {
 			return machine.day.world.Now < plantedFrom
 		})),
@@ -51,7 +51,7 @@
 		site.Services[0].ColdPerS = 4
 		plan := Plan{Troubles: []Trouble{{Kind: "cold_return", AtS: 2, Zone: "prairie-a", ForS: 2}}}
 		blind := withSieve(func(_ *machine, event *contract.Event) bool {
-			if configured, fine := (*event).(gateway.Configured); fine {
+			if configured, fine := (*event).(gateway.ConfigurationChanged); fine {
 				services := maps.Clone(configured.Manifest.Gateway.Services)
 				for name, service := range services {
 					service.WarmupRate = 1e6
--- a/gateway/cache.go
+++ b/gateway/cache.go
@@ -8,124 +8,131 @@
 )
 
 const (
-	// missesToDoubt is how many calls in a row must be read anew, against the index, before the index of a server is doubted.
-	missesToDoubt = 2
-	// missPart is the part of the time for reading what the index calls held that a first piece must be late by to be a miss.
-	missPart = 0.7
-	// surelyKept is how many times faster than presumed an engine may read a prompt, so that what came sooner was surely kept.
-	surelyKept = 1.5
-	// latePart is missPart for what the owner of the index is told, who also knows the calls of others, and ownTimes how many times slower
-	// than presumed a call's own part may be read.
-	latePart = 0.6
-	ownTimes = 1.2
+	// missesToDistrust is how many calls in a row must miss the cache that the index promised before the index of a server is distrusted.
+	missesToDistrust = 2
+	// missFraction is the part of the time for reading the promised tokens by which a first chunk must be late to count as a miss.
+	missFraction = 0.7
+	// cachedSpeedup is how many times faster than presumed an engine may read a prompt: a first chunk that came sooner proves that the prompt was
+	// cached.
+	cachedSpeedup = 1.5
+	// sharedReadFraction corresponds to missFraction in what the owner of the index is told, which also knows the calls of other nodes. ownReadFactor
+	// is how many times slower than presumed the unshared part of a prompt may be read.
+	sharedReadFraction = 0.6
+	ownReadFactor      = 1.2
 )
 
-// cacheState is what this node knows of how far the shared index of kept prompts holds at one server. Generation counts how often
-// the index of the server was thrown away for all nodes; the owner of its shard hands it out.
-type cacheState struct {
+// cacheCheckState records how far the shared index of cached prompts agrees with one server. The generation counts how often the index of the server
+// was discarded for all nodes; the owner of the server's shard assigns it.
+type cacheCheckState struct {
 	generation int64
-	misses     int
-	until      time.Duration
-	stale      bool
+	// misses counts consecutive calls that missed the cache.
+	misses int
+	// distrustedUntil is when the index of the server is believed again.
+	distrustedUntil time.Duration
+	// stale says that this node found the index wrong in this generation; it is reported until the owner assigns a new one.
+	stale bool
 }
 
-// doubted tells whether nothing may be presumed held that this node has not sent there itself since.
-func (state *cacheState) doubted(now time.Duration) bool { return now < state.until }
+// isDistrusted reports whether only the prompts that this node has sent to the server since may be presumed cached there.
+func (check *cacheCheckState) isDistrusted(now time.Duration) bool {
+	return now < check.distrustedUntil
+}
 
-// presumed gives the tokens of a prompt that the index says a server holds: what went there from here, and on the prompt's meant
-// holder all that it shares with others, unless the index of that server is doubted.
-func (traffic *Traffic) presumed(now time.Duration, server *server, prompt engine.Prompt, holder string) int64 {
-	held := int64(0)
-	if server.memory != nil {
-		held = server.memory.Held(prompt)
+// presumedCached returns how many tokens of a prompt the server is presumed to have cached: what this node sent there, and on the server that is
+// meant to hold the prompt all that it shares with others, unless the index of that server is distrusted.
+func (router *Router) presumedCached(now time.Duration, server *serverState, prompt engine.Prompt, placeServer string) int64 {
+	cached := int64(0)
+	if server.cacheEstimate != nil {
+		cached = server.cacheEstimate.Held(prompt)
 	}
-	if server.Name == holder && !server.cache.doubted(now) {
-		held = max(held, prompt.Shared())
+	if server.Name == placeServer && !server.cacheCheck.isDistrusted(now) {
+		cached = max(cached, prompt.Shared())
 	}
-	return min(held, prompt.Input)
+	return min(cached, prompt.Input)
 }
 
-// checkCache compares the first piece of a call with what the index promised. Only a call whose parts went to the same server from
-// here before, and that found it at rest, is a witness, and only if its held part would have taken far longer than all else in its way.
-func (traffic *Traffic) checkCache(now time.Duration, work *job) {
-	server, promised := work.server, checkTime(work.known)
-	if work.known < anchorTokens || !work.alone || server.load.Waiting > 1 {
+// checkCache compares the first chunk of a call with the cached tokens that the index promised. A call is evidence only if this node sent its parts
+// to the same server before, the server was otherwise idle, and the promised tokens would take far longer to read than everything else on the way.
+func (router *Router) checkCache(now time.Duration, call *callState) {
+	server, presumed := call.server, presumedReadTime(call.sentBeforeTokens)
+	if call.sentBeforeTokens < minSharedTokens || !call.soleReader || server.load.Waiting > 1 {
 		return
 	}
-	if now-work.at <= checkTime(work.Prompt.Input-work.known)+traffic.reach(server)+time.Duration(float64(promised)*missPart) {
-		server.cache.misses = 0
+	if now-call.sentAt <= presumedReadTime(call.Prompt.Input-call.sentBeforeTokens)+router.maxTransit(server)+time.Duration(float64(presumed)*missFraction) {
+		server.cacheCheck.misses = 0
 		return
 	}
-	if server.cache.misses++; server.cache.misses >= missesToDoubt {
-		server.cache.stale = true
-		traffic.distrust(now, server)
-		server.memory.Take(work.Prompt)
+	if server.cacheCheck.misses++; server.cacheCheck.misses >= missesToDistrust {
+		server.cacheCheck.stale = true
+		router.distrustCache(now, server)
+		server.cacheEstimate.Take(call.Prompt)
 	}
 }
 
-// shown tells what a call's first piece shows of its prompt's place, whoever sent the prompt there before: the owner of the index knows
-// whether it was read there, and whether it waited behind the reading of other nodes.
-func (traffic *Traffic) shown(now time.Duration, work *job) index.Shown {
-	server, took, shared := work.server, now-work.at, work.Prompt.Shared()
-	own := checkTime(work.Prompt.Input - shared)
-	if took < time.Duration(float64(checkTime(work.Prompt.Input))/surelyKept) {
-		traffic.usual(server, took-own)
+// cacheObservation returns what a call's first chunk shows about the place of its prompt, whichever node sent the prompt there before. The owner of
+// the index knows whether the prompt was read there, and whether it waited for prompts of other nodes.
+func (router *Router) cacheObservation(now time.Duration, call *callState) index.Shown {
+	server, elapsed, shared := call.server, now-call.sentAt, call.Prompt.Shared()
+	ownRead := presumedReadTime(call.Prompt.Input - shared)
+	if elapsed < time.Duration(float64(presumedReadTime(call.Prompt.Input))/cachedSpeedup) {
+		router.learnOverhead(server, elapsed-ownRead)
 		return index.Kept
 	}
-	usual, there := traffic.places.usual[server.region]
-	if !there {
-		usual = traffic.reach(server)
+	overhead, found := router.places.usualOverhead[server.region]
+	if !found {
+		overhead = router.maxTransit(server)
 	}
-	expected := time.Duration(float64(own)*ownTimes) + usual + max(traffic.terms.Contact/50, time.Duration(float64(checkTime(shared))*latePart))
-	if !work.alone || server.load.Waiting > 1 || took <= expected {
+	expected := time.Duration(float64(ownRead)*ownReadFactor) + overhead + max(router.policy.Contact/50, time.Duration(float64(presumedReadTime(shared))*sharedReadFraction))
+	if !call.soleReader || server.load.Waiting > 1 || elapsed <= expected {
 		return index.Unclear
 	}
-	return index.Missed(took, took-expected+usual/2)
+	return index.Missed(elapsed, elapsed-expected+overhead/2)
 }
 
-// usual learns what calls to a region take beside reading, from those that surely found their prompt kept.
-func (traffic *Traffic) usual(server *server, beside time.Duration) {
-	usual, there := traffic.places.usual[server.region]
-	if !there {
-		usual = max(0, beside)
+// learnOverhead updates what calls to a region take apart from reading the prompt, from calls whose prompt was certainly cached.
+func (router *Router) learnOverhead(server *serverState, elapsed time.Duration) {
+	overhead, found := router.places.usualOverhead[server.region]
+	if !found {
+		overhead = max(0, elapsed)
 	}
-	traffic.places.usual[server.region] = usual + (max(0, beside)-usual)/paceWeight
+	router.places.usualOverhead[server.region] = overhead + (max(0, elapsed)-overhead)/smoothingWeight
 }
 
-// reach is the most that a call and its answer are under way, with a step of a busy server.
-func (traffic *Traffic) reach(server *server) time.Duration {
-	if server.region != traffic.settings.Region {
-		return 2*farRegion + traffic.terms.Contact/40
+// maxTransit returns the longest that a call and its answer take on the network, including one step of a busy server.
+func (router *Router) maxTransit(server *serverState) time.Duration {
+	if server.region != router.settings.Region {
+		return 2*otherRegionCost + router.policy.Contact/40
 	}
-	return farRegion + traffic.terms.Contact/40
+	return otherRegionCost + router.policy.Contact/40
 }
 
-// distrust throws this node's index of a server away: calls go by what is seen from now on.
-func (traffic *Traffic) distrust(now time.Duration, server *server) {
-	server.cache.misses, server.cache.until = 0, now+traffic.terms.RepeatWindow
-	if server.memory != nil {
-		server.memory.Forget()
+// distrustCache discards this node's estimate of a server's cache: for a repeat window only what is sent from now on counts.
+func (router *Router) distrustCache(now time.Duration, server *serverState) {
+	server.cacheCheck.misses, server.cacheCheck.distrustedUntil = 0, now+router.policy.RepeatWindow
+	if server.cacheEstimate != nil {
+		server.cacheEstimate.Forget()
 	}
 }
 
-// Stale names the servers of a region whose index was found wrong here, with the generation that it was found wrong in.
-func (traffic *Traffic) Stale(region string) map[string]int64 {
+// StaleCaches returns the servers of a region whose index entries this node found wrong, with the generation that was current then.
+func (router *Router) StaleCaches(region string) map[string]int64 {
 	stale := map[string]int64{}
-	for name, server := range traffic.servers {
-		if server.cache.stale && server.region == region {
-			stale[name] = server.cache.generation
+	for name, server := range router.servers {
+		if server.cacheCheck.stale && server.region == region {
+			stale[name] = server.cacheCheck.generation
 		}
 	}
 	return stale
 }
 
-// generation takes up what the owner of a shard says of a server's index.
-func (traffic *Traffic) generation(now time.Duration, server *server, told int64) {
-	if told == server.cache.generation {
+// updateGeneration applies the generation of a server's index that the owner of its shard sent. A higher one means that other nodes found the index
+// wrong, unless this node reported it itself.
+func (router *Router) updateGeneration(now time.Duration, server *serverState, generation int64) {
+	if generation == server.cacheCheck.generation {
 		return
 	}
-	if told > server.cache.generation && !server.cache.stale {
-		traffic.distrust(now, server)
+	if generation > server.cacheCheck.generation && !server.cacheCheck.stale {
+		router.distrustCache(now, server)
 	}
-	server.cache.generation, server.cache.stale = told, false
+	server.cacheCheck.generation, server.cacheCheck.stale = generation, false
 }
--- a/gateway/condition.go
+++ b/gateway/condition.go
@@ -8,105 +8,110 @@
 )
 
 const (
-	// trialNodes is how many nodes try a server that rests for all; once it returns, one node in returningNodes does.
-	trialNodes     = 2
-	returningNodes = 4
-	// mostTallies bounds what one question for a list tells.
-	mostTallies = 32
-	// fewestLost is the least number of lost servers at which a node may doubt itself: when most that it called were lost, the trouble
-	// is its own.
-	fewestLost = 3
-	ownTrouble = 4
+	// probingNodes is how many nodes send probe calls to a server that rests for all nodes. Once it is returning (Ill is 1), one node in
+	// returningNodesDivisor does, at least probingNodes.
+	probingNodes          = 2
+	returningNodesDivisor = 4
+	// maxTallies limits the tallies in one request for a list.
+	maxTallies = 32
+	// minLostServers is the least number of lost servers at which a node may suspect itself: if more than (ownFaultDivisor-1)/ownFaultDivisor of the
+	// servers that it called were lost, the fault is its own.
+	minLostServers  = 3
+	ownFaultDivisor = 4
 )
 
-// tallies counts calls at a server in this half of the time of contact and in the half before it.
-type tallies struct {
-	slot   time.Duration
+// recentOutcomes counts the outcomes of calls at a server in two periods of half the contact time: the current one at index 0 and the one before.
+type recentOutcomes struct {
+	period time.Duration
 	counts [2]contract.Tally
 }
 
-func (tallies *tallies) at(now, half time.Duration) *contract.Tally {
-	slot := now / half
-	switch slot - tallies.slot {
+// current returns the tally of the current period, after moving on from earlier periods.
+func (outcomes *recentOutcomes) current(now, half time.Duration) *contract.Tally {
+	period := now / half
+	switch period - outcomes.period {
 	case 0:
 	case 1:
-		tallies.counts[1], tallies.counts[0] = tallies.counts[0], contract.Tally{}
+		outcomes.counts[1], outcomes.counts[0] = outcomes.counts[0], contract.Tally{}
 	default:
-		tallies.counts = [2]contract.Tally{}
+		outcomes.counts = [2]contract.Tally{}
 	}
-	tallies.slot = slot
-	return &tallies.counts[0]
+	outcomes.period = period
+	return &outcomes.counts[0]
 }
 
-func (traffic *Traffic) tally(now time.Duration, server *server) *contract.Tally {
-	return server.tallies.at(now, traffic.terms.Contact/2)
+// tallyOf returns the tally that an outcome at the server is to be counted in now.
+func (router *Router) tallyOf(now time.Duration, server *serverState) *contract.Tally {
+	return server.outcomes.current(now, router.policy.Contact/2)
 }
 
-// recent gives what was counted at a server lately.
-func (traffic *Traffic) recent(now time.Duration, server *server) contract.Tally {
-	traffic.tally(now, server)
-	return server.tallies.counts[0].Plus(server.tallies.counts[1])
+// recentTally returns the outcomes at a server in the current and the previous period.
+func (router *Router) recentTally(now time.Duration, server *serverState) contract.Tally {
+	router.tallyOf(now, server)
+	return server.outcomes.counts[0].Plus(server.outcomes.counts[1])
 }
 
-// Tallies tells the owner of a region's servers where calls failed lately, the worst first when there are many, and how those fared
-// that it suspects. A node that lost most of the servers that it called is in trouble itself and accuses none.
-func (traffic *Traffic) Tallies(now time.Duration, region string) map[string]contract.Tally {
-	told, names, called, lost := map[string]contract.Tally{}, []string{}, 0, 0
-	for name, server := range traffic.servers {
-		tally := traffic.recent(now, server)
+// Tallies returns, for the owner of a region's list, the recent outcomes at the servers where calls failed and at those that the list marks as
+// watched. If there are too many, those with the most failures are kept. A node that lost most of the servers that it called reports none, as the
+// fault is likely its own.
+func (router *Router) Tallies(now time.Duration, region string) map[string]contract.Tally {
+	tallies, names, calledServers, lostServers := map[string]contract.Tally{}, []string{}, 0, 0
+	for name, server := range router.servers {
+		tally := router.recentTally(now, server)
 		if tally.Calls() == 0 {
 			continue
 		}
-		called++
+		calledServers++
 		if tally.Lost > 0 && tally.Well == 0 {
-			lost++
+			lostServers++
 		}
 		if server.region == region && (server.Watched || tally.Bad() > 0) {
-			told[name], names = tally, append(names, name)
+			tallies[name], names = tally, append(names, name)
 		}
 	}
-	if lost >= fewestLost && lost*ownTrouble > called*(ownTrouble-1) {
+	if lostServers >= minLostServers && lostServers*ownFaultDivisor > calledServers*(ownFaultDivisor-1) {
 		return nil
 	}
-	if len(names) > mostTallies {
+	if len(names) > maxTallies {
 		sort.Slice(names, func(left, right int) bool {
-			if first, second := told[names[left]].Bad(), told[names[right]].Bad(); first != second {
-				return first > second
+			if leftBad, rightBad := tallies[names[left]].Bad(), tallies[names[right]].Bad(); leftBad != rightBad {
+				return leftBad > rightBad
 			}
 			return names[left] < names[right]
 		})
-		for _, name := range names[mostTallies:] {
-			delete(told, name)
+		for _, name := range names[maxTallies:] {
+			delete(tallies, name)
 		}
 	}
-	return told
+	return tallies
 }
 
-// cleared ends a suspicion that the list has no more: the server is taken for cold for a warm-up.
-func (traffic *Traffic) cleared(now time.Duration, server *server) {
-	if server.ramp.held && !server.Suspected {
-		server.ramp.held = false
-		traffic.doubt(now, server, 0)
+// endSuspicion ends a suspicion that the list no longer contains: the server is treated as cold for one warm-up.
+func (router *Router) endSuspicion(now time.Duration, server *serverState) {
+	if server.ramp.suspected && !server.Suspected {
+		server.ramp.suspected = false
+		router.assumeCold(now, server, 0)
 	}
 }
 
-// suspect takes a suspected server for cold once this node has not heard of it for a while. One that it hears all the time was not
-// silent, whatever others lost there.
-func (traffic *Traffic) suspect(now time.Duration, server *server) {
-	if server.Suspected && now-server.heard > traffic.terms.Contact/2 && traffic.warmup(server) > 0 {
-		server.ramp.held = true
+// applySuspicion treats a suspected server as cold if this node has not heard from it for half the contact time. A server that this node hears all
+// the time was not silent, whatever other nodes lost there.
+func (router *Router) applySuspicion(now time.Duration, server *serverState) {
+	if server.Suspected && now-server.lastHeard > router.policy.Contact/2 && router.warmupTime(server) > 0 {
+		server.ramp.suspected = true
 	}
 }
 
-// rests tells whether the server is ill for all and this node is none of those that may try it now.
-func (traffic *Traffic) rests(now time.Duration, server *server) bool {
+// isResting reports whether calls may not go to a server that is marked as ill: this node is not one of those that probe it, or a probe is under way
+// or was sent lately.
+func (router *Router) isResting(now time.Duration, server *serverState) bool {
 	if server.Ill == 0 {
 		return false
 	}
-	traffic.sharesFor(server)
-	nodes := trialNodes
+	router.updateShares(server)
+	nodes := probingNodes
 	if server.Ill == 1 {
-		nodes = max(trialNodes, traffic.nodes()/returningNodes)
+		nodes = max(probingNodes, router.nodeCount()/returningNodesDivisor)
 	}
-	return server.trial || now < server.nextTrial || server.ramp.rank >= nodes
+	return server.probing || now < server.nextProbe || server.ramp.rank >= nodes
 }
--- a/gateway/condition_test.go
+++ b/gateway/condition_test.go
@@ -10,126 +10,126 @@
 	. "github.com/onsi/gomega"
 )
 
-// warming lets the servers of the service begin cold.
-func warming(read *manifest.Manifest) {
+// withWarmup lets the servers of the service start cold.
+func withWarmup(read *manifest.Manifest) {
 	read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
 }
 
-// told gives the list of servers a and b, with what it says of a.
-func told(suspected bool, ill int64) Listed {
-	one := candidate("a", "east-a")
-	one.Suspected, one.Ill = suspected, ill
-	return listOf("east", one, candidate("b", "east-a"))
+// listWithCondition returns the list of servers a and b, with the given condition of a.
+func listWithCondition(suspected bool, ill int64) ServersListed {
+	suspect := candidate("a", "east-a")
+	suspect.Suspected, suspect.Ill = suspected, ill
+	return listOf("east", suspect, candidate("b", "east-a"))
 }
 
-// ranked names the fleet so that this node has the given place in the order of a server.
-func ranked(server string, count, place int) Fleet {
+// fleetWithRank returns a fleet in which this node has the given rank in the order for a server.
+func fleetWithRank(server string, count, place int) FleetChanged {
 	names := contract.Ordered("ramp/"+server, fleetOf(count))
-	return Fleet{Self: names[place], Names: names}
+	return FleetChanged{Self: names[place], Names: names}
 }
 
-// sentTo counts the calls that a server gets while a caller sends one every few milliseconds, each of which is answered well after a while.
-func sentTo(bench *bench, name string, span time.Duration) int {
+// countSentTo counts the calls that a server gets while a caller sends one every 5 ms, each of which is answered after ten more.
+func countSentTo(router *testRouter, name string, span time.Duration) int {
 	GinkgoHelper()
-	count, ends, running := 0, bench.now+span, []Dispatch{}
-	for ; bench.now < ends; bench.now += 5 * time.Millisecond {
-		dispatch := bench.sent("/write/x")
+	count, ends, running := 0, router.now+span, []Dispatch{}
+	for ; router.now < ends; router.now += 5 * time.Millisecond {
+		dispatch := router.dispatchCall("/write/x")
 		if dispatch.Server.Name == name {
 			count++
 		}
 		if running = append(running, dispatch); len(running) > 10 {
-			bench.ends(running[0], Whole)
+			router.endDispatch(running[0], OutcomeComplete)
 			running = running[1:]
 		}
 	}
 	for _, dispatch := range running {
-		bench.ends(dispatch, Whole)
+		router.endDispatch(dispatch, OutcomeComplete)
 	}
 	return count
 }
 
-var _ = Describe("what a node tells of its servers", func() {
-	for _, ended := range []struct {
+var _ = Describe("the outcomes that a node reports of its servers", func() {
+	for _, test := range []struct {
 		outcome Outcome
 		want    contract.Tally
-	}{{Unsent, contract.Tally{Lost: 1}}, {Broken, contract.Tally{Failed: 1}}} {
-		It("given a call that ended as "+string(ended.outcome)+", when the list is asked for, then its server's tally is told", func() {
-			bench := started(nil, eastList("a"))
-			bench.ends(bench.sent("/write/x"), ended.outcome)
-			Expect(bench.Tallies(bench.now, "east")).To(Equal(map[string]contract.Tally{"a": ended.want}))
-			Expect(bench.Tallies(bench.now, "west")).To(BeEmpty())
+	}{{OutcomeNotSent, contract.Tally{Lost: 1}}, {OutcomeBroken, contract.Tally{Failed: 1}}} {
+		It("given a call that ended as "+string(test.outcome)+", when the list is asked for, then its server's tally is told", func() {
+			router := startedRouter(nil, eastList("a"))
+			router.endDispatch(router.dispatchCall("/write/x"), test.outcome)
+			Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.Tally{"a": test.want}))
+			Expect(router.Tallies(router.now, "west")).To(BeEmpty())
 		})
 	}
 
-	It("given a server that says nothing, when the list is asked for, then the call is told as a failed one, since the server may be slow", func() {
-		bench := started(nil, eastList("a"))
-		first := bench.sent("/write/x")
-		bench.now += first.Patience
-		bench.one(Silent{Token: first.Token, Attempt: first.Attempt})
-		Expect(bench.Tallies(bench.now, "east")).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
+	It("given a silent server, when the list is requested, then the call is reported as failed rather than lost, since the server may be slow", func() {
+		router := startedRouter(nil, eastList("a"))
+		first := router.dispatchCall("/write/x")
+		router.now += first.SilenceTimeout
+		router.handleOne(ServerSilent{Token: first.Token, Attempt: first.Attempt})
+		Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
 	})
 
-	It("given a failure of the server's own, when the list is asked for, then it is told as a failed call", func() {
-		bench := started(nil, eastList("a"))
-		dispatch := bench.sent("/write/x")
-		bench.one(Ended{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: Whole, Failed: true})
-		Expect(bench.Tallies(bench.now, "east")).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
+	It("given a server error, when the list is requested, then it is reported as a failed call", func() {
+		router := startedRouter(nil, eastList("a"))
+		dispatch := router.dispatchCall("/write/x")
+		router.handleOne(DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: OutcomeComplete, ServerError: true})
+		Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
 	})
 
-	It("given servers that answer well, when the list is asked for, then only the watched one is told", func() {
-		list := told(false, 0)
+	It("given servers that answer, when the list is requested, then only the watched one is reported", func() {
+		list := listWithCondition(false, 0)
 		list.Servers[0].Watched = true
-		bench := started(nil, list)
-		Expect(sentTo(bench, "a", time.Second)).To(BeNumerically(">", 0))
-		tallies := bench.Tallies(bench.now, "east")
+		router := startedRouter(nil, list)
+		Expect(countSentTo(router, "a", time.Second)).To(BeNumerically(">", 0))
+		tallies := router.Tallies(router.now, "east")
 		Expect(tallies).To(HaveLen(1))
 		Expect(tallies["a"].Well).To(BeNumerically(">", 0))
 	})
 
-	It("given a call that failed, when the time of contact has passed, then it is told no more", func() {
-		bench := started(nil, eastList("a"))
-		bench.ends(bench.sent("/write/x"), Broken)
-		Expect(bench.Tallies(bench.now+bench.terms.Contact/2, "east")).NotTo(BeEmpty())
-		Expect(bench.Tallies(bench.now+bench.terms.Contact, "east")).To(BeEmpty())
+	It("given a call that failed, when the contact time has passed, then it is no longer reported", func() {
+		router := startedRouter(nil, eastList("a"))
+		router.endDispatch(router.dispatchCall("/write/x"), OutcomeBroken)
+		Expect(router.Tallies(router.now+router.policy.Contact/2, "east")).NotTo(BeEmpty())
+		Expect(router.Tallies(router.now+router.policy.Contact, "east")).To(BeEmpty())
 	})
 
-	It("given a node that lost nearly all servers that it called, when the list is asked for, then it accuses none", func() {
-		bench := started(nil, eastList("a", "b", "c", "d"))
+	It("given a node that lost nearly all servers that it called, when the list is requested, then it reports none", func() {
+		router := startedRouter(nil, eastList("a", "b", "c", "d"))
 		for range 4 {
-			bench.ends(bench.sent("/write/x"), Unsent)
+			router.endDispatch(router.dispatchCall("/write/x"), OutcomeNotSent)
 		}
-		Expect(bench.Tallies(bench.now, "east")).To(BeEmpty())
+		Expect(router.Tallies(router.now, "east")).To(BeEmpty())
 	})
 
-	It("given very many servers that fail, when the list is asked for, then a bounded number is told, the worst first", func() {
+	It("given very many servers that fail, when the list is requested, then a limited number is reported, those with the most failures", func() {
 		names := []string{}
-		for place := range 2 * mostTallies {
-			names = append(names, fmt.Sprintf("server%03d", place))
+		for index := range 2 * maxTallies {
+			names = append(names, fmt.Sprintf("server%03d", index))
 		}
-		bench := started(nil, eastList(names...))
-		for place, name := range names {
-			bench.servers[name].tallies.at(bench.now, bench.terms.Contact/2).Failed = int64(place + 1)
+		router := startedRouter(nil, eastList(names...))
+		for index, name := range names {
+			router.servers[name].outcomes.current(router.now, router.policy.Contact/2).Failed = int64(index + 1)
 		}
-		tallies := bench.Tallies(bench.now, "east")
-		Expect(tallies).To(HaveLen(mostTallies))
+		tallies := router.Tallies(router.now, "east")
+		Expect(tallies).To(HaveLen(maxTallies))
 		Expect(tallies).To(HaveKey(names[len(names)-1]))
 		Expect(tallies).NotTo(HaveKey(names[0]))
 	})
 
-	It("given a call that failed, when the node asks for the list, then the tally travels with the question", func() {
-		node := following()
+	It("given a call that failed, when the node requests the list, then the tally is part of the request", func() {
+		node := startedNode()
 		owner := contract.Member{Name: "owner-control", Boot: "b", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: "10.0.0.9:8166"}
-		node.meets(owner)
-		traffic := node.known.(*Traffic)
-		traffic.Handle(node.now, config(nil))
-		traffic.Handle(node.now, eastList("a"))
-		traffic.Handle(node.now, Listed{Region: "west"})
-		sent := traffic.Handle(node.now, Arrive{Token: 1, Host: "h.example", Path: "/write/x"})[0].(Dispatch)
-		traffic.Handle(node.now, Ended{Token: 1, Attempt: sent.Attempt, Outcome: Broken})
-		node.now += node.askEvery()
+		node.addMembers(owner)
+		router := node.reports.(*Router)
+		router.Handle(node.now, configuration(nil))
+		router.Handle(node.now, eastList("a"))
+		router.Handle(node.now, ServersListed{Region: "west"})
+		sent := router.Handle(node.now, CallArrived{Token: 1, Host: "h.example", Path: "/write/x"})[0].(Dispatch)
+		router.Handle(node.now, DispatchEnded{Token: 1, Attempt: sent.Attempt, Outcome: OutcomeBroken})
+		node.now += node.listRequestInterval()
 		asked := 0
-		for _, command := range node.take(contract.Tick{}) {
-			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).Region == "east" {
+		for _, command := range node.process(contract.Tick{}) {
+			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).Region == "east" {
 				asked++
 				Expect(send.Body.(contract.LeaseRequest).Tallies).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
 			}
@@ -138,62 +138,62 @@
 	})
 })
 
-var _ = Describe("a server that the list calls suspected", func() {
-	It("given a node that never called it, when calls press, then it gets no more than it bears cold, and so for a warm-up afterwards", func() {
-		bench := started(warming, told(false, 0))
-		bench.now += 10 * time.Second
-		bench.Handle(bench.now, told(true, 0))
+var _ = Describe("a server that the list marks as suspected", func() {
+	It("given a node that never called it, when many calls arrive, then it gets no more than a cold server may, also for one warm-up afterwards", func() {
+		router := startedRouter(withWarmup, listWithCondition(false, 0))
+		router.now += 10 * time.Second
+		router.Handle(router.now, listWithCondition(true, 0))
 		for range 10 {
-			Expect(sentTo(bench, "a", time.Second)).To(And(BeNumerically(">", 0), BeNumerically("<=", 10*1.5+5)))
+			Expect(countSentTo(router, "a", time.Second)).To(And(BeNumerically(">", 0), BeNumerically("<=", 10*1.5+5)))
 		}
-		bench.Handle(bench.now, told(false, 0))
+		router.Handle(router.now, listWithCondition(false, 0))
 		for range 3 {
-			Expect(sentTo(bench, "a", time.Second)).To(BeNumerically("<=", 10*1.5+5))
+			Expect(countSentTo(router, "a", time.Second)).To(BeNumerically("<=", 10*1.5+5))
 		}
-		Expect(sentTo(bench, "a", time.Second)).To(BeNumerically(">", 50))
+		Expect(countSentTo(router, "a", time.Second)).To(BeNumerically(">", 50))
 	})
 
-	It("given a node that hears it all the time, when calls press, then nothing changes there, until it was silent for a while", func() {
-		bench := started(warming, told(false, 0))
-		bench.now += 10 * time.Second
-		sentTo(bench, "a", time.Second)
-		bench.Handle(bench.now, told(true, 0))
-		Expect(sentTo(bench, "a", 5*time.Second)).To(BeNumerically(">", 250))
-		bench.now += bench.terms.Contact
-		Expect(sentTo(bench, "a", time.Second)).To(BeNumerically("<=", 10*1.5+5))
-		bench.Handle(bench.now, told(false, 0))
-		Expect(sentTo(bench, "a", time.Second)).To(BeNumerically("<=", 10*1.5+5))
+	It("given a node that hears from it all the time, when many calls arrive, then nothing changes, until it was silent for a while", func() {
+		router := startedRouter(withWarmup, listWithCondition(false, 0))
+		router.now += 10 * time.Second
+		countSentTo(router, "a", time.Second)
+		router.Handle(router.now, listWithCondition(true, 0))
+		Expect(countSentTo(router, "a", 5*time.Second)).To(BeNumerically(">", 250))
+		router.now += router.policy.Contact
+		Expect(countSentTo(router, "a", time.Second)).To(BeNumerically("<=", 10*1.5+5))
+		router.Handle(router.now, listWithCondition(false, 0))
+		Expect(countSentTo(router, "a", time.Second)).To(BeNumerically("<=", 10*1.5+5))
 	})
 
-	It("given a call that waits while a suspected server is silent, when the answer comes, then the server is taken for cold", func() {
-		bench := started(warming, told(false, 0))
-		bench.now += 10 * time.Second
-		waiting := bench.sent("/write/x")
+	It("given a call that waits while a suspected server is silent, when the answer comes, then the server is treated as cold", func() {
+		router := startedRouter(withWarmup, listWithCondition(false, 0))
+		router.now += 10 * time.Second
+		waiting := router.dispatchCall("/write/x")
 		for waiting.Server.Name != "a" {
-			waiting = bench.sent("/write/x")
+			waiting = router.dispatchCall("/write/x")
 		}
-		bench.Handle(bench.now, told(true, 0))
-		bench.now += bench.terms.Contact
-		bench.Handle(bench.now, Head{Token: waiting.Token, Attempt: waiting.Attempt})
-		Expect(sentTo(bench, "a", time.Second)).To(BeNumerically("<=", 10*1.5+5))
+		router.Handle(router.now, listWithCondition(true, 0))
+		router.now += router.policy.Contact
+		router.Handle(router.now, HeadReceived{Token: waiting.Token, Attempt: waiting.Attempt})
+		Expect(countSentTo(router, "a", time.Second)).To(BeNumerically("<=", 10*1.5+5))
 	})
 
 	It("given a service whose servers are never cold, when one is suspected, then nothing changes", func() {
-		bench := started(nil, told(true, 0))
-		Expect(sentTo(bench, "a", time.Second)).To(BeNumerically(">", 50))
+		router := startedRouter(nil, listWithCondition(true, 0))
+		Expect(countSentTo(router, "a", time.Second)).To(BeNumerically(">", 50))
 	})
 
-	It("given a node that has no part of it, when it is the only server, then a first call goes there, but no further attempt", func() {
-		bench := started(warming, told(true, 0))
-		bench.now += 10 * time.Second
-		bench.Handle(bench.now, ranked("a", 40, 39))
+	It("given a node that has no share of it, when it is the only server, then a first attempt goes there, but no further one", func() {
+		router := startedRouter(withWarmup, listWithCondition(true, 0))
+		router.now += 10 * time.Second
+		router.Handle(router.now, fleetWithRank("a", 40, 39))
 		for range 20 {
-			dispatch := bench.sent("/read/x")
+			dispatch := router.dispatchCall("/read/x")
 			Expect(dispatch.Server.Name).To(Equal("b"))
-			Expect(bench.ends(dispatch, NotRun)).To(BeAssignableToTypeOf(Refuse{}))
+			Expect(router.endDispatch(dispatch, OutcomeNotRun)).To(BeAssignableToTypeOf(Refuse{}))
 		}
-		bench.Handle(bench.now, listOf("east", told(true, 0).Servers[0]))
-		Expect(bench.sent("/read/x").Server.Name).To(Equal("a"))
+		router.Handle(router.now, listOf("east", listWithCondition(true, 0).Servers[0]))
+		Expect(router.dispatchCall("/read/x").Server.Name).To(Equal("a"))
 	})
 })
 
@@ -201,33 +201,33 @@
 	for _, step := range []struct {
 		ill   int64
 		tries int
-	}{{2, trialNodes}, {1, 10}} {
-		It(fmt.Sprintf("given 40 nodes, when it has %d steps to go, then the first %d in the order try it, one call at a time, and no others", step.ill, step.tries), func() {
-			for place := range 40 {
-				bench := started(nil, told(true, step.ill))
-				bench.Handle(bench.now, ranked("a", 40, place))
+	}{{2, probingNodes}, {1, 10}} {
+		It(fmt.Sprintf("given 40 nodes, when it has %d steps to go, then the first %d in the order probe it, one call at a time, and no others", step.ill, step.tries), func() {
+			for rank := range 40 {
+				router := startedRouter(nil, listWithCondition(true, step.ill))
+				router.Handle(router.now, fleetWithRank("a", 40, rank))
 				span := 4 * time.Second
-				count := sentTo(bench, "a", span)
-				if place >= step.tries {
-					Expect(count).To(BeZero(), "place %d", place)
+				count := countSentTo(router, "a", span)
+				if rank >= step.tries {
+					Expect(count).To(BeZero(), "place %d", rank)
 					continue
 				}
-				Expect(count).To(And(BeNumerically(">", 0), BeNumerically("<=", int(span/(bench.terms.Contact/4)))), "place %d", place)
+				Expect(count).To(And(BeNumerically(">", 0), BeNumerically("<=", int(span/(router.policy.Contact/4)))), "place %d", rank)
 			}
 		})
 	}
 
-	It("given a server that is well again, when the list tells it, then it serves like the others", func() {
-		bench := started(nil, told(true, 2))
-		bench.Handle(bench.now, ranked("a", 40, 39))
-		Expect(sentTo(bench, "a", time.Second)).To(BeZero())
-		bench.Handle(bench.now, told(false, 0))
-		Expect(sentTo(bench, "a", time.Second)).To(BeNumerically(">", 50))
+	It("given a server that is well again, when the list says so, then it serves like the others", func() {
+		router := startedRouter(nil, listWithCondition(true, 2))
+		router.Handle(router.now, fleetWithRank("a", 40, 39))
+		Expect(countSentTo(router, "a", time.Second)).To(BeZero())
+		router.Handle(router.now, listWithCondition(false, 0))
+		Expect(countSentTo(router, "a", time.Second)).To(BeNumerically(">", 50))
 	})
 
-	It("given no other server, when calls come, then they go there rather than being refused", func() {
-		bench := started(nil, listOf("east", told(true, 2).Servers[0]))
-		bench.Handle(bench.now, ranked("a", 40, 39))
-		Expect(bench.sent("/write/x").Server.Name).To(Equal("a"))
+	It("given no other server, when calls arrive, then they go there rather than being refused", func() {
+		router := startedRouter(nil, listOf("east", listWithCondition(true, 2).Servers[0]))
+		router.Handle(router.now, fleetWithRank("a", 40, 39))
+		Expect(router.dispatchCall("/write/x").Server.Name).To(Equal("a"))
 	})
 })
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -1,4 +1,6 @@
-// Package gateway carries opaque calls by host and path to the servers of a service: it admits, picks, repeats and ends them.
+// Package gateway routes HTTP calls by host and path to the servers of a service. It admits calls, picks a server for each, retries calls that may
+// run again, and ends them. Router handles the calls; Node keeps the configuration and the lists of servers up to date. Both are state machines
+// without I/O: events in, commands out.
 package gateway
 
 import (
@@ -9,133 +11,147 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// Arrive is one try of a caller. Left is how long it will wait; After is the last piece that it has of a stream it takes up. Key is the
-// digest of the key that it shows, nil without one.
-type Arrive struct {
-	Token  int64
-	Host   string
-	Path   string
-	Left   time.Duration
+// CallArrived is the event that a caller's request arrived.
+type CallArrived struct {
+	// Token identifies the call in all events and commands.
+	Token int64
+	Host  string
+	Path  string
+	// Timeout is how long the caller will wait, 0 if it did not say; the timeout of the route limits it.
+	Timeout time.Duration
+	// Prompt is what the request tells of its prompt, the zero value for other calls.
 	Prompt engine.Prompt
-	After  string
-	Size   int64
-	Key    *manifest.KeyDigest
+	// LastEventID is the last event that the caller has of a stream that it resumes, empty for a new one.
+	LastEventID string
+	// Size is the length of the request in bytes.
+	Size int64
+	// KeyDigest is the digest of the API key that the caller presents, nil without one.
+	KeyDigest *manifest.KeyDigest
 }
 
-// Dispatch sends a call to a server. Left is what may still pass until the answer is whole; after Patience without a first byte the
-// gateway is asked what to do. Idle is the longest that a kept connection may have been unused. Presumed is how many tokens of the prompt
-// are believed to be kept at the server. Tenant is whose call it is, empty without one.
+// Dispatch is the command to send a call to a server.
 type Dispatch struct {
-	Token     int64
-	Attempt   int
-	Server    contract.Candidate
-	Tenant    string
-	Left      time.Duration
-	Patience  time.Duration
-	Connect   time.Duration
-	Idle      time.Duration
-	Priority  int
-	Presumed  int64
+	// Token and Attempt identify this dispatch in the events about it.
+	Token   int64
+	Attempt int
+	Server  contract.Candidate
+	// Tenant is the name of the tenant whose call it is, empty without one.
+	Tenant string
+	// Timeout is the time left until the answer must be complete.
+	Timeout time.Duration
+	// SilenceTimeout is how long to wait without a byte of the answer before a ServerSilent event is due.
+	SilenceTimeout time.Duration
+	// ConnectTimeout limits the setting up of a connection.
+	ConnectTimeout time.Duration
+	// MaxIdle is the longest that a reused connection may have been idle.
+	MaxIdle time.Duration
+	// Priority is the priority that the server is told: 2 for short prompts. A negative one is not sent.
+	Priority int
+	// CachedTokens is how many tokens of the prompt are presumed to be cached at the server.
+	CachedTokens int64
+	// Stream says that the answer is a stream, Resumable that the stream can be resumed at another server.
 	Stream    bool
 	Resumable bool
 }
 
-// Wait goes on waiting for the same server.
-type Wait struct{ Patience time.Duration }
+// Wait is the answer to ServerSilent if the call stays at its server: wait for another SilenceTimeout.
+type Wait struct{ SilenceTimeout time.Duration }
 
-// Refuse ends a call that never ran and never will; After tells when to come back.
+// Refuse ends a call that has not run and never will. RetryAfter tells the caller when to come back; 0 means that a retry is no use.
 type Refuse struct {
-	Token  int64
-	Status int
-	After  time.Duration
-	Reason string
+	Token      int64
+	Status     int
+	RetryAfter time.Duration
+	Reason     string
 }
 
-// Fail ends a call of which nobody knows whether it ran.
+// Fail ends a call that may or may not have run.
 type Fail struct {
 	Token  int64
 	Status int
 	Reason string
 }
 
-// Pass gives the server's own answer to the caller as it is.
-type Pass struct{ Token int64 }
+// PassAnswer passes the server's own answer to the caller unchanged.
+type PassAnswer struct{ Token int64 }
 
-// Head tells what the first bytes of a server's answer say.
-type Head struct {
+// HeadReceived is the event that the first bytes of a server's answer arrived. Load is nil if the answer does not report it.
+type HeadReceived struct {
 	Token   int64
 	Attempt int
 	Load    *Load
 }
 
-// Load is what a server tells of itself: calls running, calls waiting and its slots.
+// Load is what a server reports of itself: the calls that are running, those that are waiting, and its slots (how many it works on at once).
 type Load struct {
 	Running int64
 	Waiting int64
 	Slots   int64
 }
 
-// First tells that the first piece of a stream came.
-type First struct {
+// StreamStarted is the event that the first chunk of a streamed answer arrived.
+type StreamStarted struct {
 	Token   int64
 	Attempt int
 }
 
-// Silent tells that a dispatch has waited for its patience and nothing came.
-type Silent struct {
+// ServerSilent is the event that nothing arrived within the silence timeout of a dispatch. The router answers it with Wait or with a new Dispatch.
+type ServerSilent struct {
 	Token   int64
 	Attempt int
 }
 
+// Outcome is how a dispatch ended. The values appear in logs and in answers to callers.
 type Outcome string
 
 const (
-	// Whole is a complete answer of the server.
-	Whole Outcome = "whole"
-	// Unsent means that no byte of the call reached the server.
-	Unsent Outcome = "unsent"
-	// NotRun is the server's own word that it did not run the call.
-	NotRun Outcome = "not_run"
-	// Moved is another server's word that it is not the one that was meant.
-	Moved Outcome = "moved"
-	// Broken is all else that is not a whole answer: the call may have run.
-	Broken Outcome = "broken"
-	// Left means that the caller went away.
-	Left Outcome = "left"
-	// Late means that the call's time is over.
-	Late Outcome = "late"
+	// OutcomeComplete is a complete answer of the server, which may report an error of its own.
+	OutcomeComplete Outcome = "whole"
+	// OutcomeNotSent means that no byte of the call reached the server.
+	OutcomeNotSent Outcome = "unsent"
+	// OutcomeNotRun means that the server itself says that it did not run the call.
+	OutcomeNotRun Outcome = "not_run"
+	// OutcomeWrongServer ("moved") means that another server answered at the address and says that it is not the one that was meant.
+	OutcomeWrongServer Outcome = "moved"
+	// OutcomeBroken is every other answer that is not complete: the call may have run.
+	OutcomeBroken Outcome = "broken"
+	// OutcomeCallerLeft means that the caller closed its connection.
+	OutcomeCallerLeft Outcome = "left"
+	// OutcomeDeadlineExceeded ("late") means that the call's time is over.
+	OutcomeDeadlineExceeded Outcome = "late"
 )
 
-// Ended is the end of one dispatch. Failed tells that the server's whole answer is a failure of its own.
-type Ended struct {
-	Token   int64
-	Attempt int
-	Outcome Outcome
-	Begun   bool
-	Failed  bool
-	Load    *Load
-	Reason  string
+// DispatchEnded is the event that a dispatch ended. AnswerStarted says that bytes of the answer have reached the caller. ServerError says that the
+// complete answer reports an error of the server. Load is nil if it was not reported.
+type DispatchEnded struct {
+	Token         int64
+	Attempt       int
+	Outcome       Outcome
+	AnswerStarted bool
+	ServerError   bool
+	Load          *Load
+	Reason        string
 }
 
-// Configured brings the configuration that is in force.
-type Configured struct {
+// ConfigurationChanged brings the manifest that is now in force.
+type ConfigurationChanged struct {
 	Manifest manifest.Manifest
 }
 
-// Listed brings the servers of a region that may take calls.
-type Listed struct {
+// ServersListed brings all servers of a region that may take calls.
+type ServersListed struct {
 	Region  string
 	Servers []contract.Candidate
 }
 
-// Observed brings what all nodes together see of the calls that they send to a region.
-type Observed struct {
+// ObservationsChanged brings what all nodes together observed about the calls that they send to a region.
+type ObservationsChanged struct {
 	Region string
 	contract.Observed
 }
 
-// Fleet names the data nodes that share the limits; Self is this node.
-type Fleet struct {
+// FleetChanged brings the names of the data nodes that share the limits; Self is this node's.
+type FleetChanged struct {
 	Self  string
 	Names []string
 }
--- a/gateway/execution.go
+++ b/gateway/execution.go
@@ -1,29 +1,29 @@
 package gateway
 
-// Execution says what is known of a try at a server once it is over.
+// Execution says what is known, once a dispatch has ended, about whether the call ran at that server.
 type Execution int
 
 const (
-	// NeverSent: the call did not run at that server and never will. It may go to another one.
-	NeverSent Execution = iota
-	// MayHaveRun: some of the call reached the server and no whole answer came. Only a call that may run twice goes on.
+	// NeverRan means that the call did not run at that server and never will. It may be sent to another one.
+	NeverRan Execution = iota
+	// MayHaveRun means that some of the call reached the server and no complete answer came. Only a call that may run twice may be retried.
 	MayHaveRun
-	// Ran: the server answered for it.
+	// Ran means that the server answered the call.
 	Ran
 )
 
-// Execution is the rule of at most once: it is the only place that tells whether a try that ended so may have run.
+// Execution implements the at-most-once rule: this is the only place that decides whether a call may have run after a dispatch ended so.
 func (outcome Outcome) Execution() Execution {
 	switch outcome {
-	case Unsent, NotRun, Moved:
-		return NeverSent
-	case Whole:
+	case OutcomeNotSent, OutcomeNotRun, OutcomeWrongServer:
+		return NeverRan
+	case OutcomeComplete:
 		return Ran
 	}
 	return MayHaveRun
 }
 
-// mayRepeat tells whether a call may be sent once more after a try that ended so.
-func (outcome Outcome) mayRepeat(repeatable bool) bool {
-	return outcome.Execution() == NeverSent || repeatable
+// mayRetry reports whether a call may be sent again after a dispatch ended so. Repeatable says that it may run twice.
+func (outcome Outcome) mayRetry(repeatable bool) bool {
+	return outcome.Execution() == NeverRan || repeatable
 }
--- a/gateway/execution_test.go
+++ b/gateway/execution_test.go
@@ -4,17 +4,17 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = DescribeTable("what a try's end says of the call", func(outcome Outcome, execution Execution, repeatsUnsafe bool) {
+var _ = DescribeTable("what the outcome of a dispatch says about execution", func(outcome Outcome, execution Execution, repeatsUnsafe bool) {
 	Expect(outcome.Execution()).To(Equal(execution))
-	Expect(outcome.mayRepeat(false)).To(Equal(repeatsUnsafe), "a call that must not run twice")
-	Expect(outcome.mayRepeat(true)).To(BeTrue(), "a call that may run twice")
+	Expect(outcome.mayRetry(false)).To(Equal(repeatsUnsafe), "a call that must not run twice")
+	Expect(outcome.mayRetry(true)).To(BeTrue(), "a call that may run twice")
 },
-	Entry("nothing was written", Unsent, NeverSent, true),
-	Entry("the server says that it did not run it", NotRun, NeverSent, true),
-	Entry("another server has the address", Moved, NeverSent, true),
-	Entry("a whole answer", Whole, Ran, false),
-	Entry("a broken answer, a reset, a silence", Broken, MayHaveRun, false),
-	Entry("the caller left", Left, MayHaveRun, false),
-	Entry("its time is over", Late, MayHaveRun, false),
-	Entry("an outcome that is not known here", Outcome("other"), MayHaveRun, false),
+	Entry("nothing was written", OutcomeNotSent, NeverRan, true),
+	Entry("the server says that it did not run it", OutcomeNotRun, NeverRan, true),
+	Entry("another server has the address", OutcomeWrongServer, NeverRan, true),
+	Entry("a complete answer", OutcomeComplete, Ran, false),
+	Entry("a broken answer, a reset, no answer", OutcomeBroken, MayHaveRun, false),
+	Entry("the caller left", OutcomeCallerLeft, MayHaveRun, false),
+	Entry("its time is over", OutcomeDeadlineExceeded, MayHaveRun, false),
+	Entry("an unknown outcome", Outcome("other"), MayHaveRun, false),
 )
--- a/gateway/flow.go
+++ b/gateway/flow.go
@@ -7,39 +7,41 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-const mostConnects = 4
+// maxUnsentAttempts is how many dispatches of a call may fail before a byte is sent; they do not use up the attempts of its route.
+const maxUnsentAttempts = 4
 
-func (traffic *Traffic) arrive(now time.Duration, event Arrive) []contract.Command {
-	if !traffic.Ready(now) {
-		return one(traffic.notYet(now, event.Token))
+// handleArrival registers a new call and sends it on, or refuses it.
+func (router *Router) handleArrival(now time.Duration, event CallArrived) []contract.Command {
+	if !router.Ready(now) {
+		return commandList(router.refuseNotReady(now, event.Token))
 	}
-	work, refused := traffic.newJob(now, event)
+	call, refused := router.newCall(now, event)
 	if refused != nil {
-		return one(*refused)
+		return commandList(*refused)
 	}
-	traffic.jobs[event.Token] = work
-	traffic.budget(work.service).called(now)
-	if _, there := traffic.firstCalls[work.service]; !there {
-		traffic.firstCalls[work.service] = now
+	router.calls[event.Token] = call
+	router.retryBudgetOf(call.service).recordCall(now)
+	if _, found := router.firstCalls[call.service]; !found {
+		router.firstCalls[call.service] = now
 	}
-	return traffic.admit(now, work)
+	return router.admit(now, call)
 }
 
-// admit sends a call on, after it has asked where its prompt belongs if that is not known here.
-func (traffic *Traffic) admit(now time.Duration, work *job) []contract.Command {
-	if place, asks := traffic.place(now, work); asks {
-		return one(place)
+// admit dispatches a call, after asking for the place of its prompt if that is not known here.
+func (router *Router) admit(now time.Duration, call *callState) []contract.Command {
+	if place, asks := router.placeQueryFor(now, call); asks {
+		return commandList(place)
 	}
-	return traffic.dispatch(now, work)
+	return router.dispatch(now, call)
 }
 
-// draw takes one service of a route by weight.
-func (traffic *Traffic) draw(route manifest.GatewayRoute) string {
+// drawService picks one service of a route at random, by weight.
+func (router *Router) drawService(route manifest.GatewayRoute) string {
 	sum := 0.0
 	for _, share := range route.Split {
 		sum += share.Weight
 	}
-	point := traffic.random.Float64() * sum
+	point := router.random.Float64() * sum
 	for _, share := range route.Split {
 		if point -= share.Weight; point < 0 {
 			return share.Service
@@ -48,236 +50,245 @@
 	return route.Split[len(route.Split)-1].Service
 }
 
-func one(command contract.Command) []contract.Command { return []contract.Command{command} }
+// commandList returns a list of one command.
+func commandList(command contract.Command) []contract.Command { return []contract.Command{command} }
 
-// later is a refusal with the time to come back: as long as an answer may take, since what refuses now does so for a while, and
-// spread so that callers don't return together.
-func (traffic *Traffic) later(token int64, aim time.Duration, reason string) Refuse {
-	base := max(aim, traffic.terms.Contact/16)
-	return Refuse{Token: token, Status: 503, After: base*3/4 + time.Duration(traffic.random.Int64N(int64(base/2))), Reason: reason}
+// refuseForNow returns a refusal with a time to come back: about the aim of the route (its target latency), since what causes the refusal lasts for a
+// while, and randomised so that callers do not return together.
+func (router *Router) refuseForNow(token int64, aim time.Duration, reason string) Refuse {
+	delay := max(aim, router.policy.Contact/16)
+	return Refuse{Token: token, Status: 503, RetryAfter: delay*3/4 + time.Duration(router.random.Int64N(int64(delay/2))), Reason: reason}
 }
 
-// notYet refuses while this node has no configuration or no list of servers, until about the time when it should have them.
-func (traffic *Traffic) notYet(now time.Duration, token int64) Refuse {
-	usual := traffic.terms.Contact * 3 / 20
-	base := max(usual-(now-traffic.began), usual/3)
-	return Refuse{Token: token, Status: 503, After: base + time.Duration(traffic.random.Int64N(int64(usual/3))), Reason: "this node has no configuration or no list yet"}
+// refuseNotReady refuses a call while this node has no configuration or no list of servers, until about the time when it should have them.
+func (router *Router) refuseNotReady(now time.Duration, token int64) Refuse {
+	startupTime := router.policy.Contact * 3 / 20
+	delay := max(startupTime-(now-router.startedAt), startupTime/3)
+	return Refuse{Token: token, Status: 503, RetryAfter: delay + time.Duration(router.random.Int64N(int64(startupTime/3))), Reason: "this node has no configuration or no list yet"}
 }
 
-func (traffic *Traffic) drop(work *job) { delete(traffic.jobs, work.Token) }
+// forgetCall removes a call that has ended.
+func (router *Router) forgetCall(call *callState) { delete(router.calls, call.Token) }
 
-// dispatch sends a call that has just arrived.
-func (traffic *Traffic) dispatch(now time.Duration, work *job) []contract.Command {
-	chosen, wait := traffic.pick(now, work)
+// dispatch sends a call for the first time, or refuses it if no server can take it or answer it in time.
+func (router *Router) dispatch(now time.Duration, call *callState) []contract.Command {
+	chosen, expectedWait := router.pickServer(now, call)
 	if chosen == nil {
-		traffic.drop(work)
-		return one(traffic.later(work.Token, work.route.Aim, "no server can take it now"))
+		router.forgetCall(call)
+		return commandList(router.refuseForNow(call.Token, call.route.Aim, "no server can take it now"))
 	}
-	if wait > work.ends-now {
-		traffic.drop(work)
-		return one(traffic.later(work.Token, work.route.Aim, "no server can answer it in time"))
+	if expectedWait > call.deadline-now {
+		router.forgetCall(call)
+		return commandList(router.refuseForNow(call.Token, call.route.Aim, "no server can answer it in time"))
 	}
-	return one(traffic.send(now, work, chosen))
+	return commandList(router.sendTo(now, call, chosen))
 }
 
-func (traffic *Traffic) send(now time.Duration, work *job, chosen *server) Dispatch {
-	service := traffic.read.Gateway.Services[work.service]
-	work.attempt++
-	work.sent++
-	work.server, work.at, work.unread = chosen, now, 0
+// sendTo records a dispatch of the call to a server and returns the command for it.
+func (router *Router) sendTo(now time.Duration, call *callState, target *serverState) Dispatch {
+	service := router.manifest.Gateway.Services[call.service]
+	call.attempt++
+	call.attemptsUsed++
+	call.server, call.sentAt, call.unreadTokens = target, now, 0
 	if service.Engine != nil {
-		if chosen.memory == nil {
-			chosen.memory = newMemory(service)
+		if target.cacheEstimate == nil {
+			target.cacheEstimate = newCacheEstimate(service)
 		}
-		work.unread, work.alone = max(1, work.Prompt.Input-work.held), chosen.reading == 0
-		work.known = min(work.Prompt.Input, chosen.memory.Held(work.Prompt))
-		chosen.memory.Take(work.Prompt)
-		chosen.reading += work.unread
-		chosen.queued++
+		call.unreadTokens, call.soleReader = max(1, call.Prompt.Input-call.cachedTokens), target.unreadTokens == 0
+		call.sentBeforeTokens = min(call.Prompt.Input, target.cacheEstimate.Held(call.Prompt))
+		target.cacheEstimate.Take(call.Prompt)
+		target.unreadTokens += call.unreadTokens
+		target.unreadPrompts++
 	}
-	if chosen.until > 0 || chosen.Ill > 0 {
-		chosen.trial, chosen.nextTrial = true, now+traffic.terms.Contact/4
+	if target.backoffUntil > 0 || target.Ill > 0 {
+		target.probing, target.nextProbe = true, now+router.policy.Contact/4
 	}
-	chosen.own++
-	chosen.since++
-	chosen.ramp.taken(now)
-	return Dispatch{Token: work.Token, Attempt: work.attempt, Server: chosen.Candidate, Tenant: work.tenant, Left: work.ends - now, Patience: traffic.patience(now, work), Presumed: work.held,
-		Connect: traffic.connectTime(chosen), Idle: traffic.idle(work), Priority: traffic.priority(work),
-		Stream: work.route.Kind == manifest.KindStreaming, Resumable: work.route.Resumable}
+	target.inFlight++
+	target.sentSinceLoad++
+	target.ramp.recordCall(now)
+	return Dispatch{Token: call.Token, Attempt: call.attempt, Server: target.Candidate, Tenant: call.tenant, Timeout: call.deadline - now, SilenceTimeout: router.silenceTimeout(now, call), CachedTokens: call.cachedTokens,
+		ConnectTimeout: router.connectTimeout(target), MaxIdle: router.maxIdle(call), Priority: router.priority(call),
+		Stream: call.route.Kind == manifest.KindStreaming, Resumable: call.route.Resumable}
 }
 
-// release takes a dispatch off its server.
-func (traffic *Traffic) release(work *job) {
-	server := work.server
+// release removes a dispatch that ended from the counters of its server.
+func (router *Router) release(call *callState) {
+	server := call.server
 	if server == nil {
 		return
 	}
-	server.own--
-	server.since = max(0, server.since-1)
-	traffic.hasRead(work)
-	work.server, server.trial = nil, false
-	if !server.listed && server.own == 0 {
-		delete(traffic.servers, server.Name)
+	server.inFlight--
+	server.sentSinceLoad = max(0, server.sentSinceLoad-1)
+	router.clearUnread(call)
+	call.server, server.probing = nil, false
+	if !server.listed && server.inFlight == 0 {
+		delete(router.servers, server.Name)
 	}
 }
 
-func (traffic *Traffic) current(token int64, attempt int) *job {
-	work, there := traffic.jobs[token]
-	if !there || work.attempt != attempt || work.server == nil {
+// currentCall returns the call that an event is about, or nil if the attempt is not the current one or has ended.
+func (router *Router) currentCall(token int64, attempt int) *callState {
+	call, found := router.calls[token]
+	if !found || call.attempt != attempt || call.server == nil {
 		return nil
 	}
-	return work
+	return call
 }
 
-func (traffic *Traffic) head(now time.Duration, event Head) {
-	if work := traffic.current(event.Token, event.Attempt); work != nil {
-		work.server.told(event.Load)
-		traffic.returned(now, work.server)
+// handleHead records that the server of a call answers.
+func (router *Router) handleHead(now time.Duration, event HeadReceived) {
+	if call := router.currentCall(event.Token, event.Attempt); call != nil {
+		call.server.updateLoad(event.Load)
+		router.serverAnswered(now, call.server)
 	}
 }
 
-// returned takes a server that failed before for one that may have begun anew, and for a good one from now on.
-func (traffic *Traffic) returned(now time.Duration, server *server) {
-	traffic.suspect(now, server)
+// serverAnswered marks a server as healthy. One that failed before may have restarted and is first treated as cold.
+func (router *Router) serverAnswered(now time.Duration, server *serverState) {
+	router.applySuspicion(now, server)
 	if server.failures > 0 {
-		traffic.doubt(now, server, traffic.terms.Contact/4)
+		router.assumeCold(now, server, router.policy.Contact/4)
 	}
-	server.fine(now)
+	server.recordSuccess(now)
 }
 
-func (traffic *Traffic) first(now time.Duration, event First) {
-	work := traffic.current(event.Token, event.Attempt)
-	if work == nil {
+// handleStreamStart learns from the first chunk of an answer: its time shows whether the prompt was cached and how fast the engine reads.
+func (router *Router) handleStreamStart(now time.Duration, event StreamStarted) {
+	call := router.currentCall(event.Token, event.Attempt)
+	if call == nil {
 		return
 	}
-	if !work.begun {
-		traffic.checkCache(now, work)
-		traffic.use(now, work)
-		traffic.observeRead(now, work)
+	if !call.answerStarted {
+		router.checkCache(now, call)
+		router.recordPlaceUse(now, call)
+		router.learnReadSpeed(now, call)
 	}
-	work.begun = true
-	traffic.hasRead(work)
-	work.server.heard = now
+	call.answerStarted = true
+	router.clearUnread(call)
+	call.server.lastHeard = now
 }
 
-// hasRead takes a prompt off what its server still has to read.
-func (traffic *Traffic) hasRead(work *job) {
-	if work.unread > 0 {
-		work.server.reading -= work.unread
-		work.server.queued--
-		work.unread = 0
+// clearUnread removes a call's prompt from what its server still has to read.
+func (router *Router) clearUnread(call *callState) {
+	if call.unreadTokens > 0 {
+		call.server.unreadTokens -= call.unreadTokens
+		call.server.unreadPrompts--
+		call.unreadTokens = 0
 	}
 }
 
-// silent decides about a server that says nothing: one that others hear is slow, not gone.
-func (traffic *Traffic) silent(now time.Duration, event Silent) []contract.Command {
-	work := traffic.current(event.Token, event.Attempt)
-	if work == nil {
-		return one(Wait{Patience: time.Second})
+// handleSilence handles a server that sends nothing. A server that other calls hear from is slow, not lost; a call that may run twice is retried
+// elsewhere if the server has not been heard since the dispatch.
+func (router *Router) handleSilence(now time.Duration, event ServerSilent) []contract.Command {
+	call := router.currentCall(event.Token, event.Attempt)
+	if call == nil {
+		return commandList(Wait{SilenceTimeout: time.Second})
 	}
-	server := work.server
-	if server.heard < work.at && now >= server.until {
-		traffic.fault(now, server)
-		traffic.tally(now, server).Failed++
+	server := call.server
+	if server.lastHeard < call.sentAt && now >= server.backoffUntil {
+		router.recordFault(now, server)
+		router.tallyOf(now, server).Failed++
 	}
-	if now >= work.ends {
-		return one(Wait{Patience: 0})
+	if now >= call.deadline {
+		return commandList(Wait{SilenceTimeout: 0})
 	}
-	if server.heard < work.at && work.route.Repeatable() {
-		if sent, _ := traffic.elsewhere(now, work, server, false); sent != nil {
-			return sent
+	if server.lastHeard < call.sentAt && call.route.Repeatable() {
+		if commands, _ := router.sendElsewhere(now, call, server, false); commands != nil {
+			return commands
 		}
 	}
-	return one(Wait{Patience: min(traffic.patience(now, work), work.ends-now)})
+	return commandList(Wait{SilenceTimeout: min(router.silenceTimeout(now, call), call.deadline-now)})
 }
 
-// elsewhere sends a call to another server that can still answer in time, or tells that there is none. Unless it is free, as for a call
-// of which nothing was sent, that is one more attempt, and the budget is used only when there is a server.
-func (traffic *Traffic) elsewhere(now time.Duration, work *job, former *server, free bool) (sent []contract.Command, none bool) {
-	work.avoid[former.Name] = true
-	if !free && work.sent >= work.route.Attempts {
+// sendElsewhere sends a call to another server that can still answer in time; noServer reports that there is none. A dispatch that is free, since
+// nothing was sent, uses no attempt and no retry budget. Otherwise the budget is used only once a server is found.
+func (router *Router) sendElsewhere(now time.Duration, call *callState, failed *serverState, isFree bool) (sent []contract.Command, noServer bool) {
+	call.triedServers[failed.Name] = true
+	if !isFree && call.attemptsUsed >= call.route.Attempts {
 		return nil, false
 	}
-	chosen, wait := traffic.pick(now, work)
-	if chosen == nil || !work.begun && wait > work.ends-now {
+	chosen, expectedWait := router.pickServer(now, call)
+	if chosen == nil || !call.answerStarted && expectedWait > call.deadline-now {
 		return nil, true
 	}
-	if !free && !traffic.mayRepeat(now, work.service) {
+	if !isFree && !router.takeRetry(now, call.service) {
 		return nil, false
 	}
-	traffic.release(work)
-	return one(traffic.send(now, work, chosen)), false
+	router.release(call)
+	return commandList(router.sendTo(now, call, chosen)), false
 }
 
-// fault rests a server that failed, and takes it for one that may come back cold.
-func (traffic *Traffic) fault(now time.Duration, server *server) {
-	server.failed(now, traffic.terms.Contact/16, traffic.terms.Contact/2)
-	traffic.doubt(now, server, traffic.terms.Contact/4)
+// recordFault lets a server that failed rest for a while and treats it as one that may come back cold.
+func (router *Router) recordFault(now time.Duration, server *serverState) {
+	server.recordFailure(now, router.policy.Contact/16, router.policy.Contact/2)
+	router.assumeCold(now, server, router.policy.Contact/4)
 }
 
-func (traffic *Traffic) ended(now time.Duration, event Ended) []contract.Command {
-	work := traffic.current(event.Token, event.Attempt)
-	if work == nil {
-		if asking, there := traffic.jobs[event.Token]; there && asking.server == nil {
-			traffic.drop(asking)
+// handleEnd decides what follows the end of a dispatch: the answer is passed on, the call is sent elsewhere, or it is refused (if it has not run) or
+// failed.
+func (router *Router) handleEnd(now time.Duration, event DispatchEnded) []contract.Command {
+	call := router.currentCall(event.Token, event.Attempt)
+	if call == nil {
+		if queried, found := router.calls[event.Token]; found && queried.server == nil {
+			router.forgetCall(queried)
 		}
-		return one(Fail{Token: event.Token, Status: 502, Reason: "unknown call"})
+		return commandList(Fail{Token: event.Token, Status: 502, Reason: "unknown call"})
 	}
-	server, reread := work.server, work.unread > 0
-	server.told(event.Load)
-	traffic.release(work)
-	work.begun = work.begun || event.Begun
-	again, none := event.Outcome.mayRepeat(work.route.Repeatable()), false
+	server, wasUnread := call.server, call.unreadTokens > 0
+	server.updateLoad(event.Load)
+	router.release(call)
+	call.answerStarted = call.answerStarted || event.AnswerStarted
+	mayRetry, noServer := event.Outcome.mayRetry(call.route.Repeatable()), false
 	switch event.Outcome {
-	case Whole:
-		traffic.returned(now, server)
-		if event.Failed {
-			traffic.tally(now, server).Failed++
+	case OutcomeComplete:
+		router.serverAnswered(now, server)
+		if event.ServerError {
+			router.tallyOf(now, server).Failed++
 		} else {
-			traffic.tally(now, server).Well++
+			router.tallyOf(now, server).Well++
 		}
-		if work.route.Kind != manifest.KindStreaming {
-			server.paced(now - work.at)
+		if call.route.Kind != manifest.KindStreaming {
+			server.recordCallTime(now - call.sentAt)
 		}
-		if event.Failed && event.Outcome.mayRepeat(work.route.Repeatable()) {
-			if sent, _ := traffic.elsewhere(now, work, server, false); sent != nil {
-				return sent
+		if event.ServerError && event.Outcome.mayRetry(call.route.Repeatable()) {
+			if commands, _ := router.sendElsewhere(now, call, server, false); commands != nil {
+				return commands
 			}
 		}
-		traffic.drop(work)
-		return one(Pass{Token: work.Token})
-	case Left, Late:
-		traffic.drop(work)
-		if event.Outcome == Late && !work.begun {
-			return one(Fail{Token: work.Token, Status: 504, Reason: "its time is over"})
+		router.forgetCall(call)
+		return commandList(PassAnswer{Token: call.Token})
+	case OutcomeCallerLeft, OutcomeDeadlineExceeded:
+		router.forgetCall(call)
+		if event.Outcome == OutcomeDeadlineExceeded && !call.answerStarted {
+			return commandList(Fail{Token: call.Token, Status: 504, Reason: "its time is over"})
 		}
-		return one(Fail{Token: work.Token, Status: 502, Reason: string(event.Outcome)})
-	case Unsent:
-		traffic.fault(now, server)
-		traffic.tally(now, server).Lost++
-		work.sent--
-		work.connects++
-		again = again && work.connects < mostConnects
-	case Moved:
-		server.moved = true
-	case NotRun:
-		if reread && server.memory != nil {
-			server.memory.Forget()
+		return commandList(Fail{Token: call.Token, Status: 502, Reason: string(event.Outcome)})
+	case OutcomeNotSent:
+		router.recordFault(now, server)
+		router.tallyOf(now, server).Lost++
+		call.attemptsUsed--
+		call.unsentAttempts++
+		mayRetry = mayRetry && call.unsentAttempts < maxUnsentAttempts
+	case OutcomeWrongServer:
+		server.wrongServer = true
+	case OutcomeNotRun:
+		if wasUnread && server.cacheEstimate != nil {
+			server.cacheEstimate.Forget()
 		}
-	case Broken:
-		traffic.fault(now, server)
-		traffic.tally(now, server).Failed++
-		again = again && now < work.ends
+	case OutcomeBroken:
+		router.recordFault(now, server)
+		router.tallyOf(now, server).Failed++
+		mayRetry = mayRetry && now < call.deadline
 	}
-	if again {
-		var sent []contract.Command
-		if sent, none = traffic.elsewhere(now, work, server, event.Outcome == Unsent); sent != nil {
-			return sent
+	if mayRetry {
+		var commands []contract.Command
+		if commands, noServer = router.sendElsewhere(now, call, server, event.Outcome == OutcomeNotSent); commands != nil {
+			return commands
 		}
 	}
-	traffic.drop(work)
-	if work.begun || event.Outcome == Broken && !none {
-		return one(Fail{Token: work.Token, Status: 502, Reason: event.Reason})
+	router.forgetCall(call)
+	if call.answerStarted || event.Outcome == OutcomeBroken && !noServer {
+		return commandList(Fail{Token: call.Token, Status: 502, Reason: event.Reason})
 	}
-	return one(traffic.later(work.Token, work.route.Aim, event.Reason))
+	return commandList(router.refuseForNow(call.Token, call.route.Aim, event.Reason))
 }
--- a/gateway/index.go
+++ b/gateway/index.go
@@ -10,60 +10,61 @@
 	"github.com/cedarreel/cedarreel/index"
 )
 
-// keepers gives the control nodes that are asked for places. The owner of the index is the first live one in the agreed order. If it is
-// in another region, the near replica is the first of the own zone, or else of the own region. One without a name is not there.
-func (node *Node) keepers(now time.Duration) (owner, near contract.Member) {
+// indexReplicas returns the control nodes that are asked for places. The owner of the index is the first live control node in the rendezvous order.
+// If it is in another region, the replica is the first one in this node's zone, or else in its region. A member without a name stands for none.
+func (node *Node) indexReplicas(now time.Duration) (owner, replica contract.Member) {
 	controls, self := map[string]contract.Member{}, node.Self()
 	for _, member := range node.Neighbours.Members(now) {
 		if member.Kind == contract.KindControl {
 			controls[member.Name] = member
 		}
 	}
-	for place, name := range contract.Ordered("index", slices.Collect(maps.Keys(controls))) {
+	for rank, name := range contract.Ordered("index", slices.Collect(maps.Keys(controls))) {
 		member := controls[name]
-		if place == 0 {
+		if rank == 0 {
 			owner = member
 		}
 		if owner.Region == self.Region {
 			return owner, contract.Member{}
 		}
-		if member.Region == self.Region && (near.Name == "" || near.Zone != self.Zone && member.Zone == self.Zone) {
-			near = member
+		if member.Region == self.Region && (replica.Name == "" || replica.Zone != self.Zone && member.Zone == self.Zone) {
+			replica = member
 		}
 	}
-	return owner, near
+	return owner, replica
 }
 
-// tellIndex tells the owner of the calls whether there is somebody to ask, and the owner of the index what was sent where.
-func (node *Node) tellIndex(now time.Duration) {
-	if now < node.nextTell {
+// reportPlaceUses tells the router whether the index can be reached, and the owner of the index which places were used and what their calls showed.
+func (node *Node) reportPlaceUses(now time.Duration) {
+	if now < node.nextIndexUpdate {
 		return
 	}
-	node.nextTell = now + node.askEvery()
-	owner, near := node.keepers(now)
-	if told := (Indexed{Known: owner.Name != "", Near: near.Name != ""}); told != node.indexed {
-		node.indexed = told
-		node.emit(Update{told})
+	node.nextIndexUpdate = now + node.listRequestInterval()
+	owner, replica := node.indexReplicas(now)
+	if reachability := (IndexReachability{OwnerKnown: owner.Name != "", ReplicaNear: replica.Name != ""}); reachability != node.indexReachability {
+		node.indexReachability = reachability
+		node.emit(Update{reachability})
 	}
-	if uses := node.known.Uses(); owner.Name != "" && len(uses) > 0 {
+	if uses := node.reports.TakePlaceUses(); owner.Name != "" && len(uses) > 0 {
 		node.emit(contract.Send{To: owner.Address, Kind: index.MessageUsed, Body: index.Used{Address: node.Self().Address, Uses: uses,
 			Results: index.Results(now, node.Bounds.Withdraw()/2, uses)}})
 	}
 }
 
-func (node *Node) askPlace(now time.Duration, ask AskPlace) {
-	keeper, near := node.keepers(now)
-	err := "no owner of the index is known"
-	if ask.Ask.Known {
-		keeper, err = near, "no replica of the index is near"
+// forwardPlaceQuery sends a place query to the owner of the index, or to the nearby replica if Ask.Known is set, and refuses it if there is none.
+func (node *Node) forwardPlaceQuery(now time.Duration, query AskPlace) {
+	target, replica := node.indexReplicas(now)
+	reason := "no owner of the index is known"
+	if query.Ask.Known {
+		target, reason = replica, "no replica of the index is near"
 	}
-	body, failure := json.Marshal(ask.Ask)
-	if keeper.Name == "" || failure != nil {
-		node.emit(contract.Refuse(ask.Token, 503, err, 0))
+	body, err := json.Marshal(query.Ask)
+	if target.Name == "" || err != nil {
+		node.emit(contract.Refuse(query.Token, 503, reason, 0))
 		return
 	}
-	if ask.Ask.Known {
+	if query.Ask.Known {
 		node.emit(contract.Count{Name: "places_asked_near", By: 1})
 	}
-	node.emit(contract.Forward{Ask: contract.Ask{Token: ask.Token, Verb: contract.VerbPlace, Body: body}, Address: keeper.Address})
+	node.emit(contract.Forward{Ask: contract.Ask{Token: query.Token, Verb: contract.VerbPlace, Body: body}, Address: target.Address})
 }
--- a/gateway/index_test.go
+++ b/gateway/index_test.go
@@ -19,8 +19,8 @@
 func events[Event contract.Event](commands []contract.Command) []Event {
 	found := []Event{}
 	for _, command := range commands {
-		if update, fine := command.(Update); fine {
-			if event, there := update.Event.(Event); there {
+		if update, ok := command.(Update); ok {
+			if event, isEvent := update.Event.(Event); isEvent {
 				found = append(found, event)
 			}
 		}
@@ -31,7 +31,7 @@
 func sends(commands []contract.Command, kind string) []contract.Send {
 	found := []contract.Send{}
 	for _, command := range commands {
-		if send, fine := command.(contract.Send); fine && send.Kind == kind {
+		if send, ok := command.(contract.Send); ok && send.Kind == kind {
 			found = append(found, send)
 		}
 	}
@@ -50,30 +50,30 @@
 		}
 		return contract.Member{}
 	}
-	beat := func(node *follower) []contract.Command {
-		node.now += node.askEvery()
-		return node.take(contract.Tick{})
+	tick := func(node *testNode) []contract.Command {
+		node.now += node.listRequestInterval()
+		return node.process(contract.Tick{})
 	}
 	ask := AskPlace{Token: 9, Ask: index.Ask{Key: index.Key{Scope: "s", Anchor: 1<<64 - 1}, Candidates: []string{"a"}, Work: 7}}
 
-	It("given no control node, when a question comes, then it is refused and the calls are told of no owner", func() {
-		node := following()
-		node.meets(dataNode("a2", "east-a", "10.0.0.2"))
-		Expect(events[Indexed](beat(node))).To(BeEmpty())
-		Expect(node.take(ask)).To(ContainElement(contract.Refuse(9, 503, "no owner of the index is known", 0)))
+	It("given no control node, when a place is queried, then the query is refused and the router is told of no owner", func() {
+		node := startedNode()
+		node.addMembers(dataNode("a2", "east-a", "10.0.0.2"))
+		Expect(events[IndexReachability](tick(node))).To(BeEmpty())
+		Expect(node.process(ask)).To(ContainElement(contract.Refuse(9, 503, "no owner of the index is known", 0)))
 	})
 
-	It("given control nodes, when a question comes, then it goes to the first in the agreed order alone, whatever order they were met in", func() {
-		for _, met := range [][]int{{0, 1, 2}, {2, 1, 0}} {
-			node := following()
-			for _, place := range met {
-				node.meets(controls[place])
+	It("given control nodes, when a place is queried, then only the first in the rendezvous order is asked, in whatever order they were met", func() {
+		for _, order := range [][]int{{0, 1, 2}, {2, 1, 0}} {
+			node := startedNode()
+			for _, number := range order {
+				node.addMembers(controls[number])
 			}
-			Expect(events[Indexed](beat(node))).To(Equal([]Indexed{{Known: true}}))
-			Expect(events[Indexed](beat(node))).To(BeEmpty(), "told once")
+			Expect(events[IndexReachability](tick(node))).To(Equal([]IndexReachability{{OwnerKnown: true}}))
+			Expect(events[IndexReachability](tick(node))).To(BeEmpty(), "reported once")
 			forwards := []contract.Forward{}
-			for _, command := range node.take(ask) {
-				if forward, fine := command.(contract.Forward); fine {
+			for _, command := range node.process(ask) {
+				if forward, ok := command.(contract.Forward); ok {
 					forwards = append(forwards, forward)
 				}
 			}
@@ -88,20 +88,20 @@
 	})
 
 	Describe("and the replica near it", func() {
-		at := func(name, zone, region string) contract.Member {
+		controlIn := func(name, zone, region string) contract.Member {
 			member := controlNode(name, name)
 			member.Zone, member.Region = zone, region
 			return member
 		}
-		// names are in the agreed order, that of the owner first.
+		// names are in the rendezvous order, that of the owner first.
 		names := func(count int) []string {
-			drawn := []string{}
+			unordered := []string{}
 			for number := range count {
-				drawn = append(drawn, fmt.Sprintf("k%d-control", number))
+				unordered = append(unordered, fmt.Sprintf("k%d-control", number))
 			}
-			ordered := contract.Ordered("index", drawn)
-			for place := range ordered {
-				ordered[place] = strings.TrimSuffix(ordered[place], "-control")
+			ordered := contract.Ordered("index", unordered)
+			for number := range ordered {
+				ordered[number] = strings.TrimSuffix(ordered[number], "-control")
 			}
 			return ordered
 		}(5)
@@ -109,95 +109,95 @@
 		addresses := func(commands []contract.Command) []string {
 			found := []string{}
 			for _, command := range commands {
-				if forward, fine := command.(contract.Forward); fine {
+				if forward, ok := command.(contract.Forward); ok {
 					found = append(found, forward.Address)
 				}
 			}
 			return found
 		}
 
-		DescribeTable("given control nodes, when a question for what is known comes, then it goes to the first of the own zone, else region, and others go to the owner",
+		DescribeTable("given control nodes, when a known place is queried, then the first of the own zone, else of the region, is asked, and the owner for other queries",
 			func(near string, members ...contract.Member) {
 				for range 2 {
-					node := following()
-					node.meets(members...)
-					Expect(events[Indexed](beat(node))).To(Equal([]Indexed{{Known: true, Near: true}}))
-					Expect(addresses(node.take(known))).To(Equal([]string{near + ":8166"}))
-					Expect(addresses(node.take(ask))).To(Equal([]string{names[0] + ":8166"}))
+					node := startedNode()
+					node.addMembers(members...)
+					Expect(events[IndexReachability](tick(node))).To(Equal([]IndexReachability{{OwnerKnown: true, ReplicaNear: true}}))
+					Expect(addresses(node.process(known))).To(Equal([]string{near + ":8166"}))
+					Expect(addresses(node.process(ask))).To(Equal([]string{names[0] + ":8166"}))
 					slices.Reverse(members)
 				}
 			},
-			Entry("zone before region", names[3], at(names[0], "west-a", "west"), at(names[1], "west-a", "west"), at(names[2], "east-b", "east"), at(names[3], "east-a", "east"), at(names[4], "east-a", "east")),
-			Entry("region", names[2], at(names[0], "west-a", "west"), at(names[1], "west-a", "west"), at(names[2], "east-b", "east"), at(names[3], "east-c", "east")),
+			Entry("zone before region", names[3], controlIn(names[0], "west-a", "west"), controlIn(names[1], "west-a", "west"), controlIn(names[2], "east-b", "east"), controlIn(names[3], "east-a", "east"), controlIn(names[4], "east-a", "east")),
+			Entry("region", names[2], controlIn(names[0], "west-a", "west"), controlIn(names[1], "west-a", "west"), controlIn(names[2], "east-b", "east"), controlIn(names[3], "east-c", "east")),
 		)
 
-		DescribeTable("given none that is nearer than the owner, when a question for what is known comes, then it is refused",
+		DescribeTable("given no replica nearer than the owner, when a known place is queried, then the query is refused",
 			func(members ...contract.Member) {
-				node := following()
-				node.meets(members...)
-				Expect(events[Indexed](beat(node))).To(Equal([]Indexed{{Known: true}}))
-				Expect(node.take(known)).To(ContainElement(contract.Refuse(9, 503, "no replica of the index is near", 0)))
-				Expect(addresses(node.take(ask))).To(Equal([]string{names[0] + ":8166"}))
+				node := startedNode()
+				node.addMembers(members...)
+				Expect(events[IndexReachability](tick(node))).To(Equal([]IndexReachability{{OwnerKnown: true}}))
+				Expect(node.process(known)).To(ContainElement(contract.Refuse(9, 503, "no replica of the index is near", 0)))
+				Expect(addresses(node.process(ask))).To(Equal([]string{names[0] + ":8166"}))
 			},
-			Entry("owner in the region, another in the zone", at(names[0], "east-b", "east"), at(names[1], "east-a", "east")),
-			Entry("owner in the zone", at(names[0], "east-a", "east"), at(names[1], "east-a", "east")),
-			Entry("nobody in the region", at(names[0], "west-a", "west"), at(names[1], "west-a", "west")),
+			Entry("owner in the region, another in the zone", controlIn(names[0], "east-b", "east"), controlIn(names[1], "east-a", "east")),
+			Entry("owner in the zone", controlIn(names[0], "east-a", "east"), controlIn(names[1], "east-a", "east")),
+			Entry("nobody in the region", controlIn(names[0], "west-a", "west"), controlIn(names[1], "west-a", "west")),
 		)
 
-		It("given an owner far away, when a replica comes near and leaves, then the calls are told each once", func() {
-			node := following()
-			node.meets(at(names[0], "west-a", "west"))
-			told := events[Indexed](beat(node))
-			node.meets(at(names[1], "east-b", "east"))
-			told = append(told, events[Indexed](beat(node))...)
-			node.take(message(neighbour.MessageBye, names[1], neighbour.Bye{Name: names[1] + "-control", Boot: "boot", Heartbeat: node.beat}))
+		It("given a distant owner, when a replica comes near and leaves, then the router is told of each change once", func() {
+			node := startedNode()
+			node.addMembers(controlIn(names[0], "west-a", "west"))
+			reachability := events[IndexReachability](tick(node))
+			node.addMembers(controlIn(names[1], "east-b", "east"))
+			reachability = append(reachability, events[IndexReachability](tick(node))...)
+			node.process(message(neighbour.MessageBye, names[1], neighbour.Bye{Name: names[1] + "-control", Boot: "boot", Heartbeat: node.heartbeat}))
 			for range 2 {
-				told = append(told, events[Indexed](beat(node))...)
+				reachability = append(reachability, events[IndexReachability](tick(node))...)
 			}
-			Expect(told).To(Equal([]Indexed{{Known: true}, {Known: true, Near: true}, {Known: true}}))
+			Expect(reachability).To(Equal([]IndexReachability{{OwnerKnown: true}, {OwnerKnown: true, ReplicaNear: true}, {OwnerKnown: true}}))
 		})
 	})
 
-	It("given the only control node that falls silent, when the beat comes, then the calls are told that nobody can be asked", func() {
-		node := following()
-		node.meets(controls[0])
-		beat(node)
-		told := []Indexed{}
+	It("given the only control node is silent, when the next report is due, then the router is told that nobody can be asked", func() {
+		node := startedNode()
+		node.addMembers(controls[0])
+		tick(node)
+		reachability := []IndexReachability{}
 		for range 40 {
-			told = append(told, events[Indexed](beat(node))...)
+			reachability = append(reachability, events[IndexReachability](tick(node))...)
 		}
-		Expect(told).To(Equal([]Indexed{{Known: false}}))
+		Expect(reachability).To(Equal([]IndexReachability{{OwnerKnown: false}}))
 	})
 
-	It("given uses, when the beat comes, then the owner is told them once with this node's address, and not between beats", func() {
-		node, uses := following(), []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 5}}
-		node.known = telling{node.known, func() []index.Use {
+	It("given uses of places, when the next report is due, then the owner gets them once with this node's address, and not before", func() {
+		node, uses := startedNode(), []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 5}}
+		node.reports = reportsWithUses{node.reports, func() []index.Use {
 			given := uses
 			uses = nil
 			return given
 		}}
-		node.meets(controls...)
-		node.now = node.nextTell - 1
-		Expect(sends(node.take(contract.Tick{}), index.MessageUsed)).To(BeEmpty())
-		sent := sends(beat(node), index.MessageUsed)
+		node.addMembers(controls...)
+		node.now = node.nextIndexUpdate - 1
+		Expect(sends(node.process(contract.Tick{}), index.MessageUsed)).To(BeEmpty())
+		sent := sends(tick(node), index.MessageUsed)
 		Expect(sent).To(HaveLen(1))
 		Expect(sent[0].To).To(Equal(first().Address))
 		Expect(sent[0].Body).To(Equal(index.Used{Address: node.Self().Address, Uses: []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 5}}}))
-		Expect(sends(beat(node), index.MessageUsed)).To(BeEmpty())
+		Expect(sends(tick(node), index.MessageUsed)).To(BeEmpty())
 	})
 
-	It("given a message of corrections, when it comes, then the calls are told, and one that cannot be read changes nothing", func() {
-		node := following()
+	It("given a message of moved places, when it arrives, then the router gets them, and one that cannot be decoded changes nothing", func() {
+		node := startedNode()
 		places := []index.Place{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "b"}}
-		Expect(events[Relocated](node.take(message(index.MessageMoved, "c1-control", index.Moved{Places: places})))).To(Equal([]Relocated{{Places: places}}))
-		Expect(events[Relocated](node.take(contract.Message{Kind: index.MessageMoved, Body: []byte(`{"places":7}`)}))).To(BeEmpty())
+		Expect(events[PlacesMoved](node.process(message(index.MessageMoved, "c1-control", index.Moved{Places: places})))).To(Equal([]PlacesMoved{{Places: places}}))
+		Expect(events[PlacesMoved](node.process(contract.Message{Kind: index.MessageMoved, Body: []byte(`{"places":7}`)}))).To(BeEmpty())
 	})
 })
 
-// telling has uses of its own to tell.
-type telling struct {
-	Known
+// reportsWithUses replaces the uses that are reported.
+type reportsWithUses struct {
+	CallReports
 	uses func() []index.Use
 }
 
-func (telling telling) Uses() []index.Use { return telling.uses() }
+func (reports reportsWithUses) TakePlaceUses() []index.Use { return reports.uses() }
--- a/gateway/lists.go
+++ b/gateway/lists.go
@@ -12,61 +12,66 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// list is what this node holds of one shard's list of servers. All times are this node's own monotonic ones.
-type list struct {
-	epoch   contract.Epoch
-	highest contract.Epoch
-	number  int64
-	// asked is when the question was sent whose answer last said that this is the list: since then it is not confirmed.
-	asked time.Duration
-	hint  string
-	held  bool
-	// interim is when the list was asked for that stands in until an owner's comes, 0 without one.
-	interim time.Duration
-	detour  machine.RelayPath
-	// relayed is when relays were asked last.
-	relayed time.Duration
-	// overdue tells that the list was said to be unconfirmed for too long.
+// shardList is the list of servers of one shard as this node holds it. All times are this node's own monotonic ones.
+type shardList struct {
+	// epoch and number identify the list; highestEpoch is the highest epoch that a list was accepted from.
+	epoch        contract.Epoch
+	highestEpoch contract.Epoch
+	number       int64
+	// confirmedAsOf is when the request was sent whose answer last confirmed this list; later changes may be missing here.
+	confirmedAsOf time.Duration
+	// ownerHint is the member that a control node named as the owner instead of itself.
+	ownerHint string
+	// received says that a list of an owner has been received.
+	received bool
+	// interimAsOf is when the interim list was requested that is used until an owner's list arrives, 0 without one.
+	interimAsOf time.Duration
+	relayPath   machine.RelayPath
+	// relayedAt is when the list was last requested through relays.
+	relayedAt time.Duration
+	// overdue says that the list was reported as unconfirmed for too long.
 	overdue bool
 }
 
-// askEvery is the time between two questions for a list: a part of the bound for withdrawing a server.
-func (node *Node) askEvery() time.Duration { return node.Bounds.Withdraw() / 8 }
+// listRequestInterval is the time between two requests for a list: an eighth of the bound for withdrawing a server.
+func (node *Node) listRequestInterval() time.Duration { return node.Bounds.Withdraw() / 8 }
 
-func (node *Node) ask(now time.Duration) {
-	if now < node.nextAsk || !node.Feed.Known() {
+// requestLists requests the lists of all shards when that is due, sooner while lists are missing, and adapts the set of lists to the shards of the
+// manifest.
+func (node *Node) requestLists(now time.Duration) {
+	if now < node.nextListRequest || !node.Feed.Known() {
 		return
 	}
-	node.nextAsk = now + node.askEvery()
-	if !node.complete() {
-		node.nextAsk = now + node.askEvery()/5
+	node.nextListRequest = now + node.listRequestInterval()
+	if !node.hasAllLists() {
+		node.nextListRequest = now + node.listRequestInterval()/5
 	}
-	members, read := node.Neighbours.Members(now), node.Feed.Manifest()
-	for _, region := range manifest.SortedKeys(read.Regions) {
-		shards := read.Regions[region].Shards
+	members, current := node.Neighbours.Members(now), node.Feed.Manifest()
+	for _, region := range manifest.SortedKeys(current.Regions) {
+		shards := current.Regions[region].Shards
 		if node.lists[region] == nil {
-			node.lists[region], node.servers[region] = map[int]*list{}, map[int][]contract.Candidate{}
+			node.lists[region], node.serversByShard[region] = map[int]*shardList{}, map[int][]contract.Candidate{}
 		}
 		for index := range node.lists[region] {
 			if index >= shards {
 				delete(node.lists[region], index)
-				delete(node.servers[region], index)
+				delete(node.serversByShard[region], index)
 			}
 		}
 		for index := 0; index < shards; index++ {
 			if node.lists[region][index] == nil {
-				node.lists[region][index] = &list{}
+				node.lists[region][index] = &shardList{}
 			}
-			node.askOne(now, members, region, index, shards)
+			node.requestList(now, members, region, index, shards)
 		}
 	}
 }
 
-// complete tells whether every region's lists are here.
-func (node *Node) complete() bool {
+// hasAllLists reports whether the lists of all shards of every region have been received.
+func (node *Node) hasAllLists() bool {
 	for _, lists := range node.lists {
-		for _, held := range lists {
-			if !held.held {
+		for _, list := range lists {
+			if !list.received {
 				return false
 			}
 		}
@@ -74,40 +79,43 @@
 	return len(node.lists) > 0
 }
 
-func (node *Node) askOne(now time.Duration, members []contract.Member, region string, index, shards int) {
-	held, self := node.lists[region][index], node.Self()
+// requestList requests the list of one shard from its possible owners. While it has none, another control node is asked for an interim list; if the
+// owner does not answer, the request also goes through relays, and other control nodes are asked for notices.
+func (node *Node) requestList(now time.Duration, members []contract.Member, region string, index, shards int) {
+	list, self := node.lists[region][index], node.Self()
 	ask := contract.LeaseRequest{Node: self.Name, Address: self.Address, Region: region, Shard: index, Asked: now,
-		Highest: held.highest, Number: held.number, Calls: node.known.Calls(region), Stale: node.known.Stale(region),
-		Tallies: node.known.Tallies(now, region), Observed: node.known.Observed(now, region), Shards: shards, Brief: held.held,
-		Interim: !held.held && (held.interim == 0 || now-held.interim >= node.askEvery())}
-	owners := node.ownersOf(members, held, region, index)
+		Highest: list.highestEpoch, Number: list.number, Calls: node.reports.CallsInFlight(region), Stale: node.reports.StaleCaches(region),
+		Tallies: node.reports.Tallies(now, region), Observed: node.reports.Observations(now, region), Shards: shards, Brief: list.received,
+		Interim: !list.received && (list.interimAsOf == 0 || now-list.interimAsOf >= node.listRequestInterval())}
+	owners := node.ownerCandidates(members, list, region, index)
 	for _, owner := range owners {
 		node.emit(contract.Send{To: owner.Address, Kind: shard.MessageAsk, Body: ask})
 	}
 	if ask.Interim {
-		node.askStandIn(members, owners, ask)
+		node.requestInterimList(members, owners, ask)
 		return
 	}
-	node.askByRelay(now, held, owners, ask)
-	if node.silent(now, held) {
-		node.askNotices(members, owners, ask)
+	node.requestByRelay(now, list, owners, ask)
+	if node.isOwnerSilent(now, list) {
+		node.requestNotices(members, owners, ask)
 	}
 }
 
-// ownersOf gives who may own a shard: the first one in the agreed order, and whom a control node named instead of itself.
-func (node *Node) ownersOf(members []contract.Member, held *list, region string, index int) []contract.Member {
+// ownerCandidates returns the members that may own a shard: the first one in the rendezvous order, and the one that a control node named instead of
+// itself.
+func (node *Node) ownerCandidates(members []contract.Member, list *shardList, region string, index int) []contract.Member {
 	owners := []contract.Member{}
-	for _, name := range []string{shard.First(members, region, index), held.hint} {
-		member, there := node.Neighbours.Look(name)
-		if name != "" && there && !slices.ContainsFunc(owners, func(owner contract.Member) bool { return owner.Name == name }) {
+	for _, name := range []string{shard.First(members, region, index), list.ownerHint} {
+		member, found := node.Neighbours.Look(name)
+		if name != "" && found && !slices.ContainsFunc(owners, func(owner contract.Member) bool { return owner.Name == name }) {
 			owners = append(owners, member)
 		}
 	}
 	return owners
 }
 
-// askStandIn asks some other control node, or a seed while none is known, for what it would list itself.
-func (node *Node) askStandIn(members, owners []contract.Member, ask contract.LeaseRequest) {
+// requestInterimList asks a random other control node, or a seed while none is known, for the list that it would make itself.
+func (node *Node) requestInterimList(members, owners []contract.Member, ask contract.LeaseRequest) {
 	others := []string{}
 	for _, member := range members {
 		if member.Kind == contract.KindControl && !slices.ContainsFunc(owners, func(owner contract.Member) bool { return owner.Name == member.Name }) {
@@ -123,143 +131,145 @@
 	}
 }
 
-// silentAfter, in halves of the time between two questions, is the age of a list from which its owner counts as silent: the answer to the
-// question before the last one is missing.
-const silentAfter = 3
+// silentAfterHalfIntervals is the age of a list, in halves of the request interval, from which its owner counts as silent: the answer to the request
+// before the last one is missing.
+const silentAfterHalfIntervals = 3
 
-func (node *Node) silent(now time.Duration, held *list) bool {
-	return now-held.asked > silentAfter*node.askEvery()/2
+// isOwnerSilent reports whether answers of the owner of a list are missing.
+func (node *Node) isOwnerSilent(now time.Duration, list *shardList) bool {
+	return now-list.confirmedAsOf > silentAfterHalfIntervals*node.listRequestInterval()/2
 }
 
-// askByRelay asks the owners by way of other members when no answer comes: membership may tell that an owner is alive while the link to
+// requestByRelay requests a list through other members if the owners do not answer: membership may know an owner to be alive while the direct link to
 // it is cut.
-func (node *Node) askByRelay(now time.Duration, held *list, owners []contract.Member, ask contract.LeaseRequest) {
-	if now-held.relayed < node.askEvery() {
+func (node *Node) requestByRelay(now time.Duration, list *shardList, owners []contract.Member, ask contract.LeaseRequest) {
+	if now-list.relayedAt < node.listRequestInterval() {
 		return
 	}
-	route, tried, needed := held.detour.Next(node.silent(now, held))
+	route, failures, needed := list.relayPath.Next(node.isOwnerSilent(now, list))
 	if !needed {
 		return
 	}
-	held.relayed = now
+	list.relayedAt = now
 	if route == "" {
-		node.emit(contract.Say{What: "list asked for by relays", Detail: []any{"region", ask.Region, "shard", ask.Shard, "number", held.number,
-			"epoch", held.highest, "ageMs", (now - held.asked).Milliseconds(), "tried", tried, "owners", names(owners)}})
+		node.emit(contract.Say{What: "list asked for by relays", Detail: []any{"region", ask.Region, "shard", ask.Shard, "number", list.number,
+			"epoch", list.highestEpoch, "ageMs", (now - list.confirmedAsOf).Milliseconds(), "tried", failures, "owners", joinNames(owners)}})
 	}
 	for _, owner := range owners {
-		node.emit(node.SendByRelay(now, owner, contract.Send{To: owner.Address, Kind: shard.MessageAsk, Body: ask}, route, tried)...)
+		node.emit(node.SendByRelay(now, owner, contract.Send{To: owner.Address, Kind: shard.MessageAsk, Body: ask}, route, failures)...)
 	}
 }
 
-// names gives the names of members in their order, split by commas.
-func names(members []contract.Member) string {
-	list := []string{}
+// joinNames returns the names of members, separated by commas.
+func joinNames(members []contract.Member) string {
+	result := []string{}
 	for _, member := range members {
-		list = append(list, member.Name)
+		result = append(result, member.Name)
 	}
-	return strings.Join(list, ",")
+	return strings.Join(result, ",")
 }
 
-// take accepts a list unless a higher epoch was seen; an older list of the same epoch changes nothing.
-func (node *Node) take(now time.Duration, message contract.Message, lease contract.Lease) {
-	held := node.lists[lease.Region][lease.Shard]
+// acceptLease accepts a list unless one of a higher epoch was seen. An older list of the same epoch changes nothing; a lease that only confirms a
+// list (Same) must be about the list that is held.
+func (node *Node) acceptLease(now time.Duration, message contract.Message, lease contract.Lease) {
+	list := node.lists[lease.Region][lease.Shard]
 	if lease.Interim {
-		node.takeInterim(held, message, lease)
+		node.acceptInterimList(list, message, lease)
 		return
 	}
-	if held == nil || lease.Epoch.Before(held.highest) || lease.Asked > now {
-		node.refused(held, message, lease)
+	if list == nil || lease.Epoch.Before(list.highestEpoch) || lease.Asked > now {
+		node.reportRefusedList(list, message, lease)
 		return
 	}
-	if lease.Epoch == held.highest && (lease.Number < held.number || lease.Asked < held.asked) {
+	if lease.Epoch == list.highestEpoch && (lease.Number < list.number || lease.Asked < list.confirmedAsOf) {
 		return
 	}
-	if lease.Same && (lease.Epoch != held.epoch || lease.Number != held.number) {
+	if lease.Same && (lease.Epoch != list.epoch || lease.Number != list.number) {
 		return
 	}
-	held.detour.RecordAnswer(message.Via, held.asked == lease.Asked)
-	held.highest, held.epoch, held.number, held.asked, held.hint = lease.Epoch, lease.Epoch, lease.Number, lease.Asked, ""
-	node.confirmed(now, held, message, lease)
-	if former := node.observed[lease.Region]; !maps.Equal(former.Short, lease.Short) || !maps.Equal(former.Read, lease.Read) {
-		node.observed[lease.Region] = lease.Observed
-		node.emit(Update{Observed{Region: lease.Region, Observed: lease.Observed}})
+	list.relayPath.RecordAnswer(message.Via, list.confirmedAsOf == lease.Asked)
+	list.highestEpoch, list.epoch, list.number, list.confirmedAsOf, list.ownerHint = lease.Epoch, lease.Epoch, lease.Number, lease.Asked, ""
+	node.clearOverdue(now, list, message, lease)
+	if previous := node.observations[lease.Region]; !maps.Equal(previous.Short, lease.Short) || !maps.Equal(previous.Read, lease.Read) {
+		node.observations[lease.Region] = lease.Observed
+		node.emit(Update{ObservationsChanged{Region: lease.Region, Observed: lease.Observed}})
 	}
 	if lease.Same {
 		return
 	}
-	held.held = true
-	node.list(message, lease)
+	list.received = true
+	node.installList(message, lease)
 }
 
-// refused reports a list that was not accepted: one of a former owner, or of a shard that is not known.
-func (node *Node) refused(held *list, message contract.Message, lease contract.Lease) {
+// reportRefusedList logs a list that was not accepted: one of a former owner, of an unknown shard, or in answer to a request in the future.
+func (node *Node) reportRefusedList(list *shardList, message contract.Message, lease contract.Lease) {
 	detail := []any{"region", lease.Region, "shard", lease.Shard, "from", message.From, "via", message.Via, "epoch", lease.Epoch}
-	if held != nil {
-		detail = append(detail, "highest", held.highest)
+	if list != nil {
+		detail = append(detail, "highest", list.highestEpoch)
 	}
 	node.emit(contract.Count{Name: "lists_refused", By: 1}, contract.Say{What: "list refused", Detail: detail})
 }
 
-// takeInterim accepts what stands in for an owner's list, as long as this node has heard of no owner.
-func (node *Node) takeInterim(held *list, message contract.Message, lease contract.Lease) {
-	if held == nil || held.held || held.highest != (contract.Epoch{}) || lease.Asked <= held.interim {
+// acceptInterimList accepts an interim list as long as this node has heard of no owner.
+func (node *Node) acceptInterimList(list *shardList, message contract.Message, lease contract.Lease) {
+	if list == nil || list.received || list.highestEpoch != (contract.Epoch{}) || lease.Asked <= list.interimAsOf {
 		return
 	}
-	held.interim = lease.Asked
-	node.list(message, lease)
+	list.interimAsOf = lease.Asked
+	node.installList(message, lease)
 }
 
-// list puts a list of servers in force and reports by whom and by which relays it came.
-func (node *Node) list(message contract.Message, lease contract.Lease) {
-	count := node.use(lease.Region, lease.Shard, lease.Servers)
+// installList puts a list of servers in force and logs who sent it and through which relays.
+func (node *Node) installList(message contract.Message, lease contract.Lease) {
+	serverCount := node.setServers(lease.Region, lease.Shard, lease.Servers)
 	node.emit(contract.Say{What: "list", Detail: []any{"region", lease.Region, "epoch", lease.Epoch.Number, "shard", lease.Shard, "number", lease.Number,
-		"servers", count, "from", message.From, "via", message.Via}})
+		"servers", serverCount, "from", message.From, "via", message.Via}})
 }
 
-// use puts servers of a shard in force and gives how many there are in its region.
-func (node *Node) use(region string, index int, servers []contract.Candidate) int {
-	node.servers[region][index] = servers
+// setServers puts the servers of a shard in force, tells the router all servers of the region, and returns how many these are.
+func (node *Node) setServers(region string, index int, servers []contract.Candidate) int {
+	node.serversByShard[region][index] = servers
 	all := []contract.Candidate{}
 	for index := 0; index < len(node.lists[region]); index++ {
-		all = append(all, node.servers[region][index]...)
+		all = append(all, node.serversByShard[region][index]...)
 	}
-	node.emit(Update{Listed{Region: region, Servers: all}})
+	node.emit(Update{ServersListed{Region: region, Servers: all}})
 	return len(all)
 }
 
 // unconfirmedAfter is the age at which a list that is not confirmed is reported: half of the bound for withdrawing a server.
 func (node *Node) unconfirmedAfter() time.Duration { return node.Bounds.Withdraw() / 2 }
 
-// watchLists reports the age of the list that was confirmed longest ago, and each list that becomes overdue, with its owner as this node
+// checkListAges publishes the age of the list that was confirmed longest ago, and logs each list that becomes overdue, with its owner as this node
 // sees it.
-func (node *Node) watchLists(now time.Duration) {
+func (node *Node) checkListAges(now time.Duration) {
 	oldest := time.Duration(0)
 	for _, region := range manifest.SortedKeys(node.lists) {
 		for index := range len(node.lists[region]) {
-			held := node.lists[region][index]
-			if !held.held {
+			list := node.lists[region][index]
+			if !list.received {
 				continue
 			}
-			age := now - held.asked
+			age := now - list.confirmedAsOf
 			oldest = max(oldest, age)
-			if held.overdue || age < node.unconfirmedAfter() {
+			if list.overdue || age < node.unconfirmedAfter() {
 				continue
 			}
-			held.overdue = true
+			list.overdue = true
 			owner := shard.First(node.Neighbours.Members(now), region, index)
 			node.emit(contract.Count{Name: "lists_unconfirmed", By: 1}, contract.Say{What: "list is not confirmed", Detail: []any{
-				"region", region, "shard", index, "number", held.number, "ageMs", age.Milliseconds(), "owner", owner, "hint", held.hint}})
+				"region", region, "shard", index, "number", list.number, "ageMs", age.Milliseconds(), "owner", owner, "hint", list.ownerHint}})
 		}
 	}
 	node.emit(contract.Gauge{Name: "list_age_ms", Value: oldest.Milliseconds()})
 }
 
-// confirmed notes that an owner's answer stands for the list, and reports that of a list that was overdue.
-func (node *Node) confirmed(now time.Duration, held *list, message contract.Message, lease contract.Lease) {
-	if !held.overdue {
+// clearOverdue logs that an owner has confirmed a list that was overdue.
+func (node *Node) clearOverdue(now time.Duration, list *shardList, message contract.Message, lease contract.Lease) {
+	if !list.overdue {
 		return
 	}
-	held.overdue = false
+	list.overdue = false
 	node.emit(contract.Say{What: "list is confirmed again", Detail: []any{
 		"region", lease.Region, "shard", lease.Shard, "number", lease.Number, "from", message.From, "via", message.Via, "tookMs", (now - lease.Asked).Milliseconds()}})
 }
--- a/gateway/lists_test.go
+++ b/gateway/lists_test.go
@@ -10,11 +10,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// said gives the commands of a node that tell operators something of this kind.
-func said(commands []contract.Command, what string) []contract.Say {
+// logEntries returns the log entries with a text among a node's commands.
+func logEntries(commands []contract.Command, what string) []contract.Say {
 	found := []contract.Say{}
 	for _, command := range commands {
-		if say, fine := command.(contract.Say); fine && say.What == what {
+		if say, ok := command.(contract.Say); ok && say.What == what {
 			found = append(found, say)
 		}
 	}
@@ -22,62 +22,62 @@
 }
 
 var _ = Describe("the age of a list", func() {
-	holding := func() *follower {
-		node := following()
-		node.take(contract.Tick{})
-		node.take(message(shard.MessageLease, "owner-control", lease(2, 5, node.now, "a")))
+	nodeWithList := func() *testNode {
+		node := startedNode()
+		node.process(contract.Tick{})
+		node.process(message(shard.MessageLease, "owner-control", leaseOf(2, 5, node.now, "a")))
 		return node
 	}
 
 	It("given a list that nobody confirms, when half of the bound for withdrawals has passed, then it is reported once, with its age", func() {
-		node := holding()
-		Expect(said(node.take(contract.Tick{}), "list is not confirmed")).To(BeEmpty())
+		node := nodeWithList()
+		Expect(logEntries(node.process(contract.Tick{}), "list is not confirmed")).To(BeEmpty())
 		node.now += node.unconfirmedAfter()
-		told := node.take(contract.Tick{})
-		Expect(said(told, "list is not confirmed")).To(HaveLen(1))
-		Expect(told).To(ContainElement(contract.Gauge{Name: "list_age_ms", Value: node.unconfirmedAfter().Milliseconds()}))
-		Expect(told).To(ContainElement(contract.Count{Name: "lists_unconfirmed", By: 1}))
+		commands := node.process(contract.Tick{})
+		Expect(logEntries(commands, "list is not confirmed")).To(HaveLen(1))
+		Expect(commands).To(ContainElement(contract.Gauge{Name: "list_age_ms", Value: node.unconfirmedAfter().Milliseconds()}))
+		Expect(commands).To(ContainElement(contract.Count{Name: "lists_unconfirmed", By: 1}))
 		node.now += time.Second
-		Expect(said(node.take(contract.Tick{}), "list is not confirmed")).To(BeEmpty())
+		Expect(logEntries(node.process(contract.Tick{}), "list is not confirmed")).To(BeEmpty())
 	})
 
-	It("given a list that was reported, when its owner confirms it, then that is told, and its age begins anew", func() {
-		node := holding()
+	It("given a list that was reported, when its owner confirms it, then that is logged, and its age starts at 0 again", func() {
+		node := nodeWithList()
 		node.now += node.unconfirmedAfter()
-		node.take(contract.Tick{})
-		same := lease(2, 5, node.now)
+		node.process(contract.Tick{})
+		same := leaseOf(2, 5, node.now)
 		same.Same = true
-		Expect(said(node.take(message(shard.MessageLease, "owner-control", same)), "list is confirmed again")).To(HaveLen(1))
-		Expect(node.take(contract.Tick{})).To(ContainElement(contract.Gauge{Name: "list_age_ms", Value: 0}))
+		Expect(logEntries(node.process(message(shard.MessageLease, "owner-control", same)), "list is confirmed again")).To(HaveLen(1))
+		Expect(node.process(contract.Tick{})).To(ContainElement(contract.Gauge{Name: "list_age_ms", Value: 0}))
 	})
 })
 
-var _ = Describe("what all nodes send to a region", func() {
-	It("given an owner that tells of short calls, when its answers come, also those that the list is the same, then each change is handed on once", func() {
-		node := following()
-		node.take(contract.Tick{})
-		first := lease(2, 5, node.now, "a")
+var _ = Describe("the observations of all nodes about a region", func() {
+	It("given an owner that reports short calls, when its answers arrive, also those without a new list, then each change is passed on once", func() {
+		node := startedNode()
+		node.process(contract.Tick{})
+		first := leaseOf(2, 5, node.now, "a")
 		first.Short = map[string]int64{"s": 400}
 		region := first.Region
-		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", first)))).To(Equal([]Observed{{region, first.Observed}}))
-		same := lease(2, 5, node.now)
+		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", first)))).To(Equal([]ObservationsChanged{{region, first.Observed}}))
+		same := leaseOf(2, 5, node.now)
 		same.Same, same.Short = true, map[string]int64{"s": 400}
-		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", same)))).To(BeEmpty())
+		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", same)))).To(BeEmpty())
 		same.Short = nil
-		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", same)))).To(Equal([]Observed{{Region: region}}))
+		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", same)))).To(Equal([]ObservationsChanged{{Region: region}}))
 		same.Read = map[string]int64{"s": 30000}
-		Expect(events[Observed](node.take(message(shard.MessageLease, "owner-control", same)))).To(Equal([]Observed{{region, same.Observed}}))
+		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", same)))).To(Equal([]ObservationsChanged{{region, same.Observed}}))
 	})
 })
 
 var _ = Describe("an owner that does not answer", func() {
 	owner := contract.Member{Name: "owner-control", Boot: "b", Kind: contract.KindControl, Zone: "east-b", Region: "east", Address: "10.0.0.9:8166"}
-	// carried gives the relays that are asked to carry a question to the owner.
+	// carried returns the relays that are asked to forward a request to the owner.
 	carried := func(commands []contract.Command) []string {
 		relays := []string{}
 		for _, command := range commands {
-			send, fine := command.(contract.Send)
-			if !fine || send.Kind != relay.MessageForward {
+			send, ok := command.(contract.Send)
+			if !ok || send.Kind != relay.MessageForward {
 				continue
 			}
 			envelope := send.Body.(relay.Envelope)
@@ -91,31 +91,31 @@
 		}
 		return relays
 	}
-	met := func() *follower {
-		node := following()
-		node.meets(owner, dataNode("near", "east-b", "10.0.1.1"), dataNode("other", "east-a", "10.0.0.2"))
-		node.take(message(shard.MessageLease, owner.Name, lease(2, 5, node.now, "a")))
+	nodeWithOwner := func() *testNode {
+		node := startedNode()
+		node.addMembers(owner, dataNode("near", "east-b", "10.0.1.1"), dataNode("other", "east-a", "10.0.0.2"))
+		node.process(message(shard.MessageLease, owner.Name, leaseOf(2, 5, node.now, "a")))
 		return node
 	}
-	asks := func(node *follower) []contract.Command {
-		node.now += node.askEvery()
-		node.meets(owner, dataNode("near", "east-b", "10.0.1.1"), dataNode("other", "east-a", "10.0.0.2"))
-		return node.take(contract.Tick{})
+	asks := func(node *testNode) []contract.Command {
+		node.now += node.listRequestInterval()
+		node.addMembers(owner, dataNode("near", "east-b", "10.0.1.1"), dataNode("other", "east-a", "10.0.0.2"))
+		return node.process(contract.Tick{})
 	}
-	answer := func(node *follower, via string, names ...string) {
-		given := message(shard.MessageLease, owner.Name, lease(2, 6, node.now, names...))
+	answer := func(node *testNode, via string, names ...string) {
+		given := message(shard.MessageLease, owner.Name, leaseOf(2, 6, node.now, names...))
 		given.Via = via
-		node.take(given)
+		node.process(given)
 	}
 
-	It("given one missing answer, when the node asks again, then other members carry its question, one of the owner's zone among them", func() {
-		node := met()
+	It("given one missing answer, when the node requests the list again, then relays carry its request, one of the owner's zone among them", func() {
+		node := nodeWithOwner()
 		Expect(carried(asks(node))).To(BeEmpty(), "the answer may be on its way")
 		Expect(carried(asks(node))).To(ConsistOf("10.0.1.1:7720", "10.0.0.2:7720"))
 	})
 
-	It("given an answer by way of a member, when the node asks again, then that one carries the question, until the owner answers directly", func() {
-		node := met()
+	It("given an answer through a relay, when the node requests the list again, then that relay carries the request, until the owner answers directly", func() {
+		node := nodeWithOwner()
 		asks(node)
 		asks(node)
 		answer(node, "10.0.1.1:7720", "a", "b")
@@ -124,11 +124,11 @@
 		Expect(carried(asks(node))).To(Equal([]string{"10.0.1.1:7720"}))
 		answer(node, "", "a", "b")
 		answer(node, "10.0.1.1:7720", "a", "b")
-		Expect(carried(asks(node))).To(BeEmpty(), "the late answer by the relay is to a question that was answered directly")
+		Expect(carried(asks(node))).To(BeEmpty(), "the late answer through the relay is to a request that was answered directly")
 	})
 
-	It("given a relay that falls silent too, when the node asks again, then others are drawn", func() {
-		node := met()
+	It("given a relay that stops answering too, when the node requests the list again, then other relays are chosen", func() {
+		node := nodeWithOwner()
 		asks(node)
 		asks(node)
 		answer(node, "10.0.1.1:7720", "a")
--- a/gateway/near_test.go
+++ b/gateway/near_test.go
@@ -8,126 +8,126 @@
 	. "github.com/onsi/gomega"
 )
 
-// replicated is a bench whose node knows a replica of the index that is nearer than the owner.
-func replicated() *bench {
-	bench := indexed(engines)
-	bench.Handle(bench.now, Indexed{Known: true, Near: true})
-	return bench
+// routerWithReplica returns a router that knows a replica of the index nearer than the owner.
+func routerWithReplica() *testRouter {
+	router := routerWithIndex(withEngines)
+	router.Handle(router.now, IndexReachability{OwnerKnown: true, ReplicaNear: true})
+	return router
 }
 
-func (bench *bench) asksNear(own string) Place {
+func (router *testRouter) expectReplicaQuery(own string) PlaceQuery {
 	GinkgoHelper()
-	ask := askedFor(bench.long(own))
+	ask := expectPlaceQuery(router.sendLongPrompt(own))
 	Expect(ask.Ask.Known).To(BeTrue())
 	return ask
 }
 
-// refusesNear gives the question to the owner that follows a refusal of the near replica.
-func (bench *bench) refusesNear(near Place) Place {
+// refuseFromReplica delivers a refusal of the replica and returns the query to the owner that follows.
+func (router *testRouter) refuseFromReplica(near PlaceQuery) PlaceQuery {
 	GinkgoHelper()
-	ask := askedFor(bench.one(Placed{Token: near.Token}))
+	ask := expectPlaceQuery(router.handleOne(PlaceAnswer{Token: near.Token}))
 	Expect(ask.Ask.Known).To(BeFalse())
 	Expect(ask.Token).To(Equal(near.Token))
 	return ask
 }
 
-func (bench *bench) asksOwner(own string) Place {
+func (router *testRouter) expectOwnerQuery(own string) PlaceQuery {
 	GinkgoHelper()
-	ask := askedFor(bench.long(own))
+	ask := expectPlaceQuery(router.sendLongPrompt(own))
 	Expect(ask.Ask.Known).To(BeFalse())
 	return ask
 }
 
-var _ = Describe("a near replica of the index", func() {
-	It("given a prompt that is not known here, when a call comes, then the replica is asked first, shortly and with the key alone", func() {
-		bench := replicated()
-		near := bench.asksNear("one")
+var _ = Describe("a nearby replica of the index", func() {
+	It("given a prompt that is not known here, when a call arrives, then the replica is asked first, with a short timeout and only the key", func() {
+		router := routerWithReplica()
+		near := router.expectReplicaQuery("one")
 		Expect(near.Ask).To(Equal(index.Ask{Key: near.Ask.Key, Known: true}))
 		Expect(near.Ask.Anchor).NotTo(BeZero())
-		Expect(near.Patience).To(Equal(bench.terms.Contact / 64))
-		Expect(dispatched(bench.answers(near, "e")).Server.Name).To(Equal("e"))
-		Expect(dispatched(bench.long("two")).Server.Name).To(Equal("e"))
+		Expect(near.Timeout).To(Equal(router.policy.Contact / 64))
+		Expect(expectDispatch(router.answerPlace(near, "e")).Server.Name).To(Equal("e"))
+		Expect(expectDispatch(router.sendLongPrompt("two")).Server.Name).To(Equal("e"))
 	})
 
 	It("given a replica that does not know the prompt, when it refuses, then the owner is asked as without it, and both again for the next prompt", func() {
-		bench, plain := replicated(), indexed(engines)
-		near := bench.asksNear("one")
-		ask, without := bench.refusesNear(near), askedFor(plain.long("one"))
-		Expect(ask.Ask).To(Equal(without.Ask))
-		Expect(ask.Patience).To(Equal(without.Patience))
-		Expect(dispatched(bench.answers(ask, last(ask))).Server.Name).To(Equal(last(ask)))
+		router, withoutReplica := routerWithReplica(), routerWithIndex(withEngines)
+		near := router.expectReplicaQuery("one")
+		ask, expected := router.refuseFromReplica(near), expectPlaceQuery(withoutReplica.sendLongPrompt("one"))
+		Expect(ask.Ask).To(Equal(expected.Ask))
+		Expect(ask.Timeout).To(Equal(expected.Timeout))
+		Expect(expectDispatch(router.answerPlace(ask, lastCandidate(ask))).Server.Name).To(Equal(lastCandidate(ask)))
 		other := engine.Prompt{Model: "m", Input: 13100, Output: 9, Parts: []engine.Part{{ID: "other", Tokens: 13000}, {ID: "own", Tokens: 100}}}
-		next := askedFor(bench.asked("/stream/x", prompted(other)))
+		next := expectPlaceQuery(router.arrive("/stream/x", withPrompt(other)))
 		Expect(next.Ask.Known).To(BeTrue())
-		bench.refusesNear(next)
+		router.refuseFromReplica(next)
 	})
 
-	It("given a replica that does not answer in time, when calls come, then the owner is asked, at once for a while, and then the replica again", func() {
-		bench := replicated()
-		near := bench.asksNear("one")
-		bench.now += near.Patience
-		ask := askedFor(bench.one(Placed{Token: near.Token, Late: true}))
+	It("given a replica that does not answer in time, when calls arrive, then only the owner is asked for a while, and then the replica again", func() {
+		router := routerWithReplica()
+		near := router.expectReplicaQuery("one")
+		router.now += near.Timeout
+		ask := expectPlaceQuery(router.handleOne(PlaceAnswer{Token: near.Token, TimedOut: true}))
 		Expect(ask.Ask.Known).To(BeFalse())
 		Expect(ask.Ask.Candidates).NotTo(BeEmpty())
-		bench.now += bench.terms.Contact/4 - 1
-		bench.asksOwner("two")
-		bench.now++
-		bench.asksNear("three")
+		router.now += router.policy.Contact/4 - 1
+		router.expectOwnerQuery("two")
+		router.now++
+		router.expectReplicaQuery("three")
 	})
 
-	It("given an owner that does not answer after a replica that refused, when calls come, then the replica alone is asked for a while", func() {
-		bench := replicated()
-		ask := bench.refusesNear(bench.asksNear("one"))
-		Expect(dispatched(bench.one(Placed{Token: ask.Token, Late: true})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
-		near := bench.asksNear("two")
-		Expect(dispatched(bench.one(Placed{Token: near.Token})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
-		bench.now += bench.terms.Contact / 4
-		bench.refusesNear(bench.asksNear("three"))
+	It("given an owner that does not answer after a replica refused, when calls arrive, then only the replica is asked for a while", func() {
+		router := routerWithReplica()
+		ask := router.refuseFromReplica(router.expectReplicaQuery("one"))
+		Expect(expectDispatch(router.handleOne(PlaceAnswer{Token: ask.Token, TimedOut: true})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
+		near := router.expectReplicaQuery("two")
+		Expect(expectDispatch(router.handleOne(PlaceAnswer{Token: near.Token})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
+		router.now += router.policy.Contact / 4
+		router.refuseFromReplica(router.expectReplicaQuery("three"))
 	})
 
-	It("given a replica and an owner that refuse, when calls come, then each asks either once and goes by the shared order", func() {
-		bench := replicated()
+	It("given a replica and an owner that refuse, when calls arrive, then each call asks both once and goes by the rendezvous order", func() {
+		router := routerWithReplica()
 		for _, own := range []string{"one", "two"} {
-			ask := bench.refusesNear(bench.asksNear(own))
-			Expect(dispatched(bench.one(Placed{Token: ask.Token})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
+			ask := router.refuseFromReplica(router.expectReplicaQuery(own))
+			Expect(expectDispatch(router.handleOne(PlaceAnswer{Token: ask.Token})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
 		}
 	})
 
-	It("given a known place that is lost, when a call comes, then the owner is asked at once", func() {
-		bench := replicated()
-		sent := dispatched(bench.answers(bench.asksNear("one"), "a"))
-		bench.firstAfter(sent, 600*time.Millisecond)
-		bench.Handle(bench.now, eastList("b", "c", "d", "e", "f"))
-		Expect(bench.asksOwner("two").Ask.Lost).To(Equal("a"))
+	It("given a known place that is lost, when a call arrives, then the owner is asked at once", func() {
+		router := routerWithReplica()
+		sent := expectDispatch(router.answerPlace(router.expectReplicaQuery("one"), "a"))
+		router.completeAfter(sent, 600*time.Millisecond)
+		router.Handle(router.now, eastList("b", "c", "d", "e", "f"))
+		Expect(router.expectOwnerQuery("two").Ask.Lost).To(Equal("a"))
 	})
 
-	It("given a replica that names a lost server, when it answers, then the owner is told it as lost, and is still asked twice at most", func() {
-		bench := replicated()
-		ask := askedFor(bench.answers(bench.asksNear("one"), "gone-0"))
+	It("given a replica that names a lost server, when it answers, then the owner is told that it is lost, and is still asked twice at most", func() {
+		router := routerWithReplica()
+		ask := expectPlaceQuery(router.answerPlace(router.expectReplicaQuery("one"), "gone-0"))
 		Expect([]any{ask.Ask.Known, ask.Ask.Lost}).To(Equal([]any{false, "gone-0"}))
-		again := askedFor(bench.answers(ask, "gone-1"))
+		again := expectPlaceQuery(router.answerPlace(ask, "gone-1"))
 		Expect([]any{again.Ask.Known, again.Ask.Lost}).To(Equal([]any{false, "gone-1"}))
-		Expect(dispatched(bench.answers(again, "gone-2")).Server.Name).To(Equal(ask.Ask.Candidates[0]))
+		Expect(expectDispatch(router.answerPlace(again, "gone-2")).Server.Name).To(Equal(ask.Ask.Candidates[0]))
 	})
 
-	It("given a replica that is no longer near, when calls come, then the owner is asked at once", func() {
-		bench := replicated()
-		bench.Handle(bench.now, Indexed{Known: true})
-		bench.asksOwner("one")
+	It("given a replica that is no longer near, when a call arrives, then the owner is asked at once", func() {
+		router := routerWithReplica()
+		router.Handle(router.now, IndexReachability{OwnerKnown: true})
+		router.expectOwnerQuery("one")
 	})
 
-	It("given a caller that leaves while the replica is asked, when the answer is late, then nothing of the call stays and nobody is left alone for it", func() {
-		bench := replicated()
-		near := bench.asksNear("one")
-		Expect(bench.one(Ended{Token: near.Token, Outcome: Left})).To(BeAssignableToTypeOf(Fail{}))
-		Expect(bench.one(Placed{Token: near.Token, Late: true})).To(BeAssignableToTypeOf(Fail{}))
-		Expect(bench.jobs).To(BeEmpty())
-		bench.refusesNear(bench.asksNear("two"))
+	It("given a caller that leaves while the replica is asked, when the answer is late, then nothing of the call remains, and the replica is still asked afterwards", func() {
+		router := routerWithReplica()
+		near := router.expectReplicaQuery("one")
+		Expect(router.handleOne(DispatchEnded{Token: near.Token, Outcome: OutcomeCallerLeft})).To(BeAssignableToTypeOf(Fail{}))
+		Expect(router.handleOne(PlaceAnswer{Token: near.Token, TimedOut: true})).To(BeAssignableToTypeOf(Fail{}))
+		Expect(router.calls).To(BeEmpty())
+		router.refuseFromReplica(router.expectReplicaQuery("two"))
 	})
 
-	It("given one server alone, when a call comes, then nobody is asked", func() {
-		bench := started(engines, eastList("a"))
-		bench.Handle(bench.now, Indexed{Known: true, Near: true})
-		dispatched(bench.long("one"))
+	It("given only one server, when a call arrives, then nobody is asked", func() {
+		router := startedRouter(withEngines, eastList("a"))
+		router.Handle(router.now, IndexReachability{OwnerKnown: true, ReplicaNear: true})
+		expectDispatch(router.sendLongPrompt("one"))
 	})
 })
--- a/gateway/node.go
+++ b/gateway/node.go
@@ -14,140 +14,153 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// Update hands what the node learned to the owner of the calls.
+// Update is the command to pass an event to the Router.
 type Update struct{ Event contract.Event }
 
-// Lookup asks which nodes a caller of a region and zone should go to.
+// Lookup is the event that a client of a region and zone asks which data nodes it should send its calls to.
 type Lookup struct {
 	Token  int64
 	Region string
 	Zone   string
 }
 
-// Addresses is the answer to a look-up: where nodes take calls, host and port.
+// Addresses is the answer to a Lookup: where data nodes take calls, as host and port.
 type Addresses struct{ Addresses []string }
 
-// AskPlace carries a question of the owner of the calls to the owner of the index, or with Ask.Known to the near replica; the answer
-// has an index.Place as its body.
+// AskPlace is the event that the Router wants a place query sent to the owner of the index, or with Ask.Known to the nearby replica. The body of the
+// answer is an index.Place.
 type AskPlace struct {
 	Token int64
 	Ask   index.Ask
 }
 
-// Leave tells the others that this node stops.
+// Leave is the event that this node stops; the other members are told.
 type Leave struct{}
 
-// Node follows the feed and the lists of servers that the shards' owners give.
+// Node is the part of a data node that follows the manifest feed, membership, and the lists of servers that the owners of the shards send. What it
+// learns goes to the Router in Update commands.
 type Node struct {
 	*machine.Node
-	settings env.Env
-	known    Known
-	indexed  Indexed
-	lists    map[string]map[int]*list
-	servers  map[string]map[int][]contract.Candidate
-	// observed is what all nodes together see of their calls, by region, as its owners tell it.
-	observed map[string]contract.Observed
-	nextAsk  time.Duration
-	nextTell time.Duration
-	names    []string
-	started  time.Duration
-	begun    bool
-	out      []contract.Command
+	settings          env.Env
+	reports           CallReports
+	indexReachability IndexReachability
+	// lists holds the state of each shard's list and serversByShard its servers, by region and shard.
+	lists          map[string]map[int]*shardList
+	serversByShard map[string]map[int][]contract.Candidate
+	// observations is what all nodes together observe of their calls, by region, as the owners of the lists report it.
+	observations map[string]contract.Observed
+	// nextListRequest and nextIndexUpdate are when the next requests for lists and the next report of place uses are due.
+	nextListRequest time.Duration
+	nextIndexUpdate time.Duration
+	// fleetNames are the data nodes that the Router was told last.
+	fleetNames []string
+	startedAt  time.Duration
+	started    bool
+	// pending are the commands that the current event has caused so far.
+	pending []contract.Command
 }
 
-// Known tells what the owner of the calls knows of a region's servers.
-type Known interface {
-	Calls(region string) map[string]int64
-	Stale(region string) map[string]int64
+// CallReports gives access to what the Router knows of a region's servers, for the requests that the Node sends. The Router implements it.
+type CallReports interface {
+	// CallsInFlight returns the number of calls of this node at each server.
+	CallsInFlight(region string) map[string]int64
+	// StaleCaches returns the servers whose index entries are wrong, with the generation that this holds for.
+	StaleCaches(region string) map[string]int64
+	// Tallies returns the recent outcomes of calls at servers that failed or are watched.
 	Tallies(now time.Duration, region string) map[string]contract.Tally
-	// Observed gives what this node sees of the calls that it sends to a region.
-	Observed(now time.Duration, region string) contract.Observed
-	// Uses gives what was sent to places of the index since it was last asked for.
-	Uses() []index.Use
+	// Observations returns what this node observes of the calls that it sends to a region.
+	Observations(now time.Duration, region string) contract.Observed
+	// TakePlaceUses returns the uses of places in the index since the last call.
+	TakePlaceUses() []index.Use
 }
 
-func NewNode(settings env.Env, boot string, known Known, random *rand.Rand) *Node {
-	return &Node{Node: machine.New(settings, contract.KindData, boot, random), settings: settings, known: known,
-		lists: map[string]map[int]*list{}, servers: map[string]map[int][]contract.Candidate{}, observed: map[string]contract.Observed{}}
+// NewNode returns a node that knows nothing yet. Boot identifies this start of the process.
+func NewNode(settings env.Env, boot string, reports CallReports, random *rand.Rand) *Node {
+	return &Node{Node: machine.New(settings, contract.KindData, boot, random), settings: settings, reports: reports,
+		lists: map[string]map[int]*shardList{}, serversByShard: map[string]map[int][]contract.Candidate{}, observations: map[string]contract.Observed{}}
 }
 
-func (node *Node) emit(commands ...contract.Command) { node.out = append(node.out, commands...) }
+func (node *Node) emit(commands ...contract.Command) {
+	node.pending = append(node.pending, commands...)
+}
 
+// Handle processes an event, which may have come through relays, and returns the commands to carry out.
 func (node *Node) Handle(now time.Duration, event contract.Event) []contract.Command {
 	return node.HandleRelayed(now, event, node.handle)
 }
 
+// handle processes an event that was taken out of its relay envelope.
 func (node *Node) handle(now time.Duration, event contract.Event) []contract.Command {
-	if !node.begun {
-		node.begun, node.started = true, now
+	if !node.started {
+		node.started, node.startedAt = true, now
 	}
-	node.out = nil
+	node.pending = nil
 	if gap := node.DetectFreeze(now); gap > 0 {
 		node.emit(contract.Count{Name: "woken", By: 1}, contract.Say{What: "woken from a freeze", Detail: []any{"ms", gap.Milliseconds()}})
 	}
 	for _, command := range node.Node.Handle(now, event) {
-		if adopted, fine := command.(contract.Adopted); fine {
-			node.emit(Update{Configured{Manifest: node.Feed.Manifest()}})
+		if adopted, ok := command.(contract.Adopted); ok {
+			node.emit(Update{ConfigurationChanged{Manifest: node.Feed.Manifest()}})
 			command = contract.Say{What: "manifest in force", Detail: []any{"revision", adopted.Version.Place.Revision}}
 		}
 		node.emit(command)
 	}
 	switch event := event.(type) {
 	case contract.Tick:
-		node.ask(now)
-		node.watchLists(now)
-		node.tellFleet(now)
-		node.tellIndex(now)
+		node.requestLists(now)
+		node.checkListAges(now)
+		node.reportFleet(now)
+		node.reportPlaceUses(now)
 	case contract.Message:
-		node.message(now, event)
+		node.handleMessage(now, event)
 	case Lookup:
 		node.emit(contract.Answer{Token: event.Token, Status: 200, Body: node.lookup(now, event)})
 	case AskPlace:
-		node.askPlace(now, event)
+		node.forwardPlaceQuery(now, event)
 	case Leave:
 		node.emit(node.Neighbours.Farewell()...)
 	}
-	out := node.out
-	node.out = nil
-	return out
+	commands := node.pending
+	node.pending = nil
+	return commands
 }
 
-func (node *Node) message(now time.Duration, message contract.Message) {
+func (node *Node) handleMessage(now time.Duration, message contract.Message) {
 	switch message.Kind {
 	case shard.MessageLease:
 		var lease contract.Lease
 		if json.Unmarshal(message.Body, &lease) == nil {
-			node.take(now, message, lease)
+			node.acceptLease(now, message, lease)
 		}
 	case shard.MessageNotices:
-		var told contract.Notices
-		if json.Unmarshal(message.Body, &told) == nil {
-			node.takeNotices(message, told)
+		var notices contract.Notices
+		if json.Unmarshal(message.Body, &notices) == nil {
+			node.applyNotices(message, notices)
 		}
 	case index.MessageMoved:
 		var moved index.Moved
 		if json.Unmarshal(message.Body, &moved) == nil {
-			node.emit(Update{Relocated{Places: moved.Places}})
+			node.emit(Update{PlacesMoved{Places: moved.Places}})
 		}
 	case shard.MessageNotOwner:
 		var hint contract.NotOwner
 		if json.Unmarshal(message.Body, &hint) == nil {
-			if held := node.lists[hint.Region][hint.Shard]; held != nil {
-				held.hint = hint.Owner
+			if list := node.lists[hint.Region][hint.Shard]; list != nil {
+				list.ownerHint = hint.Owner
 			}
 		}
 	}
 }
 
-// tellFleet names the data nodes that share the limits; those that fell silent still count. It is told only when this node has had
-// the time to hear of them.
-func (node *Node) tellFleet(now time.Duration) {
-	if now-node.started < node.settings.Gateway.Contact/4 {
+// reportFleet tells the Router which data nodes share the limits; suspected ones still count. It waits until this node has had the time to hear of
+// them.
+func (node *Node) reportFleet(now time.Duration) {
+	if now-node.startedAt < node.settings.Gateway.Contact/4 {
 		return
 	}
 	names := []string{}
 	add := func(name string) {
-		if member, there := node.Neighbours.Look(name); there && member.Kind == contract.KindData {
+		if member, found := node.Neighbours.Look(name); found && member.Kind == contract.KindData {
 			names = append(names, name)
 		}
 	}
@@ -158,47 +171,49 @@
 		add(name)
 	}
 	slices.Sort(names)
-	if !slices.Equal(names, node.names) {
-		node.names = names
-		node.emit(Update{Fleet{Self: node.Self().Name, Names: names}})
+	if !slices.Equal(names, node.fleetNames) {
+		node.fleetNames = names
+		node.emit(Update{FleetChanged{Self: node.Self().Name, Names: names}})
 	}
 }
 
-const fewest = 2
+// minAddresses is the least number of addresses for which a lookup is answered from the caller's zone or region alone.
+const minAddresses = 2
 
-// lookup gives the nodes of the caller's zone that serve, or those of its region, or all, when these are too few.
-func (node *Node) lookup(now time.Duration, ask Lookup) Addresses {
+// lookup returns the serving nodes of the caller's zone; if these are too few, those of its region; else all.
+func (node *Node) lookup(now time.Duration, lookup Lookup) Addresses {
 	_, port := manifest.SplitAddress(node.settings.Gateway.Traffic)
-	zone, region, all := []string{}, []string{}, []string{}
+	inZone, inRegion, everywhere := []string{}, []string{}, []string{}
 	for _, member := range node.Neighbours.Members(now) {
 		if member.Kind != contract.KindData || member.Place.Revision == 0 || member.Name == node.Self().Name && node.Neighbours.Left() {
 			continue
 		}
-		host, known := manifest.SplitAddress(member.Address)
-		if known == "" {
+		host, memberPort := manifest.SplitAddress(member.Address)
+		if memberPort == "" {
 			continue
 		}
 		address := host + ":" + port
-		all = append(all, address)
-		if member.Region == ask.Region {
-			region = append(region, address)
+		everywhere = append(everywhere, address)
+		if member.Region == lookup.Region {
+			inRegion = append(inRegion, address)
 		}
-		if member.Zone == ask.Zone {
-			zone = append(zone, address)
+		if member.Zone == lookup.Zone {
+			inZone = append(inZone, address)
 		}
 	}
-	chosen := zone
-	if len(chosen) < fewest {
-		chosen = region
+	chosen := inZone
+	if len(chosen) < minAddresses {
+		chosen = inRegion
 	}
-	if len(chosen) < fewest {
-		chosen = all
+	if len(chosen) < minAddresses {
+		chosen = everywhere
 	}
-	if len(chosen) > mostAddresses {
+	if len(chosen) > maxAddresses {
 		node.Random.Shuffle(len(chosen), func(left, right int) { chosen[left], chosen[right] = chosen[right], chosen[left] })
-		chosen = chosen[:mostAddresses]
+		chosen = chosen[:maxAddresses]
 	}
 	return Addresses{chosen}
 }
 
-const mostAddresses = 64
+// maxAddresses limits the answer to a lookup.
+const maxAddresses = 64
--- a/gateway/node_test.go
+++ b/gateway/node_test.go
@@ -14,52 +14,52 @@
 	. "github.com/onsi/gomega"
 )
 
-const regions = `{"regions":{"east":{"shards":2,"machines":[]},"west":{"shards":1,"machines":[]}},` +
+const regionsManifest = `{"regions":{"east":{"shards":2,"machines":[]},"west":{"shards":1,"machines":[]}},` +
 	`"zones":{"east-a":{"region":"east"},"east-b":{"region":"east"},"west-a":{"region":"west"}}}`
 
 func message(kind, from string, body any) contract.Message {
-	content, failure := json.Marshal(body)
-	Expect(failure).NotTo(HaveOccurred())
+	content, err := json.Marshal(body)
+	Expect(err).NotTo(HaveOccurred())
 	return contract.Message{Kind: kind, From: from, Body: content}
 }
 
-// follower is a node with a clock of its own and what it told since.
-type follower struct {
+// testNode is a node with its own clock; it records all commands.
+type testNode struct {
 	*Node
-	now  time.Duration
-	beat int64
-	told []contract.Command
+	now       time.Duration
+	heartbeat int64
+	commands  []contract.Command
 }
 
-func following() *follower {
-	made := &follower{Node: NewNode(settingsFor("node000"), "boot", NewTraffic(settingsFor("node000"), seeded(3)), seeded(3)), now: time.Second}
-	made.take(configured())
-	made.take(contract.Tick{})
-	return made
+func startedNode() *testNode {
+	node := &testNode{Node: NewNode(settingsFor("node000"), "boot", NewRouter(settingsFor("node000"), seededRandom(3)), seededRandom(3)), now: time.Second}
+	node.process(manifestMessage())
+	node.process(contract.Tick{})
+	return node
 }
 
-func configured() contract.Message {
-	content, failure := document.Parse([]byte(regions))
-	if failure != nil {
-		panic(failure)
+func manifestMessage() contract.Message {
+	content, err := document.Parse([]byte(regionsManifest))
+	if err != nil {
+		panic(err)
 	}
 	version := contract.FirstVersion(contract.Place{View: 1, Revision: 1}, "", content)
 	return message(feed.MessageChange, "", feed.Delivery{Records: []contract.Record{version.WholeRecord()}})
 }
 
-func (node *follower) take(event contract.Event) []contract.Command {
+func (node *testNode) process(event contract.Event) []contract.Command {
 	commands := node.Node.Handle(node.now, event)
-	node.told = append(node.told, commands...)
+	node.commands = append(node.commands, commands...)
 	return commands
 }
 
-func (node *follower) meets(members ...contract.Member) {
+func (node *testNode) addMembers(members ...contract.Member) {
 	for _, member := range members {
-		node.beat++
+		node.heartbeat++
 		if member.Incarnation = max(member.Incarnation, 1); member.Heartbeat == 0 {
-			member.Heartbeat = node.beat
+			member.Heartbeat = node.heartbeat
 		}
-		node.take(message(neighbour.MessageShuffle, member.Name, neighbour.Shuffle{Members: []contract.Member{member}, Answer: true}))
+		node.process(message(neighbour.MessageShuffle, member.Name, neighbour.Shuffle{Members: []contract.Member{member}, Answer: true}))
 	}
 	node.now += 10 * time.Millisecond
 }
@@ -69,13 +69,13 @@
 		Place: contract.Place{View: 1, Revision: 1}}
 }
 
-// lists gives the names that each list told to the owner of the calls has.
-func lists(commands []contract.Command) [][]string {
+// listedNames returns the names of the servers in each ServersListed event for the router.
+func listedNames(commands []contract.Command) [][]string {
 	all := [][]string{}
 	for _, command := range commands {
-		update, fine := command.(Update)
-		listed, list := update.Event.(Listed)
-		if !fine || !list {
+		update, ok := command.(Update)
+		listed, isList := update.Event.(ServersListed)
+		if !ok || !isList {
 			continue
 		}
 		names := []string{}
@@ -87,7 +87,7 @@
 	return all
 }
 
-func lease(epoch, number int64, asked time.Duration, names ...string) contract.Lease {
+func leaseOf(epoch, number int64, asked time.Duration, names ...string) contract.Lease {
 	given := contract.Lease{Region: "east", Epoch: contract.Epoch{Number: epoch, Node: "owner"}, Number: number, Asked: asked}
 	for _, name := range names {
 		given.Servers = append(given.Servers, candidate(name, "east-a"))
@@ -96,85 +96,85 @@
 }
 
 var _ = Describe("the lists of servers of a node", func() {
-	give := func(node *follower, given contract.Lease) [][]string {
-		return lists(node.take(message(shard.MessageLease, "owner-control", given)))
+	deliver := func(node *testNode, given contract.Lease) [][]string {
+		return listedNames(node.process(message(shard.MessageLease, "owner-control", given)))
 	}
 
-	It("given a first list, when another of a higher epoch or number comes, then it is taken", func() {
-		node := following()
-		Expect(give(node, lease(1, 4, 100, "a"))).To(Equal([][]string{{"a"}}))
-		Expect(give(node, lease(1, 5, 200, "a", "b"))).To(Equal([][]string{{"a", "b"}}))
-		Expect(give(node, lease(2, 1, 300, "c"))).To(Equal([][]string{{"c"}}))
+	It("given a first list, when another of a higher epoch or number arrives, then it is accepted", func() {
+		node := startedNode()
+		Expect(deliver(node, leaseOf(1, 4, 100, "a"))).To(Equal([][]string{{"a"}}))
+		Expect(deliver(node, leaseOf(1, 5, 200, "a", "b"))).To(Equal([][]string{{"a", "b"}}))
+		Expect(deliver(node, leaseOf(2, 1, 300, "c"))).To(Equal([][]string{{"c"}}))
 	})
 
-	It("given a list, when one of a lower epoch, a lower number or an earlier question comes, then it changes nothing", func() {
-		node := following()
-		give(node, lease(3, 4, 500, "a"))
-		Expect(give(node, lease(2, 9, 600, "b"))).To(BeEmpty())
-		Expect(node.told).To(ContainElement(contract.Count{Name: "lists_refused", By: 1}))
-		Expect(give(node, lease(3, 3, 600, "b"))).To(BeEmpty())
-		Expect(give(node, lease(3, 5, 400, "b"))).To(BeEmpty())
-		Expect(give(node, lease(3, 5, 600, "b"))).To(Equal([][]string{{"b"}}))
+	It("given a list, when one of a lower epoch, a lower number or an earlier request arrives, then it changes nothing", func() {
+		node := startedNode()
+		deliver(node, leaseOf(3, 4, 500, "a"))
+		Expect(deliver(node, leaseOf(2, 9, 600, "b"))).To(BeEmpty())
+		Expect(node.commands).To(ContainElement(contract.Count{Name: "lists_refused", By: 1}))
+		Expect(deliver(node, leaseOf(3, 3, 600, "b"))).To(BeEmpty())
+		Expect(deliver(node, leaseOf(3, 5, 400, "b"))).To(BeEmpty())
+		Expect(deliver(node, leaseOf(3, 5, 600, "b"))).To(Equal([][]string{{"b"}}))
 	})
 
-	It("given two owners of one epoch number, when both tell lists, then only one of them holds in the end", func() {
+	It("given two owners of one epoch number, when both send lists, then only one of them holds in the end", func() {
 		for _, order := range [][]string{{"left", "right", "left"}, {"right", "left", "right"}} {
-			node, held := following(), []string{}
-			for place, owner := range order {
-				given := lease(3, int64(place+1), time.Duration(place+1), owner)
+			node, inForce := startedNode(), []string{}
+			for index, owner := range order {
+				given := leaseOf(3, int64(index+1), time.Duration(index+1), owner)
 				given.Epoch.Node = owner
-				for _, names := range give(node, given) {
-					held = names
+				for _, names := range deliver(node, given) {
+					inForce = names
 				}
 			}
-			Expect(held).To(Equal([]string{"right"}))
+			Expect(inForce).To(Equal([]string{"right"}))
 		}
 	})
 
-	It("given a list from a question of the future, when it comes, then it is refused", func() {
-		node := following()
-		Expect(give(node, lease(1, 1, node.now+time.Second, "a"))).To(BeEmpty())
+	It("given a list in answer to a request in the future, when it arrives, then it is refused", func() {
+		node := startedNode()
+		Expect(deliver(node, leaseOf(1, 1, node.now+time.Second, "a"))).To(BeEmpty())
 	})
 
-	It("given a list, when the answer is that it is the same, then it stays, and one that is the same as another is not taken", func() {
-		node := following()
-		give(node, lease(2, 2, 100, "a"))
-		same := lease(2, 2, 300)
+	It("given a list, when the answer is that it is unchanged, then it stays, and an answer that confirms another list is not accepted", func() {
+		node := startedNode()
+		deliver(node, leaseOf(2, 2, 100, "a"))
+		same := leaseOf(2, 2, 300)
 		same.Same = true
-		Expect(give(node, same)).To(BeEmpty())
-		Expect(give(node, lease(2, 2, 200))).To(BeEmpty(), "the answer that it is the same is newer")
-		other := lease(4, 2, 400)
+		Expect(deliver(node, same)).To(BeEmpty())
+		Expect(deliver(node, leaseOf(2, 2, 200))).To(BeEmpty(), "the confirmation is newer")
+		other := leaseOf(4, 2, 400)
 		other.Same = true
-		Expect(give(node, other)).To(BeEmpty())
-		Expect(give(node, lease(3, 1, 500, "b"))).To(Equal([][]string{{"b"}}), "the epoch of a list that was never taken binds nobody")
+		Expect(deliver(node, other)).To(BeEmpty())
+		Expect(deliver(node, leaseOf(3, 1, 500, "b"))).To(Equal([][]string{{"b"}}), "the epoch of a list that was not accepted has no effect")
 	})
 
-	It("given two shards, when each tells its list, then both are told together", func() {
-		node := following()
-		give(node, lease(1, 1, 100, "a"))
-		second := lease(1, 1, 200, "b")
+	It("given two shards, when each gets its list, then the router gets both together", func() {
+		node := startedNode()
+		deliver(node, leaseOf(1, 1, 100, "a"))
+		second := leaseOf(1, 1, 200, "b")
 		second.Shard = 1
-		Expect(give(node, second)).To(Equal([][]string{{"a", "b"}}))
+		Expect(deliver(node, second)).To(Equal([][]string{{"a", "b"}}))
 	})
 
-	It("given lists of shards or regions that are not known, when they come, then they are refused", func() {
-		node := following()
+	It("given lists of unknown shards or regions, when they arrive, then they are refused", func() {
+		node := startedNode()
 		for _, change := range []func(*contract.Lease){func(given *contract.Lease) { given.Shard = 2 }, func(given *contract.Lease) { given.Region = "moon" }} {
-			given := lease(9, 9, 100, "a")
+			given := leaseOf(9, 9, 100, "a")
 			change(&given)
-			Expect(give(node, given)).To(BeEmpty())
+			Expect(deliver(node, given)).To(BeEmpty())
 		}
 	})
 
-	It("given a list, when the node asks again, then it tells the highest epoch and number and wants only what is new", func() {
-		node := following()
+	It("given a list, when the node requests it again, then it sends the highest epoch and number and wants only changes", func() {
+		node := startedNode()
 		owner := contract.Member{Name: "owner-control", Boot: "b", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: "10.0.0.9:8166"}
-		node.meets(owner)
-		give(node, lease(3, 7, 100, "a"))
-		node.now += node.askEvery() * 2
+		node.addMembers(owner)
+		deliver(node, leaseOf(3, 7, 100, "a"))
+		node.now += node.listRequestInterval() * 2
 		asks := []contract.LeaseRequest{}
-		for _, command := range node.take(contract.Tick{}) {
-			if send, fine := command.(contract.Send); fine && send.Kind == shard.MessageAsk && send.To == owner.Address {
+		for _, command := range node.process(contract.Tick{}) {
+			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageAsk && send.To == owner.Address {
 				asks = append(asks, send.Body.(contract.LeaseRequest))
 			}
 		}
@@ -186,102 +186,102 @@
 	})
 })
 
-var _ = Describe("a look-up of nodes", func() {
-	look := func(node *follower, region, zone string) []string {
-		for _, command := range node.take(Lookup{Token: 5, Region: region, Zone: zone}) {
-			if answer, fine := command.(contract.Answer); fine {
+var _ = Describe("a lookup of nodes", func() {
+	lookUp := func(node *testNode, region, zone string) []string {
+		for _, command := range node.process(Lookup{Token: 5, Region: region, Zone: zone}) {
+			if answer, ok := command.(contract.Answer); ok {
 				Expect(answer.Token).To(Equal(int64(5)))
 				return answer.Body.(Addresses).Addresses
 			}
 		}
 		return nil
 	}
-	fleet := func() *follower {
-		node := following()
-		node.meets(dataNode("a2", "east-a", "10.0.0.2"), dataNode("b1", "east-b", "10.0.1.1"), dataNode("w1", "west-a", "10.1.0.1"),
+	fleet := func() *testNode {
+		node := startedNode()
+		node.addMembers(dataNode("a2", "east-a", "10.0.0.2"), dataNode("b1", "east-b", "10.0.1.1"), dataNode("w1", "west-a", "10.1.0.1"),
 			contract.Member{Name: "c1-control", Boot: "boot", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: "10.0.0.8:8166", Place: contract.Place{View: 1, Revision: 1}})
 		return node
 	}
 
-	It("given enough nodes in the caller's zone, when it asks, then only those are told, at the port that takes calls", func() {
-		Expect(look(fleet(), "east", "east-a")).To(ConsistOf("10.0.0.1:8161", "10.0.0.2:8161"))
+	It("given enough nodes in the caller's zone, when it asks, then only those are returned, with the port that takes calls", func() {
+		Expect(lookUp(fleet(), "east", "east-a")).To(ConsistOf("10.0.0.1:8161", "10.0.0.2:8161"))
 	})
 
-	It("given too few nodes in the zone, when it asks, then those of the region are told", func() {
-		Expect(look(fleet(), "east", "east-b")).To(ConsistOf("10.0.0.1:8161", "10.0.0.2:8161", "10.0.1.1:8161"))
+	It("given too few nodes in the zone, when a caller asks, then those of the region are returned", func() {
+		Expect(lookUp(fleet(), "east", "east-b")).To(ConsistOf("10.0.0.1:8161", "10.0.0.2:8161", "10.0.1.1:8161"))
 	})
 
-	It("given too few nodes in the region, when it asks, then all are told", func() {
-		Expect(look(fleet(), "west", "west-a")).To(HaveLen(4))
-		Expect(look(fleet(), "moon", "moon-a")).To(HaveLen(4))
+	It("given too few nodes in the region, when a caller asks, then all are returned", func() {
+		Expect(lookUp(fleet(), "west", "west-a")).To(HaveLen(4))
+		Expect(lookUp(fleet(), "moon", "moon-a")).To(HaveLen(4))
 	})
 
-	It("given nodes that said goodbye or have no configuration, when a caller asks, then they are left out", func() {
+	It("given nodes that left or have no configuration, when a caller asks, then they are left out", func() {
 		node := fleet()
-		node.take(message(neighbour.MessageBye, "a2-data", neighbour.Bye{Name: "a2-data", Boot: "boot"}))
-		blank := dataNode("a3", "east-a", "10.0.0.3")
-		blank.Place = contract.Place{}
-		node.meets(blank)
-		Expect(look(node, "east", "east-a")).To(ConsistOf("10.0.0.1:8161", "10.0.1.1:8161"))
+		node.process(message(neighbour.MessageBye, "a2-data", neighbour.Bye{Name: "a2-data", Boot: "boot"}))
+		unconfigured := dataNode("a3", "east-a", "10.0.0.3")
+		unconfigured.Place = contract.Place{}
+		node.addMembers(unconfigured)
+		Expect(lookUp(node, "east", "east-a")).To(ConsistOf("10.0.0.1:8161", "10.0.1.1:8161"))
 	})
 
-	It("given a goodbye of an earlier start, when a caller asks, then the node's new start is told", func() {
+	It("given a farewell of an earlier start, when a caller asks, then the node's new start is returned", func() {
 		node := fleet()
-		node.take(message(neighbour.MessageBye, "a2-data", neighbour.Bye{Name: "a2-data", Boot: "former"}))
-		Expect(look(node, "east", "east-a")).To(ContainElement("10.0.0.2:8161"))
+		node.process(message(neighbour.MessageBye, "a2-data", neighbour.Bye{Name: "a2-data", Boot: "former"}))
+		Expect(lookUp(node, "east", "east-a")).To(ContainElement("10.0.0.2:8161"))
 	})
 
 	It("given a node that has no configuration itself, when a caller asks, then it does not name itself", func() {
-		node := &follower{Node: NewNode(settingsFor("node000"), "boot", NewTraffic(settingsFor("node000"), seeded(3)), seeded(3)), now: time.Second}
-		node.take(contract.Tick{})
-		Expect(look(node, "east", "east-a")).To(BeEmpty())
+		node := &testNode{Node: NewNode(settingsFor("node000"), "boot", NewRouter(settingsFor("node000"), seededRandom(3)), seededRandom(3)), now: time.Second}
+		node.process(contract.Tick{})
+		Expect(lookUp(node, "east", "east-a")).To(BeEmpty())
 	})
 
-	It("given a great many nodes, when a caller asks, then it is told no more than it may take", func() {
-		node := following()
-		for place := range 90 {
-			node.meets(dataNode(fmt.Sprintf("m%02d", place), "east-a", fmt.Sprintf("10.0.2.%d", place)))
+	It("given very many nodes, when a caller asks, then the number of addresses is limited", func() {
+		node := startedNode()
+		for index := range 90 {
+			node.addMembers(dataNode(fmt.Sprintf("m%02d", index), "east-a", fmt.Sprintf("10.0.2.%d", index)))
 		}
-		found := look(node, "east", "east-a")
-		Expect(found).To(HaveLen(mostAddresses))
+		found := lookUp(node, "east", "east-a")
+		Expect(found).To(HaveLen(maxAddresses))
 		seen := map[string]bool{}
 		for _, address := range found {
 			seen[address] = true
 		}
-		Expect(seen).To(HaveLen(mostAddresses))
+		Expect(seen).To(HaveLen(maxAddresses))
 	})
 })
 
 var _ = Describe("the fleet that shares the limits", func() {
-	It("given nodes that fell silent, when the fleet is told, then they still count, and those that said goodbye do not", func() {
-		node := following()
-		node.meets(dataNode("a2", "east-a", "10.0.0.2"), dataNode("a3", "east-a", "10.0.0.3"))
-		node.take(message(neighbour.MessageBye, "a3-data", neighbour.Bye{Name: "a3-data", Boot: "boot"}))
-		var last Fleet
+	It("given suspected nodes, when the fleet is reported, then they still count, and those that left do not", func() {
+		node := startedNode()
+		node.addMembers(dataNode("a2", "east-a", "10.0.0.2"), dataNode("a3", "east-a", "10.0.0.3"))
+		node.process(message(neighbour.MessageBye, "a3-data", neighbour.Bye{Name: "a3-data", Boot: "boot"}))
+		var last FleetChanged
 		for range 100 {
 			node.now += 100 * time.Millisecond
-			for _, command := range node.take(contract.Tick{}) {
-				if update, fine := command.(Update); fine {
-					if told, fleet := update.Event.(Fleet); fleet {
-						last = told
+			for _, command := range node.process(contract.Tick{}) {
+				if update, ok := command.(Update); ok {
+					if change, isFleet := update.Event.(FleetChanged); isFleet {
+						last = change
 					}
 				}
 			}
 		}
-		Expect(last).To(Equal(Fleet{Self: "node000-data", Names: []string{"a2-data", "node000-data"}}))
+		Expect(last).To(Equal(FleetChanged{Self: "node000-data", Names: []string{"a2-data", "node000-data"}}))
 	})
 })
 
-var _ = Describe("lists of an owner that began anew", func() {
-	It("given an owner that restarted under the number of its former self, when its list has a lower number, then the list is taken", func() {
-		node := following()
-		node.take(contract.Tick{})
-		former := lease(2, 5, node.now, "a", "b")
+var _ = Describe("lists of an owner that restarted", func() {
+	It("given an owner that restarted under the same epoch number, when its list has a lower number, then the list is accepted", func() {
+		node := startedNode()
+		node.process(contract.Tick{})
+		former := leaseOf(2, 5, node.now, "a", "b")
 		former.Epoch.Life = "first"
-		Expect(lists(node.take(message(shard.MessageLease, "owner-control", former)))).To(HaveLen(1))
+		Expect(listedNames(node.process(message(shard.MessageLease, "owner-control", former)))).To(HaveLen(1))
 		node.now += time.Second
-		reborn := lease(2, 1, node.now, "a")
-		reborn.Epoch.Life = "second"
-		Expect(lists(node.take(message(shard.MessageLease, "owner-control", reborn)))).To(Equal([][]string{{"a"}}))
+		restarted := leaseOf(2, 1, node.now, "a")
+		restarted.Epoch.Life = "second"
+		Expect(listedNames(node.process(message(shard.MessageLease, "owner-control", restarted)))).To(Equal([][]string{{"a"}}))
 	})
 })
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -9,9 +9,9 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// askNotices asks control nodes other than a silent owner which servers leave: the one on this machine, which no cut takes away, and one
-// that is drawn.
-func (node *Node) askNotices(members, owners []contract.Member, ask contract.LeaseRequest) {
+// requestNotices asks control nodes other than a silent owner which servers are leaving: the one on this machine, which no network cut separates, and
+// a random other one.
+func (node *Node) requestNotices(members, owners []contract.Member, ask contract.LeaseRequest) {
 	ask.Notices = true
 	others := []contract.Member{}
 	for _, member := range members {
@@ -19,10 +19,10 @@
 			others = append(others, member)
 		}
 	}
-	for place, member := range others {
+	for index, member := range others {
 		if machine.Name(member) == machine.Name(node.Self()) {
 			node.emit(contract.Send{To: member.Address, Kind: shard.MessageAsk, Body: ask})
-			others = slices.Delete(others, place, place+1)
+			others = slices.Delete(others, index, index+1)
 			break
 		}
 	}
@@ -31,14 +31,14 @@
 	}
 }
 
-// takeNotices takes servers that leave out of a list that is held. The owner's next list replaces what is left.
-func (node *Node) takeNotices(message contract.Message, told contract.Notices) {
-	held := node.servers[told.Region][told.Shard]
-	left := slices.DeleteFunc(slices.Clone(held), func(server contract.Candidate) bool { return slices.Contains(told.Leaving, server.Name) })
-	if len(left) == len(held) {
+// applyNotices removes servers that are leaving from a list. The owner's next list replaces the result.
+func (node *Node) applyNotices(message contract.Message, notices contract.Notices) {
+	servers := node.serversByShard[notices.Region][notices.Shard]
+	remaining := slices.DeleteFunc(slices.Clone(servers), func(server contract.Candidate) bool { return slices.Contains(notices.Leaving, server.Name) })
+	if len(remaining) == len(servers) {
 		return
 	}
-	node.use(told.Region, told.Shard, left)
-	node.emit(contract.Count{Name: "servers_noticed", By: int64(len(held) - len(left))},
-		contract.Say{What: "servers leave by notice", Detail: []any{"region", told.Region, "shard", told.Shard, "servers", strings.Join(told.Leaving, ","), "from", message.From}})
+	node.setServers(notices.Region, notices.Shard, remaining)
+	node.emit(contract.Count{Name: "servers_noticed", By: int64(len(servers) - len(remaining))},
+		contract.Say{What: "servers leave by notice", Detail: []any{"region", notices.Region, "shard", notices.Shard, "servers", strings.Join(notices.Leaving, ","), "from", message.From}})
 }
--- a/gateway/pace.go
+++ b/gateway/pace.go
@@ -6,93 +6,96 @@
 )
 
 const (
-	// usualPace is how long an engine takes to read a thousand tokens of a prompt until that is observed, and paceSpread how many times
-	// faster or slower it is believed to be at most.
-	usualPace  = 20 * time.Millisecond
-	paceSpread = 8
-	// A call with a prompt of smallPrompt tokens shows what a first piece takes beside reading, one of largePrompt tokens of its own how long
-	// these are read.
+	// defaultReadTime is how long an engine is presumed to take to read 1,000 tokens of a prompt until that is observed; readTimeSpread is how many
+	// times faster or slower it is believed to be at most.
+	defaultReadTime = 20 * time.Millisecond
+	readTimeSpread  = 8
+	// A call with a prompt of at most smallPrompt tokens shows what a first chunk takes apart from reading; one with at least largePrompt unshared
+	// tokens shows how long these take to read.
 	smallPrompt = 1024
 	largePrompt = 2048
-	// mostSamples is how many of the last calls are looked at; the one in lowSample from the least is taken, since waiting behind other
-	// prompts only adds to what a call shows.
-	mostSamples = 32
-	lowSample   = 3
+	// maxSamples is how many of the latest calls are considered. The sample at 1/lowSampleDivisor of the sorted ones is used, since waiting behind
+	// other prompts only adds to what a call shows.
+	maxSamples       = 32
+	lowSampleDivisor = 3
 )
 
-// samples are the last times that were seen.
+// samples is a ring of the latest measured times.
 type samples struct {
 	last []time.Duration
 	next int
 }
 
-func (samples *samples) add(one time.Duration) {
-	if len(samples.last) < mostSamples {
-		samples.last = append(samples.last, one)
+func (samples *samples) add(sample time.Duration) {
+	if len(samples.last) < maxSamples {
+		samples.last = append(samples.last, sample)
 		return
 	}
-	samples.last[samples.next] = one
-	samples.next = (samples.next + 1) % mostSamples
+	samples.last[samples.next] = sample
+	samples.next = (samples.next + 1) % maxSamples
 }
 
-// low gives a low one of the times, 0 if none was seen.
+// low returns the sample at 1/lowSampleDivisor of the sorted samples, 0 if there are none.
 func (samples *samples) low() time.Duration {
 	if len(samples.last) == 0 {
 		return 0
 	}
-	return slices.Sorted(slices.Values(samples.last))[len(samples.last)/lowSample]
+	return slices.Sorted(slices.Values(samples.last))[len(samples.last)/lowSampleDivisor]
 }
 
-// pace is how fast the engines of a service read, for a thousand tokens: what this node saw of it, and what all nodes did.
-type pace struct {
-	beside samples
-	read   samples
-	seen   time.Duration
-	shared time.Duration
+// readSpeed is how long the engines of a service take to read 1,000 tokens: as observed by this node and by all nodes. Overhead holds first-chunk
+// times of small prompts.
+type readSpeed struct {
+	overhead     samples
+	readTimes    samples
+	observedHere time.Duration
+	fleetWide    time.Duration
 }
 
-// own gives what this node saw.
-func (pace *pace) own() (time.Duration, bool) { return pace.seen, pace.seen > 0 }
+// ownReadTime returns what this node observed; false if nothing yet.
+func (speed *readSpeed) ownReadTime() (time.Duration, bool) {
+	return speed.observedHere, speed.observedHere > 0
+}
 
-// perThousand gives what is believed: what all nodes saw, or this one, or nobody yet.
-func (pace *pace) perThousand() time.Duration {
-	believed := usualPace
+// readTimePer1K returns the estimate in use: what all nodes observed, or else this node, or else the default.
+func (speed *readSpeed) readTimePer1K() time.Duration {
+	estimate := defaultReadTime
 	switch {
-	case pace.shared > 0:
-		believed = pace.shared
-	case pace.seen > 0:
-		believed = pace.seen
+	case speed.fleetWide > 0:
+		estimate = speed.fleetWide
+	case speed.observedHere > 0:
+		estimate = speed.observedHere
 	}
-	return min(usualPace*paceSpread, max(usualPace/paceSpread, believed))
+	return min(defaultReadTime*readTimeSpread, max(defaultReadTime/readTimeSpread, estimate))
 }
 
-func (traffic *Traffic) pace(service string) *pace {
-	held, there := traffic.paces[service]
-	if !there {
-		held = &pace{}
-		traffic.paces[service] = held
+func (router *Router) readSpeedOf(service string) *readSpeed {
+	speed, found := router.readSpeeds[service]
+	if !found {
+		speed = &readSpeed{}
+		router.readSpeeds[service] = speed
 	}
-	return held
+	return speed
 }
 
-// readTime estimates how long an engine reads tokens of a prompt.
-func (traffic *Traffic) readTime(service string, tokens int64) time.Duration {
-	return time.Duration(tokens) * traffic.pace(service).perThousand() / 1000
+// readTime estimates how long an engine reads a number of prompt tokens.
+func (router *Router) readTime(service string, tokens int64) time.Duration {
+	return time.Duration(tokens) * router.readSpeedOf(service).readTimePer1K() / 1000
 }
 
-// observeRead learns from the first piece of a call that this node had no other prompt before at its server. Its own part must have been
-// read, whatever the server keeps; only servers of this region are looked at, where the way takes little.
-func (traffic *Traffic) observeRead(now time.Duration, work *job) {
-	server := work.server
-	if work.Prompt.Input == 0 || work.After != "" || !work.alone || server.region != traffic.settings.Region || server.ramp.cold(now) {
+// learnReadSpeed learns from the first chunk of a call that found no other prompt of this node at its server. The unshared part of its prompt must
+// have been read, whatever the server has cached. Only servers of this region count, where the network takes little time.
+func (router *Router) learnReadSpeed(now time.Duration, call *callState) {
+	server := call.server
+	if call.Prompt.Input == 0 || call.LastEventID != "" || !call.soleReader || server.region != router.settings.Region || server.ramp.isCold(now) {
 		return
 	}
-	pace, took, own := traffic.pace(work.service), now-work.at, work.Prompt.Input-work.Prompt.Shared()
+	speed, elapsed, ownTokens := router.readSpeedOf(call.service), now-call.sentAt, call.Prompt.Input-call.Prompt.Shared()
 	switch {
-	case work.Prompt.Input <= smallPrompt:
-		pace.beside.add(took)
-	case own >= largePrompt:
-		pace.read.add(max(1, took-pace.beside.low()) * 1000 / time.Duration(own))
-		pace.seen = pace.read.low()
+	case call.Prompt.Input <= smallPrompt:
+		speed.overhead.add(elapsed)
+	case ownTokens >= largePrompt:
+		speed.readTimes.add(max(1, elapsed-speed.overhead.low()) * 1000 / time.Duration(ownTokens))
+		speed.observedHere = speed.readTimes.low()
 	}
 }
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -9,66 +9,66 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("how fast engines read", func() {
+var _ = Describe("the reading speed of engines", func() {
 	const slow = 50 * time.Millisecond
-	// reads sends a prompt with so many tokens of its own, whose first piece comes after a span.
-	reads := func(bench *bench, own int64, span time.Duration) {
-		sent := bench.promptly("/stream/x", engine.Prompt{Model: "m", Input: own, Output: 9, Parts: []engine.Part{{ID: fmt.Sprint("own", bench.token), Tokens: own}}})
-		bench.now += span
-		bench.Handle(bench.now, First{Token: sent.Token, Attempt: sent.Attempt})
-		bench.Handle(bench.now, Ended{Token: sent.Token, Attempt: sent.Attempt, Outcome: Whole})
+	// sendUnshared sends a prompt with a number of unshared tokens, whose first chunk comes after a time.
+	sendUnshared := func(router *testRouter, own int64, span time.Duration) {
+		sent := router.dispatchPrompt("/stream/x", engine.Prompt{Model: "m", Input: own, Output: 9, Parts: []engine.Part{{ID: fmt.Sprint("own", router.token), Tokens: own}}})
+		router.now += span
+		router.Handle(router.now, StreamStarted{Token: sent.Token, Attempt: sent.Attempt})
+		router.Handle(router.now, DispatchEnded{Token: sent.Token, Attempt: sent.Attempt, Outcome: OutcomeComplete})
 	}
 
-	It("given nobody who saw one, when a time is asked for, then it is the usual one", func() {
-		Expect(NewTraffic(settingsFor("n"), seeded(1)).readTime("s", 1000)).To(Equal(usualPace))
+	It("given no observation, when a time is estimated, then it is the default", func() {
+		Expect(NewRouter(settingsFor("n"), seededRandom(1)).readTime("s", 1000)).To(Equal(defaultReadTime))
 	})
 
-	It("given calls with long prompts of their own, some behind others, when they begin, then the time is learned less what small ones take", func() {
-		bench := started(engines, eastList("a", "b"))
+	It("given long unshared prompts, some behind others, when their first chunks arrive, then the time is learned, less what small prompts take", func() {
+		router := startedRouter(withEngines, eastList("a", "b"))
 		for turn := range 30 {
-			reads(bench, 100, 40*time.Millisecond)
+			sendUnshared(router, 100, 40*time.Millisecond)
 			wait := time.Duration(0)
 			if turn%2 > 0 {
 				wait = 300 * time.Millisecond
 			}
-			reads(bench, 4000, 40*time.Millisecond+4*slow+wait)
+			sendUnshared(router, 4000, 40*time.Millisecond+4*slow+wait)
 		}
-		Expect(bench.readTime("s", 1000)).To(BeNumerically("~", slow, time.Millisecond))
-		Expect(bench.Observed(bench.now, "east").Read).To(Equal(map[string]int64{"s": slow.Microseconds()}))
+		Expect(router.readTime("s", 1000)).To(BeNumerically("~", slow, time.Millisecond))
+		Expect(router.Observations(router.now, "east").Read).To(Equal(map[string]int64{"s": slow.Microseconds()}))
 	})
 
-	It("given what all nodes saw, when this one saw something else, then that of all holds, within bounds", func() {
-		bench := started(engines, eastList("a", "b"))
-		reads(bench, 4000, 4*slow)
-		bench.Handle(bench.now, Observed{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 30000}}})
-		Expect(bench.readTime("s", 1000)).To(Equal(30 * time.Millisecond))
-		bench.Handle(bench.now, Observed{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 1 << 40}}})
-		Expect(bench.readTime("s", 1000)).To(Equal(usualPace * paceSpread))
-		bench.Handle(bench.now, Observed{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 1}}})
-		Expect(bench.readTime("s", 1000)).To(Equal(usualPace / paceSpread))
+	It("given observations of all nodes, when this node observed something else, then those of all nodes are used, within bounds", func() {
+		router := startedRouter(withEngines, eastList("a", "b"))
+		sendUnshared(router, 4000, 4*slow)
+		router.Handle(router.now, ObservationsChanged{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 30000}}})
+		Expect(router.readTime("s", 1000)).To(Equal(30 * time.Millisecond))
+		router.Handle(router.now, ObservationsChanged{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 1 << 40}}})
+		Expect(router.readTime("s", 1000)).To(Equal(defaultReadTime * readTimeSpread))
+		router.Handle(router.now, ObservationsChanged{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 1}}})
+		Expect(router.readTime("s", 1000)).To(Equal(defaultReadTime / readTimeSpread))
 	})
 
-	It("given calls that show nothing of reading, when they begin, then nothing is learned", func() {
-		bench := started(engines, eastList("a"))
-		sent := bench.promptly("/stream/x", engine.Prompt{Model: "m", Input: 4000, Output: 9, Parts: []engine.Part{{ID: "x", Tokens: 4000}}})
-		behind := bench.promptly("/stream/x", engine.Prompt{Model: "m", Input: 4000, Output: 9, Parts: []engine.Part{{ID: "y", Tokens: 4000}}})
-		bench.now += time.Second
-		bench.Handle(bench.now, First{Token: behind.Token, Attempt: behind.Attempt})
-		Expect(bench.Observed(bench.now, "east").Read).To(BeEmpty(), "it came behind another one")
-		bench.cold(bench.now, bench.servers["a"], time.Minute)
-		bench.Handle(bench.now, First{Token: sent.Token, Attempt: sent.Attempt})
-		Expect(bench.Observed(bench.now, "east").Read).To(BeEmpty(), "its server is cold")
+	It("given calls that show nothing about reading, when their first chunks arrive, then nothing is learned", func() {
+		router := startedRouter(withEngines, eastList("a"))
+		sent := router.dispatchPrompt("/stream/x", engine.Prompt{Model: "m", Input: 4000, Output: 9, Parts: []engine.Part{{ID: "x", Tokens: 4000}}})
+		behind := router.dispatchPrompt("/stream/x", engine.Prompt{Model: "m", Input: 4000, Output: 9, Parts: []engine.Part{{ID: "y", Tokens: 4000}}})
+		router.now += time.Second
+		router.Handle(router.now, StreamStarted{Token: behind.Token, Attempt: behind.Attempt})
+		Expect(router.Observations(router.now, "east").Read).To(BeEmpty(), "it came behind another one")
+		router.extendColdness(router.now, router.servers["a"], time.Minute)
+		router.Handle(router.now, StreamStarted{Token: sent.Token, Attempt: sent.Attempt})
+		Expect(router.Observations(router.now, "east").Read).To(BeEmpty(), "its server is cold")
 	})
 
-	It("given more calls than are looked at, when the engine has become faster, then the former ones are forgotten", func() {
-		kept := samples{}
-		for range mostSamples {
-			kept.add(9)
+	It("given more calls than are kept, when the engine has become faster, then the earlier ones are forgotten", func() {
+		latest := samples{}
+		for range maxSamples {
+			latest.add(9)
 		}
-		for range mostSamples {
-			kept.add(5)
+		for range maxSamples {
+			latest.add(5)
 		}
-		Expect(kept.low()).To(Equal(time.Duration(5)))
-		Expect(kept.last).To(HaveLen(mostSamples))
+		Expect(latest.low()).To(Equal(time.Duration(5)))
+		Expect(latest.last).To(HaveLen(maxSamples))
 	})
 })
