--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -10,139 +10,144 @@
 )
 
 const (
-	// tokensPerMs is how many prompt tokens an engine is believed to read in a millisecond where its cache is checked. Of a slower engine
-	// fewer calls are taken for kept, and more for missed.
-	tokensPerMs = 50
-	// anchorTokens is the least shared prompt that decides where a call goes.
-	anchorTokens = 1000
-	// perRunning is what one more running call adds to another one's time.
-	perRunning = 1500 * time.Microsecond
-	// farZone and farRegion stand for the price of bytes, as time.
-	farZone      = time.Millisecond
-	farRegion    = 80 * time.Millisecond
-	regionPer10K = 10 * time.Millisecond
-	// rereadTimes is how much more than its time the reading again of shared parts costs.
-	rereadTimes = 2
+	// presumedTokensPerMs is the presumed reading speed of an engine in tokens a millisecond where its cache is checked. Of a slower engine, fewer
+	// calls are taken for cached and more for missed.
+	presumedTokensPerMs = 50
+	// minSharedTokens is the least shared part of a prompt that decides where the call goes.
+	minSharedTokens = 1000
+	// costPerRunningCall is what one more running call adds to the time of another.
+	costPerRunningCall = 1500 * time.Microsecond
+	// otherZoneCost and otherRegionCost express the price of network traffic as time, otherRegionCostPer10KB that of 10,000 bytes to another region.
+	otherZoneCost          = time.Millisecond
+	otherRegionCost        = 80 * time.Millisecond
+	otherRegionCostPer10KB = 10 * time.Millisecond
+	// rereadCostFactor is the cost of reading shared tokens again, in multiples of the time that it takes.
+	rereadCostFactor = 2
 )
 
-func newMemory(service manifest.Service) *engine.Memory {
+// newCacheEstimate returns an empty estimate of the prompt cache of one of the service's servers.
+func newCacheEstimate(service manifest.Service) *engine.Memory {
 	return engine.NewMemory(service.Engine.Tokens)
 }
 
-// checkTime is how long the reading of tokens takes where a cache is checked.
-func checkTime(tokens int64) time.Duration {
-	return time.Duration(tokens) * time.Millisecond / tokensPerMs
+// presumedReadTime returns how long an engine reads a number of tokens, where its cache is checked.
+func presumedReadTime(tokens int64) time.Duration {
+	return time.Duration(tokens) * time.Millisecond / presumedTokensPerMs
 }
 
-// open gives the servers that may take the call now.
-func (traffic *Traffic) open(now time.Duration, work *job, resting bool) []*server {
-	most := traffic.connections(traffic.read.Gateway.Services[work.service])
-	open := []*server{}
-	for _, server := range traffic.services[work.service] {
-		if server.moved || work.avoid[server.Name] || traffic.read.Drained(server.Zone) || server.own >= most || traffic.closed(now, server, resting && len(work.avoid) == 0) {
+// openServers returns the servers that may take the call now, with includeResting also those that rest after failures.
+func (router *Router) openServers(now time.Duration, call *callState, includeResting bool) []*serverState {
+	limit := router.maxConnections(router.manifest.Gateway.Services[call.service])
+	candidates := []*serverState{}
+	for _, server := range router.serversByService[call.service] {
+		if server.wrongServer || call.triedServers[server.Name] || router.manifest.Drained(server.Zone) || server.inFlight >= limit || router.blockedByWarmup(now, server, includeResting && len(call.triedServers) == 0) {
 			continue
 		}
-		if len(work.route.Regions) > 0 && !slices.Contains(work.route.Regions, server.region) {
+		if len(call.route.Regions) > 0 && !slices.Contains(call.route.Regions, server.region) {
 			continue
 		}
-		if !resting && (now < server.until || server.trial || traffic.rests(now, server)) {
+		if !includeResting && (now < server.backoffUntil || server.probing || router.isResting(now, server)) {
 			continue
 		}
-		open = append(open, server)
+		candidates = append(candidates, server)
 	}
-	return open
+	return candidates
 }
 
-// pick gives the server whose answer is expected first, prices of bytes counted as time, and the time until it begins.
-func (traffic *Traffic) pick(now time.Duration, work *job) (*server, time.Duration) {
-	open := traffic.open(now, work, false)
-	if len(open) == 0 {
-		open = traffic.open(now, work, true)
+// pickServer returns the server whose answer is expected at the lowest cost, with network prices counted as time, and the time until it begins to
+// work on the call. The result is nil if no server may take the call.
+func (router *Router) pickServer(now time.Duration, call *callState) (*serverState, time.Duration) {
+	candidates := router.openServers(now, call, false)
+	if len(candidates) == 0 {
+		candidates = router.openServers(now, call, true)
 	}
-	if len(open) == 0 {
+	if len(candidates) == 0 {
 		return nil, 0
 	}
-	service, holder := traffic.read.Gateway.Services[work.service], ""
-	long := work.Prompt.Shared() >= anchorTokens
-	relieved := service.Engine != nil && !long && traffic.relieved(now, work.service)
-	if service.Engine != nil && work.Prompt.Shared() > 0 {
-		holder = traffic.holder(now, open, work, long)
-	}
-	var chosen *server
-	best, wait := time.Duration(0), time.Duration(0)
-	for _, server := range open {
-		begin := traffic.begin(server, service)
-		cost := begin + traffic.distance(server, work.Size) + time.Duration(traffic.random.Int64N(int64(2*time.Millisecond)))
+	service, placeServer := router.manifest.Gateway.Services[call.service], ""
+	isLong := call.Prompt.Shared() >= minSharedTokens
+	relieved := service.Engine != nil && !isLong && router.longPromptsRelieved(now, call.service)
+	if service.Engine != nil && call.Prompt.Shared() > 0 {
+		placeServer = router.chooseHolder(now, candidates, call, isLong)
+	}
+	var chosen *serverState
+	lowestCost, expectedWait := time.Duration(0), time.Duration(0)
+	for _, server := range candidates {
+		wait := router.estimateWait(server, service)
+		cost := wait + router.distanceCost(server, call.Size) + time.Duration(router.random.Int64N(int64(2*time.Millisecond)))
 		if service.Engine != nil {
-			unread := traffic.unread(now, server, work.Prompt, holder)
-			again := max(0, unread-(work.Prompt.Input-work.Prompt.Shared()))
-			if server.Name == holder {
-				again = 0
+			unreadTokens := router.estimateUnread(now, server, call.Prompt, placeServer)
+			rereadTokens := max(0, unreadTokens-(call.Prompt.Input-call.Prompt.Shared()))
+			if server.Name == placeServer {
+				rereadTokens = 0
 			}
-			cost += traffic.readTime(work.service, unread+(rereadTimes-1)*again) + time.Duration(server.running())*perRunning
-			if !long && traffic.mixed(now, server) && server.forLong(relieved) {
-				cost += server.lostBeside()
+			cost += router.readTime(call.service, unreadTokens+(rereadCostFactor-1)*rereadTokens) + time.Duration(server.estimateLoad())*costPerRunningCall
+			if !isLong && router.isMixed(now, server) && server.meantForLong(relieved) {
+				cost += server.interferenceCost()
 			}
 		}
-		if chosen == nil || cost < best {
-			chosen, best, wait = server, cost, begin
+		if chosen == nil || cost < lowestCost {
+			chosen, lowestCost, expectedWait = server, cost, wait
 		}
 	}
 	if service.Engine != nil && chosen != nil {
-		work.held = traffic.presumed(now, chosen, work.Prompt, holder)
-		traffic.note(now, work, chosen.region, long)
+		call.cachedTokens = router.presumedCached(now, chosen, call.Prompt, placeServer)
+		router.recordPromptSize(now, call, chosen.region, isLong)
 	}
-	return chosen, wait
+	return chosen, expectedWait
 }
 
-// holder names the server that is meant to keep what the prompt shares with others: the index says so, or else an order that all nodes
-// share. What one server has read need not be read again elsewhere.
-func (traffic *Traffic) holder(now time.Duration, open []*server, work *job, long bool) string {
-	all := open
-	if long {
-		if slices.ContainsFunc(open, func(server *server) bool { return server.Name == work.holder }) {
-			return work.holder
+// chooseHolder returns the server that is meant to cache what the prompt shares with others: for long ones the place that the index names, otherwise
+// the first in the rendezvous order, which all nodes compute alike. So a prompt that one server has read is not read again elsewhere.
+func (router *Router) chooseHolder(now time.Duration, candidates []*serverState, call *callState, isLong bool) string {
+	eligible := candidates
+	if isLong {
+		if slices.ContainsFunc(candidates, func(server *serverState) bool { return server.Name == call.placeServer }) {
+			return call.placeServer
 		}
-		all = traffic.apart(now, open, work)
+		eligible = router.serversForLong(now, candidates, call)
 	}
-	return slices.MinFunc(all, rendezvous(work.Prompt.Anchor())).Name
+	return slices.MinFunc(eligible, rendezvous(call.Prompt.Anchor())).Name
 }
 
-// rendezvous compares two servers by how early they come as the keeper of a prompt, the same way at all nodes.
-func rendezvous(anchor uint64) func(left, right *server) int {
-	return func(left, right *server) int { return cmp.Compare(mix(right.hash^anchor), mix(left.hash^anchor)) }
+// rendezvous compares two servers by their rank as the holder of a prompt, which is the same at all nodes (highest random weight hashing).
+func rendezvous(anchor uint64) func(left, right *serverState) int {
+	return func(left, right *serverState) int {
+		return cmp.Compare(mixHash(right.nameHash^anchor), mixHash(left.nameHash^anchor))
+	}
 }
 
-// apart gives the servers that are meant for a long prompt: those of regions that no short ones go to, and a part of the servers of the
-// others, so that short ones need not wait behind it. Where short ones go, that part is left to them while their region is pressed, and
-// by prompts whose reading they would not bear, unless there are too few others.
-func (traffic *Traffic) apart(now time.Duration, open []*server, work *job) []*server {
-	free, beside, relieved, spare := []*server{}, []*server{}, traffic.relieved(now, work.service), map[string]bool{}
-	for _, server := range open {
-		if !traffic.mixed(now, server) {
-			free = append(free, server)
+// serversForLong returns the servers that are meant for a long prompt: those of regions without short prompts, and a part of the servers of the other
+// regions, so that short prompts need not wait behind long ones. While the region is short of capacity, or the prompt would delay short ones beyond
+// what they tolerate, that part is left to the short ones, unless there are too few other servers.
+func (router *Router) serversForLong(now time.Duration, candidates []*serverState, call *callState) []*serverState {
+	separate, mixed, relieved, hasSpare := []*serverState{}, []*serverState{}, router.longPromptsRelieved(now, call.service), map[string]bool{}
+	for _, server := range candidates {
+		if !router.isMixed(now, server) {
+			separate = append(separate, server)
 			continue
 		}
-		if !server.forLong(relieved) {
+		if !server.meantForLong(relieved) {
 			continue
 		}
-		if _, there := spare[server.region]; !there {
-			spare[server.region] = !relieved || traffic.spare(now, work.service, server.region)
+		if _, found := hasSpare[server.region]; !found {
+			hasSpare[server.region] = !relieved || router.hasSpareCapacity(now, call.service, server.region)
 		}
-		if spare[server.region] {
-			beside = append(beside, server)
+		if hasSpare[server.region] {
+			mixed = append(mixed, server)
 		}
 	}
-	if relieved && len(free) > 0 {
-		beside = slices.DeleteFunc(beside, func(server *server) bool { return traffic.disturbs(work, server) })
+	if relieved && len(separate) > 0 {
+		mixed = slices.DeleteFunc(mixed, func(server *serverState) bool { return router.wouldDisturb(call, server) })
 	}
-	if len(free)+len(beside) == 0 {
-		return open
+	if len(separate)+len(mixed) == 0 {
+		return candidates
 	}
-	return slices.Concat(free, beside)
+	return slices.Concat(separate, mixed)
 }
 
-func mix(value uint64) uint64 {
+// mixHash scrambles the bits of a value (the finalizer of MurmurHash3).
+func mixHash(value uint64) uint64 {
 	value ^= value >> 33
 	value *= 0xff51afd7ed558ccd
 	value ^= value >> 33
@@ -150,66 +155,69 @@
 	return value ^ value>>33
 }
 
-// unread estimates what the server has still to read of a prompt.
-func (traffic *Traffic) unread(now time.Duration, server *server, prompt engine.Prompt, holder string) int64 {
-	return max(0, prompt.Input-traffic.presumed(now, server, prompt, holder))
+// estimateUnread returns how many tokens of a prompt the server presumably still has to read.
+func (router *Router) estimateUnread(now time.Duration, server *serverState, prompt engine.Prompt, placeServer string) int64 {
+	return max(0, prompt.Input-router.presumedCached(now, server, prompt, placeServer))
 }
 
-// begin estimates how long a call waits at the server before its work begins.
-func (traffic *Traffic) begin(server *server, service manifest.Service) time.Duration {
-	slots, running := server.slots(service), server.running()
+// estimateWait estimates how long a call waits at the server before its work begins.
+func (router *Router) estimateWait(server *serverState, service manifest.Service) time.Duration {
+	slots, running := server.slots(service), server.estimateLoad()
 	if service.Engine != nil {
-		wait := traffic.readTime(server.Pool, server.reading) + time.Duration(max(0, server.load.Waiting-server.queued))*startingPace
-		if over := running + 1 - slots; over > 0 {
-			wait += time.Duration(over) * startingPace
+		wait := router.readTime(server.Pool, server.unreadTokens) + time.Duration(max(0, server.load.Waiting-server.unreadPrompts))*initialCallTime
+		if excess := running + 1 - slots; excess > 0 {
+			wait += time.Duration(excess) * initialCallTime
 		}
 		return wait
 	}
-	over := max(0, running+1-slots)
-	return server.pace*time.Duration(over)/time.Duration(slots) + server.pace*time.Duration(running)/time.Duration(4*slots) + server.pace
+	excess := max(0, running+1-slots)
+	return server.callTime*time.Duration(excess)/time.Duration(slots) + server.callTime*time.Duration(running)/time.Duration(4*slots) + server.callTime
 }
 
-func (traffic *Traffic) distance(server *server, size int64) time.Duration {
+// distanceCost returns the network price of sending a call of a size in bytes to the server, as time.
+func (router *Router) distanceCost(server *serverState, size int64) time.Duration {
 	switch {
-	case server.region != traffic.settings.Region:
-		return farRegion + time.Duration(size)*regionPer10K/10000
-	case server.Zone != traffic.settings.Zone:
-		return farZone
+	case server.region != router.settings.Region:
+		return otherRegionCost + time.Duration(size)*otherRegionCostPer10KB/10000
+	case server.Zone != router.settings.Zone:
+		return otherZoneCost
 	}
 	return 0
 }
 
-// patience is how long nothing may come before the server is doubted.
-func (traffic *Traffic) patience(now time.Duration, work *job) time.Duration {
-	usual := max(work.route.Aim, traffic.terms.Contact/8)
-	return min(max(usual, traffic.readTime(work.service, work.unread)*2), max(time.Millisecond, work.ends-now))
+// silenceTimeout returns how long nothing may arrive before the server is doubted.
+func (router *Router) silenceTimeout(now time.Duration, call *callState) time.Duration {
+	silence := max(call.route.Aim, router.policy.Contact/8)
+	return min(max(silence, router.readTime(call.service, call.unreadTokens)*2), max(time.Millisecond, call.deadline-now))
 }
 
-func (traffic *Traffic) connectTime(server *server) time.Duration {
-	if server.region != traffic.settings.Region {
-		return traffic.terms.Contact / 8
+// connectTimeout limits the setting up of a connection to the server.
+func (router *Router) connectTimeout(server *serverState) time.Duration {
+	if server.region != router.settings.Region {
+		return router.policy.Contact / 8
 	}
-	return traffic.terms.Contact / 16
+	return router.policy.Contact / 16
 }
 
-// idle is how long a connection may have been unused: a call that must not run twice trusts only a fresh one.
-func (traffic *Traffic) idle(work *job) time.Duration {
-	if work.route.Repeatable() {
-		return traffic.terms.Contact
+// maxIdle returns how long a reused connection may have been idle. A call that must not run twice trusts only a recently used one.
+func (router *Router) maxIdle(call *callState) time.Duration {
+	if call.route.Repeatable() {
+		return router.policy.Contact
 	}
-	return traffic.terms.Contact / 8
+	return router.policy.Contact / 8
 }
 
-// connections is this node's part of what a server takes from all callers together.
-func (traffic *Traffic) connections(service manifest.Service) int64 {
+// maxConnections is this node's part of the connections that a server accepts from all nodes together.
+func (router *Router) maxConnections(service manifest.Service) int64 {
 	if service.Connections <= 0 {
 		return 1 << 20
 	}
-	return max(2, service.Connections*9/10/int64(traffic.nodes()))
+	return max(2, service.Connections*9/10/int64(router.nodeCount()))
 }
 
-func (traffic *Traffic) priority(work *job) int {
-	if work.Prompt.Input > 0 && work.Prompt.Shared() < anchorTokens {
+// priority returns the priority that the server is told: 2 for short prompts, and a negative one, which is not sent, for other calls.
+func (router *Router) priority(call *callState) int {
+	if call.Prompt.Input > 0 && call.Prompt.Shared() < minSharedTokens {
 		return 2
 	}
 	return -1
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -10,121 +10,130 @@
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Place asks the owner of the index, or with Ask.Known a near replica, where the prompt of a call belongs; after Patience it goes on without.
-type Place struct {
-	Token    int64
-	Ask      index.Ask
-	Patience time.Duration
+// PlaceQuery is the command to ask the owner of the index, or with Ask.Known a nearby replica, where the prompt of a call belongs. After Timeout the
+// call goes on without an answer, by a PlaceAnswer with TimedOut.
+type PlaceQuery struct {
+	Token   int64
+	Ask     index.Ask
+	Timeout time.Duration
 }
 
-// Placed answers. Without a server it was refused, or, if Late, nobody answered in time.
-type Placed struct {
-	Token int64
-	Place index.Place
-	Late  bool
+// PlaceAnswer is the event that a place query was answered. A place without a server means a refusal, or, with TimedOut, that no answer came in time.
+type PlaceAnswer struct {
+	Token    int64
+	Place    index.Place
+	TimedOut bool
 }
 
-// Relocated brings places that are others than this node believed.
-type Relocated struct{ Places []index.Place }
+// PlacesMoved brings places that differ from what this node believed.
+type PlacesMoved struct{ Places []index.Place }
 
-// Indexed tells whether there is an owner of the index to ask, and whether a replica is so much nearer that it is asked first.
-type Indexed struct {
-	Known bool
-	Near  bool
+// IndexReachability tells whether there is an owner of the index to ask, and whether a replica is so much nearer that it is asked first.
+type IndexReachability struct {
+	OwnerKnown  bool
+	ReplicaNear bool
 }
 
 const (
-	mostPlaces = 1 << 12
-	mostAsks   = 2
-	// rootCandidates is how many servers the prompts of one root prefer, as a part of those that are offered.
+	// maxKnownPlaces limits the places that this node remembers; the least recently used one is dropped.
+	maxKnownPlaces = 1 << 12
+	// maxOwnerQueries is how often the owner of the index is asked for one call.
+	maxOwnerQueries = 2
+	// rootCandidates is how many of the offered servers are the same for all prompts of one root.
 	rootCandidates = index.MostCandidates / 2
 )
 
-// places is what this node knows of the shared index of prompts.
-type places struct {
-	known     *lru.LRU[index.Key, string]
-	uses      []index.Use
-	usual     map[string]time.Duration
-	owned     bool
-	quiet     time.Duration
-	near      bool
-	nearQuiet time.Duration
+// placeIndex is what this node knows of the shared index of prompts.
+type placeIndex struct {
+	// known maps prompts to the servers that are meant to hold them.
+	known *lru.LRU[index.Key, string]
+	// uses are the uses of places that the owner has not been told yet.
+	uses []index.Use
+	// usualOverhead is what calls take apart from reading the prompt, by region.
+	usualOverhead map[string]time.Duration
+	// ownerKnown and replicaNear are as in IndexReachability; neither is asked before its quiet time is over, which begins when an answer did not
+	// come.
+	ownerKnown        bool
+	ownerQuietUntil   time.Duration
+	replicaNear       bool
+	replicaQuietUntil time.Duration
 }
 
-func newPlaces() places {
-	known, failure := lru.NewLRU[index.Key, string](mostPlaces, nil)
-	if failure != nil {
-		panic(failure)
+func newPlaceIndex() placeIndex {
+	known, err := lru.NewLRU[index.Key, string](maxKnownPlaces, nil)
+	if err != nil {
+		panic(err)
 	}
-	return places{known: known, usual: map[string]time.Duration{}}
+	return placeIndex{known: known, usualOverhead: map[string]time.Duration{}}
 }
 
-func keyOf(work *job) index.Key {
-	return index.Key{Scope: work.service + "\x00" + strings.Join(work.route.Regions, ","), Anchor: work.Prompt.Anchor()}
+// placeKeyOf returns the key of a call's prompt in the index. The scope consists of the service and of the regions that the call is bound to.
+func placeKeyOf(call *callState) index.Key {
+	return index.Key{Scope: call.service + "\x00" + strings.Join(call.route.Regions, ","), Anchor: call.Prompt.Anchor()}
 }
 
-// place gives the question that a call with a long shared prompt has to ask before it is sent, if any.
-func (traffic *Traffic) place(now time.Duration, work *job) (Place, bool) {
-	if traffic.read.Gateway.Services[work.service].Engine == nil || work.Prompt.Shared() < anchorTokens {
-		return Place{}, false
+// placeQueryFor returns the query that a call with a long shared prompt has to send before its dispatch, if any.
+func (router *Router) placeQueryFor(now time.Duration, call *callState) (PlaceQuery, bool) {
+	if router.manifest.Gateway.Services[call.service].Engine == nil || call.Prompt.Shared() < minSharedTokens {
+		return PlaceQuery{}, false
 	}
-	if work.key.Scope == "" {
-		work.key = keyOf(work)
+	if call.placeKey.Scope == "" {
+		call.placeKey = placeKeyOf(call)
 	}
-	name, there := traffic.places.known.Get(work.key)
-	if there && !traffic.lost(now, name) {
-		work.holder = name
-		return Place{}, false
+	name, found := router.places.known.Get(call.placeKey)
+	if found && !router.isPlaceLost(now, name) {
+		call.placeServer = name
+		return PlaceQuery{}, false
 	}
-	near := !there && !work.askedNear && traffic.places.near && now >= traffic.places.nearQuiet
-	if !near && (work.asks >= mostAsks || !traffic.places.owned || now < traffic.places.quiet) {
-		return Place{}, false
+	askReplica := !found && !call.replicaQueried && router.places.replicaNear && now >= router.places.replicaQuietUntil
+	if !askReplica && (call.ownerQueries >= maxOwnerQueries || !router.places.ownerKnown || now < router.places.ownerQuietUntil) {
+		return PlaceQuery{}, false
 	}
-	open := traffic.open(now, work, false)
-	if len(open) < 2 {
-		return Place{}, false
+	candidates := router.openServers(now, call, false)
+	if len(candidates) < 2 {
+		return PlaceQuery{}, false
 	}
-	if near {
-		work.near, work.askedNear = true, true
-		return Place{Token: work.Token, Ask: index.Ask{Key: work.key, Known: true}, Patience: traffic.terms.Contact / 64}, true
+	if askReplica {
+		call.queryingReplica, call.replicaQueried = true, true
+		return PlaceQuery{Token: call.Token, Ask: index.Ask{Key: call.placeKey, Known: true}, Timeout: router.policy.Contact / 64}, true
 	}
-	work.asks++
-	ask := index.Ask{Key: work.key, Lost: name, Work: traffic.readTime(work.service, work.Prompt.Input).Milliseconds()}
-	if root, tokens := work.Prompt.Root(); root != work.key.Anchor {
-		ask.Root, ask.RootWork = root, traffic.readTime(work.service, tokens).Milliseconds()
+	call.ownerQueries++
+	ask := index.Ask{Key: call.placeKey, Lost: name, Work: router.readTime(call.service, call.Prompt.Input).Milliseconds()}
+	if root, tokens := call.Prompt.Root(); root != call.placeKey.Anchor {
+		ask.Root, ask.RootWork = root, router.readTime(call.service, tokens).Milliseconds()
 	}
-	for _, server := range traffic.candidates(now, open, work) {
+	for _, server := range router.placeCandidates(now, candidates, call) {
 		ask.Candidates = append(ask.Candidates, server.Name)
 	}
-	return Place{Token: work.Token, Ask: ask, Patience: traffic.terms.Contact / 16}, true
+	return PlaceQuery{Token: call.Token, Ask: ask, Timeout: router.policy.Contact / 16}, true
 }
 
-// lost tells whether a place is gone for longer than a moment.
-func (traffic *Traffic) lost(now time.Duration, name string) bool {
-	server, there := traffic.servers[name]
-	return !there || !server.listed || server.moved || traffic.read.Drained(server.Zone) || now < server.until && server.failures > 1
+// isPlaceLost reports whether a place is unavailable for longer than a moment.
+func (router *Router) isPlaceLost(now time.Duration, name string) bool {
+	server, found := router.servers[name]
+	return !found || !server.listed || server.wrongServer || router.manifest.Drained(server.Zone) || now < server.backoffUntil && server.failures > 1
 }
 
-// candidates gives the servers that may be a prompt's place, those of the own region first: whoever reads a prompt first waits the longest
-// anyway and is spared the way. Some of other regions follow, for an owner that knows the own ones to be busier. Within a region the order
-// is the same at all nodes.
-func (traffic *Traffic) candidates(now time.Duration, open []*server, work *job) []*server {
-	ordered := byRoot(traffic.apart(now, open, work), work.Prompt)
-	own, others := []*server{}, []*server{}
+// placeCandidates returns the servers that may hold a prompt, those of this region first: the call that reads a prompt first waits longest anyway and
+// is spared the distance. Some of other regions follow, for an owner that knows those of this region to be busier. Within a region the order is the
+// same at all nodes.
+func (router *Router) placeCandidates(now time.Duration, candidates []*serverState, call *callState) []*serverState {
+	ordered := orderByRoot(router.serversForLong(now, candidates, call), call.Prompt)
+	sameRegion, otherRegions := []*serverState{}, []*serverState{}
 	for _, server := range ordered {
-		if server.region == traffic.settings.Region {
-			own = append(own, server)
+		if server.region == router.settings.Region {
+			sameRegion = append(sameRegion, server)
 		} else {
-			others = append(others, server)
+			otherRegions = append(otherRegions, server)
 		}
 	}
-	away := min(len(others), max(index.MostCandidates/4, index.MostCandidates-len(own)))
-	return slices.Concat(own[:min(len(own), index.MostCandidates-away)], others[:away])
+	otherCount := min(len(otherRegions), max(index.MostCandidates/4, index.MostCandidates-len(sameRegion)))
+	return slices.Concat(sameRegion[:min(len(sameRegion), index.MostCandidates-otherCount)], otherRegions[:otherCount])
 }
 
-// byRoot orders servers for a prompt: the first ones are the same for all prompts of its root, which the owner of the index leaves only
-// when they have more than their part of the work; the others are in an order of the prompt's own.
-func byRoot(servers []*server, prompt engine.Prompt) []*server {
+// orderByRoot orders servers for a prompt. The first ones are the same for all prompts of its root; the owner of the index leaves them only when they
+// have more than their part of the work. The others follow in an order of the prompt's own.
+func orderByRoot(servers []*serverState, prompt engine.Prompt) []*serverState {
 	ordered := slices.Clone(servers)
 	root, _ := prompt.Root()
 	slices.SortFunc(ordered, rendezvous(root))
@@ -134,58 +143,58 @@
 	return ordered
 }
 
-// placed takes an answer. Who did not answer in time is asked nothing for a while; a refusal says something of its own call alone.
-func (traffic *Traffic) placed(now time.Duration, event Placed) {
+// handlePlaceAnswer records an answer. Whoever did not answer in time is not asked for a while; a refusal concerns its own call alone.
+func (router *Router) handlePlaceAnswer(now time.Duration, event PlaceAnswer) {
 	if event.Place.Server != "" {
-		traffic.places.known.Add(event.Place.Key, event.Place.Server)
+		router.places.known.Add(event.Place.Key, event.Place.Server)
 	}
-	work, there := traffic.jobs[event.Token]
-	if !there {
+	call, found := router.calls[event.Token]
+	if !found {
 		return
 	}
-	near, quiet := work.near, now+traffic.terms.Contact/4
-	work.near = false
+	fromReplica, quietUntil := call.queryingReplica, now+router.policy.Contact/4
+	call.queryingReplica = false
 	switch {
 	case event.Place.Server != "":
-	case near && event.Late:
-		traffic.places.nearQuiet = quiet
-	case event.Late:
-		traffic.places.quiet = quiet
-	case !near:
-		work.asks = mostAsks
+	case fromReplica && event.TimedOut:
+		router.places.replicaQuietUntil = quietUntil
+	case event.TimedOut:
+		router.places.ownerQuietUntil = quietUntil
+	case !fromReplica:
+		call.ownerQueries = maxOwnerQueries
 	}
 }
 
-// Refuses tells whether a control node that answers with a status has no place to give, rather than that nobody answered.
-func Refuses(status int) bool { return status/100 == 4 }
+// IsRefusalStatus reports whether the status of an answer says that a control node has no place to give, as opposed to no answer at all.
+func IsRefusalStatus(status int) bool { return status/100 == 4 }
 
-// relocated takes places up. One without a server is to be asked for anew, since the cache of its server does not match.
-func (traffic *Traffic) relocated(event Relocated) {
+// applyMovedPlaces updates the known places. One without a server is to be asked for again, as the cache of its server does not contain the prompt.
+func (router *Router) applyMovedPlaces(event PlacesMoved) {
 	for _, place := range event.Places {
 		if place.Server != "" {
-			traffic.places.known.Add(place.Key, place.Server)
+			router.places.known.Add(place.Key, place.Server)
 			continue
 		}
-		if former, there := traffic.places.known.Get(place.Key); there {
-			traffic.places.known.Remove(place.Key)
-			if server := traffic.servers[former]; server != nil && server.memory != nil {
-				server.memory.Lose(place.Anchor)
+		if previous, found := router.places.known.Get(place.Key); found {
+			router.places.known.Remove(place.Key)
+			if server := router.servers[previous]; server != nil && server.cacheEstimate != nil {
+				server.cacheEstimate.Lose(place.Anchor)
 			}
 		}
 	}
 }
 
-// use notes what the owner of the index is told.
-func (traffic *Traffic) use(now time.Duration, work *job) {
-	if work.holder != "" && work.server.Name == work.holder && len(traffic.places.uses) < index.MostUses {
-		traffic.places.uses = append(traffic.places.uses, index.Use{Key: work.key, Server: work.holder, Took: (now - work.at).Milliseconds(),
-			Shown: traffic.shown(now, work), At: now})
+// recordPlaceUse records a call that went to the place of its prompt, for the owner of the index.
+func (router *Router) recordPlaceUse(now time.Duration, call *callState) {
+	if call.placeServer != "" && call.server.Name == call.placeServer && len(router.places.uses) < index.MostUses {
+		router.places.uses = append(router.places.uses, index.Use{Key: call.placeKey, Server: call.placeServer, Took: (now - call.sentAt).Milliseconds(),
+			Shown: router.cacheObservation(now, call), At: now})
 	}
 }
 
-// Uses gives what was noted since it was last asked for.
-func (traffic *Traffic) Uses() []index.Use {
-	uses := traffic.places.uses
-	traffic.places.uses = nil
+// TakePlaceUses returns the uses recorded since the last call, and clears them.
+func (router *Router) TakePlaceUses() []index.Use {
+	uses := router.places.uses
+	router.places.uses = nil
 	return uses
 }
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -11,298 +11,298 @@
 	. "github.com/onsi/gomega"
 )
 
-func shortText(own string) engine.Prompt {
-	return engine.Prompt{Model: "m", Input: 1900, Output: 100, Parts: []engine.Part{{ID: "terms", Tokens: anchorTokens - 1}, {ID: own, Tokens: 901}}}
+func shortSharedPrompt(own string) engine.Prompt {
+	return engine.Prompt{Model: "m", Input: 1900, Output: 100, Parts: []engine.Part{{ID: "terms", Tokens: minSharedTokens - 1}, {ID: own, Tokens: 901}}}
 }
 
-func prompted(prompt engine.Prompt) func(*Arrive) {
-	return func(arrive *Arrive) { arrive.Prompt = prompt }
+func withPrompt(prompt engine.Prompt) func(*CallArrived) {
+	return func(arrive *CallArrived) { arrive.Prompt = prompt }
 }
 
-// indexed is a bench whose node knows an owner of the index.
-func indexed(change func(*manifest.Manifest)) *bench {
-	bench := started(change, eastList("a", "b", "c", "d", "e", "f"))
-	bench.Handle(bench.now, Indexed{Known: true})
-	return bench
+// routerWithIndex returns a router that knows an owner of the index.
+func routerWithIndex(change func(*manifest.Manifest)) *testRouter {
+	router := startedRouter(change, eastList("a", "b", "c", "d", "e", "f"))
+	router.Handle(router.now, IndexReachability{OwnerKnown: true})
+	return router
 }
 
-func askedFor(command contract.Command) Place {
+func expectPlaceQuery(command contract.Command) PlaceQuery {
 	GinkgoHelper()
-	Expect(command).To(BeAssignableToTypeOf(Place{}))
-	return command.(Place)
+	Expect(command).To(BeAssignableToTypeOf(PlaceQuery{}))
+	return command.(PlaceQuery)
 }
 
-func (bench *bench) long(own string) contract.Command {
+func (router *testRouter) sendLongPrompt(own string) contract.Command {
 	GinkgoHelper()
-	return bench.asked("/stream/x", prompted(contractText(own)))
+	return router.arrive("/stream/x", withPrompt(longPrompt(own)))
 }
 
-// answers gives a place to an ask and what the call does then.
-func (bench *bench) answers(ask Place, server string) contract.Command {
+// answerPlace answers a query with a place and returns what the call does then.
+func (router *testRouter) answerPlace(ask PlaceQuery, server string) contract.Command {
 	GinkgoHelper()
-	return bench.one(Placed{Token: ask.Token, Place: index.Place{Key: ask.Ask.Key, Server: server}})
+	return router.handleOne(PlaceAnswer{Token: ask.Token, Place: index.Place{Key: ask.Ask.Key, Server: server}})
 }
 
-// learned has the contract's text placed on the server, by a call that is over.
-func (bench *bench) learned(server string) index.Key {
+// learnPlace places the long prompt on the server, by a call that completes.
+func (router *testRouter) learnPlace(server string) index.Key {
 	GinkgoHelper()
-	ask := askedFor(bench.long("first"))
-	sent := dispatched(bench.answers(ask, server))
+	ask := expectPlaceQuery(router.sendLongPrompt("first"))
+	sent := expectDispatch(router.answerPlace(ask, server))
 	Expect(sent.Server.Name).To(Equal(server))
-	bench.firstAfter(sent, 600*time.Millisecond)
+	router.completeAfter(sent, 600*time.Millisecond)
 	return ask.Ask.Key
 }
 
-// last is the candidate that the order shared by all nodes likes the least.
-func last(ask Place) string { return ask.Ask.Candidates[len(ask.Ask.Candidates)-1] }
+// lastCandidate returns the last candidate in the rendezvous order.
+func lastCandidate(ask PlaceQuery) string { return ask.Ask.Candidates[len(ask.Ask.Candidates)-1] }
 
-var _ = Describe("an ask for a prompt's place", func() {
-	It("given a long shared prompt that is not known here, when a call comes, then it asks once with the candidates in the shared order", func() {
-		left, right := indexed(engines), indexed(engines)
-		ask := askedFor(left.long("one"))
+var _ = Describe("the query for a prompt's place", func() {
+	It("given a long shared prompt that is not known here, when a call arrives, then it is queried once with the candidates in the rendezvous order", func() {
+		left, right := routerWithIndex(withEngines), routerWithIndex(withEngines)
+		ask := expectPlaceQuery(left.sendLongPrompt("one"))
 		Expect(ask.Ask.Lost).To(BeEmpty())
-		Expect(ask.Ask.Work).To(Equal(int64(14000 / tokensPerMs)))
+		Expect(ask.Ask.Work).To(Equal(int64(14000 / presumedTokensPerMs)))
 		Expect(ask.Ask.Candidates).To(ConsistOf("a", "b", "c", "d", "e", "f"))
-		Expect(ask.Patience).To(Equal(left.terms.Contact / 16))
-		Expect(askedFor(right.long("two")).Ask).To(Equal(ask.Ask), "another node's call with the same shared prompt asks the same")
-		reference := started(engines, eastList("a", "b", "c", "d", "e", "f"))
-		Expect(reference.promptly("/stream/x", contractText("one")).Server.Name).To(Equal(ask.Ask.Candidates[0]))
+		Expect(ask.Timeout).To(Equal(left.policy.Contact / 16))
+		Expect(expectPlaceQuery(right.sendLongPrompt("two")).Ask).To(Equal(ask.Ask), "another node sends the same query for the same shared prompt")
+		reference := startedRouter(withEngines, eastList("a", "b", "c", "d", "e", "f"))
+		Expect(reference.dispatchPrompt("/stream/x", longPrompt("one")).Server.Name).To(Equal(ask.Ask.Candidates[0]))
 	})
 
-	DescribeTable("given a call that has no place in the index, when it comes, then it is sent at once", func(change func(*manifest.Manifest), prompt engine.Prompt, known bool, servers ...string) {
-		bench := started(change, eastList(servers...))
-		bench.Handle(bench.now, Indexed{Known: known})
-		Expect(dispatched(bench.asked("/stream/x", prompted(prompt))).Server.Name).NotTo(BeEmpty())
+	DescribeTable("given a call that has no place in the index, when it arrives, then it is sent at once", func(change func(*manifest.Manifest), prompt engine.Prompt, known bool, servers ...string) {
+		router := startedRouter(change, eastList(servers...))
+		router.Handle(router.now, IndexReachability{OwnerKnown: known})
+		Expect(expectDispatch(router.arrive("/stream/x", withPrompt(prompt))).Server.Name).NotTo(BeEmpty())
 	},
-		Entry("short shared prompt", engines, shortText("one"), true, "a", "b"),
-		Entry("no prompt", engines, engine.Prompt{}, true, "a", "b"),
-		Entry("service without engines", nil, contractText("one"), true, "a", "b"),
-		Entry("no owner known", engines, contractText("one"), false, "a", "b"),
-		Entry("one server alone", engines, contractText("one"), true, "a"),
+		Entry("short shared prompt", withEngines, shortSharedPrompt("one"), true, "a", "b"),
+		Entry("no prompt", withEngines, engine.Prompt{}, true, "a", "b"),
+		Entry("service without engines", nil, longPrompt("one"), true, "a", "b"),
+		Entry("no owner known", withEngines, longPrompt("one"), false, "a", "b"),
+		Entry("only one server", withEngines, longPrompt("one"), true, "a"),
 	)
 
-	It("given an owner that is no longer known, when a call comes, then it does not ask", func() {
-		bench := indexed(engines)
-		bench.Handle(bench.now, Indexed{Known: false})
-		dispatched(bench.long("one"))
+	It("given an owner that is no longer known, when a call arrives, then it is not asked", func() {
+		router := routerWithIndex(withEngines)
+		router.Handle(router.now, IndexReachability{OwnerKnown: false})
+		expectDispatch(router.sendLongPrompt("one"))
 	})
 
-	It("given nobody who answers, when calls come, then they go by the shared order, and this node asks again only after a while", func() {
-		bench := indexed(engines)
-		ask := askedFor(bench.long("one"))
-		bench.now += ask.Patience
-		Expect(dispatched(bench.one(Placed{Token: ask.Token, Late: true})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
-		bench.now += bench.terms.Contact/4 - 1
-		dispatched(bench.long("two"))
-		bench.now++
-		askedFor(bench.long("three"))
+	It("given no answer, when calls arrive, then they go by the rendezvous order, and this node asks again only after a while", func() {
+		router := routerWithIndex(withEngines)
+		ask := expectPlaceQuery(router.sendLongPrompt("one"))
+		router.now += ask.Timeout
+		Expect(expectDispatch(router.handleOne(PlaceAnswer{Token: ask.Token, TimedOut: true})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
+		router.now += router.policy.Contact/4 - 1
+		expectDispatch(router.sendLongPrompt("two"))
+		router.now++
+		expectPlaceQuery(router.sendLongPrompt("three"))
 	})
 
-	It("given an owner that refuses, when calls come, then each goes by the shared order after one question, and others ask at once", func() {
-		bench := indexed(engines)
+	It("given an owner that refuses, when calls arrive, then each goes by the rendezvous order after one query, and others ask at once", func() {
+		router := routerWithIndex(withEngines)
 		for _, own := range []string{"one", "two"} {
-			ask := askedFor(bench.long(own))
-			Expect(dispatched(bench.one(Placed{Token: ask.Token})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
+			ask := expectPlaceQuery(router.sendLongPrompt(own))
+			Expect(expectDispatch(router.handleOne(PlaceAnswer{Token: ask.Token})).Server.Name).To(Equal(ask.Ask.Candidates[0]))
 		}
-		ask := askedFor(bench.long("three"))
-		Expect(dispatched(bench.answers(ask, last(ask))).Server.Name).To(Equal(last(ask)))
+		ask := expectPlaceQuery(router.sendLongPrompt("three"))
+		Expect(expectDispatch(router.answerPlace(ask, lastCandidate(ask))).Server.Name).To(Equal(lastCandidate(ask)))
 	})
 
-	It("given an answer, when it comes, then this call and later ones go to the place, whatever the shared order likes, and nobody is asked", func() {
-		bench := indexed(engines)
-		ask := askedFor(bench.long("one"))
-		place := last(ask)
-		Expect(dispatched(bench.answers(ask, place)).Server.Name).To(Equal(place))
-		Expect(dispatched(bench.long("two")).Server.Name).To(Equal(place))
+	It("given an answer, when calls arrive, then they go to the place, whatever the rendezvous order says, and nobody is asked", func() {
+		router := routerWithIndex(withEngines)
+		ask := expectPlaceQuery(router.sendLongPrompt("one"))
+		expected := lastCandidate(ask)
+		Expect(expectDispatch(router.answerPlace(ask, expected)).Server.Name).To(Equal(expected))
+		Expect(expectDispatch(router.sendLongPrompt("two")).Server.Name).To(Equal(expected))
 	})
 
-	It("given more prompts than are kept here, when more come, then the one unused for the longest is asked for again", func() {
-		bench := indexed(engines)
-		key := bench.learned("a")
+	It("given more prompts than are remembered, when more arrive, then the least recently used one is queried again", func() {
+		router := routerWithIndex(withEngines)
+		key := router.learnPlace("a")
 		places := []index.Place{}
-		for anchor := range uint64(mostPlaces) {
+		for anchor := range uint64(maxKnownPlaces) {
 			places = append(places, index.Place{Key: index.Key{Scope: key.Scope, Anchor: anchor}, Server: "b"})
 		}
-		bench.Handle(bench.now, Relocated{Places: places})
-		Expect(bench.places.known.Len()).To(Equal(mostPlaces))
-		Expect(askedFor(bench.long("two")).Ask.Lost).To(BeEmpty())
+		router.Handle(router.now, PlacesMoved{Places: places})
+		Expect(router.places.known.Len()).To(Equal(maxKnownPlaces))
+		Expect(expectPlaceQuery(router.sendLongPrompt("two")).Ask.Lost).To(BeEmpty())
 	})
 })
 
-var _ = Describe("a place that no longer serves", func() {
-	DescribeTable("given a known place, when it is gone for longer than a moment, then the next call asks with it as lost and goes where it moved",
-		func(gone func(*bench, string)) {
-			bench := indexed(engines)
-			bench.learned("a")
-			gone(bench, "a")
-			ask := askedFor(bench.long("two"))
+var _ = Describe("a place that is no longer available", func() {
+	DescribeTable("given a known place, when it is unavailable for longer than a moment, then the next call reports it as lost and goes where it moved",
+		func(gone func(*testRouter, string)) {
+			router := routerWithIndex(withEngines)
+			router.learnPlace("a")
+			gone(router, "a")
+			ask := expectPlaceQuery(router.sendLongPrompt("two"))
 			Expect(ask.Ask.Lost).To(Equal("a"))
 			Expect(ask.Ask.Candidates).NotTo(ContainElement("a"))
-			moved := dispatched(bench.answers(ask, "b"))
+			moved := expectDispatch(router.answerPlace(ask, "b"))
 			Expect(moved.Server.Name).To(Equal("b"))
-			bench.firstAfter(moved, 600*time.Millisecond)
-			Expect(dispatched(bench.long("three")).Server.Name).To(Equal("b"))
+			router.completeAfter(moved, 600*time.Millisecond)
+			Expect(expectDispatch(router.sendLongPrompt("three")).Server.Name).To(Equal("b"))
 		},
-		Entry("unlisted", func(bench *bench, _ string) { bench.Handle(bench.now, eastList("b", "c", "d", "e", "f")) }),
-		Entry("unlisted, with a call on it", func(bench *bench, name string) {
-			bench.servers[name].own++
-			bench.Handle(bench.now, eastList("b", "c", "d", "e", "f"))
+		Entry("unlisted", func(router *testRouter, _ string) { router.Handle(router.now, eastList("b", "c", "d", "e", "f")) }),
+		Entry("unlisted, with a call in flight", func(router *testRouter, name string) {
+			router.servers[name].inFlight++
+			router.Handle(router.now, eastList("b", "c", "d", "e", "f"))
 		}),
-		Entry("its zone drained", func(bench *bench, name string) {
+		Entry("its zone drained", func(router *testRouter, name string) {
 			listed := eastList("a", "b", "c", "d", "e", "f")
 			listed.Servers[0].Zone = "east-b"
-			bench.Handle(bench.now, listed)
-			bench.Handle(bench.now, config(func(read *manifest.Manifest) {
-				engines(read)
+			router.Handle(router.now, listed)
+			router.Handle(router.now, configuration(func(read *manifest.Manifest) {
+				withEngines(read)
 				read.Zones["east-b"] = manifest.Zone{Region: "east", Drained: true}
 			}))
 		}),
-		Entry("moved", func(bench *bench, name string) {
-			again := dispatched(bench.ends(dispatched(bench.long("moved")), Moved))
+		Entry("wrong server at its address", func(router *testRouter, name string) {
+			again := expectDispatch(router.endDispatch(expectDispatch(router.sendLongPrompt("moved")), OutcomeWrongServer))
 			Expect(again.Server.Name).NotTo(Equal(name))
-			bench.ends(again, Whole)
-			bench.servers[again.Server.Name].memory.Forget()
+			router.endDispatch(again, OutcomeComplete)
+			router.servers[again.Server.Name].cacheEstimate.Forget()
 		}),
-		Entry("failing", func(bench *bench, name string) {
+		Entry("failing", func(router *testRouter, name string) {
 			for range 4 {
-				bench.fault(bench.now, bench.servers[name])
+				router.recordFault(router.now, router.servers[name])
 			}
 		}),
 	)
 
-	It("given a place that failed once, when a call comes, then nobody is asked and the place stays", func() {
-		bench := indexed(engines)
-		bench.learned("a")
-		bench.fault(bench.now, bench.servers["a"])
-		Expect(dispatched(bench.long("two")).Server.Name).NotTo(Equal("a"), "it rests")
-		bench.now += bench.terms.Contact
-		Expect(dispatched(bench.long("three")).Server.Name).To(Equal("a"))
+	It("given a place that failed once, when a call arrives, then nobody is asked and the place stays", func() {
+		router := routerWithIndex(withEngines)
+		router.learnPlace("a")
+		router.recordFault(router.now, router.servers["a"])
+		Expect(expectDispatch(router.sendLongPrompt("two")).Server.Name).NotTo(Equal("a"), "it rests")
+		router.now += router.policy.Contact
+		Expect(expectDispatch(router.sendLongPrompt("three")).Server.Name).To(Equal("a"))
 	})
 
 	It("given an owner that answers with places that this node knows to be lost, when it is asked, then it is asked twice at most", func() {
-		bench := indexed(engines)
-		ask := askedFor(bench.long("one"))
-		again := askedFor(bench.answers(ask, "gone-1"))
+		router := routerWithIndex(withEngines)
+		ask := expectPlaceQuery(router.sendLongPrompt("one"))
+		again := expectPlaceQuery(router.answerPlace(ask, "gone-1"))
 		Expect(again.Ask.Lost).To(Equal("gone-1"))
-		Expect(dispatched(bench.answers(again, "gone-2")).Server.Name).To(Equal(ask.Ask.Candidates[0]))
+		Expect(expectDispatch(router.answerPlace(again, "gone-2")).Server.Name).To(Equal(ask.Ask.Candidates[0]))
 	})
 })
 
-var _ = Describe("a caller that left while its node asked", func() {
-	It("given an ask under way, when its caller leaves, then nothing of the call stays, and a late answer sends nothing", func() {
-		bench := indexed(engines)
-		ask := askedFor(bench.long("one"))
-		Expect(bench.one(Ended{Token: ask.Token, Outcome: Left})).To(BeAssignableToTypeOf(Fail{}))
-		Expect(bench.jobs).To(BeEmpty())
-		Expect(bench.answers(ask, "b")).To(BeAssignableToTypeOf(Fail{}))
-		Expect(bench.jobs).To(BeEmpty())
-		Expect(bench.Calls("east")).To(BeEmpty())
-		Expect(dispatched(bench.long("two")).Server.Name).To(Equal("b"), "but the place is learned")
+var _ = Describe("a caller that leaves during a place query", func() {
+	It("given a pending query, when its caller leaves, then nothing of the call remains, and a late answer sends nothing", func() {
+		router := routerWithIndex(withEngines)
+		ask := expectPlaceQuery(router.sendLongPrompt("one"))
+		Expect(router.handleOne(DispatchEnded{Token: ask.Token, Outcome: OutcomeCallerLeft})).To(BeAssignableToTypeOf(Fail{}))
+		Expect(router.calls).To(BeEmpty())
+		Expect(router.answerPlace(ask, "b")).To(BeAssignableToTypeOf(Fail{}))
+		Expect(router.calls).To(BeEmpty())
+		Expect(router.CallsInFlight("east")).To(BeEmpty())
+		Expect(expectDispatch(router.sendLongPrompt("two")).Server.Name).To(Equal("b"), "but the place was learned")
 	})
 })
 
-var _ = Describe("what a node tells the owner of the index", func() {
-	It("given calls that went to a place, when it is told, then each is told once with its wait, and others are not", func() {
-		bench := indexed(engines)
-		Expect(bench.Uses()).To(BeEmpty())
-		key := bench.learned("b")
-		bench.firstAfter(bench.promptly("/stream/x", shortText("one")), 20*time.Millisecond)
-		Expect(bench.Uses()).To(Equal([]index.Use{{Key: key, Server: "b", Took: 600, Shown: index.Missed(600*time.Millisecond, 317*time.Millisecond), At: 1600 * time.Millisecond}}))
-		Expect(bench.Uses()).To(BeEmpty())
+var _ = Describe("the uses that a node reports to the owner of the index", func() {
+	It("given calls that went to a place, when they are reported, then each is reported once with its wait, and other calls are not", func() {
+		router := routerWithIndex(withEngines)
+		Expect(router.TakePlaceUses()).To(BeEmpty())
+		key := router.learnPlace("b")
+		router.completeAfter(router.dispatchPrompt("/stream/x", shortSharedPrompt("one")), 20*time.Millisecond)
+		Expect(router.TakePlaceUses()).To(Equal([]index.Use{{Key: key, Server: "b", Took: 600, Shown: index.Missed(600*time.Millisecond, 317*time.Millisecond), At: 1600 * time.Millisecond}}))
+		Expect(router.TakePlaceUses()).To(BeEmpty())
 	})
 
-	It("given a call that went elsewhere than to its place, when it is told, then it is not a use", func() {
-		bench := indexed(engines)
-		bench.learned("b")
-		bench.Uses()
-		bench.fault(bench.now, bench.servers["b"])
-		sent := dispatched(bench.long("two"))
+	It("given a call that did not go to its place, when uses are reported, then it is not among them", func() {
+		router := routerWithIndex(withEngines)
+		router.learnPlace("b")
+		router.TakePlaceUses()
+		router.recordFault(router.now, router.servers["b"])
+		sent := expectDispatch(router.sendLongPrompt("two"))
 		Expect(sent.Server.Name).NotTo(Equal("b"))
-		bench.firstAfter(sent, 600*time.Millisecond)
-		Expect(bench.Uses()).To(BeEmpty())
+		router.completeAfter(sent, 600*time.Millisecond)
+		Expect(router.TakePlaceUses()).To(BeEmpty())
 	})
 
-	It("given more uses than may be told, when nobody asks for them, then the rest is left out", func() {
-		bench := indexed(engines)
-		bench.learned("b")
+	It("given more uses than the limit, when nobody takes them, then the rest is dropped", func() {
+		router := routerWithIndex(withEngines)
+		router.learnPlace("b")
 		for range index.MostUses + 20 {
-			bench.firstAfter(dispatched(bench.long("one")), time.Millisecond)
+			router.completeAfter(expectDispatch(router.sendLongPrompt("one")), time.Millisecond)
 		}
-		Expect(bench.Uses()).To(HaveLen(index.MostUses))
+		Expect(router.TakePlaceUses()).To(HaveLen(index.MostUses))
 	})
 
-	It("given a correction, when it comes, then the next call goes there without an ask", func() {
-		bench := indexed(engines)
-		key := bench.learned("b")
-		bench.Handle(bench.now, Relocated{Places: []index.Place{{Key: key, Server: "e"}}})
-		Expect(dispatched(bench.long("two")).Server.Name).To(Equal("e"))
+	It("given a moved place, when the next call arrives, then it goes there without a query", func() {
+		router := routerWithIndex(withEngines)
+		key := router.learnPlace("b")
+		router.Handle(router.now, PlacesMoved{Places: []index.Place{{Key: key, Server: "e"}}})
+		Expect(expectDispatch(router.sendLongPrompt("two")).Server.Name).To(Equal("e"))
 	})
 })
 
 var _ = Describe("prompts of one root", func() {
-	It("given prompts with two shared parts, when they are asked for, then each has a place of its own, its root is told, and the first candidates are the same", func() {
+	It("given prompts with two shared parts, when they are queried, then each has its own place, its root is sent, and the first candidates are the same", func() {
 		names := []string{}
-		for place := range 3 * index.MostCandidates {
-			names = append(names, fmt.Sprintf("s%02d", place))
+		for number := range 3 * index.MostCandidates {
+			names = append(names, fmt.Sprintf("s%02d", number))
 		}
-		bench := started(engines, eastList(names...))
-		bench.Handle(bench.now, Indexed{Known: true})
+		router := startedRouter(withEngines, eastList(names...))
+		router.Handle(router.now, IndexReachability{OwnerKnown: true})
 		ask := func(branch string) index.Ask {
 			GinkgoHelper()
-			return askedFor(bench.asked("/stream/x", prompted(engine.Prompt{Model: "m", Input: 7000, Output: 9, Parts: []engine.Part{
+			return expectPlaceQuery(router.arrive("/stream/x", withPrompt(engine.Prompt{Model: "m", Input: 7000, Output: 9, Parts: []engine.Part{
 				{ID: "root", Tokens: 4000}, {ID: branch, Tokens: 2000}, {ID: "own", Tokens: 1000}}}))).Ask
 		}
 		first, second := ask("x"), ask("y")
 		Expect(first.Anchor).NotTo(Equal(second.Anchor))
 		Expect(first.Root).NotTo(BeZero())
 		Expect(first.Root).To(Equal(second.Root))
-		Expect(first.Work).To(Equal(bench.readTime("s", 7000).Milliseconds()))
-		Expect(first.RootWork).To(Equal(bench.readTime("s", 4000).Milliseconds()))
+		Expect(first.Work).To(Equal(router.readTime("s", 7000).Milliseconds()))
+		Expect(first.RootWork).To(Equal(router.readTime("s", 4000).Milliseconds()))
 		Expect(first.Candidates[:rootCandidates]).To(Equal(second.Candidates[:rootCandidates]))
 		Expect(first.Candidates).NotTo(Equal(second.Candidates))
 	})
 
-	It("given a prompt with one shared part, when it is asked for, then no root is told", func() {
-		bench := indexed(engines)
-		Expect(askedFor(bench.long("one")).Ask.Root).To(BeZero())
+	It("given a prompt with one shared part, when it is queried, then no root is sent", func() {
+		router := routerWithIndex(withEngines)
+		Expect(expectPlaceQuery(router.sendLongPrompt("one")).Ask.Root).To(BeZero())
 	})
 })
 
 var _ = Describe("the scope of a place", func() {
-	It("given a route that is bound to its home, when its calls share a prompt with others, then they have a place of their own", func() {
-		bench := indexed(func(read *manifest.Manifest) {
-			engines(read)
+	It("given a route that is bound to a region, when its calls share a prompt with others, then they have a place of their own", func() {
+		router := routerWithIndex(func(read *manifest.Manifest) {
+			withEngines(read)
 			changeRoute("resumed", func(route *manifest.GatewayRoute) { route.Regions = []string{"east"} })(read)
 		})
-		bench.Handle(bench.now, listOf("west", candidate("w1", "west-a"), candidate("w2", "west-a")))
-		free := askedFor(bench.long("one"))
+		router.Handle(router.now, listOf("west", candidate("w1", "west-a"), candidate("w2", "west-a")))
+		free := expectPlaceQuery(router.sendLongPrompt("one"))
 		Expect(free.Ask.Candidates).To(ContainElement("w1"))
-		dispatched(bench.answers(free, "w1"))
-		bound := askedFor(bench.asked("/resumed/x", prompted(contractText("two"))))
+		expectDispatch(router.answerPlace(free, "w1"))
+		bound := expectPlaceQuery(router.arrive("/resumed/x", withPrompt(longPrompt("two"))))
 		Expect(bound.Ask.Anchor).To(Equal(free.Ask.Anchor))
 		Expect(bound.Ask.Scope).NotTo(Equal(free.Ask.Scope))
 		Expect(bound.Ask.Candidates).NotTo(ContainElements("w1"))
-		Expect(dispatched(bench.answers(bound, "c")).Server.Name).To(Equal("c"))
+		Expect(expectDispatch(router.answerPlace(bound, "c")).Server.Name).To(Equal("c"))
 	})
 })
 
 var _ = Describe("a node without an index", func() {
-	It("given no owner and an owner that never answers, when the same calls come, then both go where the shared order says, like calls before there was an index", func() {
-		alone, unanswered := started(engines, eastList("a", "b", "c", "d", "e", "f")), indexed(engines)
+	It("given no owner and an owner that never answers, when the same calls arrive, then both go by the rendezvous order, as without an index", func() {
+		withoutOwner, unanswered := startedRouter(withEngines, eastList("a", "b", "c", "d", "e", "f")), routerWithIndex(withEngines)
 		for _, id := range []string{"p", "q", "r", "s", "t", "u", "v", "w"} {
 			prompt := engine.Prompt{Model: "m", Input: 13100, Output: 9, Parts: []engine.Part{{ID: id, Tokens: 13000}, {ID: "own", Tokens: 100}}}
 			want, best := "", uint64(0)
-			for _, server := range alone.services["s"] {
-				if weight := mix(server.hash ^ prompt.Anchor()); want == "" || weight > best {
+			for _, server := range withoutOwner.serversByService["s"] {
+				if weight := mixHash(server.nameHash ^ prompt.Anchor()); want == "" || weight > best {
 					want, best = server.Name, weight
 				}
 			}
-			Expect(alone.promptly("/stream/x", prompt).Server.Name).To(Equal(want))
-			command := unanswered.asked("/stream/x", prompted(prompt))
-			if ask, asks := command.(Place); asks {
-				command = unanswered.one(Placed{Token: ask.Token, Late: true})
+			Expect(withoutOwner.dispatchPrompt("/stream/x", prompt).Server.Name).To(Equal(want))
+			command := unanswered.arrive("/stream/x", withPrompt(prompt))
+			if ask, asks := command.(PlaceQuery); asks {
+				command = unanswered.handleOne(PlaceAnswer{Token: ask.Token, TimedOut: true})
 			}
-			Expect(dispatched(command).Server.Name).To(Equal(want))
+			Expect(expectDispatch(command).Server.Name).To(Equal(want))
 		}
 	})
 })
--- a/gateway/ramp.go
+++ b/gateway/ramp.go
@@ -8,56 +8,59 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// ramp bounds what this node sends to a server that is still cold. The nodes that may send there are the first ones in an order that
-// all of them compute alike, so that their parts add up to the server's rate.
-type ramp struct {
-	until  time.Duration
-	next   time.Duration
-	period time.Duration
-	member bool
-	// held is a suspicion of the server's owner: it may come back cold at any moment.
-	held bool
-	// rank is this node's place in the order.
+// warmupRamp limits what this node sends to a server that is still cold (warming up). The nodes that may send there are the first ones in an order
+// that all nodes compute alike, so that their shares add up to the server's rate.
+type warmupRamp struct {
+	// coldUntil is when the warm-up ends, nextSend when this node may send the next call before that.
+	coldUntil time.Duration
+	nextSend  time.Duration
+	// sendInterval is the least time between two calls of this node; isSender says that it may send any.
+	sendInterval time.Duration
+	isSender     bool
+	// suspected says that the owner of the server's list suspects it: it may come back cold at any moment.
+	suspected bool
+	// rank is this node's rank in the order.
 	rank int
 }
 
-// The rate that is used is a part of what is borne, less one call that each sender may have at the edge of a second, and less what
-// may come from nodes that do not know yet that the server is cold.
+// The rate that is used is a part of what the server tolerates, less one call that each sender may have at the edge of a second, and less what may
+// come from nodes that do not know yet that the server is cold.
 const (
-	rampPart  = 0.9
-	rampLeast = 0.5
-	rampMost  = 1.1
+	rampRateFraction  = 0.9
+	minRampRateFactor = 0.5
+	maxRampRateFactor = 1.1
 )
 
-// callsPerPart is the least rate, in calls a second, that a part of a cold server's rate is worth.
-const callsPerPart = 2.5
+// minRatePerSender is the least rate, in calls a second, for which one more sender is used.
+const minRatePerSender = 2.5
 
-// share gives this node's part: how many nodes send there, and whether it is one of them.
-func (ramp *ramp) share(server, self string, names []string, rate, overage, allowance float64) {
-	ordered := contract.Ordered("ramp/"+server, names)
-	ramp.member, ramp.period, ramp.rank = false, 0, slices.Index(ordered, self)
+// computeShare computes how many nodes send to the server, whether this node is one of them, and at which interval. The rate is the server's in calls
+// a second while it is cold; overage and allowance say by how much it may be exceeded (rate*overage + allowance calls in any second).
+func (ramp *warmupRamp) computeShare(server, self string, nodes []string, totalRate, overage, allowance float64) {
+	ordered := contract.Ordered("ramp/"+server, nodes)
+	ramp.isSender, ramp.sendInterval, ramp.rank = false, 0, slices.Index(ordered, self)
 	if ramp.rank < 0 {
 		ramp.rank = math.MaxInt
 	}
-	if rate <= 0 || len(names) == 0 {
+	if totalRate <= 0 || len(nodes) == 0 {
 		return
 	}
-	parts := min(len(names), max(1, int(rate/callsPerPart)))
-	rate *= max(rampLeast, min(rampMost, rampPart*(overage+(allowance-float64(parts))/rate)))
-	ramp.member = ramp.rank < parts
-	ramp.period = time.Duration(float64(time.Second) * float64(parts) / rate)
+	senders := min(len(nodes), max(1, int(totalRate/minRatePerSender)))
+	totalRate *= max(minRampRateFactor, min(maxRampRateFactor, rampRateFraction*(overage+(allowance-float64(senders))/totalRate)))
+	ramp.isSender = ramp.rank < senders
+	ramp.sendInterval = time.Duration(float64(time.Second) * float64(senders) / totalRate)
 }
 
-// cold tells whether the server may be cold now.
-func (ramp *ramp) cold(now time.Duration) bool { return ramp.held || now < ramp.until }
+// isCold reports whether the server may be cold now.
+func (ramp *warmupRamp) isCold(now time.Duration) bool { return ramp.suspected || now < ramp.coldUntil }
 
-// open tells whether a call may go to the server now; taken notes that one went.
-func (ramp *ramp) open(now time.Duration) bool {
-	return !ramp.cold(now) || ramp.member && now >= ramp.next
+// allowsCall reports whether a call may go to the server now; recordCall records that one was sent.
+func (ramp *warmupRamp) allowsCall(now time.Duration) bool {
+	return !ramp.isCold(now) || ramp.isSender && now >= ramp.nextSend
 }
 
-func (ramp *ramp) taken(now time.Duration) {
-	if ramp.cold(now) {
-		ramp.next = max(ramp.next, now) + ramp.period
+func (ramp *warmupRamp) recordCall(now time.Duration) {
+	if ramp.isCold(now) {
+		ramp.nextSend = max(ramp.nextSend, now) + ramp.sendInterval
 	}
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -8,70 +8,84 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// server is what this node knows of one server.
-type server struct {
+// serverState is what this node knows of one server.
+type serverState struct {
 	contract.Candidate
-	region   string
-	memory   *engine.Memory
-	listed   bool
-	moved    bool
-	own      int64
-	reading  int64
-	queued   int64
-	load     Load
-	since    int64
-	pace     time.Duration
-	heard    time.Duration
-	failures int
-	until    time.Duration
-	trial    bool
-	// nextTrial is when this node may try again a server that is ill for all.
-	nextTrial time.Duration
-	tallies   tallies
-	ramp      ramp
-	// place is the server's rank among those of its service in its region, which are so many.
-	place, among int
-	// sizes are what calls go to its region beside.
-	sizes    *seen
-	division int
-	cache    cacheState
-	hash     uint64
+	region string
+	// cacheEstimate models the server's prompt cache from what this node sent there; nil for a service without engines.
+	cacheEstimate *engine.Memory
+	// listed says that the server is in the current list. One that is not is removed once its calls have ended.
+	listed bool
+	// wrongServer says that another server answered at this one's address: it is not used again.
+	wrongServer bool
+	// inFlight is the number of calls that this node has at the server.
+	inFlight int64
+	// unreadTokens and unreadPrompts are the prompts of this node that the server has not finished reading.
+	unreadTokens  int64
+	unreadPrompts int64
+	// load is what the server reported last, sentSinceLoad how many calls this node has sent since.
+	load          Load
+	sentSinceLoad int64
+	// callTime is the moving average of a call's duration.
+	callTime  time.Duration
+	lastHeard time.Duration
+	failures  int
+	// backoffUntil is until when the server rests after failures; probing says that the one call that tries it then is under way.
+	backoffUntil time.Duration
+	probing      bool
+	// nextProbe is when this node may probe again a server that is ill for all nodes.
+	nextProbe time.Duration
+	outcomes  recentOutcomes
+	ramp      warmupRamp
+	// regionRank is the server's rank among the regionSize servers of its service in its region.
+	regionRank, regionSize int
+	// promptSizes records the sizes of the prompts that go to the server's region and service.
+	promptSizes *sizeHistory
+	// sharesVersion is the version of the fleet and the configuration that the ramp was computed for.
+	sharesVersion int
+	cacheCheck    cacheCheckState
+	nameHash      uint64
 }
 
 const (
-	paceWeight   = 8
-	startingPace = 60 * time.Millisecond
+	// smoothingWeight is the weight of the past in moving averages: a new value counts one part in smoothingWeight.
+	smoothingWeight = 8
+	// initialCallTime is the presumed duration of a call before one was measured.
+	initialCallTime = 60 * time.Millisecond
 )
 
-// running estimates how many calls the server has: what it told last, and what went there from here since.
-func (server *server) running() int64 {
-	return max(server.own, server.load.Running+server.load.Waiting+server.since)
+// estimateLoad estimates how many calls the server has: what it reported last, and what this node has sent since.
+func (server *serverState) estimateLoad() int64 {
+	return max(server.inFlight, server.load.Running+server.load.Waiting+server.sentSinceLoad)
 }
 
-func (server *server) told(load *Load) {
-	if load != nil {
-		server.load, server.since = *load, 0
+// updateLoad records a load that the server reported; nil changes nothing.
+func (server *serverState) updateLoad(reported *Load) {
+	if reported != nil {
+		server.load, server.sentSinceLoad = *reported, 0
 	}
 }
 
-// failed rests the server for a time that doubles, from base on, up to most.
-func (server *server) failed(now time.Duration, base, most time.Duration) {
-	rest := min(most, base<<min(server.failures, 6))
+// recordFailure lets the server rest for a time that doubles with each failure, from base up to limit.
+func (server *serverState) recordFailure(now time.Duration, base, limit time.Duration) {
+	rest := min(limit, base<<min(server.failures, 6))
 	server.failures++
-	server.until, server.trial = now+rest, false
+	server.backoffUntil, server.probing = now+rest, false
 }
 
-func (server *server) fine(now time.Duration) {
-	server.failures, server.until, server.trial = 0, 0, false
-	server.heard = now
+// recordSuccess ends the server's rest.
+func (server *serverState) recordSuccess(now time.Duration) {
+	server.failures, server.backoffUntil, server.probing = 0, 0, false
+	server.lastHeard = now
 }
 
-func (server *server) paced(span time.Duration) {
-	server.pace += (span - server.pace) / paceWeight
+// recordCallTime adds a call's duration to the moving average.
+func (server *serverState) recordCallTime(duration time.Duration) {
+	server.callTime += (duration - server.callTime) / smoothingWeight
 }
 
-// slots gives how many calls the server works on at once.
-func (server *server) slots(service manifest.Service) int64 {
+// slots returns how many calls the server works on at once.
+func (server *serverState) slots(service manifest.Service) int64 {
 	switch {
 	case server.load.Slots > 0:
 		return server.load.Slots
--- a/gateway/shown_test.go
+++ b/gateway/shown_test.go
@@ -8,94 +8,94 @@
 	. "github.com/onsi/gomega"
 )
 
-// shownBy has one call with the contract's text go to its place, and gives what its first piece showed.
-func (bench *bench) shownBy(span time.Duration, load *Load) index.Use {
+// useAfter completes a call with the long prompt at its place and returns the use that it recorded.
+func (router *testRouter) useAfter(span time.Duration, load *Load) index.Use {
 	GinkgoHelper()
-	bench.Uses()
-	dispatch := dispatched(bench.long("own"))
-	bench.now += span
-	bench.Handle(bench.now, Head{Token: dispatch.Token, Attempt: dispatch.Attempt, Load: load})
-	bench.Handle(bench.now, First{Token: dispatch.Token, Attempt: dispatch.Attempt})
-	bench.ends(dispatch, Whole)
-	uses := bench.Uses()
+	router.TakePlaceUses()
+	dispatch := expectDispatch(router.sendLongPrompt("own"))
+	router.now += span
+	router.Handle(router.now, HeadReceived{Token: dispatch.Token, Attempt: dispatch.Attempt, Load: load})
+	router.Handle(router.now, StreamStarted{Token: dispatch.Token, Attempt: dispatch.Attempt})
+	router.endDispatch(dispatch, OutcomeComplete)
+	uses := router.TakePlaceUses()
 	Expect(uses).To(HaveLen(1))
 	return uses[0]
 }
 
-func late(use index.Use) bool {
+func isLate(use index.Use) bool {
 	_, late := use.Shown.Late(time.Duration(use.Took) * time.Millisecond)
 	return late
 }
 
-var _ = Describe("what a call's first piece shows of its place", func() {
+var _ = Describe("what a call's first chunk shows about its place", func() {
 	const quick, between, slow = 100 * time.Millisecond, 250 * time.Millisecond, 600 * time.Millisecond
-	calm := &Load{Running: 1, Slots: 48}
+	lowLoad := &Load{Running: 1, Slots: 48}
 
-	// placed is a bench whose node was told a place where it never sent the prompt itself.
-	placed := func() *bench {
-		bench := indexed(engines)
-		dispatch := dispatched(bench.answers(askedFor(bench.long("one")), "b"))
-		bench.Handle(bench.now, Ended{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: Left})
-		bench.servers["b"].memory = engine.NewMemory(300000)
-		return bench
+	// routerWithPlace returns a router that was told a place to which it never sent the prompt itself.
+	routerWithPlace := func() *testRouter {
+		router := routerWithIndex(withEngines)
+		dispatch := expectDispatch(router.answerPlace(expectPlaceQuery(router.sendLongPrompt("one")), "b"))
+		router.Handle(router.now, DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: OutcomeCallerLeft})
+		router.servers["b"].cacheEstimate = engine.NewMemory(300000)
+		return router
 	}
 
-	It("given a place that only other nodes used, when the first piece comes, then it shows kept, unclear or late, and when", func() {
-		bench := placed()
-		use := bench.shownBy(quick, calm)
+	It("given a place that only other nodes used, when the first chunk arrives, then it shows kept, unclear or late, and when", func() {
+		router := routerWithPlace()
+		use := router.useAfter(quick, lowLoad)
 		Expect(use.Shown).To(Equal(index.Kept))
-		Expect(use.At).To(Equal(bench.now))
-		Expect(bench.shownBy(between, calm).Shown).To(Equal(index.Unclear))
-		Expect(late(bench.shownBy(slow, calm))).To(BeTrue())
+		Expect(use.At).To(Equal(router.now))
+		Expect(router.useAfter(between, lowLoad).Shown).To(Equal(index.Unclear))
+		Expect(isLate(router.useAfter(slow, lowLoad))).To(BeTrue())
 	})
 
-	It("given a first piece that came sooner than reading could be, when the server is busy, then it still shows that the prompt was kept", func() {
-		Expect(placed().shownBy(quick, &Load{Running: 48, Waiting: 6, Slots: 48}).Shown).To(Equal(index.Kept))
+	It("given a first chunk that came sooner than reading allows, when the server is busy, then it still shows that the prompt was cached", func() {
+		Expect(routerWithPlace().useAfter(quick, &Load{Running: 48, Waiting: 6, Slots: 48}).Shown).To(Equal(index.Kept))
 	})
 
-	It("given a server where others wait, or where this node has another call read, when the first piece is late, then it is unclear", func() {
-		Expect(placed().shownBy(slow, &Load{Running: 48, Waiting: 6, Slots: 48}).Shown).To(Equal(index.Unclear))
-		bench := placed()
-		dispatched(bench.long("beside"))
-		Expect(bench.shownBy(slow, calm).Shown).To(Equal(index.Unclear))
+	It("given a server where other calls wait, or where another call of this node is read, when the first chunk is late, then it is unclear", func() {
+		Expect(routerWithPlace().useAfter(slow, &Load{Running: 48, Waiting: 6, Slots: 48}).Shown).To(Equal(index.Unclear))
+		router := routerWithPlace()
+		expectDispatch(router.sendLongPrompt("beside"))
+		Expect(router.useAfter(slow, lowLoad).Shown).To(Equal(index.Unclear))
 	})
 
-	It("given calls that showed what is usual in a region, when one is later than that and reading, then it is late, and before it was not", func() {
-		bench, wait := placed(), 320*time.Millisecond
-		Expect(bench.shownBy(wait, calm).Shown).To(Equal(index.Unclear))
-		bench.shownBy(quick, calm)
-		use := bench.shownBy(wait, calm)
-		Expect(late(use)).To(BeTrue())
+	It("given calls that showed the usual overhead in a region, when one is later than that plus reading, then it is late, and before it was not", func() {
+		router, wait := routerWithPlace(), 320*time.Millisecond
+		Expect(router.useAfter(wait, lowLoad).Shown).To(Equal(index.Unclear))
+		router.useAfter(quick, lowLoad)
+		use := router.useAfter(wait, lowLoad)
+		Expect(isLate(use)).To(BeTrue())
 		spare, _ := use.Shown.Late(wait)
-		Expect(spare).To(And(BeNumerically(">", 0), BeNumerically("<", wait-checkTime(13000)/2)))
+		Expect(spare).To(And(BeNumerically(">", 0), BeNumerically("<", wait-presumedReadTime(13000)/2)))
 	})
 
-	It("given any result, when it is told, then no call is refused, sent twice or kept from its place for it", func() {
-		bench := placed()
+	It("given any result, when it is reported, then no call is refused, sent twice or kept from its place because of it", func() {
+		router := routerWithPlace()
 		for range 8 {
-			Expect(late(bench.shownBy(slow, calm))).To(BeTrue())
+			Expect(isLate(router.useAfter(slow, lowLoad))).To(BeTrue())
 		}
-		Expect(dispatched(bench.long("next")).Server.Name).To(Equal("b"))
-		Expect(bench.Stale("east")).To(HaveLen(1), "the older rule goes on by itself")
+		Expect(expectDispatch(router.sendLongPrompt("next")).Server.Name).To(Equal("b"))
+		Expect(router.StaleCaches("east")).To(HaveLen(1), "the check at this node is independent of it")
 	})
 })
 
-var _ = Describe("a place that left its server", func() {
-	It("given the owner's word, when the next call comes, then it asks anew once, loses nobody, and goes where it is told", func() {
-		bench := indexed(engines)
-		key := bench.learned("b")
-		Expect(bench.servers["b"].memory.Held(contractText("x"))).To(Equal(int64(13000)))
-		bench.Handle(bench.now, Relocated{Places: []index.Place{{Key: key}}})
-		ask := askedFor(bench.long("two"))
+var _ = Describe("a place that moved from its server", func() {
+	It("given the owner's message, when the next call arrives, then it queries again once, reports no lost server, and goes where it is told", func() {
+		router := routerWithIndex(withEngines)
+		key := router.learnPlace("b")
+		Expect(router.servers["b"].cacheEstimate.Held(longPrompt("x"))).To(Equal(int64(13000)))
+		router.Handle(router.now, PlacesMoved{Places: []index.Place{{Key: key}}})
+		ask := expectPlaceQuery(router.sendLongPrompt("two"))
 		Expect(ask.Ask.Lost).To(BeEmpty())
-		Expect(bench.servers["b"].memory.Held(contractText("x"))).To(BeZero(), "its cache does not match")
-		Expect(dispatched(bench.answers(ask, "e")).Server.Name).To(Equal("e"))
-		Expect(dispatched(bench.long("three")).Server.Name).To(Equal("e"))
+		Expect(router.servers["b"].cacheEstimate.Held(longPrompt("x"))).To(BeZero(), "its cache does not contain the prompt")
+		Expect(expectDispatch(router.answerPlace(ask, "e")).Server.Name).To(Equal("e"))
+		Expect(expectDispatch(router.sendLongPrompt("three")).Server.Name).To(Equal("e"))
 	})
 
-	It("given a place that is not known here, when its leaving is told, then nothing changes", func() {
-		bench := indexed(engines)
-		bench.Handle(bench.now, Relocated{Places: []index.Place{{Key: index.Key{Scope: "s", Anchor: 9}}}})
-		Expect(bench.places.known.Len()).To(BeZero())
+	It("given a place that is not known here, when its move is reported, then nothing changes", func() {
+		router := routerWithIndex(withEngines)
+		router.Handle(router.now, PlacesMoved{Places: []index.Place{{Key: index.Key{Scope: "s", Anchor: 9}}}})
+		Expect(router.places.known.Len()).To(BeZero())
 	})
 })
--- a/gateway/sizes.go
+++ b/gateway/sizes.go
@@ -7,222 +7,227 @@
 )
 
 const (
-	// besideLong is what a short call expects to lose at a server that reads long prompts, as a part of the pause that it bears; usualBeside
-	// is that while the pause is not known. It never drives a call out of its region.
-	besideLong  = 1.0 / 6
-	usualBeside = 40 * time.Millisecond
-	mostBeside  = farRegion * 15 / 16
-	// leastApart is the part of all servers, one in so many, that must stand in regions without short prompts to take most long ones.
-	leastApart = 3
-	// fewestSplit is the least number of servers of a region that are split by the length of prompts.
-	fewestSplit = 4
-	// A region is pressed once more than spareSlots of its slots are taken, or less than spareWarm of its servers are warm; it is judged
-	// when at least leastTold of them have told their load.
-	spareSlots = 0.4
-	spareWarm  = 0.75
-	leastTold  = 0.25
-	// pausePart is the part of the pause that short calls bear which the reading of one prompt beside them may take.
-	pausePart = 0.5
-	// reliefPart is the part of the contact time, one in so many, for which it is remembered whether other regions take most long prompts.
-	reliefPart = 64
-	// acquaintedPart is the part of the contact time, one in so many, in which all nodes have told what they send where: two questions for
-	// lists and their answers.
-	acquaintedPart = 4
+	// interferenceFraction is what a short call expects to lose at a server that reads long prompts, as a part of the pause that it tolerates;
+	// defaultInterference applies while that pause is unknown. It never exceeds maxInterference, so that it drives no call out of its region.
+	interferenceFraction = 1.0 / 6
+	defaultInterference  = 40 * time.Millisecond
+	maxInterference      = otherRegionCost * 15 / 16
+	// At least one in separateServersDivisor of all servers must be in regions without short prompts for these to take most long ones.
+	separateServersDivisor = 3
+	// minServersToSplit is the least number of servers of a region that are divided by the length of prompts.
+	minServersToSplit = 4
+	// A region is short of capacity once more than maxBusySlotFraction of its slots are taken, or less than minWarmFraction of its servers are warm.
+	// It counts as short while less than minReportedFraction of its servers have reported their load.
+	maxBusySlotFraction = 0.4
+	minWarmFraction     = 0.75
+	minReportedFraction = 0.25
+	// maxPauseFraction is the part of the pause tolerated by short calls that the reading of one prompt beside them may take.
+	maxPauseFraction = 0.5
+	// The answer whether other regions take most long prompts is remembered for one part in reliefMemoryDivisor of the contact time.
+	reliefMemoryDivisor = 64
+	// One part in settleDivisor of the contact time is enough for all nodes to report what they send where: two requests for lists and their answers.
+	settleDivisor = 4
 )
 
-// seen is when calls with long and with short prompts last went to a service in a region from here, the least pause that the short ones
-// bear, 0 if that is not known, and when one that bears no more last went. Shared is the least pause that short ones of any node bear there,
-// 0 if none go.
-type seen struct{ long, short, pause, strict, shared time.Duration }
+// sizeHistory records the sizes of the prompts that go to a service in a region. LastLong and lastShort are when this node last sent a call with a
+// long and with a short prompt. MinPause is the shortest pause that the short ones tolerate, 0 if unknown, and minPauseAt when a call that tolerates
+// no more was last sent. FleetMinPause is the shortest pause that the short ones of any node tolerate, 0 if none go there.
+type sizeHistory struct{ lastLong, lastShort, minPause, minPauseAt, fleetMinPause time.Duration }
 
-// recent tells whether short prompts go to the region from here.
-func (seen *seen) recent(now, window time.Duration) bool {
-	return seen.short > 0 && now-seen.short < window
+// hasRecentShort reports whether this node has sent short prompts there within the window.
+func (history *sizeHistory) hasRecentShort(now, window time.Duration) bool {
+	return history.lastShort > 0 && now-history.lastShort < window
 }
 
-// least is the least pause that short prompts bear there, 0 if that is not known.
-func (seen *seen) least() time.Duration {
-	if seen.pause == 0 || seen.shared > 0 && seen.shared < seen.pause {
-		return seen.shared
+// shortestPause returns the shortest pause that short prompts of any node tolerate there, 0 if unknown.
+func (history *sizeHistory) shortestPause() time.Duration {
+	if history.minPause == 0 || history.fleetMinPause > 0 && history.fleetMinPause < history.minPause {
+		return history.fleetMinPause
 	}
-	return seen.pause
+	return history.minPause
 }
 
-// Observed gives what this node sees of the calls that it sends to a region.
-func (traffic *Traffic) Observed(now time.Duration, region string) contract.Observed {
+// Observations returns what this node observes of the calls that it sends to a region: the services that get short prompts there, with the shortest
+// pause that these tolerate in ms, and the time that engines take to read 1,000 tokens, in microseconds.
+func (router *Router) Observations(now time.Duration, region string) contract.Observed {
 	observed := contract.Observed{Short: map[string]int64{}, Read: map[string]int64{}}
-	for scope, seen := range traffic.sizes {
-		if scope.region == region && seen.recent(now, traffic.terms.RepeatWindow) {
-			observed.Short[scope.service] = max(1, seen.pause.Milliseconds())
+	for key, history := range router.promptSizes {
+		if key.region == region && history.hasRecentShort(now, router.policy.RepeatWindow) {
+			observed.Short[key.service] = max(1, history.minPause.Milliseconds())
 		}
 	}
-	for service, pace := range traffic.paces {
-		if read, there := pace.own(); there {
-			observed.Read[service] = read.Microseconds()
+	for service, speed := range router.readSpeeds {
+		if readTime, found := speed.ownReadTime(); found {
+			observed.Read[service] = readTime.Microseconds()
 		}
 	}
 	return observed
 }
 
-// observed takes up what all nodes see.
-func (traffic *Traffic) observed(event Observed) {
-	for scope, seen := range traffic.sizes {
-		if scope.region == event.Region {
-			seen.shared = 0
+// applyObservations records what all nodes together observe.
+func (router *Router) applyObservations(event ObservationsChanged) {
+	for key, history := range router.promptSizes {
+		if key.region == event.Region {
+			history.fleetMinPause = 0
 		}
 	}
 	for service, pause := range event.Short {
-		traffic.seen(service, event.Region).shared = time.Duration(pause) * time.Millisecond
+		router.sizeHistoryOf(service, event.Region).fleetMinPause = time.Duration(pause) * time.Millisecond
 	}
-	for service, read := range event.Read {
-		traffic.pace(service).shared = time.Duration(read) * time.Microsecond
+	for service, readTime := range event.Read {
+		router.readSpeedOf(service).fleetWide = time.Duration(readTime) * time.Microsecond
 	}
-	traffic.reliefs = map[string]relief{}
+	router.longPromptReliefs = map[string]longPromptRelief{}
 }
 
-type scope struct{ service, region string }
+// serviceRegion identifies a service in a region.
+type serviceRegion struct{ service, region string }
 
-func (traffic *Traffic) seen(service, region string) *seen {
-	key := scope{service, region}
-	last, there := traffic.sizes[key]
-	if !there {
-		last = &seen{}
-		traffic.sizes[key] = last
+// sizeHistoryOf returns the history of a service in a region, which it creates if needed.
+func (router *Router) sizeHistoryOf(service, region string) *sizeHistory {
+	key := serviceRegion{service, region}
+	history, found := router.promptSizes[key]
+	if !found {
+		history = &sizeHistory{}
+		router.promptSizes[key] = history
 	}
-	return last
+	return history
 }
 
-func (traffic *Traffic) note(now time.Duration, work *job, region string, long bool) {
-	last := traffic.seen(work.service, region)
-	if long {
-		last.long = now
+// recordPromptSize records that a call with a long or a short prompt goes to a region.
+func (router *Router) recordPromptSize(now time.Duration, call *callState, region string, isLong bool) {
+	history := router.sizeHistoryOf(call.service, region)
+	if isLong {
+		history.lastLong = now
 		return
 	}
-	if pause := bears(work); pause > 0 && (last.pause == 0 || pause <= last.pause || now-last.strict >= traffic.terms.RepeatWindow) {
-		last.pause, last.strict = pause, now
+	if tolerated := toleratedPause(call); tolerated > 0 && (history.minPause == 0 || tolerated <= history.minPause || now-history.minPauseAt >= router.policy.RepeatWindow) {
+		history.minPause, history.minPauseAt = tolerated, now
 	}
-	last.short = now
+	history.lastShort = now
 }
 
-// bears gives the longest time without a piece that a call bears: its first one has an aim, the later ones a gap.
-func bears(work *job) time.Duration {
-	if work.route.Gap > 0 && (work.route.Aim == 0 || work.route.Gap < work.route.Aim) {
-		return work.route.Gap
+// toleratedPause returns the longest time without a chunk that a call tolerates: the target for the first chunk (Aim), or that for the gap between
+// later ones (Gap) if it is shorter.
+func toleratedPause(call *callState) time.Duration {
+	if call.route.Gap > 0 && (call.route.Aim == 0 || call.route.Gap < call.route.Aim) {
+		return call.route.Gap
 	}
-	return work.route.Aim
+	return call.route.Aim
 }
 
-// disturbs tells whether reading a prompt takes more of a server than the short calls that go to its region bear.
-func (traffic *Traffic) disturbs(work *job, server *server) bool {
-	pause := server.sizes.least()
-	return pause > 0 && traffic.readTime(work.service, work.Prompt.Input) > time.Duration(pausePart*float64(pause))
+// wouldDisturb reports whether reading the call's prompt would occupy the server for longer than the short calls that go to its region tolerate.
+func (router *Router) wouldDisturb(call *callState, server *serverState) bool {
+	pause := server.promptSizes.shortestPause()
+	return pause > 0 && router.readTime(call.service, call.Prompt.Input) > time.Duration(maxPauseFraction*float64(pause))
 }
 
-// lostBeside is what a short call expects to lose at a server that reads long prompts.
-func (server *server) lostBeside() time.Duration {
-	if pause := server.sizes.least(); pause > 0 {
-		return min(mostBeside, time.Duration(besideLong*float64(pause)))
+// interferenceCost returns what a short call expects to lose at a server that reads long prompts.
+func (server *serverState) interferenceCost() time.Duration {
+	if pause := server.promptSizes.shortestPause(); pause > 0 {
+		return min(maxInterference, time.Duration(interferenceFraction*float64(pause)))
 	}
-	return usualBeside
+	return defaultInterference
 }
 
-// mixed tells whether short prompts go to the servers of a server's region beside long ones.
-func (traffic *Traffic) mixed(now time.Duration, server *server) bool {
-	return server.sizes.shared > 0 || server.sizes.recent(now, traffic.terms.RepeatWindow) || traffic.unacquainted(now, server.Pool)
+// isMixed reports whether the region of the server gets short prompts besides long ones.
+func (router *Router) isMixed(now time.Duration, server *serverState) bool {
+	return server.promptSizes.fleetMinPause > 0 || server.promptSizes.hasRecentShort(now, router.policy.RepeatWindow) || router.isSettling(now, server.Pool)
 }
 
-// unacquainted tells that the first calls of a service came so lately that regions to which no short prompts go are not known yet: until
-// then they may go to all.
-func (traffic *Traffic) unacquainted(now time.Duration, service string) bool {
-	began, there := traffic.firstCalls[service]
-	return !there || now-began < traffic.terms.Contact/acquaintedPart
+// isSettling reports that the first calls of a service came so lately that it is not known yet which regions get no short prompts: until then, any
+// may.
+func (router *Router) isSettling(now time.Duration, service string) bool {
+	firstCall, found := router.firstCalls[service]
+	return !found || now-firstCall < router.policy.Contact/settleDivisor
 }
 
-// spare tells whether a region has room for long prompts beside short ones, by what its servers told this node.
-func (traffic *Traffic) spare(now time.Duration, service, region string) bool {
-	terms, listed, told, warm, running, slots := traffic.read.Gateway.Services[service], 0.0, 0.0, 0.0, 0.0, 0.0
-	for _, server := range traffic.services[service] {
+// hasSpareCapacity reports whether a region has room for long prompts besides short ones, by what its servers reported to this node.
+func (router *Router) hasSpareCapacity(now time.Duration, service, region string) bool {
+	settings, total, reported, warm, running, slots := router.manifest.Gateway.Services[service], 0.0, 0.0, 0.0, 0.0, 0.0
+	for _, server := range router.serversByService[service] {
 		if server.region != region {
 			continue
 		}
-		listed++
-		if !traffic.usable(now, server) {
+		total++
+		if !router.isUsable(now, server) {
 			continue
 		}
 		warm++
 		if server.load.Slots > 0 {
-			told++
-			running += float64(server.running())
-			slots += float64(server.slots(terms))
+			reported++
+			running += float64(server.estimateLoad())
+			slots += float64(server.slots(settings))
 		}
 	}
-	return told >= leastTold*listed && warm >= spareWarm*listed && running <= spareSlots*slots
+	return reported >= minReportedFraction*total && warm >= minWarmFraction*total && running <= maxBusySlotFraction*slots
 }
 
-// split orders the servers of each region, the same way at all nodes: the first ones are meant for long prompts; and ties them to what goes
-// to their region.
-func (traffic *Traffic) split() {
-	traffic.reliefs = map[string]relief{}
-	for service, servers := range traffic.services {
+// splitServers ranks the servers of each region in an order that is the same at all nodes (the first ones are meant for long prompts) and links each
+// server to the history of its region.
+func (router *Router) splitServers() {
+	router.longPromptReliefs = map[string]longPromptRelief{}
+	for service, servers := range router.serversByService {
 		regions := map[string][]string{}
 		for _, server := range servers {
 			regions[server.region] = append(regions[server.region], server.Name)
 		}
-		places := map[string]int{}
+		ranks := map[string]int{}
 		for _, names := range regions {
-			for place, name := range contract.Ordered("long", names) {
-				places[name] = place
+			for rank, name := range contract.Ordered("long", names) {
+				ranks[name] = rank
 			}
 		}
 		for _, server := range servers {
-			server.place, server.among = places[server.Name], len(regions[server.region])
-			server.sizes = traffic.seen(service, server.region)
+			server.regionRank, server.regionSize = ranks[server.Name], len(regions[server.region])
+			server.promptSizes = router.sizeHistoryOf(service, server.region)
 		}
 	}
 }
 
-// forLong tells whether a server is meant for long prompts where short ones go too: two thirds of a region's servers, or one third while
-// other regions that short ones don't go to take most.
-func (server *server) forLong(relieved bool) bool {
-	parts := 2
+// meantForLong reports whether a server takes long prompts in a region that also gets short ones: two thirds of a region's servers do, or one third
+// while regions without short prompts take most of the long ones.
+func (server *serverState) meantForLong(relieved bool) bool {
+	thirds := 2
 	if relieved {
-		parts = 1
+		thirds = 1
 	}
-	return server.among >= fewestSplit && server.place < (parts*server.among+2)/3
+	return server.regionSize >= minServersToSplit && server.regionRank < (thirds*server.regionSize+2)/3
 }
 
-// relief is whether the long prompts of a service are relieved, and until when that is taken for granted.
-type relief struct {
+// longPromptRelief is the remembered answer of computeRelief for a service, and until when it is used.
+type longPromptRelief struct {
 	relieved bool
 	until    time.Duration
 }
 
-// relieved tells whether regions without short prompts have enough usable servers to take most of the long ones. That holds for a moment,
-// since every short call wants to know it.
-func (traffic *Traffic) relieved(now time.Duration, service string) bool {
-	held, there := traffic.reliefs[service]
-	if !there || now >= held.until {
-		held = relief{relieved: traffic.relieves(now, service), until: now + traffic.terms.Contact/reliefPart}
-		traffic.reliefs[service] = held
+// longPromptsRelieved reports whether regions without short prompts have enough usable servers to take most of the long ones. The answer is
+// remembered for a moment, since every short call needs it.
+func (router *Router) longPromptsRelieved(now time.Duration, service string) bool {
+	relief, found := router.longPromptReliefs[service]
+	if !found || now >= relief.until {
+		relief = longPromptRelief{relieved: router.computeRelief(now, service), until: now + router.policy.Contact/reliefMemoryDivisor}
+		router.longPromptReliefs[service] = relief
 	}
-	return held.relieved
+	return relief.relieved
 }
 
-func (traffic *Traffic) relieves(now time.Duration, service string) bool {
-	free, usable := 0, 0
-	for _, server := range traffic.services[service] {
-		if !traffic.usable(now, server) {
+// computeRelief computes the answer of longPromptsRelieved.
+func (router *Router) computeRelief(now time.Duration, service string) bool {
+	separate, usable := 0, 0
+	for _, server := range router.serversByService[service] {
+		if !router.isUsable(now, server) {
 			continue
 		}
 		usable++
-		if !traffic.mixed(now, server) {
-			free++
+		if !router.isMixed(now, server) {
+			separate++
 		}
 	}
-	return free > 0 && free*leastApart >= usable
+	return separate > 0 && separate*separateServersDivisor >= usable
 }
 
-// usable tells whether calls go to a server freely.
-func (traffic *Traffic) usable(now time.Duration, server *server) bool {
-	return !server.moved && !server.ramp.cold(now) && now >= server.until && !traffic.read.Drained(server.Zone)
+// isUsable reports whether calls may go to a server without restriction.
+func (router *Router) isUsable(now time.Duration, server *serverState) bool {
+	return !server.wrongServer && !server.ramp.isCold(now) && now >= server.backoffUntil && !router.manifest.Drained(server.Zone)
 }
--- a/gateway/suite_test.go
+++ b/gateway/suite_test.go
@@ -14,7 +14,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// The package has a Fail of its own, so ginkgo's names cannot be imported all at once.
+// The package has a Fail of its own, so ginkgo cannot be imported with a dot.
 var (
 	Describe      = ginkgo.Describe
 	DescribeTable = ginkgo.DescribeTable
@@ -28,7 +28,7 @@
 	ginkgo.RunSpecs(t, "gateway")
 }
 
-func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
+func seededRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
 func settingsFor(name string) env.Env {
 	settings := env.New(env.WithName(name), env.WithZone("east-a"), env.WithRegion("east"), env.WithData("10.0.0.1:7720"))
@@ -36,21 +36,21 @@
 	return settings
 }
 
-// config has one route of each kind, all of them to one service.
-func config(change func(*manifest.Manifest)) Configured {
-	read := manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}, "west": {Shards: 1}},
+// configuration returns a manifest with one route of each kind, all of them to one service.
+func configuration(change func(*manifest.Manifest)) ConfigurationChanged {
+	current := manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}, "west": {Shards: 1}},
 		Zones:   map[string]manifest.Zone{"east-a": {Region: "east"}, "east-b": {Region: "east"}, "west-a": {Region: "west"}},
 		Gateway: manifest.Gateway{Revision: 1, Services: map[string]manifest.Service{"s": {}}}}
 	for _, route := range []manifest.GatewayRoute{{Name: "read", Kind: manifest.KindReadOnly}, {Name: "write", Kind: manifest.KindMutating},
 		{Name: "stream", Kind: manifest.KindStreaming}, {Name: "resumed", Kind: manifest.KindStreaming, Resumable: true}} {
 		route.Host, route.Prefix, route.Timeout, route.Aim, route.Attempts = "h.example", "/"+route.Name+"/", 8*time.Second, time.Second, 3
 		route.Split = []manifest.Share{{Service: "s", Weight: 1}}
-		read.Gateway.Routes = read.Gateway.Routes.With(route)
+		current.Gateway.Routes = current.Gateway.Routes.With(route)
 	}
 	if change != nil {
-		change(&read)
+		change(&current)
 	}
-	return Configured{Manifest: read}
+	return ConfigurationChanged{Manifest: current}
 }
 
 func changeRoute(name string, change func(*manifest.GatewayRoute)) func(*manifest.Manifest) {
@@ -65,12 +65,12 @@
 	return contract.Candidate{Name: name, Address: name + ":80", Zone: zone, Pool: "s", Incarnation: name, Slots: 4}
 }
 
-func listOf(region string, servers ...contract.Candidate) Listed {
-	return Listed{Region: region, Servers: servers}
+func listOf(region string, servers ...contract.Candidate) ServersListed {
+	return ServersListed{Region: region, Servers: servers}
 }
 
-func eastList(names ...string) Listed {
-	listed := Listed{Region: "east"}
+func eastList(names ...string) ServersListed {
+	listed := ServersListed{Region: "east"}
 	for _, name := range names {
 		listed.Servers = append(listed.Servers, candidate(name, "east-a"))
 	}
@@ -79,76 +79,76 @@
 
 func fleetOf(count int) []string {
 	names := []string{}
-	for place := range count {
-		names = append(names, fmt.Sprintf("node%03d-data", place))
+	for index := range count {
+		names = append(names, fmt.Sprintf("node%03d-data", index))
 	}
 	return names
 }
 
-// bench is an owner of calls with a clock of its own.
-type bench struct {
-	*Traffic
+// testRouter is a router with its own clock.
+type testRouter struct {
+	*Router
 	now   time.Duration
 	token int64
 }
 
-// started is a node that has served for a while: what goes to which region is known.
-func started(change func(*manifest.Manifest), lists ...Listed) *bench {
-	made := &bench{Traffic: NewTraffic(settingsFor("node000"), seeded(7)), now: time.Second}
-	made.Handle(made.now, config(change))
-	for region := range made.read.Regions {
-		made.Handle(made.now, Listed{Region: region})
+// startedRouter returns a router that has served for a while, so that it is known what goes to which region.
+func startedRouter(change func(*manifest.Manifest), lists ...ServersListed) *testRouter {
+	router := &testRouter{Router: NewRouter(settingsFor("node000"), seededRandom(7)), now: time.Second}
+	router.Handle(router.now, configuration(change))
+	for region := range router.manifest.Regions {
+		router.Handle(router.now, ServersListed{Region: region})
 	}
 	for _, list := range lists {
-		made.Handle(made.now, list)
+		router.Handle(router.now, list)
 	}
-	made.Handle(made.now, Fleet{Self: "node000-data", Names: []string{"node000-data"}})
-	for service := range made.read.Gateway.Services {
-		made.firstCalls[service] = made.now - made.terms.Contact
+	router.Handle(router.now, FleetChanged{Self: "node000-data", Names: []string{"node000-data"}})
+	for service := range router.manifest.Gateway.Services {
+		router.firstCalls[service] = router.now - router.policy.Contact
 	}
-	return made
+	return router
 }
 
-func (bench *bench) one(event contract.Event) contract.Command {
+func (router *testRouter) handleOne(event contract.Event) contract.Command {
 	GinkgoHelper()
-	commands := bench.Handle(bench.now, event)
+	commands := router.Handle(router.now, event)
 	Expect(commands).To(HaveLen(1))
 	return commands[0]
 }
 
-func (bench *bench) asked(path string, change func(*Arrive)) contract.Command {
+func (router *testRouter) arrive(path string, change func(*CallArrived)) contract.Command {
 	GinkgoHelper()
-	bench.token++
-	arrive := Arrive{Token: bench.token, Host: "h.example", Path: path, Left: 8 * time.Second}
+	router.token++
+	arrive := CallArrived{Token: router.token, Host: "h.example", Path: path, Timeout: 8 * time.Second}
 	if change != nil {
 		change(&arrive)
 	}
-	return bench.one(arrive)
+	return router.handleOne(arrive)
 }
 
-func (bench *bench) sent(path string) Dispatch {
+func (router *testRouter) dispatchCall(path string) Dispatch {
 	GinkgoHelper()
-	return dispatched(bench.asked(path, nil))
+	return expectDispatch(router.arrive(path, nil))
 }
 
-func dispatched(command contract.Command) Dispatch {
+func expectDispatch(command contract.Command) Dispatch {
 	GinkgoHelper()
 	Expect(command).To(BeAssignableToTypeOf(Dispatch{}))
 	return command.(Dispatch)
 }
 
-func refused(command contract.Command) Refuse {
+func expectRefusal(command contract.Command) Refuse {
 	GinkgoHelper()
 	Expect(command).To(BeAssignableToTypeOf(Refuse{}))
 	return command.(Refuse)
 }
 
-func (bench *bench) ends(dispatch Dispatch, outcome Outcome) contract.Command {
+func (router *testRouter) endDispatch(dispatch Dispatch, outcome Outcome) contract.Command {
 	GinkgoHelper()
-	return bench.one(Ended{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: outcome, Reason: "told by the test"})
+	return router.handleOne(DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: outcome, Reason: "told by the test"})
 }
 
-func (bench *bench) promptly(path string, prompt engine.Prompt) Dispatch {
+func (router *testRouter) dispatchPrompt(path string, prompt engine.Prompt) Dispatch {
 	GinkgoHelper()
-	return dispatched(bench.asked(path, func(arrive *Arrive) { arrive.Prompt = prompt }))
+	return expectDispatch(router.arrive(path, func(arrive *CallArrived) { arrive.Prompt = prompt }))
 }
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -7,55 +7,54 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// Statuses of calls that may not run, and would not later either.
+// Statuses of calls that may not run and may not later either.
 const (
 	statusNoRoute  = 404
 	statusNoTenant = 401
 	statusNoRegion = 403
 )
 
-// tenantOf gives the tenant whose key a call shows, the zero one for a public route's call without any. It is false for a call that may
-// not run: of a route that is not public, with no key or one that no tenant holds. A configuration without tenants asks for no key.
-func (traffic *Traffic) tenantOf(route manifest.GatewayRoute, key *manifest.KeyDigest) (manifest.Tenant, bool) {
-	tenants := traffic.read.Gateway.Tenants
+// tenantOf returns the tenant that holds the key of a call, the zero one for a call without a tenant. It is false for a call that may not run: its
+// route is not public, and it has no key or one that no tenant holds. A configuration without tenants requires no key.
+func (router *Router) tenantOf(route manifest.GatewayRoute, key *manifest.KeyDigest) (manifest.Tenant, bool) {
+	tenants := router.manifest.Gateway.Tenants
 	if key != nil {
-		if tenant, held := tenants.Holder(*key); held {
+		if tenant, found := tenants.Holder(*key); found {
 			return tenant, true
 		}
 	}
 	return manifest.Tenant{}, route.Public || tenants.Len() == 0
 }
 
-// boundTo gives the regions that may serve a call whose route and tenant have regions: those that both allow. It is false where there are
-// none. An empty list allows all.
-func boundTo(route, tenant []string) ([]string, bool) {
-	if len(route) == 0 || len(tenant) == 0 {
-		return slices.Concat(route, tenant), true
+// intersectRegions returns the regions that both the route and the tenant of a call allow, false if there are none. An empty list allows all regions.
+func intersectRegions(routeRegions, tenantRegions []string) ([]string, bool) {
+	if len(routeRegions) == 0 || len(tenantRegions) == 0 {
+		return slices.Concat(routeRegions, tenantRegions), true
 	}
-	both := slices.DeleteFunc(slices.Clone(route), func(region string) bool { return !slices.Contains(tenant, region) })
-	return both, len(both) > 0
+	allowed := slices.DeleteFunc(slices.Clone(routeRegions), func(region string) bool { return !slices.Contains(tenantRegions, region) })
+	return allowed, len(allowed) > 0
 }
 
-// newJob makes a call that may run, or a refusal of one that may not.
-func (traffic *Traffic) newJob(now time.Duration, event Arrive) (*job, *Refuse) {
-	route, there := traffic.routes.Find(event.Host, event.Path)
-	if !there {
+// newCall returns the state of a call that may run, or a refusal.
+func (router *Router) newCall(now time.Duration, event CallArrived) (*callState, *Refuse) {
+	route, found := router.routes.Find(event.Host, event.Path)
+	if !found {
 		return nil, &Refuse{Token: event.Token, Status: statusNoRoute, Reason: "no route"}
 	}
-	tenant, known := traffic.tenantOf(route, event.Key)
+	tenant, known := router.tenantOf(route, event.KeyDigest)
 	if !known {
 		return nil, &Refuse{Token: event.Token, Status: statusNoTenant, Reason: "no tenant holds the key"}
 	}
-	regions, allowed := boundTo(route.Regions, tenant.Regions)
+	regions, allowed := intersectRegions(route.Regions, tenant.Regions)
 	if !allowed {
 		return nil, &Refuse{Token: event.Token, Status: statusNoRegion, Reason: "no region is allowed by both route and tenant"}
 	}
 	route.Regions = regions
-	left := event.Left
-	if left <= 0 || left > route.Timeout {
-		left = route.Timeout
+	timeout := event.Timeout
+	if timeout <= 0 || timeout > route.Timeout {
+		timeout = route.Timeout
 	}
-	work := &job{Arrive: event, route: route, tenant: tenant.Name, ends: now + left, service: traffic.draw(route), avoid: map[string]bool{}}
-	work.Prompt = event.Prompt.Hashed()
-	return work, nil
+	call := &callState{CallArrived: event, route: route, tenant: tenant.Name, deadline: now + timeout, service: router.drawService(route), triedServers: map[string]bool{}}
+	call.Prompt = event.Prompt.Hashed()
+	return call, nil
 }
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -10,234 +10,260 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// Traffic is the owner of the calls that pass this node.
-type Traffic struct {
+// Router handles the calls that pass this node: it admits them, picks their servers, and decides what follows each outcome. It learns of the
+// configuration and the servers through the events that a Node emits. It is not safe for concurrent use.
+type Router struct {
 	settings env.Env
-	terms    env.Gateway
+	// policy holds the settings of the gateway: the contact time, which most other times are derived from, and the limits of retries and warm-up.
+	policy   env.Gateway
 	random   *rand.Rand
-	read     manifest.Manifest
-	// routes are those in force, or nil while this node has no configuration.
-	routes   *manifest.Routes
-	servers  map[string]*server
-	services map[string][]*server
-	lists    map[string]bool
-	jobs     map[int64]*job
-	budgets  map[string]*budget
-	fleet    Fleet
-	sizes    map[scope]*seen
-	reliefs  map[string]relief
-	// firstCalls is when the first call of a service came.
+	manifest manifest.Manifest
+	// routes are the routes in force, nil while this node has no configuration.
+	routes           *manifest.Routes
+	servers          map[string]*serverState
+	serversByService map[string][]*serverState
+	// listedRegions are the regions whose list has been received.
+	listedRegions     map[string]bool
+	calls             map[int64]*callState
+	retryBudgets      map[string]*retryBudget
+	fleet             FleetChanged
+	promptSizes       map[serviceRegion]*sizeHistory
+	longPromptReliefs map[string]longPromptRelief
+	// firstCalls is when the first call of a service arrived.
 	firstCalls map[string]time.Duration
-	paces      map[string]*pace
-	division   int
-	began      time.Duration
-	begun      bool
-	places     places
-}
-
-type job struct {
-	Arrive
-	route     manifest.GatewayRoute
-	tenant    string
-	service   string
-	ends      time.Duration
-	attempt   int
-	sent      int64
-	connects  int
-	server    *server
-	unread    int64
-	held      int64
-	known     int64
-	alone     bool
-	at        time.Duration
-	begun     bool
-	avoid     map[string]bool
-	key       index.Key
-	holder    string
-	asks      int
-	near      bool
-	askedNear bool
-}
-
-func NewTraffic(settings env.Env, random *rand.Rand) *Traffic {
-	return &Traffic{settings: settings, terms: settings.Gateway, random: random, servers: map[string]*server{}, services: map[string][]*server{},
-		lists: map[string]bool{}, jobs: map[int64]*job{}, budgets: map[string]*budget{}, sizes: map[scope]*seen{}, reliefs: map[string]relief{}, firstCalls: map[string]time.Duration{}, paces: map[string]*pace{}, division: 1, places: newPlaces()}
-}
-
-// Ready tells whether this node can serve: it has a configuration and the lists of all regions, or some of them for a while.
-func (traffic *Traffic) Ready(now time.Duration) bool {
-	if traffic.routes == nil || len(traffic.lists) == 0 {
+	readSpeeds map[string]*readSpeed
+	// sharesVersion counts changes of the fleet and the configuration, which change this node's share of what cold servers get.
+	sharesVersion int
+	startedAt     time.Duration
+	started       bool
+	places        placeIndex
+}
+
+// callState is the state of one call, from its arrival until it is answered.
+type callState struct {
+	CallArrived
+	route   manifest.GatewayRoute
+	tenant  string
+	service string
+	// deadline is when the call's time is over.
+	deadline time.Duration
+	// attempt numbers the dispatches; attemptsUsed counts those that the route's limit applies to, unsentAttempts those of which no byte was sent.
+	attempt        int
+	attemptsUsed   int64
+	unsentAttempts int
+	// server is the one that the current dispatch went to, nil between dispatches.
+	server *serverState
+	// unreadTokens is what the server still has to read of the prompt, cachedTokens what it is presumed to have cached, and sentBeforeTokens the part
+	// of the prompt that this node itself sent there before.
+	unreadTokens     int64
+	cachedTokens     int64
+	sentBeforeTokens int64
+	// soleReader says that no other prompt of this node was being read at the server when this one was sent.
+	soleReader bool
+	// sentAt is when the current dispatch was sent.
+	sentAt        time.Duration
+	answerStarted bool
+	// triedServers are the servers that the call does not go to again.
+	triedServers map[string]bool
+	// placeKey is the key of the call's prompt in the index, placeServer the server that is meant to hold it.
+	placeKey    index.Key
+	placeServer string
+	// ownerQueries counts the queries to the owner of the index. QueryingReplica says that the nearby replica is being asked, replicaQueried that it
+	// was.
+	ownerQueries    int
+	queryingReplica bool
+	replicaQueried  bool
+}
+
+// NewRouter returns a router without configuration; it refuses calls until it is Ready.
+func NewRouter(settings env.Env, random *rand.Rand) *Router {
+	return &Router{settings: settings, policy: settings.Gateway, random: random, servers: map[string]*serverState{}, serversByService: map[string][]*serverState{},
+		listedRegions: map[string]bool{}, calls: map[int64]*callState{}, retryBudgets: map[string]*retryBudget{}, promptSizes: map[serviceRegion]*sizeHistory{}, longPromptReliefs: map[string]longPromptRelief{}, firstCalls: map[string]time.Duration{}, readSpeeds: map[string]*readSpeed{}, sharesVersion: 1, places: newPlaceIndex()}
+}
+
+// Ready reports whether this node can serve: it has a configuration and the lists of all regions; after a quarter of the contact time, the list of
+// one region is enough.
+func (router *Router) Ready(now time.Duration) bool {
+	if router.routes == nil || len(router.listedRegions) == 0 {
 		return false
 	}
-	return len(traffic.lists) >= len(traffic.read.Regions) || now-traffic.began > traffic.terms.Contact/4
+	return len(router.listedRegions) >= len(router.manifest.Regions) || now-router.startedAt > router.policy.Contact/4
 }
 
-// Limits gives what bounds callers now.
-func (traffic *Traffic) Limits() manifest.Limits { return traffic.read.Gateway.Limits }
+// Limits returns the limits in force for the connections and requests of callers.
+func (router *Router) Limits() manifest.Limits { return router.manifest.Gateway.Limits }
 
-// Calls tells how many calls of this node lie on each server of a region.
-func (traffic *Traffic) Calls(region string) map[string]int64 {
+// CallsInFlight returns the number of calls that this node has at each server of a region.
+func (router *Router) CallsInFlight(region string) map[string]int64 {
 	calls := map[string]int64{}
-	for name, server := range traffic.servers {
-		if server.own > 0 && server.region == region {
-			calls[name] = server.own
+	for name, server := range router.servers {
+		if server.inFlight > 0 && server.region == region {
+			calls[name] = server.inFlight
 		}
 	}
 	return calls
 }
 
-func (traffic *Traffic) Handle(now time.Duration, event contract.Event) []contract.Command {
-	if !traffic.begun {
-		traffic.begun, traffic.began = true, now
+// Handle processes an event and returns the commands to carry out, at most one of them for a call.
+func (router *Router) Handle(now time.Duration, event contract.Event) []contract.Command {
+	if !router.started {
+		router.started, router.startedAt = true, now
 	}
 	switch event := event.(type) {
-	case Arrive:
-		return traffic.arrive(now, event)
-	case Head:
-		traffic.head(now, event)
-	case First:
-		traffic.first(now, event)
-	case Silent:
-		return traffic.silent(now, event)
-	case Ended:
-		return traffic.ended(now, event)
-	case Placed:
-		traffic.placed(now, event)
-		if work, there := traffic.jobs[event.Token]; there {
-			return traffic.admit(now, work)
+	case CallArrived:
+		return router.handleArrival(now, event)
+	case HeadReceived:
+		router.handleHead(now, event)
+	case StreamStarted:
+		router.handleStreamStart(now, event)
+	case ServerSilent:
+		return router.handleSilence(now, event)
+	case DispatchEnded:
+		return router.handleEnd(now, event)
+	case PlaceAnswer:
+		router.handlePlaceAnswer(now, event)
+		if call, found := router.calls[event.Token]; found {
+			return router.admit(now, call)
 		}
-		return one(Fail{Token: event.Token, Status: 502, Reason: "unknown call"})
-	case Relocated:
-		traffic.relocated(event)
-	case Indexed:
-		traffic.places.owned, traffic.places.near = event.Known, event.Near
-	case Configured:
-		traffic.configured(now, event)
-	case Listed:
-		traffic.listed(now, event)
-	case Observed:
-		traffic.observed(event)
-	case Fleet:
-		traffic.fleet = event
-		traffic.division++
+		return commandList(Fail{Token: event.Token, Status: 502, Reason: "unknown call"})
+	case PlacesMoved:
+		router.applyMovedPlaces(event)
+	case IndexReachability:
+		router.places.ownerKnown, router.places.replicaNear = event.OwnerKnown, event.ReplicaNear
+	case ConfigurationChanged:
+		router.applyConfiguration(now, event)
+	case ServersListed:
+		router.applyList(now, event)
+	case ObservationsChanged:
+		router.applyObservations(event)
+	case FleetChanged:
+		router.fleet = event
+		router.sharesVersion++
 	}
 	return nil
 }
 
-func (traffic *Traffic) configured(now time.Duration, event Configured) {
-	former := traffic.read
-	traffic.read, traffic.routes = event.Manifest, nil
+// applyConfiguration puts a manifest in force. The servers of a zone that is no longer drained are treated as cold.
+func (router *Router) applyConfiguration(now time.Duration, event ConfigurationChanged) {
+	previous := router.manifest
+	router.manifest, router.routes = event.Manifest, nil
 	if event.Manifest.Gateway.Routes.Len() > 0 || event.Manifest.Gateway.Revision > 0 {
-		traffic.routes = &traffic.read.Gateway.Routes
+		router.routes = &router.manifest.Gateway.Routes
 	}
-	for _, server := range traffic.servers {
-		if former.Drained(server.Zone) && !event.Manifest.Drained(server.Zone) {
-			traffic.doubt(now, server, traffic.terms.Contact)
+	for _, server := range router.servers {
+		if previous.Drained(server.Zone) && !event.Manifest.Drained(server.Zone) {
+			router.assumeCold(now, server, router.policy.Contact)
 		}
 	}
-	traffic.division++
-	for name := range traffic.budgets {
-		if _, there := event.Manifest.Gateway.Services[name]; !there {
-			delete(traffic.budgets, name)
+	router.sharesVersion++
+	for name := range router.retryBudgets {
+		if _, found := event.Manifest.Gateway.Services[name]; !found {
+			delete(router.retryBudgets, name)
 		}
 	}
-	traffic.sort()
+	router.groupServers()
 }
 
-func (traffic *Traffic) warmup(server *server) time.Duration {
-	return traffic.read.Gateway.Services[server.Pool].Warmup
+// warmupTime returns how long a server of this service is cold after its start, 0 for never.
+func (router *Router) warmupTime(server *serverState) time.Duration {
+	return router.manifest.Gateway.Services[server.Pool].Warmup
 }
 
-// doubt takes a server for cold that may have begun anew, unless the servers of its service are never cold.
-func (traffic *Traffic) doubt(now time.Duration, server *server, late time.Duration) {
-	if warmup := traffic.warmup(server); warmup > 0 {
-		traffic.cold(now, server, warmup+late)
+// assumeCold treats a server that may have restarted as cold, unless the servers of its service are never cold.
+func (router *Router) assumeCold(now time.Duration, server *serverState, delay time.Duration) {
+	if warmup := router.warmupTime(server); warmup > 0 {
+		router.extendColdness(now, server, warmup+delay)
 	}
 }
 
-func (traffic *Traffic) cold(now time.Duration, server *server, span time.Duration) {
-	if span > 0 {
-		server.ramp.until = max(server.ramp.until, now+span)
+// extendColdness treats a server as cold for at least a duration.
+func (router *Router) extendColdness(now time.Duration, server *serverState, duration time.Duration) {
+	if duration > 0 {
+		server.ramp.coldUntil = max(server.ramp.coldUntil, now+duration)
 	}
 }
 
-// closed tells whether a cold server may not be sent a call now. At last, when no other server is left, one that is only suspected may.
-// Its parts are worked out only when it is cold and the fleet or the configuration is another than the last time.
-func (traffic *Traffic) closed(now time.Duration, server *server, last bool) bool {
-	if last && now >= server.ramp.until {
+// blockedByWarmup reports whether a cold server may not be sent a call now. As a last resort, when no other server is left, one that is only
+// suspected may. The shares are computed only if the server is cold and the fleet or the configuration has changed.
+func (router *Router) blockedByWarmup(now time.Duration, server *serverState, lastResort bool) bool {
+	if lastResort && now >= server.ramp.coldUntil {
 		return false
 	}
-	traffic.suspect(now, server)
-	if server.ramp.cold(now) {
-		traffic.sharesFor(server)
+	router.applySuspicion(now, server)
+	if server.ramp.isCold(now) {
+		router.updateShares(server)
 	}
-	return !server.ramp.open(now)
+	return !server.ramp.allowsCall(now)
 }
 
-// sharesFor works out this node's part in what a server gets that not all nodes may call.
-func (traffic *Traffic) sharesFor(server *server) {
-	if server.division == traffic.division {
+// updateShares computes this node's share of what a server gets that not all nodes may call.
+func (router *Router) updateShares(server *serverState) {
+	if server.sharesVersion == router.sharesVersion {
 		return
 	}
-	server.division = traffic.division
-	server.ramp.share(server.Name, traffic.fleet.Self, traffic.fleet.Names, traffic.read.Gateway.Services[server.Pool].WarmupRate,
-		traffic.terms.WarmOverage, traffic.terms.WarmAllowance)
+	server.sharesVersion = router.sharesVersion
+	server.ramp.computeShare(server.Name, router.fleet.Self, router.fleet.Names, router.manifest.Gateway.Services[server.Pool].WarmupRate,
+		router.policy.WarmOverage, router.policy.WarmAllowance)
 }
 
-func (traffic *Traffic) listed(now time.Duration, event Listed) {
-	known := traffic.lists[event.Region]
-	traffic.lists[event.Region] = true
-	for _, server := range traffic.servers {
+// applyList replaces the servers of a region. A server that is new on a known list, or that reports a warm-up, is treated as cold.
+func (router *Router) applyList(now time.Duration, event ServersListed) {
+	listedBefore := router.listedRegions[event.Region]
+	router.listedRegions[event.Region] = true
+	for _, server := range router.servers {
 		if server.region == event.Region {
 			server.listed = false
 		}
 	}
 	for _, candidate := range event.Servers {
-		held, there := traffic.servers[candidate.Name]
-		if !there {
-			held = &server{region: event.Region, pace: startingPace, hash: contract.Weight(candidate.Name)}
-			traffic.servers[candidate.Name] = held
+		server, found := router.servers[candidate.Name]
+		if !found {
+			server = &serverState{region: event.Region, callTime: initialCallTime, nameHash: contract.Weight(candidate.Name)}
+			router.servers[candidate.Name] = server
 		}
-		held.Candidate, held.listed = candidate, true
-		traffic.generation(now, held, candidate.Cache)
-		traffic.cleared(now, held)
-		if !there && known {
-			traffic.doubt(now, held, traffic.terms.Contact/4)
+		server.Candidate, server.listed = candidate, true
+		router.updateGeneration(now, server, candidate.Cache)
+		router.endSuspicion(now, server)
+		if !found && listedBefore {
+			router.assumeCold(now, server, router.policy.Contact/4)
 		}
 		if candidate.WarmMs > 0 {
-			traffic.cold(now, held, time.Duration(candidate.WarmMs)*time.Millisecond+traffic.terms.Contact/8)
+			router.extendColdness(now, server, time.Duration(candidate.WarmMs)*time.Millisecond+router.policy.Contact/8)
 		}
 	}
-	for name, server := range traffic.servers {
-		if !server.listed && server.own == 0 {
-			delete(traffic.servers, name)
+	for name, server := range router.servers {
+		if !server.listed && server.inFlight == 0 {
+			delete(router.servers, name)
 		}
 	}
-	traffic.sort()
+	router.groupServers()
 }
 
-// sort keeps the servers of each service at hand.
-func (traffic *Traffic) sort() {
-	traffic.services = map[string][]*server{}
-	for _, name := range manifest.SortedKeys(traffic.servers) {
-		if server := traffic.servers[name]; server.listed {
-			traffic.services[server.Pool] = append(traffic.services[server.Pool], server)
+// groupServers groups the listed servers by service.
+func (router *Router) groupServers() {
+	router.serversByService = map[string][]*serverState{}
+	for _, name := range manifest.SortedKeys(router.servers) {
+		if server := router.servers[name]; server.listed {
+			router.serversByService[server.Pool] = append(router.serversByService[server.Pool], server)
 		}
 	}
-	traffic.split()
+	router.splitServers()
 }
 
-func (traffic *Traffic) budget(service string) *budget {
-	held, there := traffic.budgets[service]
-	if !there {
-		held = newBudget(traffic.terms.RepeatWindow)
-		traffic.budgets[service] = held
+// retryBudgetOf returns the retry budget of a service, which it creates if needed.
+func (router *Router) retryBudgetOf(service string) *retryBudget {
+	budget, found := router.retryBudgets[service]
+	if !found {
+		budget = newRetryBudget(router.policy.RepeatWindow)
+		router.retryBudgets[service] = budget
 	}
-	return held
+	return budget
 }
 
-func (traffic *Traffic) nodes() int { return max(1, len(traffic.fleet.Names)) }
+// nodeCount returns the number of data nodes that share the limits.
+func (router *Router) nodeCount() int { return max(1, len(router.fleet.Names)) }
 
-func (traffic *Traffic) mayRepeat(now time.Duration, service string) bool {
-	return traffic.budget(service).take(now, traffic.terms.RepeatRatio, traffic.terms.RepeatAllowance/float64(traffic.nodes()))
+// takeRetry reports whether the retry budget of a service allows one more retry, and uses it.
+func (router *Router) takeRetry(now time.Duration, service string) bool {
+	return router.retryBudgetOf(service).takeRetry(now, router.policy.RepeatRatio, router.policy.RepeatAllowance/float64(router.nodeCount()))
 }
--- a/serve/exchange.go
+++ b/serve/exchange.go
@@ -34,36 +34,36 @@
 // run sends the call to one server and gives what comes next, as the owner of the calls decides.
 func (one *exchange) run(dispatch gateway.Dispatch) contract.Command {
 	ctx, shell := one.request.Context(), one.shell
-	ended := gateway.Ended{Token: dispatch.Token, Attempt: dispatch.Attempt}
+	ended := gateway.DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt}
 	var watch *watch
 	end := func(outcome gateway.Outcome, reason string) contract.Command {
 		if command := watch.decided(); command != nil {
 			return command
 		}
-		ended.Outcome, ended.Begun, ended.Reason = outcome, one.begun, reason
-		if ctx.Err() != nil && outcome != gateway.Whole {
-			ended.Outcome = gateway.Left
+		ended.Outcome, ended.AnswerStarted, ended.Reason = outcome, one.begun, reason
+		if ctx.Err() != nil && outcome != gateway.OutcomeComplete {
+			ended.Outcome = gateway.OutcomeCallerLeft
 		}
 		return shell.decide(ended)
 	}
-	limit := time.Now().Add(dispatch.Left)
+	limit := time.Now().Add(dispatch.Timeout)
 	conn, failure := shell.dial(ctx, dispatch)
 	if failure != nil {
-		return end(gateway.Unsent, "no connection")
+		return end(gateway.OutcomeNotSent, "no connection")
 	}
 	watch = newWatch(one, conn, dispatch, limit)
 	defer watch.stop()
 	lost := func(failure error, reason string) contract.Command {
 		_ = conn.Close()
 		if !time.Now().Before(limit) {
-			return end(gateway.Late, reason)
+			return end(gateway.OutcomeDeadlineExceeded, reason)
 		}
-		return end(gateway.Broken, reason+": "+failure.Error())
+		return end(gateway.OutcomeBroken, reason+": "+failure.Error())
 	}
 	written, failure := conn.Write(one.message(dispatch))
 	if failure != nil && written == 0 {
 		_ = conn.Close()
-		return end(gateway.Unsent, "nothing could be written")
+		return end(gateway.OutcomeNotSent, "nothing could be written")
 	}
 	if failure != nil {
 		return lost(failure, "not written")
@@ -82,9 +82,9 @@
 		_, failure = io.Copy(io.Discard, io.LimitReader(response.Body, 1<<16))
 		one.keep(conn, response, failure, dispatch)
 		if head.Moved {
-			return end(gateway.Moved, "another server has the address")
+			return end(gateway.OutcomeWrongServer, "another server has the address")
 		}
-		return end(gateway.NotRun, "the server did not run it")
+		return end(gateway.OutcomeNotRun, "the server did not run it")
 	}
 	if response.StatusCode < 200 {
 		return lost(errors.New(response.Status), "not a final answer")
@@ -96,8 +96,8 @@
 	if fine && response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return lost(errors.New("no length"), "nothing tells where the answer ends")
 	}
-	shell.handle(gateway.Head{Token: dispatch.Token, Attempt: dispatch.Attempt, Load: head.Load})
-	ended.Failed = response.StatusCode >= 500
+	shell.handle(gateway.HeadReceived{Token: dispatch.Token, Attempt: dispatch.Attempt, Load: head.Load})
+	ended.ServerError = response.StatusCode >= 500
 	if fine && dispatch.Stream {
 		failure = one.relay(response, dispatch, watch)
 	} else if one.begun {
@@ -110,7 +110,7 @@
 		return lost(failure, "the answer broke off")
 	}
 	one.keep(conn, response, nil, dispatch)
-	return end(gateway.Whole, "")
+	return end(gateway.OutcomeComplete, "")
 }
 
 func (one *exchange) keep(conn *upstream.Conn, response *http.Response, failure error, dispatch gateway.Dispatch) {
@@ -212,10 +212,10 @@
 }
 
 func newWatch(one *exchange, conn *upstream.Conn, dispatch gateway.Dispatch, limit time.Time) *watch {
-	made := &watch{one: one, conn: conn, dispatch: dispatch, touched: time.Now(), patience: dispatch.Patience}
+	made := &watch{one: one, conn: conn, dispatch: dispatch, touched: time.Now(), patience: dispatch.SilenceTimeout}
 	_ = conn.SetDeadline(limit)
 	made.lock.Lock()
-	made.timer = time.AfterFunc(dispatch.Patience, made.fire)
+	made.timer = time.AfterFunc(dispatch.SilenceTimeout, made.fire)
 	made.lock.Unlock()
 	made.unhook = context.AfterFunc(one.request.Context(), made.cut)
 	return made
@@ -239,11 +239,11 @@
 		watch.timer.Reset(rest)
 		return
 	}
-	command := watch.one.shell.decide(gateway.Silent{Token: watch.dispatch.Token, Attempt: watch.dispatch.Attempt})
+	command := watch.one.shell.decide(gateway.ServerSilent{Token: watch.dispatch.Token, Attempt: watch.dispatch.Attempt})
 	if wait, fine := command.(gateway.Wait); fine {
-		if watch.patience = wait.Patience; wait.Patience > 0 {
+		if watch.patience = wait.SilenceTimeout; wait.SilenceTimeout > 0 {
 			watch.touched = time.Now()
-			watch.timer.Reset(wait.Patience)
+			watch.timer.Reset(wait.SilenceTimeout)
 		}
 		return
 	}
--- a/serve/export_test.go
+++ b/serve/export_test.go
@@ -19,7 +19,7 @@
 
 func NewTestGateway(settings env.Env, face Face) *TestGateway {
 	shell := &gatewayShell{Process: &Process{Settings: settings, Loop: link.NewLoop(deaf{}, time.Hour, nil, log.NewNopLogger())}, face: face,
-		traffic: gateway.NewTraffic(settings, source()), pool: upstream.NewPool(idlePerServer, time.Minute)}
+		traffic: gateway.NewRouter(settings, source()), pool: upstream.NewPool(idlePerServer, time.Minute)}
 	shell.limits.Store(&manifest.Limits{})
 	return &TestGateway{shell}
 }
--- a/serve/face.go
+++ b/serve/face.go
@@ -14,7 +14,7 @@
 	// Settings reads what a process is told, for one of the two programs.
 	Settings(kind string) (env.Env, error)
 	// Arrive reads what a caller tells of its call, its key too, but for token and size; Identity is the name of its try.
-	Arrive(request *http.Request) (arrive gateway.Arrive, identity string)
+	Arrive(request *http.Request) (arrive gateway.CallArrived, identity string)
 	// Send names the server that is meant, the tenant in the place of the caller's key, the time that is left, and the last piece of a
 	// stream that the caller has.
 	Send(header http.Header, dispatch gateway.Dispatch, after string)
--- a/serve/gateway.go
+++ b/serve/gateway.go
@@ -30,7 +30,7 @@
 	*Process
 	face    Face
 	lock    sync.Mutex
-	traffic *gateway.Traffic
+	traffic *gateway.Router
 	pool    *upstream.Pool
 	token   atomic.Int64
 	limits  atomic.Pointer[manifest.Limits]
@@ -46,7 +46,7 @@
 		return failure
 	}
 	random := source()
-	shell := &gatewayShell{face: face, traffic: gateway.NewTraffic(settings, source()), pool: upstream.NewPool(idlePerServer, settings.Gateway.Contact*2)}
+	shell := &gatewayShell{face: face, traffic: gateway.NewRouter(settings, source()), pool: upstream.NewPool(idlePerServer, settings.Gateway.Contact*2)}
 	shell.limits.Store(&manifest.Limits{})
 	node := gateway.NewNode(settings, boot(), shell, random)
 	shell.Process = newProcess(settings, node.Self(), node, "")
@@ -99,16 +99,16 @@
 	return commands[0]
 }
 
-func (shell *gatewayShell) Calls(region string) map[string]int64 {
+func (shell *gatewayShell) CallsInFlight(region string) map[string]int64 {
 	shell.lock.Lock()
 	defer shell.lock.Unlock()
-	return shell.traffic.Calls(region)
+	return shell.traffic.CallsInFlight(region)
 }
 
-func (shell *gatewayShell) Stale(region string) map[string]int64 {
+func (shell *gatewayShell) StaleCaches(region string) map[string]int64 {
 	shell.lock.Lock()
 	defer shell.lock.Unlock()
-	return shell.traffic.Stale(region)
+	return shell.traffic.StaleCaches(region)
 }
 
 func (shell *gatewayShell) Tallies(now time.Duration, region string) map[string]contract.Tally {
@@ -117,17 +117,17 @@
 	return shell.traffic.Tallies(now, region)
 }
 
-func (shell *gatewayShell) Observed(now time.Duration, region string) contract.Observed {
+func (shell *gatewayShell) Observations(now time.Duration, region string) contract.Observed {
 	shell.lock.Lock()
 	defer shell.lock.Unlock()
-	return shell.traffic.Observed(now, region)
+	return shell.traffic.Observations(now, region)
 }
 
 // Uses gives what was sent to places of the index since it was last asked for.
-func (shell *gatewayShell) Uses() []index.Use {
+func (shell *gatewayShell) TakePlaceUses() []index.Use {
 	shell.lock.Lock()
 	defer shell.lock.Unlock()
-	return shell.traffic.Uses()
+	return shell.traffic.TakePlaceUses()
 }
 
 func (shell *gatewayShell) act(command contract.Command) bool {
@@ -247,18 +247,18 @@
 	}
 	arrive, identity := shell.face.Arrive(request)
 	arrive.Token, arrive.Host, arrive.Path, arrive.Size = shell.token.Add(1), request.Host, request.URL.EscapedPath(), int64(len(body))
-	if arrive.Left > 0 {
-		arrive.Left = max(time.Millisecond, arrive.Left-time.Since(came))
+	if arrive.Timeout > 0 {
+		arrive.Timeout = max(time.Millisecond, arrive.Timeout-time.Since(came))
 	}
-	one := &exchange{shell: shell, writer: writer, request: request, body: body, identity: identity, after: arrive.After}
+	one := &exchange{shell: shell, writer: writer, request: request, body: body, identity: identity, after: arrive.LastEventID}
 	command := shell.decide(arrive)
 	for command != nil {
 		switch next := command.(type) {
 		case gateway.Dispatch:
 			command = one.run(next)
-		case gateway.Place:
+		case gateway.PlaceQuery:
 			command = shell.place(request.Context(), next)
-		case gateway.Pass:
+		case gateway.PassAnswer:
 			one.pass()
 			return
 		case gateway.Refuse:
@@ -298,15 +298,15 @@
 
 func (shell *gatewayShell) refuse(writer http.ResponseWriter, refuse gateway.Refuse) {
 	shell.Loop.Count("refused_"+strconv.Itoa(refuse.Status), 1)
-	if refuse.After > 0 {
-		shell.face.After(writer.Header(), refuse.After)
+	if refuse.RetryAfter > 0 {
+		shell.face.After(writer.Header(), refuse.RetryAfter)
 	}
 	writer.WriteHeader(refuse.Status)
 }
 
 func (shell *gatewayShell) dial(ctx context.Context, dispatch gateway.Dispatch) (*upstream.Conn, error) {
-	if conn := shell.pool.Take(dispatch.Server.Address, dispatch.Idle); conn != nil {
+	if conn := shell.pool.Take(dispatch.Server.Address, dispatch.MaxIdle); conn != nil {
 		return conn, nil
 	}
-	return shell.pool.Dial(ctx, dispatch.Server.Address, min(dispatch.Connect, dispatch.Left))
+	return shell.pool.Dial(ctx, dispatch.Server.Address, min(dispatch.ConnectTimeout, dispatch.Timeout))
 }
--- a/serve/place_test.go
+++ b/serve/place_test.go
@@ -67,7 +67,7 @@
 	configured := routes(3)
 	configured.Manifest.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, Stride: 5}}
 	made.shell.Learn(configured)
-	made.shell.Learn(gateway.Indexed{Known: true})
+	made.shell.Learn(gateway.IndexReachability{OwnerKnown: true})
 	return made, keeper
 }
 
@@ -130,7 +130,7 @@
 			}
 			gives(writer, ask, "server3")
 		})
-		stage.shell.Learn(gateway.Indexed{Known: true, Near: true})
+		stage.shell.Learn(gateway.IndexReachability{OwnerKnown: true, ReplicaNear: true})
 		Expect(stage.whole("/write/x")).To(Equal("server3"))
 		Expect(kinds(keeper.asked())).To(Equal([]bool{true, false}))
 		knows.Store(true)
@@ -150,7 +150,7 @@
 			writer.WriteHeader(404)
 		})
 		defer close(late)
-		stage.shell.Learn(gateway.Indexed{Known: true, Near: true})
+		stage.shell.Learn(gateway.IndexReachability{OwnerKnown: true, ReplicaNear: true})
 		stage.whole("/write/x")
 		stage.whole("/write/x")
 		Expect(kinds(keeper.asked())).To(Equal([]bool{true, false, false}))
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -36,7 +36,7 @@
 			}
 			if first {
 				first = false
-				one.shell.handle(gateway.First{Token: dispatch.Token, Attempt: dispatch.Attempt})
+				one.shell.handle(gateway.StreamStarted{Token: dispatch.Token, Attempt: dispatch.Attempt})
 			}
 			if last := lastID(waiting[:whole]); last != "" {
 				one.after = last
--- a/serve/standin_test.go
+++ b/serve/standin_test.go
@@ -94,7 +94,7 @@
 
 const aim = 5 * time.Second
 
-func routes(attempts int64) gateway.Configured {
+func routes(attempts int64) gateway.ConfigurationChanged {
 	read := manifest.Manifest{Regions: map[string]manifest.Region{"north": {Shards: 1}}, Zones: map[string]manifest.Zone{"north-1": {Region: "north"}},
 		Gateway: manifest.Gateway{Revision: 1, Services: map[string]manifest.Service{"s": {}},
 			Limits: manifest.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20}}}
@@ -104,7 +104,7 @@
 		route.Split = []manifest.Share{{Service: "s", Weight: 1}}
 		read.Gateway.Routes = read.Gateway.Routes.With(route)
 	}
-	return gateway.Configured{Manifest: read}
+	return gateway.ConfigurationChanged{Manifest: read}
 }
 
 func staged(servers int, script ...play) *stage {
@@ -123,7 +123,7 @@
 	settings := env.New(env.WithName("node"), env.WithZone("north-1"), env.WithRegion("north"))
 	settings.Gateway = env.Gateway{RepeatRatio: 0.2, RepeatWindow: 10 * time.Second, RepeatAllowance: 100, Contact: contact}
 	made := &stage{script: script, shell: serve.NewTestGateway(settings, platform.Face{})}
-	listed := gateway.Listed{Region: "north"}
+	listed := gateway.ServersListed{Region: "north"}
 	for place := range servers {
 		listener, failure := net.Listen("tcp", "127.0.0.1:0")
 		if failure != nil {
--- a/serve/tenants_test.go
+++ b/serve/tenants_test.go
@@ -24,14 +24,14 @@
 )
 
 // configured gives the configuration with some tenants, as the platform sends it.
-func configured(revision string, tenants ...string) gateway.Configured {
+func configured(revision string, tenants ...string) gateway.ConfigurationChanged {
 	GinkgoHelper()
 	whole := strings.NewReplacer("REVISION", revision, "TENANTS", strings.Join(tenants, ",")).Replace(withTenants)
 	content, failure := platform.ReplaceIn([]byte(whole), map[string]string{"north-1": "north", "south-1": "south"})
 	Expect(failure).NotTo(HaveOccurred())
 	read, failure := manifest.Read(content)
 	Expect(failure).NotTo(HaveOccurred())
-	return gateway.Configured{Manifest: read}
+	return gateway.ConfigurationChanged{Manifest: read}
 }
 
 var _ = Describe("a caller's key", func() {
@@ -39,7 +39,7 @@
 		GinkgoHelper()
 		made := staged(1, fine)
 		made.shell.Learn(configured("2", tenants...))
-		made.shell.Learn(gateway.Listed{Region: "south"})
+		made.shell.Learn(gateway.ServersListed{Region: "south"})
 		return made
 	}
 
