--- a/chain/catchup.go
+++ b/chain/catchup.go
@@ -7,50 +7,52 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// Resume is sent by a tail that doesn't know whether it has all of its head's log, as after a restart: the head passes its state again.
-type Resume struct {
+// ResendRequest is sent by a tail that does not know whether it has all of its head's log, as after a restart. The head then sends its state
+// again.
+type ResendRequest struct {
 	View int64 `json:"view"`
 }
 
-func (owner *Owner) askResume(now time.Duration) {
-	if !owner.IsTail() || owner.IsHead() || owner.settled || owner.sealed || now-owner.resumed < owner.bounds.Round()/2 {
+func (replica *Replica) requestResend(now time.Duration) {
+	if !replica.IsTail() || replica.IsHead() || replica.synchronized || replica.sealed || now-replica.lastResendRequest < replica.bounds.Round()/2 {
 		return
 	}
-	owner.resumed = now
-	if head, there := owner.view.Head(); there {
-		owner.send(head, MessageResume, Resume{View: owner.view.Number})
+	replica.lastResendRequest = now
+	if head, found := replica.view.Head(); found {
+		replica.send(head, MessageResendRequest, ResendRequest{View: replica.view.Number})
 	}
 }
 
-func (owner *Owner) resume(resume Resume) {
-	if resume.View == owner.view.Number && owner.IsHead() {
-		owner.settled = false
+func (replica *Replica) handleResendRequest(request ResendRequest) {
+	if request.View == replica.view.Number && replica.IsHead() {
+		replica.synchronized = false
 	}
 }
 
-// Fetch asks a member for committed versions from a revision on. Base is a version that the asker holds, if any: the first version comes
-// as the change of that.
-type Fetch struct {
+// CatchUpRequest asks a member for committed versions from a revision on. Base is the position of a version that Node holds, or zero; the
+// first record is relative to it.
+type CatchUpRequest struct {
 	Node contract.CoreNode `json:"node"`
 	From int64             `json:"from"`
-	Base contract.Place    `json:"base"`
+	Base contract.Position `json:"base"`
 }
 
-// History answers a Fetch.
-type History struct {
+// CatchUpResponse answers a CatchUpRequest.
+type CatchUpResponse struct {
 	Records []contract.Record `json:"records"`
-	// Past are the operations from the revision on whose versions are no longer kept.
-	Past      []contract.PastOperation `json:"past,omitempty"`
-	Committed int64                    `json:"committed"`
+	// PastOperations are the operations from the requested revision on whose versions are no longer kept.
+	PastOperations []contract.PastOperation `json:"past,omitempty"`
+	Committed      int64                    `json:"committed"`
 }
 
-func (owner *Owner) lacks() (int64, int64) {
+// missing returns the number of committed revisions in the window that this log lacks, and the first one after the cursor, or 0.
+func (replica *Replica) missing() (int64, int64) {
 	count, first := int64(0), int64(0)
-	known := max(owner.committed, owner.seen.Held.Place.Revision)
-	for revision := max(1, known-owner.bounds.History+1); revision <= known; revision++ {
-		if !owner.knows(revision) || revision > owner.committed {
+	newest := max(replica.committed, replica.membership.NewestVersion.Position.Revision)
+	for revision := max(1, newest-replica.bounds.History+1); revision <= newest; revision++ {
+		if !replica.knows(revision) || revision > replica.committed {
 			count++
-			if first == 0 && revision > owner.cursor {
+			if first == 0 && revision > replica.catchUpCursor {
 				first = revision
 			}
 		}
@@ -58,136 +60,138 @@
 	return count, first
 }
 
-// scrubHistory asks another core machine for the committed versions that are missing here.
-func (owner *Owner) scrubHistory(now time.Duration) {
-	if now < owner.scrub {
+// requestMissing asks a random member of the chain for committed versions that are missing here.
+func (replica *Replica) requestMissing(now time.Duration) {
+	if now < replica.nextCatchUp {
 		return
 	}
-	owner.scrub = now + owner.bounds.Round()/2
-	count, first := owner.lacks()
-	owner.tellCatchUp(now, count)
+	replica.nextCatchUp = now + replica.bounds.Round()/2
+	count, first := replica.missing()
+	replica.logCatchUp(now, count)
 	if first == 0 {
-		owner.cursor = 0
+		replica.catchUpCursor = 0
 	}
-	if count == 0 || first == 0 || len(owner.view.Chain) == 0 {
+	if count == 0 || first == 0 || len(replica.view.Chain) == 0 {
 		return
 	}
-	target, there := owner.view.Node(owner.view.Chain[owner.random.IntN(len(owner.view.Chain))])
-	if there && target.Identity() != owner.self.Identity() {
-		owner.send(target, MessageFetch, Fetch{Node: owner.self, From: first, Base: owner.baseFor(first)})
+	target, found := replica.view.Node(replica.view.Chain[replica.random.IntN(len(replica.view.Chain))])
+	if found && target.Identity() != replica.self.Identity() {
+		replica.send(target, MessageCatchUpRequest, CatchUpRequest{Node: replica.self, From: first, Base: replica.baseFor(first)})
 	}
 }
 
-// baseFor gives the newest committed version that is held before a revision, or else the newest of all.
-func (owner *Owner) baseFor(revision int64) contract.Place {
-	if version, there := owner.versions[owner.before(revision)]; there && version.Place.Revision <= owner.committed {
-		return version.Place
+// baseFor returns the position of the newest committed version before a revision, or else of the newest committed version.
+func (replica *Replica) baseFor(revision int64) contract.Position {
+	if version, found := replica.versions[replica.previousRevision(revision)]; found && version.Position.Revision <= replica.committed {
+		return version.Position
 	}
-	return owner.versions[owner.committed].Place
+	return replica.versions[replica.committed].Position
 }
 
-// tellCatchUp says when this member begins to lack versions and when it lacks none any more.
-func (owner *Owner) tellCatchUp(now time.Duration, lacks int64) {
+// logCatchUp logs when this member begins to lack versions and when it has them all again.
+func (replica *Replica) logCatchUp(now time.Duration, lacks int64) {
 	behind := lacks > 0
-	if behind == owner.behind {
+	if behind == replica.catchingUp {
 		return
 	}
-	owner.behind = behind
+	replica.catchingUp = behind
 	if behind {
-		owner.behindSince = now
-		owner.emit(contract.Say{What: "catching up", Detail: []any{"versions", lacks}})
+		replica.catchUpStarted = now
+		replica.emit(contract.Log{Message: "catching up", Attributes: []any{"versions", lacks}})
 		return
 	}
-	owner.emit(contract.Say{What: "caught up", Detail: []any{"ms", (now - owner.behindSince).Milliseconds()}})
+	replica.emit(contract.Log{Message: "caught up", Attributes: []any{"ms", (now - replica.catchUpStarted).Milliseconds()}})
 }
 
-func (owner *Owner) fetch(fetch Fetch) {
+func (replica *Replica) handleCatchUpRequest(request CatchUpRequest) {
 	versions := []contract.Version{}
-	for revision := fetch.From; revision <= owner.committed && len(versions) < fetchSize; revision++ {
-		if version, there := owner.versions[revision]; there {
+	for revision := request.From; revision <= replica.committed && len(versions) < catchUpBatchSize; revision++ {
+		if version, found := replica.versions[revision]; found {
 			versions = append(versions, version)
 		}
 	}
-	base, _ := owner.at(fetch.Base)
-	past := slices.DeleteFunc(owner.pastOperations(), func(one contract.PastOperation) bool { return one.Place.Revision < fetch.From })
-	owner.send(fetch.Node, MessageHistory, History{Records: contract.Records(base, versions, contract.RecordsMost), Past: past, Committed: owner.committed})
+	base, _ := replica.lookup(request.Base)
+	past := slices.DeleteFunc(replica.sortedPastOperations(), func(operation contract.PastOperation) bool { return operation.Position.Revision < request.From })
+	replica.send(request.Node, MessageCatchUpResponse, CatchUpResponse{Records: contract.EncodeRecords(base, versions, contract.MaxRecordBytes), PastOperations: past, Committed: replica.committed})
 }
 
-// history takes committed versions. What can't be put together here is asked for whole the next time.
-func (owner *Owner) history(now time.Duration, history History) {
-	versions, failure := contract.OpenRecords(history.Records, owner.at)
-	if failure != nil {
-		owner.emit(contract.Count{Name: "versions_unreadable", By: 1})
+// handleCatchUpResponse adds committed versions to the log. A record that cannot be decoded is requested again, in full.
+func (replica *Replica) handleCatchUpResponse(now time.Duration, response CatchUpResponse) {
+	versions, err := contract.DecodeRecords(response.Records, replica.lookup)
+	if err != nil {
+		replica.emit(contract.AddCounter{Name: "versions_unreadable", Delta: 1})
 	}
-	fresh := []contract.Version{}
+	added := []contract.Version{}
 	for _, version := range versions {
-		held, there := owner.versions[version.Place.Revision]
-		contradicts := there && (held.Place == version.Place || version.Place.Revision <= owner.committed)
+		existing, found := replica.versions[version.Position.Revision]
+		contradicts := found && (existing.Position == version.Position || version.Position.Revision <= replica.committed)
 		if !contradicts {
-			fresh = append(fresh, version)
+			added = append(added, version)
 		}
-		owner.cursor = version.Place.Revision
+		replica.catchUpCursor = version.Position.Revision
 	}
 	if len(versions) == 0 {
-		owner.cursor = 0
+		replica.catchUpCursor = 0
 	}
-	arrived := func(now time.Duration) {
-		for _, version := range fresh {
-			if _, there := owner.versions[version.Place.Revision]; !there || version.Place.Revision > owner.committed {
-				owner.install(version)
+	onSynced := func(now time.Duration) {
+		for _, version := range added {
+			if _, found := replica.versions[version.Position.Revision]; !found || version.Position.Revision > replica.committed {
+				replica.install(version)
 			}
-			owner.committed = max(owner.committed, version.Place.Revision)
+			replica.committed = max(replica.committed, version.Position.Revision)
 		}
-		owner.remember(history.Past)
-		owner.queuePast()
-		if count, _ := owner.lacks(); count > 0 && len(fresh) > 0 {
-			owner.scrub = now
+		replica.addPastOperations(response.PastOperations)
+		replica.queuePastOperations()
+		if count, _ := replica.missing(); count > 0 && len(added) > 0 {
+			replica.nextCatchUp = now
 		}
 	}
-	if len(fresh) > 0 || len(history.Past) > 0 {
-		owner.persist(now, job{versions: fresh, drop: owner.conflicts(fresh), after: arrived})
+	if len(added) > 0 || len(response.PastOperations) > 0 {
+		replica.persist(now, persistJob{versions: added, remove: replica.conflictingPositions(added), onSynced: onSynced})
 	}
 }
 
-// Base gives a version that is held, for whoever sends others to be read here as the changes of that.
-func (owner *Owner) Base() contract.Place { return owner.versions[owner.committed].Place }
+// DeltaBase returns the position of a version that this member holds. Another node can send it records relative to that version.
+func (replica *Replica) DeltaBase() contract.Position {
+	return replica.versions[replica.committed].Position
+}
 
-// Lacking gives the first committed revision that is missing here, or nothing.
-func (owner *Owner) Lacking() int64 {
-	cursor := owner.cursor
-	owner.cursor = 0
-	count, first := owner.lacks()
+// FirstMissing returns a committed revision that is missing here, or 0. It picks one at random, so that members do not all ask for the same.
+func (replica *Replica) FirstMissing() int64 {
+	cursor := replica.catchUpCursor
+	replica.catchUpCursor = 0
+	count, first := replica.missing()
 	if count > 0 {
-		for skip := owner.random.Int64N(count); skip > 0 && first > 0; skip-- {
-			owner.cursor = first
-			_, first = owner.lacks()
+		for skip := replica.random.Int64N(count); skip > 0 && first > 0; skip-- {
+			replica.catchUpCursor = first
+			_, first = replica.missing()
 		}
 	}
-	owner.cursor = cursor
-	if !owner.Member() {
+	replica.catchUpCursor = cursor
+	if !replica.IsMember() {
 		return 0
 	}
 	return first
 }
 
-// CommittedOf gives the committed versions of some revisions, as far as the log has them.
-func (owner *Owner) CommittedOf(revisions []int64) []contract.Version {
+// CommittedVersions returns the committed versions of the given revisions that the log still has.
+func (replica *Replica) CommittedVersions(revisions []int64) []contract.Version {
 	versions := []contract.Version{}
 	for _, revision := range revisions {
-		if version, there := owner.versions[revision]; there && revision <= owner.committed {
+		if version, found := replica.versions[revision]; found && revision <= replica.committed {
 			versions = append(versions, version)
 		}
 	}
 	return versions
 }
 
-// Refill takes committed versions that other nodes kept.
-func (owner *Owner) Refill(now time.Duration, records []contract.Record) []contract.Command {
-	owner.out = nil
-	cursor := owner.cursor
-	owner.history(now, History{Records: records})
-	owner.cursor = cursor
-	out := owner.out
-	owner.out = nil
+// Restore adds committed versions that nodes outside of the core kept.
+func (replica *Replica) Restore(now time.Duration, records []contract.Record) []contract.Command {
+	replica.commands = nil
+	cursor := replica.catchUpCursor
+	replica.handleCatchUpResponse(now, CatchUpResponse{Records: records})
+	replica.catchUpCursor = cursor
+	out := replica.commands
+	replica.commands = nil
 	return out
 }
--- a/chain/chain.go
+++ b/chain/chain.go
@@ -1,4 +1,6 @@
-// Package chain keeps the manifests on the core machines: written at the head, answered at the tail, mended by an agreed view.
+// Package chain replicates the log of manifest versions on the core machines by chain replication. The head of the chain assigns revisions
+// and each member passes versions on to its successor; a version is committed once the tail has synced it. The order and the members of the
+// chain are those of a view. When a member fails, the core decides on the next view by a ballot that needs a majority of the current core.
 package chain
 
 import (
@@ -10,343 +12,371 @@
 	"github.com/cedarreel/cedarreel/env"
 )
 
+// Kinds of messages between members of the core, with the type of their body.
 const (
-	MessagePass        = "chain-pass"
-	MessageDone        = "chain-done"
-	MessageFetch       = "chain-fetch"
-	MessageHistory     = "chain-history"
-	MessageNews        = "view-news"
-	MessagePrepare     = "view-prepare"
-	MessagePromise     = "view-promise"
-	MessageAccept      = "view-accept"
-	MessageAccepted    = "view-accepted"
-	MessageCheck       = "view-check"
-	MessageChecked     = "view-checked"
-	MessageFoundAsk    = "found-ask"
-	MessageFoundTell   = "found-tell"
-	MessageFoundAccept = "found-accept"
-	MessageFounded     = "found-accepted"
-	MessageFoundBegin  = "found-begin"
-	MessageResume      = "chain-resume"
-	MessageFoundedAsk  = "founded-ask"
-	MessageFoundedHeld = "founded-held"
-	MessageHeartbeat   = "chain-heartbeat"
-	MessageProbe       = "chain-probe"
-	MessageProbed      = "chain-probed"
-	batchSize          = 32
-	// fetchSize is how many versions answer one Fetch.
-	fetchSize = 256
+	MessageReplicate          = "chain-pass"      // Replicate, from a member to its successor
+	MessageCommitNotice       = "chain-done"      // CommitNotice, from the tail to all members
+	MessageCatchUpRequest     = "chain-fetch"     // CatchUpRequest
+	MessageCatchUpResponse    = "chain-history"   // CatchUpResponse
+	MessageNewView            = "view-news"       // contract.View, a decided view
+	MessagePrepare            = "view-prepare"    // Prepare
+	MessagePromise            = "view-promise"    // Promise
+	MessageAccept             = "view-accept"     // Accept
+	MessageAccepted           = "view-accepted"   // Accepted
+	MessageViewCheck          = "view-check"      // ViewCheck, the request
+	MessageViewCheckReply     = "view-checked"    // ViewCheck, the reply
+	MessageBootstrapPrepare   = "found-ask"       // BootstrapPrepare
+	MessageBootstrapPromise   = "found-tell"      // BootstrapPromise
+	MessageBootstrapAccept    = "found-accept"    // BootstrapProposal, to be accepted
+	MessageBootstrapAccepted  = "found-accepted"  // Accepted
+	MessageBootstrapCommit    = "found-begin"     // BootstrapProposal, which all peers accepted
+	MessageResendRequest      = "chain-resume"    // ResendRequest, from the tail to the head
+	MessageBootstrapVoteQuery = "founded-ask"     // BootstrapVoteQuery
+	MessageBootstrapVote      = "founded-held"    // BootstrapVote
+	MessageHeartbeat          = "chain-heartbeat" // Heartbeat
+	MessageProbe              = "chain-probe"     // Probe
+	MessageProbeReply         = "chain-probed"    // ProbeReply
+
+	// batchSize is the number of versions that are resent at once. A head with four times as many queued writes accepts no more.
+	batchSize = 32
+	// catchUpBatchSize is the number of versions in a CatchUpResponse.
+	catchUpBatchSize = 256
 )
 
-// Persist asks for a write to the data folder. Its parts are synced in this order: dropped versions are removed, then versions, the
-// member record, the past operations and the commit mark are written. Persisted answers it once everything is synced.
+// Persist is the command to update the data folder. Its parts are synced in this order: versions are removed, then versions, the member
+// record, the past operations and the committed position are written. Persisted reports the result.
 type Persist struct {
 	Token  int64
 	Writes []Write
 	Member *MemberRecord
-	Drop   []contract.Place
-	// Past are all operations whose versions are no longer kept, if they changed.
-	Past *[]contract.PastOperation
-	// Committed is the newest version that is known to be committed.
-	Committed *contract.Place
+	Remove []contract.Position
+	// PastOperations replaces the stored past operations, unless it is nil.
+	PastOperations *[]contract.PastOperation
+	// Committed is the position of the newest version known to be committed, or nil if that has not changed.
+	Committed *contract.Position
 }
 
-// Write is one version that is written to the data folder: as the change of another one that the folder holds, or whole.
+// Write is a version that is written to the data folder, as a delta to another version in the folder or in full.
 type Write struct {
 	Version contract.Version
-	// Base is the version whose change is written; without a place, the version is written whole.
+	// Base is the version that the delta is relative to. The zero version asks for a full record.
 	Base contract.Version
 }
 
-// Record gives what is written.
-func (write Write) Record() contract.Record { return write.Version.RecordFrom(write.Base) }
+// Record returns the record that is written.
+func (write Write) Record() contract.Record { return write.Version.RecordRelativeTo(write.Base) }
 
-// Persisted ends a Persist; Failure tells why nothing of it may be relied on.
+// Persisted is the event that a Persist has ended. Error is empty if everything was synced; otherwise nothing of it may be relied on.
 type Persisted struct {
-	Token   int64
-	Failure string
+	Token int64
+	Error string
 }
 
-// Recovered is what a core member found in its data folder when it started.
+// Recovered is the content of the data folder when the process started.
 type Recovered struct {
 	Versions []contract.Version
-	// Stored tells how each version lies in the folder.
-	Stored []Stored
-	// Member is the member's durable state; it has no ID when the folder is empty or its record was damaged.
+	// Stored describes how each version is stored in the folder.
+	Stored []StoredVersion
+	// Member is the durable state of the member. It has no ID if the folder is empty or the record was damaged.
 	Member MemberRecord
-	// Past are the committed operations whose versions are no longer kept.
-	Past []contract.PastOperation
-	// Damaged names the files that were put aside, each with the reason.
+	// PastOperations are the committed operations whose versions are no longer kept.
+	PastOperations []contract.PastOperation
+	// Damaged names the files that were set aside because they could not be read, each with the reason.
 	Damaged []string
-	// Committed is the newest version that this folder knows to be committed.
-	Committed contract.Place
+	// Committed is the position of the newest version that the folder records as committed.
+	Committed contract.Position
 }
 
-// Stored is one version in the data folder. Base is the version that it is written as a change of, and has no revision where it is whole.
-type Stored struct {
-	Place contract.Place
-	Base  contract.Place
-	Size  int
+// StoredVersion describes a version in the data folder. Base is the position that its delta is relative to, or zero for a full record. Size
+// is in bytes.
+type StoredVersion struct {
+	Position contract.Position
+	Base     contract.Position
+	Size     int
 }
 
-// Newest gives the newest version known to be committed, if the folder still has it.
-func (recovered Recovered) Newest() (contract.Version, bool) {
+// NewestCommitted returns the newest version known to be committed, if the folder still has it.
+func (recovered Recovered) NewestCommitted() (contract.Version, bool) {
 	for _, version := range recovered.Versions {
-		if version.Place == recovered.Committed && version.Place.Revision > 0 {
+		if version.Position == recovered.Committed && version.Position.Revision > 0 {
 			return version, true
 		}
 	}
 	return contract.Version{}, false
 }
 
-// Committed tells that every member of a chain has synced a version.
+// Committed is the command that tells the node that a version is committed: every member of a chain has synced it.
 type Committed struct{ Version contract.Version }
 
-// Seen is the fleet as the neighbours tell it, taken with each tick.
-type Seen struct {
-	Members []contract.Member
-	Held    contract.Version
-	View    contract.View
+// Membership is the event of a tick, with the state of the fleet as this node knows it by the membership protocol and the feed.
+// NewestVersion and View are the newest that any node is known to hold.
+type Membership struct {
+	Members       []contract.Member
+	NewestVersion contract.Version
+	View          contract.View
 }
 
-type Owner struct {
+// Replica is the state machine of a member of the core. It takes messages, Membership and Persisted as events.
+type Replica struct {
 	bounds   env.Bounds
 	coreSize int
 	self     contract.CoreNode
-	start    string
-	random   *rand.Rand
-	view     contract.View
+	// startID identifies this start of the process in ballots and nonces.
+	startID string
+	random  *rand.Rand
+	view    contract.View
 	log
-	// verified is how far this log is known to be that of the head of this view.
-	verified int64
+	// matched is the revision up to which this log is known to equal the log of this view's head.
+	matched int64
+	// salvaged are the versions found in a data folder without a member record. They serve only to bootstrap a view.
 	salvaged map[int64]contract.Version
-	// folder is what the data folder holds.
-	folder folder
+	// stored tracks what the data folder holds.
+	stored storedVersions
 
+	// promised is the highest ballot that this member promised or accepted for the next view, accepted the proposal that it voted for. sealed
+	// is set from the first promise until the next view is installed: a sealed member neither replicates nor confirms reads.
 	promised Ballot
 	accepted *Proposal
 	sealed   bool
-	settled  bool
-	campaign *campaign
-
-	foundPromised Ballot
-	foundAccepted *Foundation
-	// foundSynced is the ballot of the first view that this member's folder agrees to; foundHeld are those that said the same since foundAsked.
-	foundSynced Ballot
-	foundHeld   map[string]bool
-	foundAsked  time.Duration
-
-	// contacts are the direct links to the other members; ticked and beaten are the last tick and the last heartbeat.
-	contacts    map[string]contact
-	ticked      time.Duration
-	beaten      time.Duration
-	probes      probes
-	founding    *founding
-	unfoundable time.Duration
-
-	fit          bool
-	jobs         []job
-	writing      *job
+	// synchronized tells that the tail has all that its head had when the view began.
+	synchronized bool
+	campaign     *campaign
+
+	// The same for the ballot that bootstraps a view. bootstrapSynced is the ballot whose proposal this member's folder holds. bootstrapVotes
+	// are the members that reported the same accepted proposal since bootstrapVotesQueried.
+	bootstrapPromised     Ballot
+	bootstrapAccepted     *BootstrapProposal
+	bootstrapSynced       Ballot
+	bootstrapVotes        map[string]bool
+	bootstrapVotesQueried time.Duration
+
+	// peers is the state of the direct links to the other members, by identity.
+	peers         map[string]peerState
+	lastTick      time.Duration
+	lastHeartbeat time.Duration
+	probes        probes
+	bootstrapping *bootstrapAttempt
+	coreLostSince time.Duration // -1 while the core is not lost
+
+	diskHealthy  bool
+	writeQueue   []persistJob
+	writing      *persistJob
 	writingSince time.Duration
-	token        int64
-
-	needed  time.Duration
-	retry   time.Duration
-	resend  time.Duration
-	resumed time.Duration
-	scrub   time.Duration
-	// behind tells that versions are missing here, since behindSince.
-	behind      bool
-	behindSince time.Duration
-	cursor      int64
-	doubts      map[string]time.Duration
-	declared    map[string]bool
-	stuck       time.Duration
-	checks      map[int64]*check
-	seen        Seen
-	started     time.Duration
-	begun       bool
-	presented   bool
-	out         []contract.Command
-	loop        []contract.Message
-	bootstrap   bool
-	// mayBootstrap is what the folder remembers of the first start.
-	mayBootstrap bool
-	founders     []string
-	marked       contract.Place
+	token        int64 // of the last Persist
+
+	viewChangeNeededSince time.Duration // -1 while no change is needed
+	retryAt               time.Duration // no campaign or bootstrap attempt starts before
+	lastResend            time.Duration
+	lastResendRequest     time.Duration
+	nextCatchUp           time.Duration
+	// catchingUp tells that versions have been missing since catchUpStarted. catchUpCursor is the revision that was requested last.
+	catchingUp     bool
+	catchUpStarted time.Duration
+	catchUpCursor  int64
+	// excludedUntil are members that the next views leave out of the chain until a time. declaredGone are those that an operator declared
+	// permanently lost.
+	excludedUntil map[string]time.Duration
+	declaredGone  map[string]bool
+	stalledSince  time.Duration // time since which versions wait to be committed, or -1
+	confirmations map[int64]*pendingConfirmation
+	membership    Membership
+	startedAt     time.Duration
+	initialized   bool
+	announced     bool
+	commands      []contract.Command // output of the current event
+	selfMessages  []contract.Message // messages to this member, handled at the end of the event
+	mayBootstrap  bool
+	// recordedMayBootstrap is mayBootstrap as recorded in the folder by the first start.
+	recordedMayBootstrap bool
+	founders             []string
+	markedCommit         contract.Position // the committed position last written to the folder
 }
 
-// New makes the owner of a member. Its identity is that of its data folder, or self's where the folder has none. start names this start
-// of the process and differs from that of any other start.
-func New(self contract.CoreNode, start string, coreSize int, bounds env.Bounds, recovered Recovered, random *rand.Rand) *Owner {
-	owner := &Owner{bounds: bounds, coreSize: coreSize, self: self, start: start, random: random, fit: true, bootstrap: true,
-		log: newLog(bounds.History, bounds.HistoryBytes), folder: newFolder(recovered.Stored), salvaged: map[int64]contract.Version{}, doubts: map[string]time.Duration{},
-		declared: map[string]bool{}, checks: map[int64]*check{}, foundHeld: map[string]bool{}, contacts: map[string]contact{}, needed: -1, unfoundable: -1, stuck: -1}
-	owner.recover(recovered)
-	return owner
+// New returns the state machine of a member. The member keeps the identity recorded in its data folder; self supplies one for a new folder.
+// start must differ for each start of a process, since ballots are unique only then. coreSize is the intended number of members.
+func New(self contract.CoreNode, start string, coreSize int, bounds env.Bounds, recovered Recovered, random *rand.Rand) *Replica {
+	replica := &Replica{bounds: bounds, coreSize: coreSize, self: self, startID: start, random: random, diskHealthy: true, mayBootstrap: true,
+		log: newLog(bounds.History, bounds.HistoryBytes), stored: newStoredVersions(recovered.Stored), salvaged: map[int64]contract.Version{}, excludedUntil: map[string]time.Duration{},
+		declaredGone: map[string]bool{}, confirmations: map[int64]*pendingConfirmation{}, bootstrapVotes: map[string]bool{}, peers: map[string]peerState{}, viewChangeNeededSince: -1, coreLostSince: -1, stalledSince: -1}
+	replica.restoreState(recovered)
+	return replica
 }
 
-// Founders names the addresses of the core machines that found a blank fleet; others join the view that these agreed on, until it
-// has the size that was asked for.
-func (owner *Owner) Founders(addresses []string) { owner.founders = addresses }
+// SetFounders sets the addresses of the core machines that bootstrap a blank fleet. Other machines join the view that these agree on, until
+// the core has its intended size.
+func (replica *Replica) SetFounders(addresses []string) { replica.founders = addresses }
 
-// Bootstraps tells whether this start may bootstrap a blank fleet. A member that was allowed to at its first start stays allowed until
-// it has a view; one that replaces another, or has lost its disk, only joins.
-func (owner *Owner) Bootstraps(may bool) {
-	owner.bootstrap = may || owner.mayBootstrap
+// AllowBootstrap sets whether this start may bootstrap a blank fleet. A member that was allowed to at its first start stays allowed until it
+// has a view. A member that replaces another one or has lost its disk must not be allowed to: it only joins.
+func (replica *Replica) AllowBootstrap(may bool) {
+	replica.mayBootstrap = may || replica.recordedMayBootstrap
 }
 
-// Self gives this member with the identity of its data folder.
-func (owner *Owner) Self() contract.CoreNode { return owner.self }
+// Self returns this member with the identity of its data folder.
+func (replica *Replica) Self() contract.CoreNode { return replica.self }
 
-func (owner *Owner) View() contract.View { return owner.view }
-func (owner *Owner) Fit() bool           { return owner.fit }
-func (owner *Owner) Committed() int64    { return owner.committed }
-func (owner *Owner) Sealed() bool        { return owner.sealed }
+// View returns the installed view. Its number is 0 before the first one.
+func (replica *Replica) View() contract.View { return replica.view }
 
-func (owner *Owner) Member() bool {
-	_, there := owner.view.Node(owner.self.Identity())
-	return there
+// DiskHealthy reports whether writes to the data folder succeed in time.
+func (replica *Replica) DiskHealthy() bool { return replica.diskHealthy }
+
+// Committed returns the newest revision that this member knows to be committed.
+func (replica *Replica) Committed() int64 { return replica.committed }
+
+// Sealed reports whether this member has promised to take part in the decision on the next view and so has left the current one.
+func (replica *Replica) Sealed() bool { return replica.sealed }
+
+// IsMember reports whether this member belongs to the core of its view.
+func (replica *Replica) IsMember() bool {
+	_, found := replica.view.Node(replica.self.Identity())
+	return found
 }
 
-func (owner *Owner) rank() int { return owner.view.Rank(owner.self.Identity()) }
+func (replica *Replica) chainIndex() int { return replica.view.ChainIndex(replica.self.Identity()) }
 
-func (owner *Owner) IsHead() bool { return owner.rank() == 0 }
+// IsHead reports whether this member is the head of its view's chain.
+func (replica *Replica) IsHead() bool { return replica.chainIndex() == 0 }
 
-func (owner *Owner) IsTail() bool {
-	return len(owner.view.Chain) > 0 && owner.rank() == len(owner.view.Chain)-1
+// IsTail reports whether this member is the tail of its view's chain.
+func (replica *Replica) IsTail() bool {
+	return len(replica.view.Chain) > 0 && replica.chainIndex() == len(replica.view.Chain)-1
 }
 
-func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
-	if !owner.begun {
-		owner.begun, owner.started = true, now
+// Handle processes an event and returns the commands to carry out. See contract.StateMachine.
+func (replica *Replica) Handle(now time.Duration, event contract.Event) []contract.Command {
+	if !replica.initialized {
+		replica.initialized, replica.startedAt = true, now
 	}
-	owner.out = nil
+	replica.commands = nil
 	switch event := event.(type) {
-	case Seen:
-		if !owner.presented {
-			owner.present(now)
+	case Membership:
+		if !replica.announced {
+			replica.announceRecovered(now)
 		}
-		owner.tick(now, event)
+		replica.tick(now, event)
 	case Persisted:
-		owner.persisted(now, event)
+		replica.handlePersisted(now, event)
 	case contract.Message:
-		owner.message(now, event)
+		replica.handleMessage(now, event)
 	}
-	for len(owner.loop) > 0 {
-		message := owner.loop[0]
-		owner.loop = owner.loop[1:]
-		owner.message(now, message)
+	for len(replica.selfMessages) > 0 {
+		message := replica.selfMessages[0]
+		replica.selfMessages = replica.selfMessages[1:]
+		replica.handleMessage(now, message)
 	}
-	out := owner.out
-	owner.out = nil
+	out := replica.commands
+	replica.commands = nil
 	return out
 }
 
-func (owner *Owner) emit(commands ...contract.Command) { owner.out = append(owner.out, commands...) }
+func (replica *Replica) emit(commands ...contract.Command) {
+	replica.commands = append(replica.commands, commands...)
+}
 
-func (owner *Owner) send(node contract.CoreNode, kind string, body any) {
-	if node.Identity() != owner.self.Identity() {
-		owner.emit(contract.Send{To: node.Address, Kind: kind, Body: body})
+// send sends a message to a member. A message to this member itself is handled at the end of the current event.
+func (replica *Replica) send(node contract.CoreNode, kind string, body any) {
+	if node.Identity() != replica.self.Identity() {
+		replica.emit(contract.Send{To: node.Address, Kind: kind, Body: body})
 		return
 	}
-	content, failure := json.Marshal(body)
-	if failure != nil {
-		panic(failure)
+	content, err := json.Marshal(body)
+	if err != nil {
+		panic(err)
 	}
-	owner.loop = append(owner.loop, contract.Message{Kind: kind, From: owner.self.Name, Body: content})
+	replica.selfMessages = append(replica.selfMessages, contract.Message{Kind: kind, From: replica.self.Name, Body: content})
 }
 
-// sendOthers sends to all nodes but this one.
-func (owner *Owner) sendOthers(nodes []contract.CoreNode, kind string, body any) {
+// sendOthers sends a message to all nodes but this one.
+func (replica *Replica) sendOthers(nodes []contract.CoreNode, kind string, body any) {
 	for _, node := range nodes {
-		if node.Identity() != owner.self.Identity() {
-			owner.send(node, kind, body)
+		if node.Identity() != replica.self.Identity() {
+			replica.send(node, kind, body)
 		}
 	}
 }
 
-func (owner *Owner) message(now time.Duration, message contract.Message) {
+func (replica *Replica) handleMessage(now time.Duration, message contract.Message) {
 	switch message.Kind {
-	case MessagePass:
-		read(owner, message, func(pass Pass) { owner.pass(now, pass) })
-	case MessageDone:
-		read(owner, message, func(done Done) { owner.done(now, done) })
-	case MessageFetch:
-		read(owner, message, func(fetch Fetch) { owner.fetch(fetch) })
-	case MessageHistory:
-		read(owner, message, func(history History) { owner.history(now, history) })
-	case MessageNews:
-		read(owner, message, func(view contract.View) { owner.adopt(now, view) })
+	case MessageReplicate:
+		decodeMessage(replica, message, func(replicate Replicate) { replica.handleReplicate(now, replicate) })
+	case MessageCommitNotice:
+		decodeMessage(replica, message, func(notice CommitNotice) { replica.handleCommitNotice(now, notice) })
+	case MessageCatchUpRequest:
+		decodeMessage(replica, message, func(request CatchUpRequest) { replica.handleCatchUpRequest(request) })
+	case MessageCatchUpResponse:
+		decodeMessage(replica, message, func(response CatchUpResponse) { replica.handleCatchUpResponse(now, response) })
+	case MessageNewView:
+		decodeMessage(replica, message, func(view contract.View) { replica.installView(now, view) })
 	case MessagePrepare:
-		read(owner, message, func(prepare Prepare) { owner.prepare(now, prepare) })
+		decodeMessage(replica, message, func(prepare Prepare) { replica.handlePrepare(now, prepare) })
 	case MessagePromise:
-		read(owner, message, func(promise Promise) { owner.promise(now, promise) })
+		decodeMessage(replica, message, func(promise Promise) { replica.handlePromise(now, promise) })
 	case MessageAccept:
-		read(owner, message, func(accept Accept) { owner.accept(now, accept) })
+		decodeMessage(replica, message, func(accept Accept) { replica.handleAccept(now, accept) })
 	case MessageAccepted:
-		read(owner, message, func(accepted Accepted) { owner.acceptedBy(now, accepted) })
-	case MessageCheck:
-		read(owner, message, func(ask Check) { owner.check(ask) })
-	case MessageChecked:
-		read(owner, message, func(answer Check) { owner.checked(answer) })
-	case MessageFoundAsk:
-		read(owner, message, func(ask FoundAsk) { owner.foundAsk(ask) })
-	case MessageFoundTell:
-		read(owner, message, func(tell FoundTell) { owner.foundTell(now, tell) })
-	case MessageFoundAccept:
-		read(owner, message, func(foundation Foundation) { owner.foundAccept(now, foundation) })
-	case MessageFoundBegin:
-		read(owner, message, func(foundation Foundation) { owner.begin(now, foundation) })
-	case MessageFounded:
-		read(owner, message, func(accepted Accepted) { owner.founded(now, accepted) })
-	case MessageFoundedAsk:
-		read(owner, message, func(ask FoundedAsk) { owner.foundedAsk(ask) })
-	case MessageFoundedHeld:
-		read(owner, message, func(held FoundedHeld) { owner.foundedHeld(now, held) })
+		decodeMessage(replica, message, func(accepted Accepted) { replica.handleAccepted(now, accepted) })
+	case MessageViewCheck:
+		decodeMessage(replica, message, func(request ViewCheck) { replica.handleViewCheck(request) })
+	case MessageViewCheckReply:
+		decodeMessage(replica, message, func(reply ViewCheck) { replica.handleViewCheckReply(reply) })
+	case MessageBootstrapPrepare:
+		decodeMessage(replica, message, func(request BootstrapPrepare) { replica.handleBootstrapPrepare(request) })
+	case MessageBootstrapPromise:
+		decodeMessage(replica, message, func(promise BootstrapPromise) { replica.handleBootstrapPromise(now, promise) })
+	case MessageBootstrapAccept:
+		decodeMessage(replica, message, func(proposal BootstrapProposal) { replica.handleBootstrapAccept(now, proposal) })
+	case MessageBootstrapCommit:
+		decodeMessage(replica, message, func(proposal BootstrapProposal) { replica.installBootstrap(now, proposal) })
+	case MessageBootstrapAccepted:
+		decodeMessage(replica, message, func(accepted Accepted) { replica.handleBootstrapAccepted(now, accepted) })
+	case MessageBootstrapVoteQuery:
+		decodeMessage(replica, message, func(request BootstrapVoteQuery) { replica.handleBootstrapVoteQuery(request) })
+	case MessageBootstrapVote:
+		decodeMessage(replica, message, func(vote BootstrapVote) { replica.handleBootstrapVote(now, vote) })
 	case MessageHeartbeat:
-		read(owner, message, func(beat Heartbeat) { owner.heartbeat(now, beat) })
+		decodeMessage(replica, message, func(heartbeat Heartbeat) { replica.handleHeartbeat(now, heartbeat) })
 	case MessageProbe:
-		read(owner, message, func(ask Probe) {
-			owner.send(ask.Node, MessageProbed, Probed{Nonce: ask.Nonce, Start: ask.Start, By: owner.self})
+		decodeMessage(replica, message, func(request Probe) {
+			replica.send(request.Node, MessageProbeReply, ProbeReply{Nonce: request.Nonce, StartID: request.StartID, Responder: replica.self})
 		})
-	case MessageProbed:
-		read(owner, message, owner.probed)
-	case MessageResume:
-		read(owner, message, func(resume Resume) { owner.resume(resume) })
+	case MessageProbeReply:
+		decodeMessage(replica, message, replica.handleProbeReply)
+	case MessageResendRequest:
+		decodeMessage(replica, message, func(request ResendRequest) { replica.handleResendRequest(request) })
 	}
 }
 
-func read[Body any](owner *Owner, message contract.Message, then func(Body)) {
+func decodeMessage[Body any](replica *Replica, message contract.Message, handle func(Body)) {
 	var body Body
 	if json.Unmarshal(message.Body, &body) != nil {
-		owner.emit(contract.Count{Name: "messages_broken", By: 1})
+		replica.emit(contract.AddCounter{Name: "messages_broken", Delta: 1})
 		return
 	}
-	then(body)
+	handle(body)
 }
 
-func (owner *Owner) tick(now time.Duration, seen Seen) {
-	owner.seen = seen
-	if seen.View.Number > owner.view.Number {
-		owner.adopt(now, seen.View)
+func (replica *Replica) tick(now time.Duration, membership Membership) {
+	replica.membership = membership
+	if membership.View.Number > replica.view.Number {
+		replica.installView(now, membership.View)
 	}
-	owner.tickHeartbeat(now)
-	owner.watchDisk(now)
-	owner.startWrite(now)
-	for name, until := range owner.doubts {
+	replica.tickHeartbeat(now)
+	replica.watchDisk(now)
+	replica.startWrite(now)
+	for name, until := range replica.excludedUntil {
 		if now > until {
-			delete(owner.doubts, name)
+			delete(replica.excludedUntil, name)
 		}
 	}
-	owner.retransmit(now)
-	owner.askResume(now)
-	owner.scrubHistory(now)
-	owner.expireChecks(now)
-	if owner.lostCore() {
-		owner.tickFounding(now)
+	replica.retransmit(now)
+	replica.requestResend(now)
+	replica.requestMissing(now)
+	replica.expireConfirmations(now)
+	if replica.coreLost() {
+		replica.tickBootstrap(now)
 		return
 	}
-	owner.unfoundable, owner.founding = -1, nil
-	owner.tickAgree(now)
+	replica.coreLostSince, replica.bootstrapping = -1, nil
+	replica.tickViewChange(now)
 }
--- a/chain/folder.go
+++ b/chain/folder.go
@@ -7,79 +7,79 @@
 )
 
 const (
-	// changesMost is how many changes in a row lie in the data folder before a version is written whole again.
-	changesMost = 256
-	// changesLeast is how many bytes of changes in a row are always written before a version is written whole again; else they may be as
-	// large as the version.
-	changesLeast = 64 << 10
+	// maxDeltaChain is the maximum number of successive deltas in the data folder. After these a full record is written.
+	maxDeltaChain = 256
+	// minDeltaChainBytes is the total size that successive deltas may have in any case, in bytes. Beyond it they may be as large as the version
+	// before a full record is written.
+	minDeltaChainBytes = 64 << 10
 )
 
-// folder knows how the versions lie in the data folder: whole, or as the change of an earlier one, which then has to stay as long as they
-// do. What it knows is what was synced.
-type folder struct {
-	files map[contract.Place]file
-	// released are the files that nobody wants but others are changes of.
-	released map[contract.Place]bool
+// storedVersions tracks how versions are stored in the data folder: as full records, or as deltas to an earlier version, which has to stay as
+// long as its deltas. It reflects what was synced.
+type storedVersions struct {
+	files map[contract.Position]storedFile
+	// released are the versions that are no longer wanted but that deltas may depend on.
+	released map[contract.Position]bool
 }
 
-// file is one version in the data folder.
-type file struct {
-	// base is the version that it is a change of, without a revision where it is whole.
-	base contract.Place
+// storedFile is one version in the data folder.
+type storedFile struct {
+	// base is the position that the delta is relative to, or zero for a full record.
+	base contract.Position
 	size int
 }
 
-func newFolder(stored []Stored) folder {
-	made := folder{files: map[contract.Place]file{}, released: map[contract.Place]bool{}}
-	for _, one := range stored {
-		made.files[one.Place] = file{base: one.Base, size: one.Size}
+func newStoredVersions(stored []StoredVersion) storedVersions {
+	result := storedVersions{files: map[contract.Position]storedFile{}, released: map[contract.Position]bool{}}
+	for _, version := range stored {
+		result.files[version.Position] = storedFile{base: version.Base, size: version.Size}
 	}
-	return made
+	return result
 }
 
-// plan says how versions are written and which files are removed, so that all that stays can be put together again.
-func (folder folder) plan(versions []contract.Version, drop []contract.Place) ([]Write, []contract.Place) {
-	next := folder.copy()
-	for _, place := range drop {
-		next.released[place] = true
+// plan returns how versions are written and which files can be removed, given unwanted versions, so that all that stays can be decoded.
+func (stored storedVersions) plan(versions []contract.Version, unwanted []contract.Position) ([]Write, []contract.Position) {
+	next := stored.copy()
+	for _, position := range unwanted {
+		next.released[position] = true
 	}
 	for _, version := range versions {
-		delete(next.released, version.Place)
+		delete(next.released, version.Position)
 	}
 	writes := []Write{}
 	for _, version := range versions {
 		write := Write{Version: version}
-		if next.fitsChange(version) {
-			write.Base = contract.Version{Place: version.Base}
+		if next.canWriteDelta(version) {
+			write.Base = contract.Version{Position: version.Base}
 		}
-		next.files[version.Place] = file{base: write.Base.Place, size: sizeOf(write)}
+		next.files[version.Position] = storedFile{base: write.Base.Position, size: writeSize(write)}
 		writes = append(writes, write)
 	}
-	return writes, next.unneeded()
+	return writes, next.removable()
 }
 
-func (folder folder) copy() folder {
-	copied := newFolder(nil)
-	for place, one := range folder.files {
-		copied.files[place] = one
+func (stored storedVersions) copy() storedVersions {
+	copied := newStoredVersions(nil)
+	for position, file := range stored.files {
+		copied.files[position] = file
 	}
-	for place := range folder.released {
-		copied.released[place] = true
+	for position := range stored.released {
+		copied.released[position] = true
 	}
 	return copied
 }
 
-func sizeOf(write Write) int {
-	if write.Base.Place.Revision > 0 {
+func writeSize(write Write) int {
+	if write.Base.Position.Revision > 0 {
 		return write.Version.Change.Size()
 	}
 	return write.Version.Document().Size()
 }
 
-// fitsChange tells whether a version is written as the change of its base.
-func (folder folder) fitsChange(version contract.Version) bool {
-	_, there := folder.files[version.Base]
-	if !there || folder.released[version.Base] || version.Base.Revision >= version.Place.Revision {
+// canWriteDelta reports whether a version is written as a delta to its base.
+func (stored storedVersions) canWriteDelta(version contract.Version) bool {
+	_, found := stored.files[version.Base]
+	if !found || stored.released[version.Base] || version.Base.Revision >= version.Position.Revision {
 		return false
 	}
 	size := version.Change.Size()
@@ -87,45 +87,45 @@
 		return false
 	}
 	count := 1
-	for place := version.Base; folder.files[place].base.Revision > 0; place = folder.files[place].base {
-		size += folder.files[place].size
+	for position := version.Base; stored.files[position].base.Revision > 0; position = stored.files[position].base {
+		size += stored.files[position].size
 		count++
 	}
-	return count < changesMost && size <= max(changesLeast, version.Document().Size())
+	return count < maxDeltaChain && size <= max(minDeltaChainBytes, version.Document().Size())
 }
 
-// unneeded gives the released files that no other one is a change of, those included that the folder never had.
-func (folder folder) unneeded() []contract.Place {
-	needed := map[contract.Place]bool{}
-	for place := range folder.files {
-		if folder.released[place] {
+// removable returns the released versions that no delta depends on, including those that the folder never had.
+func (stored storedVersions) removable() []contract.Position {
+	needed := map[contract.Position]bool{}
+	for position := range stored.files {
+		if stored.released[position] {
 			continue
 		}
-		for base := folder.files[place].base; base.Revision > 0 && !needed[base]; base = folder.files[base].base {
+		for base := stored.files[position].base; base.Revision > 0 && !needed[base]; base = stored.files[base].base {
 			needed[base] = true
 		}
 	}
-	removed := []contract.Place{}
-	for place := range folder.released {
-		if !needed[place] {
-			removed = append(removed, place)
+	removed := []contract.Position{}
+	for position := range stored.released {
+		if !needed[position] {
+			removed = append(removed, position)
 		}
 	}
-	slices.SortFunc(removed, contract.Place.Compare)
+	slices.SortFunc(removed, contract.Position.Compare)
 	return removed
 }
 
-// done takes up that a write was synced.
-func (folder folder) done(writes []Write, drop, removed []contract.Place) {
-	for _, place := range drop {
-		folder.released[place] = true
+// apply records that the writes and removals of a plan were synced.
+func (stored storedVersions) apply(writes []Write, unwanted, removed []contract.Position) {
+	for _, position := range unwanted {
+		stored.released[position] = true
 	}
 	for _, write := range writes {
-		folder.files[write.Version.Place] = file{base: write.Base.Place, size: sizeOf(write)}
-		delete(folder.released, write.Version.Place)
+		stored.files[write.Version.Position] = storedFile{base: write.Base.Position, size: writeSize(write)}
+		delete(stored.released, write.Version.Position)
 	}
-	for _, place := range removed {
-		delete(folder.files, place)
-		delete(folder.released, place)
+	for _, position := range removed {
+		delete(stored.files, position)
+		delete(stored.released, position)
 	}
 }
--- a/chain/found.go
+++ b/chain/found.go
@@ -8,42 +8,50 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-type FoundAsk struct {
+// BootstrapPrepare opens a ballot to bootstrap a view, either the first one or the one after the core was lost. In place of a majority, all
+// peers must agree.
+type BootstrapPrepare struct {
 	Ballot Ballot            `json:"ballot"`
 	Node   contract.CoreNode `json:"node"`
 }
 
-type FoundTell struct {
-	Ballot   Ballot            `json:"ballot"`
-	Node     contract.CoreNode `json:"node"`
-	Fine     bool              `json:"fine"`
-	Refused  Ballot            `json:"refused"`
-	View     int64             `json:"view"`
-	Blank    bool              `json:"blank"`
-	Best     *contract.Version `json:"best,omitempty"`
-	Accepted *Foundation       `json:"accepted,omitempty"`
+// BootstrapPromise answers a BootstrapPrepare. View is the number of the responder's view and Blank tells that it knows of no data in the
+// fleet. Newest is the newest version that it knows, and Accepted the bootstrap proposal that it has accepted before. RejectedBy is the
+// ballot that it has promised if it does not grant this one.
+type BootstrapPromise struct {
+	Ballot     Ballot             `json:"ballot"`
+	Node       contract.CoreNode  `json:"node"`
+	Granted    bool               `json:"fine"`
+	RejectedBy Ballot             `json:"refused"`
+	View       int64              `json:"view"`
+	Blank      bool               `json:"blank"`
+	Newest     *contract.Version  `json:"best,omitempty"`
+	Accepted   *BootstrapProposal `json:"accepted,omitempty"`
 }
 
-// Foundation is a first view, or the first after the core forgot: it starts from the highest image that any node held.
-type Foundation struct {
-	Ballot Ballot            `json:"ballot"`
-	Node   contract.CoreNode `json:"node"`
-	View   contract.View     `json:"view"`
-	Image  *contract.Version `json:"image,omitempty"`
+// BootstrapProposal proposes a first view, or a new view after the core was lost. Its log starts at Snapshot, the newest version that any peer
+// knows.
+type BootstrapProposal struct {
+	Ballot   Ballot            `json:"ballot"`
+	Node     contract.CoreNode `json:"node"`
+	View     contract.View     `json:"view"`
+	Snapshot *contract.Version `json:"image,omitempty"`
 }
 
-type founding struct {
-	ballot     Ballot
-	started    time.Duration
-	peers      []contract.CoreNode
-	tells      map[string]FoundTell
-	foundation *Foundation
-	votes      map[string]bool
+// bootstrapAttempt is an attempt of this member to bootstrap a view. proposal is nil until all peers have promised.
+type bootstrapAttempt struct {
+	ballot   Ballot
+	started  time.Duration
+	peers    []contract.CoreNode
+	promises map[string]BootstrapPromise
+	proposal *BootstrapProposal
+	votes    map[string]bool
 }
 
-func (owner *Owner) coreSeen() []contract.CoreNode {
+// visibleCore returns the live members that have a data folder, whether or not the view has them.
+func (replica *Replica) visibleCore() []contract.CoreNode {
 	nodes := []contract.CoreNode{}
-	for _, member := range owner.seen.Members {
+	for _, member := range replica.membership.Members {
 		if member.Core {
 			nodes = append(nodes, member.CoreNode())
 		}
@@ -51,25 +59,25 @@
 	return nodes
 }
 
-// lostCore holds when there is no core whose majority could decide: before the first view, or when so many members can never return
-// that those left are no majority. A member never returns once an operator has declared it gone, or its own machine came back with
-// another disk. That a member is merely silent proves nothing.
-func (owner *Owner) lostCore() bool {
-	if owner.view.Number == 0 {
+// coreLost reports whether there is no core whose majority could decide: before the first view, or when so many members can never return
+// that the others are no majority. A member can never return once an operator has declared it gone or its machine has come back with
+// another data folder. Silence alone does not prove that a member is lost.
+func (replica *Replica) coreLost() bool {
+	if replica.view.Number == 0 {
 		return true
 	}
 	gone := 0
-	for _, node := range owner.view.Core {
-		if _, replaced := owner.successor(node); !owner.aliveCore(node) && (replaced || owner.declared[node.Identity()]) {
+	for _, node := range replica.view.Core {
+		if _, replaced := replica.replacement(node); !replica.isAlive(node) && (replaced || replica.declaredGone[node.Identity()]) {
 			gone++
 		}
 	}
-	return len(owner.view.Core)-gone < owner.view.Majority()
+	return len(replica.view.Core)-gone < replica.view.Majority()
 }
 
-// successor gives the member that a machine is now, where it came back with another disk.
-func (owner *Owner) successor(node contract.CoreNode) (contract.CoreNode, bool) {
-	for _, other := range owner.coreSeen() {
+// replacement returns the new member on the machine of a member, if the machine came back with another data folder.
+func (replica *Replica) replacement(node contract.CoreNode) (contract.CoreNode, bool) {
+	for _, other := range replica.visibleCore() {
 		if other.Name == node.Name && other.ID != node.ID {
 			return other, true
 		}
@@ -77,37 +85,39 @@
 	return contract.CoreNode{}, false
 }
 
-// Declare takes an operator's word that a machine's former member never returns; a live one is not believed dead.
-func (owner *Owner) Declare(name string) bool {
-	for _, node := range owner.view.Core {
-		if node.Name == name && !owner.aliveCore(node) {
-			owner.declared[node.Identity()] = true
+// DeclareGone records an operator's statement that the member of the given name never returns. It reports false if the view has no such
+// member or if it is alive.
+func (replica *Replica) DeclareGone(name string) bool {
+	for _, node := range replica.view.Core {
+		if node.Name == name && !replica.isAlive(node) {
+			replica.declaredGone[node.Identity()] = true
 			return true
 		}
 	}
 	return false
 }
 
-// foundPeers are those who all have to agree to a first view, or to one after the core was lost: then every machine of the old core
-// must be there, as the member that it was or as its successor, or be declared gone. Others take the places of those.
-func (owner *Owner) foundPeers() []contract.CoreNode {
-	if owner.view.Number == 0 {
-		return owner.founderNodes()
+// bootstrapPeers returns the members that all have to agree to a bootstrap, by name. After the core was lost, each machine of the old core
+// must be present, as its member or with a replacement, or be declared gone; otherwise there are no peers. Spares fill the places of those
+// declared gone.
+func (replica *Replica) bootstrapPeers() []contract.CoreNode {
+	if replica.view.Number == 0 {
+		return replica.founderNodes()
 	}
 	peers := []contract.CoreNode{}
-	for _, node := range owner.view.Core {
-		successor, replaced := owner.successor(node)
+	for _, node := range replica.view.Core {
+		successor, replaced := replica.replacement(node)
 		switch {
-		case owner.aliveCore(node):
+		case replica.isAlive(node):
 			peers = append(peers, node)
 		case replaced:
 			peers = append(peers, successor)
-		case !owner.declared[node.Identity()]:
+		case !replica.declaredGone[node.Identity()]:
 			return nil
 		}
 	}
-	for _, node := range owner.strangers() {
-		if len(owner.declared) > 0 && len(peers) < owner.coreSize && !slices.Contains(peers, node) {
+	for _, node := range replica.spares() {
+		if len(replica.declaredGone) > 0 && len(peers) < replica.coreSize && !slices.Contains(peers, node) {
 			peers = append(peers, node)
 		}
 	}
@@ -115,11 +125,11 @@
 	return peers
 }
 
-// founderNodes are the members that bootstrap a blank fleet: those at the addresses that were told, or all that are seen.
-func (owner *Owner) founderNodes() []contract.CoreNode {
-	nodes := owner.coreSeen()
-	if len(owner.founders) > 0 {
-		nodes = slices.DeleteFunc(nodes, func(node contract.CoreNode) bool { return !slices.Contains(owner.founders, node.Address) })
+// founderNodes returns the members that bootstrap a blank fleet: those at the addresses of the founders, or all visible ones if none are set.
+func (replica *Replica) founderNodes() []contract.CoreNode {
+	nodes := replica.visibleCore()
+	if len(replica.founders) > 0 {
+		nodes = slices.DeleteFunc(nodes, func(node contract.CoreNode) bool { return !slices.Contains(replica.founders, node.Address) })
 	}
 	sortByName(nodes)
 	return nodes
@@ -129,137 +139,142 @@
 	slices.SortFunc(nodes, func(left, right contract.CoreNode) int { return strings.Compare(left.Name, right.Name) })
 }
 
-func (owner *Owner) blankFleet() bool {
-	if !owner.bootstrap || owner.view.Number > 0 || owner.seen.Held.Place.Revision > 0 || len(owner.salvaged) > 0 {
+// isBlankFleet reports whether this member may bootstrap a first view and no node is known to hold a view or a version.
+func (replica *Replica) isBlankFleet() bool {
+	if !replica.mayBootstrap || replica.view.Number > 0 || replica.membership.NewestVersion.Position.Revision > 0 || len(replica.salvaged) > 0 {
 		return false
 	}
-	for _, member := range owner.seen.Members {
-		if member.View > 0 || member.Place.Revision > 0 {
+	for _, member := range replica.membership.Members {
+		if member.View > 0 || member.Position.Revision > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// founderCount is how many members bootstrap a blank fleet.
-func (owner *Owner) founderCount() int {
-	if len(owner.founders) > 0 {
-		return len(owner.founders)
+// founderCount returns the number of members that bootstrap a blank fleet.
+func (replica *Replica) founderCount() int {
+	if len(replica.founders) > 0 {
+		return len(replica.founders)
 	}
-	return owner.coreSize
+	return replica.coreSize
 }
 
-func (owner *Owner) tickFounding(now time.Duration) {
-	if owner.unfoundable < 0 {
-		owner.unfoundable = now
-	}
-	if owner.founding != nil {
-		if now-owner.founding.started > owner.bounds.Round()*2 {
-			owner.founding = nil
-			owner.retry = now + time.Duration(owner.random.Int64N(int64(owner.bounds.Round())))
+// tickBootstrap starts a bootstrap attempt if this member is the first of the peers, and gives up one that takes too long.
+func (replica *Replica) tickBootstrap(now time.Duration) {
+	if replica.coreLostSince < 0 {
+		replica.coreLostSince = now
+	}
+	if replica.bootstrapping != nil {
+		if now-replica.bootstrapping.started > replica.bounds.Round()*2 {
+			replica.bootstrapping = nil
+			replica.retryAt = now + time.Duration(replica.random.Int64N(int64(replica.bounds.Round())))
 		}
 		return
 	}
-	owner.askFounded(now)
-	peers := owner.foundPeers()
-	if owner.view.Number == 0 && (len(peers) != owner.founderCount() || !owner.blankFleet()) {
+	replica.queryBootstrapVotes(now)
+	peers := replica.bootstrapPeers()
+	if replica.view.Number == 0 && (len(peers) != replica.founderCount() || !replica.isBlankFleet()) {
 		return
 	}
-	waited := now - owner.unfoundable
-	if len(peers) < 2 || waited < owner.bounds.Round() || now-owner.started < owner.bounds.Lease() || now < owner.retry || peers[0].Identity() != owner.self.Identity() {
+	waited := now - replica.coreLostSince
+	if len(peers) < 2 || waited < replica.bounds.Round() || now-replica.startedAt < replica.bounds.Lease() || now < replica.retryAt || peers[0].Identity() != replica.self.Identity() {
 		return
 	}
-	owner.foundPromised.Round++
-	ballot := Ballot{Number: owner.view.Number + 1, Round: owner.foundPromised.Round, Proposer: owner.proposer()}
-	owner.founding = &founding{ballot: ballot, started: now, peers: peers, tells: map[string]FoundTell{}, votes: map[string]bool{}}
+	replica.bootstrapPromised.Round++
+	ballot := Ballot{Number: replica.view.Number + 1, Round: replica.bootstrapPromised.Round, Proposer: replica.proposer()}
+	replica.bootstrapping = &bootstrapAttempt{ballot: ballot, started: now, peers: peers, promises: map[string]BootstrapPromise{}, votes: map[string]bool{}}
 	for _, node := range peers {
-		owner.send(node, MessageFoundAsk, FoundAsk{Ballot: ballot, Node: owner.self})
+		replica.send(node, MessageBootstrapPrepare, BootstrapPrepare{Ballot: ballot, Node: replica.self})
 	}
-	owner.emit(contract.Count{Name: "foundings_tried", By: 1})
+	replica.emit(contract.AddCounter{Name: "foundings_tried", Delta: 1})
 }
 
-func (owner *Owner) best() *contract.Version {
-	var best *contract.Version
+// newestKnown returns the newest version that this member holds or was told of, or nil.
+func (replica *Replica) newestKnown() *contract.Version {
+	var newest *contract.Version
 	take := func(version contract.Version) {
-		if version.Place.Revision > 0 && (best == nil || best.Place.Before(version.Place)) {
-			best = &version
+		if version.Position.Revision > 0 && (newest == nil || newest.Position.Before(version.Position)) {
+			newest = &version
 		}
 	}
-	take(owner.seen.Held)
-	for _, version := range owner.salvaged {
+	take(replica.membership.NewestVersion)
+	for _, version := range replica.salvaged {
 		take(version)
 	}
-	for _, version := range owner.versions {
+	for _, version := range replica.versions {
 		take(version)
 	}
-	return best
+	return newest
 }
 
-func (owner *Owner) foundAsk(ask FoundAsk) {
-	tell := FoundTell{Ballot: ask.Ballot, Node: owner.self, View: owner.view.Number, Blank: owner.blankFleet(), Best: owner.best(), Accepted: owner.foundAccepted}
-	if !owner.lostCore() || ask.Ballot.Number != owner.view.Number+1 || ask.Ballot.Before(owner.foundPromised) {
-		tell.Refused = owner.foundPromised
+func (replica *Replica) handleBootstrapPrepare(request BootstrapPrepare) {
+	promise := BootstrapPromise{Ballot: request.Ballot, Node: replica.self, View: replica.view.Number, Blank: replica.isBlankFleet(), Newest: replica.newestKnown(), Accepted: replica.bootstrapAccepted}
+	if !replica.coreLost() || request.Ballot.Number != replica.view.Number+1 || request.Ballot.Before(replica.bootstrapPromised) {
+		promise.RejectedBy = replica.bootstrapPromised
 	} else {
-		owner.foundPromised, owner.sealed, tell.Fine = ask.Ballot, owner.view.Number > 0, owner.fit
+		replica.bootstrapPromised, replica.sealed, promise.Granted = request.Ballot, replica.view.Number > 0, replica.diskHealthy
 	}
-	owner.send(ask.Node, MessageFoundTell, tell)
+	replica.send(request.Node, MessageBootstrapPromise, promise)
 }
 
-func (owner *Owner) foundTell(now time.Duration, tell FoundTell) {
-	founding := owner.founding
-	if founding == nil || founding.ballot != tell.Ballot || founding.foundation != nil {
+// handleBootstrapPromise collects promises. Once all peers have promised, it proposes a view with the newest snapshot, or the view that a peer
+// has already accepted for the same core.
+func (replica *Replica) handleBootstrapPromise(now time.Duration, promise BootstrapPromise) {
+	attempt := replica.bootstrapping
+	if attempt == nil || attempt.ballot != promise.Ballot || attempt.proposal != nil {
 		return
 	}
-	if !tell.Fine {
-		owner.foundPromised.Round = max(owner.foundPromised.Round, tell.Refused.Round)
+	if !promise.Granted {
+		replica.bootstrapPromised.Round = max(replica.bootstrapPromised.Round, promise.RejectedBy.Round)
 		return
 	}
-	if !slices.Contains(founding.peers, tell.Node) {
+	if !slices.Contains(attempt.peers, promise.Node) {
 		return
 	}
-	founding.tells[tell.Node.Identity()] = tell
-	if len(founding.tells) < len(founding.peers) {
+	attempt.promises[promise.Node.Identity()] = promise
+	if len(attempt.promises) < len(attempt.peers) {
 		return
 	}
-	foundation := Foundation{Ballot: founding.ballot, Node: owner.self, View: contract.View{Number: founding.ballot.Number}}
-	if owner.view.Number > 0 {
-		foundation.View.Number += foundingGap
+	proposal := BootstrapProposal{Ballot: attempt.ballot, Node: replica.self, View: contract.View{Number: attempt.ballot.Number}}
+	if replica.view.Number > 0 {
+		proposal.View.Number += rebuiltViewGap
 	}
-	for _, node := range founding.peers {
-		other := founding.tells[node.Identity()]
-		if owner.view.Number == 0 && !other.Blank {
+	for _, node := range attempt.peers {
+		other := attempt.promises[node.Identity()]
+		if replica.view.Number == 0 && !other.Blank {
 			return
 		}
-		if other.Best != nil && (foundation.Image == nil || foundation.Image.Place.Before(other.Best.Place)) {
-			foundation.Image = other.Best
+		if other.Newest != nil && (proposal.Snapshot == nil || proposal.Snapshot.Position.Before(other.Newest.Position)) {
+			proposal.Snapshot = other.Newest
 		}
-		foundation.View.Core = append(foundation.View.Core, node)
-		foundation.View.Chain = append(foundation.View.Chain, node.Identity())
-	}
-	foundation.View.Holders = foundation.View.Chain
-	for _, node := range owner.view.Core {
-		present := len(foundation.View.Core) >= owner.coreSize
-		for _, peer := range founding.peers {
-			present = present || peer.Name == node.Name
+		proposal.View.Core = append(proposal.View.Core, node)
+		proposal.View.Chain = append(proposal.View.Chain, node.Identity())
+	}
+	proposal.View.Holders = proposal.View.Chain
+	for _, node := range replica.view.Core {
+		alive := len(proposal.View.Core) >= replica.coreSize
+		for _, peer := range attempt.peers {
+			alive = alive || peer.Name == node.Name
 		}
-		if !present {
-			foundation.View.Core = append(foundation.View.Core, node)
+		if !alive {
+			proposal.View.Core = append(proposal.View.Core, node)
 		}
 	}
-	for _, node := range founding.peers {
-		accepted := founding.tells[node.Identity()].Accepted
-		if accepted != nil && accepted.Ballot.Number == founding.ballot.Number && sameCore(accepted.View, foundation.View) {
-			foundation.View, foundation.Image = accepted.View, accepted.Image
+	for _, node := range attempt.peers {
+		accepted := attempt.promises[node.Identity()].Accepted
+		if accepted != nil && accepted.Ballot.Number == attempt.ballot.Number && sameCore(accepted.View, proposal.View) {
+			proposal.View, proposal.Snapshot = accepted.View, accepted.Snapshot
 		}
 	}
-	founding.foundation = &foundation
-	for _, node := range founding.peers {
-		owner.send(node, MessageFoundAccept, foundation)
+	attempt.proposal = &proposal
+	for _, node := range attempt.peers {
+		replica.send(node, MessageBootstrapAccept, proposal)
 	}
 }
 
-// foundingGap keeps the numbers of a core that was founded anew apart from views that the lost core may still have decided.
-const foundingGap = 1 << 10
+// rebuiltViewGap is added to the number of a view that replaces a lost core, so that it exceeds those that the lost core may have decided.
+const rebuiltViewGap = 1 << 10
 
 func sameCore(left, right contract.View) bool {
 	if len(left.Core) != len(right.Core) {
@@ -273,70 +288,72 @@
 	return true
 }
 
-func (owner *Owner) foundAccept(now time.Duration, foundation Foundation) {
-	if !owner.lostCore() || foundation.Ballot.Number != owner.view.Number+1 || foundation.Ballot.Before(owner.foundPromised) {
+// handleBootstrapAccept accepts a proposal and tells the proposer once the proposal and its snapshot are synced.
+func (replica *Replica) handleBootstrapAccept(now time.Duration, proposal BootstrapProposal) {
+	if !replica.coreLost() || proposal.Ballot.Number != replica.view.Number+1 || proposal.Ballot.Before(replica.bootstrapPromised) {
 		return
 	}
-	owner.foundPromised, owner.foundAccepted = foundation.Ballot, &foundation
-	work := job{record: true}
-	if foundation.Image != nil {
-		work.versions = []contract.Version{*foundation.Image}
+	replica.bootstrapPromised, replica.bootstrapAccepted = proposal.Ballot, &proposal
+	job := persistJob{record: true}
+	if proposal.Snapshot != nil {
+		job.versions = []contract.Version{*proposal.Snapshot}
 	}
-	work.after = func(now time.Duration) {
-		owner.foundSynced = foundation.Ballot
-		owner.send(foundation.Node, MessageFounded, Accepted{Ballot: foundation.Ballot, Node: owner.self})
+	job.onSynced = func(now time.Duration) {
+		replica.bootstrapSynced = proposal.Ballot
+		replica.send(proposal.Node, MessageBootstrapAccepted, Accepted{Ballot: proposal.Ballot, Node: replica.self})
 	}
-	owner.persist(now, work)
+	replica.persist(now, job)
 }
 
-func (owner *Owner) founded(now time.Duration, accepted Accepted) {
-	founding := owner.founding
-	if founding == nil || founding.foundation == nil || founding.ballot != accepted.Ballot {
+// handleBootstrapAccepted counts votes. The view is decided once all peers have accepted it.
+func (replica *Replica) handleBootstrapAccepted(now time.Duration, accepted Accepted) {
+	attempt := replica.bootstrapping
+	if attempt == nil || attempt.proposal == nil || attempt.ballot != accepted.Ballot {
 		return
 	}
-	founding.votes[accepted.Node.Identity()] = true
-	if len(founding.votes) < len(founding.peers) {
+	attempt.votes[accepted.Node.Identity()] = true
+	if len(attempt.votes) < len(attempt.peers) {
 		return
 	}
-	peers, foundation := founding.peers, *founding.foundation
-	owner.founding = nil
-	owner.begin(now, foundation)
-	owner.sendOthers(peers, MessageFoundBegin, foundation)
+	peers, proposal := attempt.peers, *attempt.proposal
+	replica.bootstrapping = nil
+	replica.installBootstrap(now, proposal)
+	replica.sendOthers(peers, MessageBootstrapCommit, proposal)
 }
 
-// begin takes up a foundation: the image is in force again, with the older versions that this folder still has.
-func (owner *Owner) begin(now time.Duration, foundation Foundation) {
-	if foundation.View.Number <= owner.view.Number {
+// installBootstrap installs a decided bootstrap: the log is reset to the snapshot and the older versions that this folder still has.
+func (replica *Replica) installBootstrap(now time.Duration, proposal BootstrapProposal) {
+	if proposal.View.Number <= replica.view.Number {
 		return
 	}
-	image := foundation.Image
-	former, past := owner.versions, owner.pastOperations()
-	owner.log = newLog(owner.bounds.History, owner.bounds.HistoryBytes)
+	image := proposal.Snapshot
+	former, past := replica.versions, replica.sortedPastOperations()
+	replica.log = newLog(replica.bounds.History, replica.bounds.HistoryBytes)
 	if image != nil {
-		for _, source := range []map[int64]contract.Version{owner.salvaged, former} {
+		for _, source := range []map[int64]contract.Version{replica.salvaged, former} {
 			for revision, version := range source {
-				if revision < image.Place.Revision && revision > image.Place.Revision-owner.bounds.History && !image.Place.Before(version.Place) {
-					owner.keep(version)
+				if revision < image.Position.Revision && revision > image.Position.Revision-replica.bounds.History && !image.Position.Before(version.Position) {
+					replica.put(version)
 				}
 			}
 		}
-		owner.keep(*image)
-		owner.top, owner.committed = image.Place.Revision, image.Place.Revision
-		owner.remember(past)
-		owner.emit(Committed{Version: *image})
-		owner.settle(owner.committed)
-	}
-	owner.foundAccepted = nil
-	drop := []contract.Place{}
-	for _, source := range []map[int64]contract.Version{owner.salvaged, former} {
+		replica.put(*image)
+		replica.lastSynced, replica.committed = image.Position.Revision, image.Position.Revision
+		replica.addPastOperations(past)
+		replica.emit(Committed{Version: *image})
+		replica.commitUpTo(replica.committed)
+	}
+	replica.bootstrapAccepted = nil
+	removed := []contract.Position{}
+	for _, source := range []map[int64]contract.Version{replica.salvaged, former} {
 		for revision, version := range source {
-			if kept, there := owner.versions[revision]; !there || kept.Place != version.Place {
-				drop = append(drop, version.Place)
+			if kept, found := replica.versions[revision]; !found || kept.Position != version.Position {
+				removed = append(removed, version.Position)
 			}
 		}
 	}
-	owner.queueDrop(drop)
-	owner.salvaged = map[int64]contract.Version{}
-	owner.adopt(now, foundation.View)
-	owner.emit(contract.Count{Name: "foundings", By: 1})
+	replica.queueRemoval(removed)
+	replica.salvaged = map[int64]contract.Version{}
+	replica.installView(now, proposal.View)
+	replica.emit(contract.AddCounter{Name: "foundings", Delta: 1})
 }
--- a/chain/write.go
+++ b/chain/write.go
@@ -7,296 +7,312 @@
 	"github.com/cedarreel/cedarreel/document"
 )
 
-// Pass brings a head's versions down the chain, and tells how far the head is.
-type Pass struct {
+// Replicate carries versions from the head down the chain. Committed and LastSynced are the revisions of the head.
+type Replicate struct {
 	From    contract.CoreNode `json:"from"`
 	View    int64             `json:"view"`
 	Records []contract.Record `json:"records"`
-	// Previous is the place before the first version, or the newest one where there is none: the receiver's log must have it. The first
-	// record is the change of that version.
-	Previous  contract.Place `json:"previous"`
-	Committed int64          `json:"committed"`
-	Top       int64          `json:"top"`
+	// Previous is the position of the version before the first record, or the newest one if there are no records. The receiver's log must
+	// have it. The first record is relative to it.
+	Previous   contract.Position `json:"previous"`
+	Committed  int64             `json:"committed"`
+	LastSynced int64             `json:"top"`
 }
 
-// Done is the tail's word that the whole chain has synced all versions up to a place.
-type Done struct {
-	View  int64          `json:"view"`
-	Place contract.Place `json:"place"`
-	// Settled tells that the tail has all that its head had when the view began.
-	Settled bool `json:"settled"`
+// CommitNotice is sent by the tail: the whole chain has synced all versions up to a position.
+type CommitNotice struct {
+	View     int64             `json:"view"`
+	Position contract.Position `json:"place"`
+	// Synchronized tells that the tail has all versions that its head had when the view began.
+	Synchronized bool `json:"settled"`
 }
 
-// outrun tells whether another node holds a committed version that is newer than a revision, as after a disk lost what it had synced:
-// then this member neither numbers versions nor answers reads until it has that version again.
-func (owner *Owner) outrun(revision int64) bool { return owner.seen.Held.Place.Revision > revision }
+// isOutdated reports whether another node holds a committed version newer than a revision, as after a disk lost synced data. This member then
+// neither assigns revisions nor answers reads until it has that version again.
+func (replica *Replica) isOutdated(revision int64) bool {
+	return replica.membership.NewestVersion.Position.Revision > revision
+}
 
-// Open tells whether this node may number a write now.
-func (owner *Owner) Open() bool {
-	if !owner.IsHead() || owner.sealed || !owner.fit || len(owner.view.Chain) < 2 || len(owner.jobs) >= 4*batchSize || owner.outrun(owner.assigned) {
+// AcceptsWrites reports whether this node is a head that can assign a revision to a write now: the whole chain is reachable and healthy.
+func (replica *Replica) AcceptsWrites() bool {
+	if !replica.IsHead() || replica.sealed || !replica.diskHealthy || len(replica.view.Chain) < 2 || len(replica.writeQueue) >= 4*batchSize || replica.isOutdated(replica.lastAssigned) {
 		return false
 	}
-	for _, identity := range owner.view.Chain {
-		node, there := owner.view.Node(identity)
-		if !there || !owner.reaches(node) || !owner.fitCore(node) {
+	for _, identity := range replica.view.Chain {
+		node, found := replica.view.Node(identity)
+		if !found || !replica.reaches(node) || !replica.hasHealthyDisk(node) {
 			return false
 		}
 	}
 	return true
 }
 
-func (owner *Owner) Latest() (contract.Version, bool) {
-	for revision := owner.assigned; revision > 0 && revision > owner.assigned-owner.bounds.History; revision-- {
-		if version, there := owner.versions[revision]; there {
+// Latest returns the version with the highest assigned revision, committed or not, or the zero version of an empty log. It reports false if
+// that version is missing.
+func (replica *Replica) Latest() (contract.Version, bool) {
+	for revision := replica.lastAssigned; revision > 0 && revision > replica.lastAssigned-replica.bounds.History; revision-- {
+		if version, found := replica.versions[revision]; found {
 			return version, true
 		}
 	}
-	return contract.Version{}, owner.assigned == 0
+	return contract.Version{}, replica.lastAssigned == 0
 }
 
-func (owner *Owner) Version(revision int64) (contract.Version, bool) {
-	version, there := owner.versions[revision]
-	return version, there && revision <= owner.committed
+// CommittedVersion returns the committed version of a revision, if it is kept.
+func (replica *Replica) CommittedVersion(revision int64) (contract.Version, bool) {
+	version, found := replica.versions[revision]
+	return version, found && revision <= replica.committed
 }
 
-// Submit numbers a change of the latest version at the head; it counts as accepted only with the Committed command that follows.
-func (owner *Owner) Submit(now time.Duration, operation string, change document.Change) (contract.Version, []contract.Command) {
-	owner.out = nil
-	latest, _ := owner.Latest()
-	highest := owner.assigned
-	for _, member := range owner.seen.Members {
-		highest = max(highest, member.Place.Revision)
-	}
-	version := latest.Next(contract.Place{View: owner.view.Number, Revision: highest + 1}, operation, change)
-	owner.assigned = version.Place.Revision
-	owner.keep(version)
-	number := owner.view.Number
-	owner.persist(now, job{versions: []contract.Version{version}, after: func(now time.Duration) {
-		if owner.view.Number == number && !owner.sealed {
-			owner.top = max(owner.top, version.Place.Revision)
-			owner.passOn(owner.sheet([]contract.Version{version}))
+// Submit applies a change to the latest version at the head and assigns the next revision to the result. The write is acknowledged only when
+// the Committed command for it follows.
+func (replica *Replica) Submit(now time.Duration, operation string, change document.Change) (contract.Version, []contract.Command) {
+	replica.commands = nil
+	latest, _ := replica.Latest()
+	highest := replica.lastAssigned
+	for _, member := range replica.membership.Members {
+		highest = max(highest, member.Position.Revision)
+	}
+	version := latest.Next(contract.Position{View: replica.view.Number, Revision: highest + 1}, operation, change)
+	replica.lastAssigned = version.Position.Revision
+	replica.put(version)
+	viewNumber := replica.view.Number
+	replica.persist(now, persistJob{versions: []contract.Version{version}, onSynced: func(now time.Duration) {
+		if replica.view.Number == viewNumber && !replica.sealed {
+			replica.lastSynced = max(replica.lastSynced, version.Position.Revision)
+			replica.sendDownstream(replica.newReplicate([]contract.Version{version}))
 		}
 	}})
-	out := owner.out
-	owner.out = nil
+	out := replica.commands
+	replica.commands = nil
 	return version, out
 }
 
-// sheet is what the head passes down: versions, and how far it is itself.
-func (owner *Owner) sheet(versions []contract.Version) Pass {
-	pass := Pass{View: owner.view.Number, Committed: owner.committed, Top: owner.top}
-	last := owner.top
+// newReplicate returns the message with which the head replicates versions, which may be none.
+func (replica *Replica) newReplicate(versions []contract.Version) Replicate {
+	replicate := Replicate{View: replica.view.Number, Committed: replica.committed, LastSynced: replica.lastSynced}
+	last := replica.lastSynced
 	if len(versions) > 0 {
-		last = owner.before(versions[0].Place.Revision)
+		last = replica.previousRevision(versions[0].Position.Revision)
 	}
-	previous := owner.versions[last]
-	pass.Previous = previous.Place
-	pass.Records = contract.Records(previous, versions, contract.RecordsMost)
-	return pass
+	previous := replica.versions[last]
+	replicate.Previous = previous.Position
+	replicate.Records = contract.EncodeRecords(previous, versions, contract.MaxRecordBytes)
+	return replicate
 }
 
-func (owner *Owner) passOn(pass Pass) {
-	rank := owner.rank()
-	if rank < 0 || rank == len(owner.view.Chain)-1 {
+// sendDownstream sends a message to the successor in the chain, if there is one.
+func (replica *Replica) sendDownstream(replicate Replicate) {
+	index := replica.chainIndex()
+	if index < 0 || index == len(replica.view.Chain)-1 {
 		return
 	}
-	if next, there := owner.view.Node(owner.view.Chain[rank+1]); there {
-		pass.From = owner.self
-		owner.send(next, MessagePass, pass)
+	if next, found := replica.view.Node(replica.view.Chain[index+1]); found {
+		replicate.From = replica.self
+		replica.send(next, MessageReplicate, replicate)
 	}
 }
 
-func (owner *Owner) pass(now time.Duration, pass Pass) {
-	rank := owner.rank()
-	if pass.View != owner.view.Number || owner.sealed || rank < 1 || owner.view.Chain[rank-1] != pass.From.Identity() {
-		owner.emit(contract.Count{Name: "passes_refused", By: 1})
+// handleReplicate syncs versions from the predecessor and then passes them on. It ignores versions that do not follow its log; the head sends
+// them again.
+func (replica *Replica) handleReplicate(now time.Duration, replicate Replicate) {
+	index := replica.chainIndex()
+	if replicate.View != replica.view.Number || replica.sealed || index < 1 || replica.view.Chain[index-1] != replicate.From.Identity() {
+		replica.emit(contract.AddCounter{Name: "passes_refused", Delta: 1})
 		return
 	}
-	if !owner.follows(pass.Previous) {
-		owner.emit(contract.Count{Name: "passes_early", By: 1})
+	if !replica.hasPrevious(replicate.Previous) {
+		replica.emit(contract.AddCounter{Name: "passes_early", Delta: 1})
 		return
 	}
-	passed, failure := contract.OpenRecords(pass.Records, owner.at)
-	if failure != nil {
-		owner.emit(contract.Count{Name: "versions_unreadable", By: 1}, contract.Say{What: "passed versions can't be read", Detail: []any{"error", failure}})
+	passed, err := contract.DecodeRecords(replicate.Records, replica.lookup)
+	if err != nil {
+		replica.emit(contract.AddCounter{Name: "versions_unreadable", Delta: 1}, contract.Log{Message: "replicated versions could not be decoded", Attributes: []any{"error", err}})
 		return
 	}
-	fresh, fine := owner.fresh(passed)
-	if !fine {
+	added, ok := replica.unknownVersions(passed)
+	if !ok {
 		return
 	}
-	number := owner.view.Number
-	arrived := func(now time.Duration) {
-		if owner.view.Number != number {
-			owner.discard(now, fresh)
+	viewNumber := replica.view.Number
+	onSynced := func(now time.Duration) {
+		if replica.view.Number != viewNumber {
+			replica.discard(now, added)
 			return
 		}
-		owner.passed(pass, passed, fresh)
+		replica.replicated(replicate, passed, added)
 	}
-	if len(fresh) == 0 && owner.writing == nil {
-		arrived(now)
+	if len(added) == 0 && replica.writing == nil {
+		onSynced(now)
 		return
 	}
-	owner.persist(now, job{versions: fresh, drop: owner.conflicts(fresh), after: arrived})
+	replica.persist(now, persistJob{versions: added, remove: replica.conflictingPositions(added), onSynced: onSynced})
 }
 
-// fresh gives the passed versions that the log lacks; one that contradicts a committed version spoils them all.
-func (owner *Owner) fresh(versions []contract.Version) ([]contract.Version, bool) {
-	fresh := []contract.Version{}
+// unknownVersions returns the versions that the log lacks. It fails if one of them contradicts a committed version.
+func (replica *Replica) unknownVersions(versions []contract.Version) ([]contract.Version, bool) {
+	added := []contract.Version{}
 	for _, version := range versions {
-		held, there := owner.versions[version.Place.Revision]
-		if there && held.Place == version.Place && version.Place.Revision <= owner.top {
+		existing, found := replica.versions[version.Position.Revision]
+		if found && existing.Position == version.Position && version.Position.Revision <= replica.lastSynced {
 			continue
 		}
-		if there && version.Place.Revision <= owner.committed {
-			owner.emit(contract.Count{Name: "committed_conflicts", By: 1}, contract.Say{What: "pass against a committed version", Detail: []any{"revision", version.Place.Revision}})
+		if found && version.Position.Revision <= replica.committed {
+			replica.emit(contract.AddCounter{Name: "committed_conflicts", Delta: 1}, contract.Log{Message: "replicated version conflicts with a committed version", Attributes: []any{"revision", version.Position.Revision}})
 			return nil, false
 		}
-		fresh = append(fresh, version)
+		added = append(added, version)
 	}
-	return fresh, true
+	return added, true
 }
 
-// conflicts gives what must leave the folder before versions are written: others under their revisions and all that was built on those.
-func (owner *Owner) conflicts(fresh []contract.Version) []contract.Place {
+// conflictingPositions returns what must be removed from the folder before versions are written: other versions under their revisions and all
+// uncommitted versions after those.
+func (replica *Replica) conflictingPositions(added []contract.Version) []contract.Position {
 	first := int64(0)
-	for _, version := range fresh {
-		held, there := owner.versions[version.Place.Revision]
-		if there && held.Place != version.Place && (first == 0 || version.Place.Revision < first) {
-			first = version.Place.Revision
+	for _, version := range added {
+		existing, found := replica.versions[version.Position.Revision]
+		if found && existing.Position != version.Position && (first == 0 || version.Position.Revision < first) {
+			first = version.Position.Revision
 		}
 	}
-	drop := []contract.Place{}
-	for revision, version := range owner.versions {
-		if first > 0 && revision >= first && revision > owner.committed {
-			drop = append(drop, version.Place)
+	removed := []contract.Position{}
+	for revision, version := range replica.versions {
+		if first > 0 && revision >= first && revision > replica.committed {
+			removed = append(removed, version.Position)
 		}
 	}
-	return drop
+	return removed
 }
 
-// passed takes up what was synced. A sealed member keeps it, since it may be the only one that has it, but tells nobody.
-func (owner *Owner) passed(pass Pass, passed, fresh []contract.Version) {
-	for _, version := range fresh {
-		owner.install(version)
+// replicated adds synced versions to the log and passes them on, or commits them at the tail. A sealed member keeps them, since it may be the
+// only one that has them, but does not pass them on.
+func (replica *Replica) replicated(replicate Replicate, passed, added []contract.Version) {
+	for _, version := range added {
+		replica.install(version)
 	}
-	if owner.sealed {
+	if replica.sealed {
 		return
 	}
-	owner.verified = max(owner.verified, pass.Previous.Revision)
+	replica.matched = max(replica.matched, replicate.Previous.Revision)
 	if count := len(passed); count > 0 {
-		owner.verified = max(owner.verified, passed[count-1].Place.Revision)
+		replica.matched = max(replica.matched, passed[count-1].Position.Revision)
 	}
-	owner.settle(min(pass.Committed, owner.verified))
-	if !owner.IsTail() {
-		owner.passOn(pass)
+	replica.commitUpTo(min(replicate.Committed, replica.matched))
+	if !replica.IsTail() {
+		replica.sendDownstream(replicate)
 		return
 	}
-	owner.settle(owner.verified)
-	owner.settled = owner.settled || owner.verified >= pass.Top
-	owner.announce()
+	replica.commitUpTo(replica.matched)
+	replica.synchronized = replica.synchronized || replica.matched >= replicate.LastSynced
+	replica.announceCommit()
 }
 
-// discard removes versions from the folder that were written for a view which ended meanwhile.
-func (owner *Owner) discard(now time.Duration, versions []contract.Version) {
-	drop := []contract.Place{}
+// discard removes versions from the folder that were written for a view that has ended in the meantime.
+func (replica *Replica) discard(now time.Duration, versions []contract.Version) {
+	removed := []contract.Position{}
 	for _, version := range versions {
-		if held, there := owner.versions[version.Place.Revision]; !there || held.Place != version.Place {
-			drop = append(drop, version.Place)
+		if existing, found := replica.versions[version.Position.Revision]; !found || existing.Position != version.Position {
+			removed = append(removed, version.Position)
 		}
 	}
-	if len(drop) > 0 {
-		owner.persist(now, job{drop: drop})
+	if len(removed) > 0 {
+		replica.persist(now, persistJob{remove: removed})
 	}
 }
 
-func (owner *Owner) install(version contract.Version) {
-	revision := version.Place.Revision
-	if held, there := owner.versions[revision]; there && held.Place != version.Place {
-		owner.truncate(max(revision-1, owner.committed))
-	}
-	owner.keep(version)
-	owner.top = max(owner.top, revision)
-	owner.assigned = max(owner.assigned, owner.top)
+// install adds a synced version to the log. A different version under its revision is removed, with all that follow it.
+func (replica *Replica) install(version contract.Version) {
+	revision := version.Position.Revision
+	if existing, found := replica.versions[revision]; found && existing.Position != version.Position {
+		replica.truncate(max(revision-1, replica.committed))
+	}
+	replica.put(version)
+	replica.lastSynced = max(replica.lastSynced, revision)
+	replica.lastAssigned = max(replica.lastAssigned, replica.lastSynced)
 }
 
-// forsake drops what a new view leaves behind. A head drops what it numbered and passed on to nobody: it can never be committed any more,
-// and whoever asks for it by its key must not wait for it. A member that is in no chain drops all that was not committed.
-func (owner *Owner) forsake() {
-	last := max(owner.top, owner.committed)
-	if !owner.holder() {
-		last = owner.committed
-	}
-	owner.queueDrop(owner.truncate(last))
+// dropAbandoned removes the versions that a new view leaves behind. A head removes versions that it assigned a revision but never sent: these
+// can no longer be committed, and a client that asks for one by its key must not wait for it. A member outside of the chain removes all that
+// is not committed.
+func (replica *Replica) dropAbandoned() {
+	last := max(replica.lastSynced, replica.committed)
+	if !replica.isHolder() {
+		last = replica.committed
+	}
+	replica.queueRemoval(replica.truncate(last))
 }
 
-func (owner *Owner) announce() {
-	owner.sendOthers(owner.view.Core, MessageDone, Done{View: owner.view.Number, Place: owner.versions[owner.committed].Place, Settled: owner.settled})
+// announceCommit tells all members how far the tail has committed.
+func (replica *Replica) announceCommit() {
+	replica.sendOthers(replica.view.Core, MessageCommitNotice, CommitNotice{View: replica.view.Number, Position: replica.versions[replica.committed].Position, Synchronized: replica.synchronized})
 }
 
-func (owner *Owner) done(now time.Duration, done Done) {
-	version, there := owner.versions[done.Place.Revision]
-	if done.View == owner.view.Number && (there && version.Place == done.Place || done.Place.Revision == 0) {
-		owner.settled = owner.settled || done.Settled
-		owner.settle(done.Place.Revision)
+func (replica *Replica) handleCommitNotice(now time.Duration, notice CommitNotice) {
+	version, found := replica.versions[notice.Position.Revision]
+	if notice.View == replica.view.Number && (found && version.Position == notice.Position || notice.Position.Revision == 0) {
+		replica.synchronized = replica.synchronized || notice.Synchronized
+		replica.commitUpTo(notice.Position.Revision)
 		return
 	}
-	owner.scrub = now
+	replica.nextCatchUp = now
 }
 
-func (owner *Owner) settle(revision int64) {
-	if revision > owner.committed {
-		owner.stuck = -1
-	}
-	for next := owner.committed + 1; next <= revision; next++ {
-		version, there := owner.versions[next]
-		if there {
-			owner.emit(Committed{Version: version})
+// commitUpTo marks all versions up to a revision as committed and trims the log.
+func (replica *Replica) commitUpTo(revision int64) {
+	if revision > replica.committed {
+		replica.stalledSince = -1
+	}
+	for next := replica.committed + 1; next <= revision; next++ {
+		version, found := replica.versions[next]
+		if found {
+			replica.emit(Committed{Version: version})
 		}
 	}
-	owner.committed = max(owner.committed, revision)
-	if version, there := owner.versions[owner.committed]; there && version.Place != owner.marked {
-		owner.marked = version.Place
-		owner.jobs = append(owner.jobs, job{mark: &version.Place})
+	replica.committed = max(replica.committed, revision)
+	if version, found := replica.versions[replica.committed]; found && version.Position != replica.markedCommit {
+		replica.markedCommit = version.Position
+		replica.writeQueue = append(replica.writeQueue, persistJob{commitMark: &version.Position})
 	}
-	owner.queueDrop(owner.trim())
-	owner.queuePast()
+	replica.queueRemoval(replica.trim())
+	replica.queuePastOperations()
 }
 
-// retransmit passes the head's state and what is not yet acknowledged again, until the tail of this view has answered for it.
-func (owner *Owner) retransmit(now time.Duration) {
-	if !owner.IsHead() || owner.sealed || owner.committed >= owner.top && owner.settled {
-		owner.stuck = -1
+// retransmit sends the head's state and its uncommitted versions again until the tail of this view has confirmed them.
+func (replica *Replica) retransmit(now time.Duration) {
+	if !replica.IsHead() || replica.sealed || replica.committed >= replica.lastSynced && replica.synchronized {
+		replica.stalledSince = -1
 		return
 	}
-	if owner.stuck < 0 {
-		owner.stuck = now
+	if replica.stalledSince < 0 {
+		replica.stalledSince = now
 	}
-	if now-owner.resend < owner.bounds.Round()/2 {
+	if now-replica.lastResend < replica.bounds.Round()/2 {
 		return
 	}
-	owner.resend = now
+	replica.lastResend = now
 	suffix := []contract.Version{}
-	for revision := owner.committed + 1; revision <= owner.top && len(suffix) < batchSize; revision++ {
-		if version, there := owner.versions[revision]; there {
+	for revision := replica.committed + 1; revision <= replica.lastSynced && len(suffix) < batchSize; revision++ {
+		if version, found := replica.versions[revision]; found {
 			suffix = append(suffix, version)
 		}
 	}
-	owner.passOn(owner.sheet(suffix))
+	replica.sendDownstream(replica.newReplicate(suffix))
 }
 
-// Row is one kept revision as the history tells it.
-type Row struct {
-	Place     contract.Place `json:"place"`
-	Operation string         `json:"operation"`
-	Digest    string         `json:"digest"`
+// HistoryEntry describes a committed version in the history.
+type HistoryEntry struct {
+	Position  contract.Position `json:"place"`
+	Operation string            `json:"operation"`
+	Digest    string            `json:"digest"`
 }
 
-func (owner *Owner) History() []Row {
-	rows := []Row{}
-	for _, version := range owner.Versions() {
-		if version.Place.Revision <= owner.committed {
-			rows = append(rows, Row{version.Place, version.Operation, version.Digest})
+// History returns the committed versions that are kept, the oldest first.
+func (replica *Replica) History() []HistoryEntry {
+	rows := []HistoryEntry{}
+	for _, version := range replica.Versions() {
+		if version.Position.Revision <= replica.committed {
+			rows = append(rows, HistoryEntry{version.Position, version.Operation, version.Digest})
 		}
 	}
 	return rows
--- a/cmd/cedarcp/main.go
+++ b/cmd/cedarcp/main.go
@@ -7,8 +7,8 @@
 )
 
 func main() {
-	if platform.Present() {
-		serve.MainWith("cedarcp", platform.Face{}, serve.ControlWith)
+	if platform.StartedByPlatform() {
+		serve.MainWithAdapter("cedarcp", platform.Adapter{}, serve.ControlWithAdapter)
 		return
 	}
 	serve.Main("cedarcp", serve.Control)
--- a/control/gather.go
+++ b/control/gather.go
@@ -56,7 +56,7 @@
 		body, _ := json.Marshal(told)
 		return []contract.Command{contract.Send{To: ask.Address, Kind: MessageStatus, Body: Status{Token: ask.Token, Node: owner.Self().Name, Body: body}}}
 	}
-	if message.Kind != MessageStatus && message.Kind != MessageWhy && message.Kind != shard.MessageWithdrawn {
+	if message.Kind != MessageStatus && message.Kind != MessageWhy && message.Kind != shard.MessageZoneWithdrawn {
 		return nil
 	}
 	var status Status
@@ -69,7 +69,7 @@
 	}
 	pending.waiting.Remove(message.From)
 	body := status.Body
-	if message.Kind == shard.MessageWithdrawn {
+	if message.Kind == shard.MessageZoneWithdrawn {
 		body = message.Body
 	}
 	if pending.take(body) || pending.waiting.Cardinality() == 0 {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (owner *Owner) shards(now time.Duration, ask contract.Ask) []contract.Command {
+func (owner *Owner) shards(now time.Duration, ask contract.OperatorRequest) []contract.Command {
 	all := []shard.Status{}
 	fits := func(member contract.Member) bool { return member.Kind == contract.KindControl }
 	return owner.gather(now, fits, MessageStatusAsk, owner.statusMessage(""), func(body json.RawMessage) bool {
@@ -135,27 +135,27 @@
 			}
 			answer = map[string]any{"retirements": retired}
 		}
-		return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: answer}}
+		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: answer}}
 	})
 }
 
 // cache sums what the control nodes were told of the servers' caches; older ones answer with something else, which is left out.
-func (owner *Owner) cache(now time.Duration, ask contract.Ask) []contract.Command {
-	all := []index.Cached{}
+func (owner *Owner) cache(now time.Duration, ask contract.OperatorRequest) []contract.Command {
+	all := []index.CacheStatus{}
 	fits := func(member contract.Member) bool { return member.Kind == contract.KindControl }
 	message := func(token int64) any { return StatusAsk{Token: token, Address: owner.Self().Address, Cache: true} }
 	return owner.gather(now, fits, MessageStatusAsk, message, func(body json.RawMessage) bool {
-		var views []index.Cached
+		var views []index.CacheStatus
 		if json.Unmarshal(body, &views) == nil {
 			all = append(all, views...)
 		}
 		return false
 	}, func(time.Duration) []contract.Command {
-		return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: map[string]any{"servers": index.Merge(all)}}}
+		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{"servers": index.Merge(all)}}}
 	})
 }
 
-func (owner *Owner) why(now time.Duration, ask contract.Ask) []contract.Command {
+func (owner *Owner) why(now time.Duration, ask contract.OperatorRequest) []contract.Command {
 	traces := []json.RawMessage{}
 	fits := func(member contract.Member) bool { return member.Kind == contract.KindData }
 	return owner.gather(now, fits, MessageWhyAsk, owner.statusMessage(ask.Subject), func(body json.RawMessage) bool {
@@ -166,8 +166,8 @@
 		return false
 	}, func(time.Duration) []contract.Command {
 		if len(traces) == 0 {
-			return []contract.Command{contract.Refuse(ask.Token, 404, "no node remembers this call", 0)}
+			return []contract.Command{contract.ErrorResponse(ask.Token, 404, "no node remembers this call", 0)}
 		}
-		return []contract.Command{contract.Answer{Token: ask.Token, Status: 200, Body: map[string]any{"call": ask.Subject, "traces": traces}}}
+		return []contract.Command{contract.Response{Token: ask.Token, Status: 200, Body: map[string]any{"call": ask.Subject, "traces": traces}}}
 	})
 }
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -11,11 +11,11 @@
 	. "github.com/onsi/gomega"
 )
 
-func (world *world) asks(name string, body []byte) contract.Answer {
+func (world *world) asks(name string, body []byte) contract.Response {
 	GinkgoHelper()
-	answers := []contract.Answer{}
-	for _, command := range world.nodes[name].owner.Handle(world.now, contract.Ask{Token: 7, Verb: contract.VerbPlace, Body: body, Forwarded: true}) {
-		if answer, fine := command.(contract.Answer); fine {
+	answers := []contract.Response{}
+	for _, command := range world.nodes[name].owner.Handle(world.now, contract.OperatorRequest{Token: 7, Verb: contract.VerbPlace, Body: body, Forwarded: true}) {
+		if answer, fine := command.(contract.Response); fine {
 			answers = append(answers, answer)
 		}
 	}
@@ -102,7 +102,7 @@
 				for _, command := range owner.Handle(world.now, contract.Tick{}) {
 					if persist, fine := command.(index.Persist); fine {
 						snapshots = append(snapshots, persist.Snapshot)
-						Expect(owner.Handle(world.now, index.Persisted{Error: "full"})).To(ContainElement(contract.Count{Name: "index_unsaved", By: 1}))
+						Expect(owner.Handle(world.now, index.Persisted{Error: "full"})).To(ContainElement(contract.AddCounter{Name: "index_unsaved", Delta: 1}))
 					}
 				}
 			}
@@ -126,15 +126,15 @@
 	It("given a control node that was told uses, when another asks for its view, then it tells it, and an ask without it gets shards as ever", func() {
 		world := newWorld(3)
 		world.run(15 * time.Second)
-		uses := []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 50, Shown: index.Kept, At: world.now}}
+		uses := []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 50, Verdict: index.Kept, At: world.now}}
 		owner := world.nodes["east-m0-control"].owner
 		told := func(kind string, body any) []contract.Command {
 			content, failure := json.Marshal(body)
 			Expect(failure).NotTo(HaveOccurred())
 			return owner.Handle(world.now, contract.Message{Kind: kind, From: "other", Body: content})
 		}
-		counted := told(index.MessageUsed, index.Used{Address: "other", Uses: uses, Results: index.Results(world.now, 2*time.Second, uses)})
-		Expect(counted).To(ContainElement(contract.Count{Name: "index_checked", By: 1}))
+		counted := told(index.MessageUsage, index.Usage{Address: "other", Uses: uses, Results: index.Results(world.now, 2*time.Second, uses)})
+		Expect(counted).To(ContainElement(contract.AddCounter{Name: "index_checked", Delta: 1}))
 		for _, cache := range []bool{true, false} {
 			bodies := []json.RawMessage{}
 			for _, command := range told(MessageStatusAsk, StatusAsk{Token: 1, Address: "other", Cache: cache}) {
@@ -143,10 +143,10 @@
 				}
 			}
 			Expect(bodies).To(HaveLen(1))
-			var views []index.Cached
+			var views []index.CacheStatus
 			Expect(json.Unmarshal(bodies[0], &views)).To(Succeed())
 			if cache {
-				Expect(views).To(Equal([]index.Cached{{Server: "a", Service: "s", Placed: 1, Checked: 1, Kept: 1, Part: 1}}))
+				Expect(views).To(Equal([]index.CacheStatus{{Server: "a", Service: "s", Placed: 1, Checked: 1, Kept: 1, Share: 1}}))
 			} else {
 				Expect(index.Merge(views)).To(BeEmpty(), "what an older node answers is left out")
 			}
--- a/data/data.go
+++ b/data/data.go
@@ -1,4 +1,5 @@
-// Package data is the owner in a cedardp: it takes calls, records, admits, picks and ends them.
+// Package data is the state machine of a data-plane node (cedardp). It takes calls, claims their idempotency records, queues them,
+// picks a model server for each attempt, and answers. It performs no I/O: it turns events into commands for its process to carry out.
 package data
 
 import (
@@ -18,251 +19,277 @@
 )
 
 const (
-	affinitySize = 8192
-	tracesSize   = 4096
-	replyMemory  = 32
+	maxAffinityEntries = 8192
+	maxTraces          = 4096
+	// maxKeptReplies is how many replies of the largest allowed size the idempotency records may hold together.
+	maxKeptReplies = 32
 )
 
-// Arrive is a caller's call; every one gets exactly one Answer or one Dispatch that ends whole or broken.
+// Arrive is the event of a new call from a caller. Unless the caller leaves, each gets exactly one contract.Answer with the same
+// token; chunks of a streamed reply go to the caller before it.
 type Arrive struct {
 	Token int64
 	Call  call.Call
 }
 
-type Left struct{ Token int64 }
+// CallerLeft is the event that a caller disconnected before its call was answered.
+type CallerLeft struct{ Token int64 }
 
-// Stop refuses new calls from now on; those that run go on.
-type Stop struct{}
+// Shutdown is the event that the process is stopping: new calls are refused, and running ones continue.
+type Shutdown struct{}
 
-// Begun tells that the first piece of an attempt's reply reached the caller's side.
-type Begun struct {
+// FirstChunk is the event that the first chunk of an attempt's reply arrived from the server.
+type FirstChunk struct {
 	Token   int64
 	Attempt int
 }
 
-type Ended struct {
+// AttemptEnded is the event that an attempt ended. Chunks holds what was received of the reply, and Error the reason of a failure.
+type AttemptEnded struct {
 	Token   int64
 	Attempt int
-	Proof   call.Proof
-	Pieces  []string
+	Result  call.Result
+	Chunks  []string
 	Error   string
 }
 
-type Recalled struct {
-	Token   int64
-	Attempt int
-	Never   bool
+// RecallAnswered is the event that a server answered a RecallAttempt, or did not. Only if Confirmed is set is it certain that the
+// server never started the call and will not start it.
+type RecallAnswered struct {
+	Token     int64
+	Attempt   int
+	Confirmed bool
 }
 
+// Look is the event of a caller that asks what became of an earlier call. Forwarded is set if a node of another region passed the
+// question on.
 type Look struct {
-	Token  int64
-	Caller string
-	Key    string
-	Home   string
-	Hop    bool
+	Token     int64
+	Caller    string
+	Key       string
+	Home      string
+	Forwarded bool
 }
 
-// Dispatch sends a call to a server; no byte of it may leave after Until, when the lease that allowed it has lapsed.
+// Dispatch is the command to send a call to a server as one attempt. The first byte must not leave after SendBefore, when the lease
+// that allowed the choice of this server expires. Timeout bounds the whole attempt. AttemptID is the call's identity at the server.
 type Dispatch struct {
-	Token    int64
-	Attempt  int
-	Identity string
-	Server   contract.Candidate
-	Limit    time.Duration
-	Until    time.Duration
+	Token      int64
+	Attempt    int
+	AttemptID  string
+	Server     contract.Candidate
+	Timeout    time.Duration
+	SendBefore time.Duration
 }
 
-type Cancel struct {
+// CancelAttempt is the command to abort an attempt and close its connection.
+type CancelAttempt struct {
 	Token   int64
 	Attempt int
 }
 
-type Recall struct {
-	Token    int64
-	Attempt  int
-	Identity string
-	Server   contract.Candidate
+// RecallAttempt is the command to ask a server to give back a call if it has not started it. It is answered by RecallAnswered.
+type RecallAttempt struct {
+	Token     int64
+	Attempt   int
+	AttemptID string
+	Server    contract.Candidate
 }
 
-// Reply is the body of a successful answer.
+// Reply is the body of a successful contract.Answer. Server is empty if the reply comes from an idempotency record.
 type Reply struct {
-	Pieces []string
+	Chunks []string
 	Server string
 }
 
-type Owner struct {
+// Router is the state machine of one data-plane node. It holds the node's calls and its share of the idempotency records, and implements
+// contract.StateMachine. It is not safe for concurrent use: the process's event loop calls Handle for one event at a time.
+type Router struct {
 	*machine.Node
-	settings  env.Env
-	grants    map[int]*grant
-	jobs      map[int64]*job
-	table     *call.Table
-	lines     *line.Lines
-	repeats   call.Repeats
+	settings    env.Env
+	shardLeases map[int]*shardLease
+	jobs        map[int64]*job
+	table       *call.Table
+	queues      *line.Queues
+	retryBudget call.RetryBudget
+	// usages counts this node's calls per server; abandoned lists those whose end at the server is not known, oldest first.
 	usages    map[string]pick.Usage
-	lingers   []linger
-	sessions  *affinity
-	traces    *traces
-	turned    map[string]rest
-	finds     map[int64]*find
-	nextAsk   time.Duration
-	shared    map[string]string
-	nextShare time.Duration
-	token     int64
-	stopping  bool
-	out       []contract.Command
+	abandoned []abandonedAttempt
+	// affinities maps sessions and prefixes to servers.
+	affinities *affinity
+	traces     *traces
+	// backoffs holds the servers that rejected calls, and searches the running searches by token.
+	backoffs         map[string]backoff
+	searches         map[int64]*recordSearch
+	nextLeaseRequest time.Duration
+	// exported holds the members that sent this node their records, with the process start that they did so for.
+	exported   map[string]string
+	nextExport time.Duration
+	// token numbers the searches.
+	token    int64
+	stopping bool
+	out      []contract.Command
 }
 
-func New(settings env.Env, boot string, random *rand.Rand) *Owner {
+// New returns the state machine of a node. boot identifies this process start; random must be seeded by the caller.
+func New(settings env.Env, boot string, random *rand.Rand) *Router {
 	bounds := settings.Bounds
-	return &Owner{Node: machine.New(settings, contract.KindData, boot, random), settings: settings,
-		grants: map[int]*grant{}, jobs: map[int64]*job{}, finds: map[int64]*find{}, turned: map[string]rest{}, shared: map[string]string{}, lines: line.New(), usages: map[string]pick.Usage{},
-		table:    call.NewTable(bounds.Record(), bounds.Records, bounds.ReplyBytes*replyMemory),
-		sessions: newAffinity(affinitySize), traces: newTraces(tracesSize)}
+	return &Router{Node: machine.New(settings, contract.KindData, boot, random), settings: settings,
+		shardLeases: map[int]*shardLease{}, jobs: map[int64]*job{}, searches: map[int64]*recordSearch{}, backoffs: map[string]backoff{}, exported: map[string]string{}, queues: line.New(), usages: map[string]pick.Usage{},
+		table:      call.NewTable(bounds.RecordRetention(), bounds.Records, bounds.ReplyBytes*maxKeptReplies),
+		affinities: newAffinity(maxAffinityEntries), traces: newTraces(maxTraces)}
 }
 
-func (owner *Owner) emit(commands ...contract.Command) { owner.out = append(owner.out, commands...) }
+// emit adds commands to those that Handle returns.
+func (router *Router) emit(added ...contract.Command) { router.out = append(router.out, added...) }
 
-func (owner *Owner) count(name string) { owner.emit(contract.Count{Name: name, By: 1}) }
+func (router *Router) count(name string) { router.emit(contract.AddCounter{Name: name, Delta: 1}) }
 
-func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
-	return owner.HandleRelayed(now, event, owner.handle)
+// Handle processes one event at time now, on the process's monotonic clock, and returns the commands to carry out.
+func (router *Router) Handle(now time.Duration, event contract.Event) []contract.Command {
+	return router.HandleRelayed(now, event, router.handle)
 }
 
-func (owner *Owner) handle(now time.Duration, event contract.Event) []contract.Command {
-	owner.out = nil
-	if gap := owner.DetectFreeze(now); gap > 0 {
-		owner.woke(now, gap)
+func (router *Router) handle(now time.Duration, event contract.Event) []contract.Command {
+	router.out = nil
+	if gap := router.DetectFreeze(now); gap > 0 {
+		router.afterFreeze(now, gap)
 	}
-	for _, command := range owner.Node.Handle(now, event) {
-		if adopted, fine := command.(contract.Adopted); fine {
-			owner.repeats.Set(owner.Feed.Manifest().RepeatShare, owner.Feed.Manifest().RepeatAtOnce)
-			command = contract.Say{What: "manifest in force", Detail: []any{"revision", adopted.Version.Place.Revision}}
+	for _, command := range router.Node.Handle(now, event) {
+		if adopted, ok := command.(contract.VersionAdopted); ok {
+			router.retryBudget.Configure(router.Feed.Manifest().RepeatPercent, router.Feed.Manifest().RepeatAtOnce)
+			command = contract.Log{Message: "manifest in force", Attributes: []any{"revision", adopted.Version.Position.Revision}}
 		}
-		owner.emit(command)
+		router.emit(command)
 	}
 	switch event := event.(type) {
 	case contract.Tick:
-		owner.tick(now)
+		router.tick(now)
 	case contract.Message:
-		owner.message(now, event)
+		router.message(now, event)
 	case Arrive:
-		owner.arrive(now, event)
-	case Stop:
-		owner.stopping = true
-	case Left:
-		owner.left(now, event)
-	case Begun:
-		owner.begun(now, event)
-	case Ended:
-		owner.ended(now, event)
-	case Passed:
-		owner.passed(now, event)
-	case Recalled:
-		owner.recalled(now, event)
+		router.arrive(now, event)
+	case Shutdown:
+		router.stopping = true
+	case CallerLeft:
+		router.callerLeft(now, event)
+	case FirstChunk:
+		router.firstChunk(now, event)
+	case AttemptEnded:
+		router.attemptEnded(now, event)
+	case HomeForwardEnded:
+		router.forwardEnded(now, event)
+	case RecallAnswered:
+		router.recallAnswered(now, event)
 	case Look:
-		owner.look(now, event)
-	case contract.Ask:
-		owner.ask(now, event)
+		router.queryOutcome(now, event)
+	case contract.OperatorRequest:
+		router.ask(now, event)
 	}
-	out := owner.out
-	owner.out = nil
+	out := router.out
+	router.out = nil
 	return out
 }
 
-// woke follows a freeze: no lease from before it counts, and no call that has not left yet may leave.
-func (owner *Owner) woke(now, gap time.Duration) {
-	owner.emit(contract.Count{Name: "woken", By: 1}, contract.Say{What: "woken from a freeze", Detail: []any{"ms", gap.Milliseconds()}})
-	for _, held := range owner.grants {
-		held.expires = 0
+// afterFreeze runs when the process resumes after it was paused for gap: leases from before no longer count, and calls that were not
+// dispatched are refused.
+func (router *Router) afterFreeze(now, gap time.Duration) {
+	router.emit(contract.AddCounter{Name: "woken", Delta: 1}, contract.Log{Message: "woken from a freeze", Attributes: []any{"ms", gap.Milliseconds()}})
+	for _, current := range router.shardLeases {
+		current.expiresAt = 0
 	}
-	for _, token := range owner.tokens() {
-		if job := owner.jobs[token]; job.phase != phaseRunning && job.phase != phasePassed {
-			owner.refuse(now, job, 503, "this node was frozen; the call did not run", owner.Bounds.Lease())
+	for _, token := range router.tokens() {
+		if job := router.jobs[token]; job.phase != phaseRunning && job.phase != phaseForwarded {
+			router.refuse(now, job, 503, "this node was frozen; the call did not run", router.Bounds.Lease())
 		}
 	}
 }
 
-func (owner *Owner) tokens() []int64 {
-	tokens := make([]int64, 0, len(owner.jobs))
-	for token := range owner.jobs {
+// tokens returns the tokens of all jobs in ascending order, so that iteration is deterministic.
+func (router *Router) tokens() []int64 {
+	tokens := make([]int64, 0, len(router.jobs))
+	for token := range router.jobs {
 		tokens = append(tokens, token)
 	}
 	slices.Sort(tokens)
 	return tokens
 }
 
-func (owner *Owner) tick(now time.Duration) {
-	owner.table.Tick(now)
-	owner.tickLingers(now)
-	owner.askLeases(now)
-	owner.askShares(now)
-	owner.tickFinds(now)
-	owner.tickJobs(now)
-	owner.serve(now)
-	owner.gauges()
+// tick does the periodic work: expiry, lease requests, record exports, timeouts of calls, dispatch and gauges.
+func (router *Router) tick(now time.Duration) {
+	router.table.Expire(now)
+	router.expireAbandoned(now)
+	router.requestLeases(now)
+	router.requestExports(now)
+	router.expireSearches(now)
+	router.tickJobs(now)
+	router.dispatchQueued(now)
+	router.reportGauges()
 }
 
-func (owner *Owner) message(now time.Duration, message contract.Message) {
+func (router *Router) message(now time.Duration, message contract.Message) {
 	switch message.Kind {
 	case shard.MessageLease:
-		readMessage(owner, message, func(lease contract.Lease) { owner.lease(now, message, lease) })
+		decodeMessage(router, message, func(lease contract.Lease) { router.lease(now, message, lease) })
 	case shard.MessageNotOwner:
-		readMessage(owner, message, func(hint contract.NotOwner) { owner.notOwner(hint) })
-	case MessageHold:
-		readMessage(owner, message, func(hold Hold) { owner.hold(now, hold) })
-	case MessageHeld:
-		readMessage(owner, message, func(held Held) { owner.held(now, message.From, held) })
+		decodeMessage(router, message, func(hint contract.NotOwner) { router.notOwner(hint) })
+	case MessageClaim:
+		decodeMessage(router, message, func(claim Claim) { router.claim(now, claim) })
+	case MessageClaimReply:
+		decodeMessage(router, message, func(claimReply ClaimReply) { router.claimReply(now, message.From, claimReply) })
 	case MessageFinish:
-		readMessage(owner, message, func(record call.Record) { owner.table.Finish(record) })
-	case MessageFree:
-		readMessage(owner, message, func(record call.Record) { owner.table.Free(record) })
+		decodeMessage(router, message, func(record call.Record) { router.table.Finish(record) })
+	case MessageRelease:
+		decodeMessage(router, message, func(record call.Record) { router.table.Release(record) })
 	case MessageFind:
-		readMessage(owner, message, func(ask Find) { owner.find(now, ask) })
-	case MessageFound:
-		readMessage(owner, message, func(found Found) { owner.found(now, message.From, found) })
-	case MessageShare:
-		readMessage(owner, message, func(ask Share) { owner.share(now, ask) })
-	case MessageShared:
-		readMessage(owner, message, func(shared Shared) { owner.takeShare(now, message, shared) })
+		decodeMessage(router, message, func(ask Find) { router.find(now, ask) })
+	case MessageFindReply:
+		decodeMessage(router, message, func(findReply FindReply) { router.findReply(now, message.From, findReply) })
+	case MessageExport:
+		decodeMessage(router, message, func(ask Export) { router.export(now, ask) })
+	case MessageExportReply:
+		decodeMessage(router, message, func(exported ExportReply) { router.importRecords(now, message, exported) })
 	case control.MessageWhyAsk:
-		readMessage(owner, message, func(ask control.StatusAsk) {
-			body, _ := json.Marshal(owner.traces.find(ask.Call))
-			owner.emit(contract.Send{To: ask.Address, Kind: control.MessageWhy, Body: control.Status{Token: ask.Token, Node: owner.Self().Name, Body: body}})
+		decodeMessage(router, message, func(ask control.StatusAsk) {
+			body, _ := json.Marshal(router.traces.find(ask.Call))
+			router.emit(contract.Send{To: ask.Address, Kind: control.MessageWhy, Body: control.Status{Token: ask.Token, Node: router.Self().Name, Body: body}})
 		})
 	}
 }
 
-func readMessage[Body any](owner *Owner, message contract.Message, then func(Body)) {
+// decodeMessage unmarshals a message's body and passes it to the handler; a malformed body is only counted.
+func decodeMessage[Body any](router *Router, message contract.Message, handler func(Body)) {
 	var body Body
 	if json.Unmarshal(message.Body, &body) != nil {
-		owner.count("messages_broken")
+		router.count("messages_broken")
 		return
 	}
-	then(body)
+	handler(body)
 }
 
-// ask passes an operator's question to the authority.
-func (owner *Owner) ask(now time.Duration, ask contract.Ask) {
-	node, there := ask.Authority(owner.Feed.View())
+// ask forwards an operator's request to the control-plane node that decides it. Why and gone requests can be answered by any
+// control-plane node.
+func (router *Router) ask(now time.Duration, ask contract.OperatorRequest) {
+	node, exists := ask.AuthoritativeNode(router.Feed.View())
 	address := node.Address
 	if ask.Verb == contract.VerbWhy || ask.Verb == contract.VerbGone {
-		for _, member := range owner.Neighbours.Members(now) {
+		for _, member := range router.Neighbours.Members(now) {
 			if member.Kind == contract.KindControl {
-				address, there = member.Address, true
+				address, exists = member.Address, true
 			}
 		}
 	}
-	if !there || ask.Forwarded {
-		owner.emit(contract.Refuse(ask.Token, 503, "no authority is known here yet; nothing was done", owner.Bounds.Round()))
+	if !exists || ask.Forwarded {
+		router.emit(contract.ErrorResponse(ask.Token, 503, "no authority is known here yet; nothing was done", router.Bounds.Round()))
 		return
 	}
 	ask.Forwarded = true
-	owner.emit(contract.Forward{Ask: ask, Address: address})
+	router.emit(contract.Forward{Request: ask, Address: address})
 }
 
-func (owner *Owner) gauges() {
-	_, lapsed := owner.candidates(owner.nextAsk)
-	for name, value := range map[string]int{"calls_now": len(owner.jobs), "calls_in_line": owner.lines.Total(), "records": owner.table.Size(), "shards_lapsed": len(lapsed)} {
-		owner.emit(contract.Gauge{Name: name, Value: int64(value)})
+func (router *Router) reportGauges() {
+	_, lapsed := router.candidates(router.nextLeaseRequest)
+	for name, value := range map[string]int{"calls_now": len(router.jobs), "calls_in_line": router.queues.Total(), "records": router.table.Len(), "shards_lapsed": len(lapsed)} {
+		router.emit(contract.SetGauge{Name: name, Value: int64(value)})
 	}
 }
--- a/data/end.go
+++ b/data/end.go
@@ -9,156 +9,160 @@
 	"github.com/cedarreel/cedarreel/pick"
 )
 
-// dropAttempt takes an attempt out; one whose end at the server is not known lingers there.
-func (owner *Owner) dropAttempt(now time.Duration, job *job, number int, over bool) {
-	attempt, there := job.attempts[number]
-	if !there {
+// dropAttempt removes an attempt and updates the server's load. If it is not known to be finished at the server, it keeps counting
+// as lingering load there for the length of a lease.
+func (router *Router) dropAttempt(now time.Duration, job *job, attemptNumber int, finished bool) {
+	attempt, exists := job.attempts[attemptNumber]
+	if !exists {
 		return
 	}
-	delete(job.attempts, number)
-	usage := owner.usages[attempt.server.Name]
+	delete(job.attempts, attemptNumber)
+	usage := router.usages[attempt.server.Name]
 	usage.Own = max(0, usage.Own-1)
 	usage.AtReport = min(usage.AtReport, usage.Own)
-	if !over {
+	if !finished {
 		usage.Lingering++
-		owner.lingers = append(owner.lingers, linger{attempt.server.Name, now + owner.Bounds.Lease()})
+		router.abandoned = append(router.abandoned, abandonedAttempt{attempt.server.Name, now + router.Bounds.Lease()})
 	}
-	owner.setUsage(attempt.server.Name, usage)
+	router.setUsage(attempt.server.Name, usage)
 }
 
-func (owner *Owner) setUsage(server string, usage pick.Usage) {
+func (router *Router) setUsage(server string, usage pick.Usage) {
 	if usage.Own == 0 && usage.Lingering == 0 {
-		delete(owner.usages, server)
+		delete(router.usages, server)
 		return
 	}
-	owner.usages[server] = usage
+	router.usages[server] = usage
 }
 
-// linger is a call that was given up here and that a server may still be at.
-type linger struct {
+// abandonedAttempt is an attempt that this node gave up and that the server may still be running.
+type abandonedAttempt struct {
 	server string
 	until  time.Duration
 }
 
-func (owner *Owner) tickLingers(now time.Duration) {
-	for len(owner.lingers) > 0 && now >= owner.lingers[0].until {
-		server := owner.lingers[0].server
-		owner.lingers = owner.lingers[1:]
-		usage := owner.usages[server]
+func (router *Router) expireAbandoned(now time.Duration) {
+	for len(router.abandoned) > 0 && now >= router.abandoned[0].until {
+		server := router.abandoned[0].server
+		router.abandoned = router.abandoned[1:]
+		usage := router.usages[server]
 		usage.Lingering = max(0, usage.Lingering-1)
-		owner.setUsage(server, usage)
+		router.setUsage(server, usage)
 	}
 }
 
-func (owner *Owner) begun(now time.Duration, event Begun) {
-	if job, there := owner.jobs[event.Token]; there {
-		if attempt, there := job.attempts[event.Attempt]; there {
-			attempt.pieces = true
-			owner.emit(contract.Took{What: "first_piece", Class: job.route.Class, Span: now - job.arrived})
+// firstChunk handles the start of a reply, after which the attempt can't be recalled any more.
+func (router *Router) firstChunk(now time.Duration, event FirstChunk) {
+	if job, exists := router.jobs[event.Token]; exists {
+		if attempt, exists := job.attempts[event.Attempt]; exists {
+			attempt.hasChunks = true
+			router.emit(contract.ObserveDuration{Name: "first_piece", Class: job.route.Class, Duration: now - job.arrivedAt})
 		}
 	}
 }
 
-// ended takes the end of one attempt: whole, proven not to have run, or not known.
-func (owner *Owner) ended(now time.Duration, event Ended) {
-	job, there := owner.jobs[event.Token]
-	if !there {
+// attemptEnded handles the end of an attempt. A complete reply ends the call; an attempt that provably did not run may be retried; any
+// other end is reported to the caller, since the call may have run. A lookup may also be retried if there was no reply.
+func (router *Router) attemptEnded(now time.Duration, event AttemptEnded) {
+	job, exists := router.jobs[event.Token]
+	if !exists {
 		return
 	}
-	attempt, there := job.attempts[event.Attempt]
-	if !there {
+	attempt, exists := job.attempts[event.Attempt]
+	if !exists {
 		return
 	}
-	owner.dropAttempt(now, job, event.Attempt, event.Proof == call.Whole || event.Proof.NeverRan())
-	if place := event.Attempt - 1; place < len(job.trace.Attempts) {
-		job.trace.Attempts[place].Proof, job.trace.Attempts[place].Error = string(event.Proof), event.Error
+	router.dropAttempt(now, job, event.Attempt, event.Result == call.CompleteReply || event.Result.NeverRan())
+	if index := event.Attempt - 1; index < len(job.trace.Attempts) {
+		job.trace.Attempts[index].Result, job.trace.Attempts[index].Error = string(event.Result), event.Error
 	}
-	owner.count("attempts_" + string(event.Proof))
-	if event.Proof == call.NotSent || event.Proof == call.Refused || event.Proof == call.Silent || event.Proof == call.Broken {
-		owner.turnedAway(now, attempt.server.Name)
+	router.count("attempts_" + string(event.Result))
+	if event.Result == call.NotSent || event.Result == call.Refused || event.Result == call.NoReply || event.Result == call.BrokenReply {
+		router.backOff(now, attempt.server.Name)
 	}
 	switch {
-	case event.Proof == call.Whole:
-		delete(owner.turned, attempt.server.Name)
-		owner.lines.Served(job.call.Route, now-attempt.began)
-		owner.succeed(now, job, attempt, event)
-	case event.Proof.NeverRan() || job.call.Lookup && event.Proof == call.Silent:
-		owner.again(now, job, event)
-	case event.Proof == call.Broken:
-		owner.finish(now, job, call.Interrupted, nil)
-	case event.Proof == call.Left:
-		owner.finish(now, job, call.Interrupted, nil)
+	case event.Result == call.CompleteReply:
+		delete(router.backoffs, attempt.server.Name)
+		router.queues.ObserveDuration(job.call.Route, now-attempt.startedAt)
+		router.succeed(now, job, attempt, event)
+	case event.Result.NeverRan() || job.call.IsLookup && event.Result == call.NoReply:
+		router.retry(now, job, event)
+	case event.Result == call.BrokenReply:
+		router.finish(now, job, call.Interrupted, nil)
+	case event.Result == call.CallerLeft:
+		router.finish(now, job, call.Interrupted, nil)
 	default:
-		owner.trouble(now, job, 502, call.Unknown, "sent to a server, and no whole answer came: "+event.Error, 0)
+		router.fail(now, job, 502, call.Unknown, "sent to a server, and no whole answer came: "+event.Error, 0)
 	}
-	owner.serve(now)
+	router.dispatchQueued(now)
 }
 
-func (owner *Owner) succeed(now time.Duration, job *job, attempt *attempt, event Ended) {
-	owner.settleRecord(job, call.Done, event.Pieces)
-	owner.finish(now, job, call.Done, contract.Answer{Token: job.token, Status: 200, Body: Reply{Pieces: event.Pieces, Server: attempt.server.Name}})
+func (router *Router) succeed(now time.Duration, job *job, attempt *attempt, event AttemptEnded) {
+	router.recordOutcome(job, call.Done, event.Chunks)
+	router.finish(now, job, call.Done, contract.Response{Token: job.token, Status: 200, Body: Reply{Chunks: event.Chunks, Server: attempt.server.Name}})
 }
 
-// again tries another server after a proven not-run, if the allowance and the deadline leave room for it.
-func (owner *Owner) again(now time.Duration, job *job, event Ended) {
+// retry queues the call for another server, if the number of attempts, the deadline and the retry budget allow it.
+func (router *Router) retry(now time.Duration, job *job, event AttemptEnded) {
 	if len(job.attempts) > 0 {
 		return
 	}
-	if job.tries >= mostAttempts || now >= job.deadline || !owner.repeats.Take() {
-		if job.call.Lookup && event.Proof == call.Silent {
-			owner.trouble(now, job, 502, call.Unknown, "no server answered the lookup: "+event.Error, owner.jitter(owner.Bounds.Round()))
+	if job.attemptCount >= maxAttempts || now >= job.deadline || !router.retryBudget.TryWithdraw() {
+		if job.call.IsLookup && event.Result == call.NoReply {
+			router.fail(now, job, 502, call.Unknown, "no server answered the lookup: "+event.Error, router.jitter(router.Bounds.Round()))
 			return
 		}
-		owner.refuse(now, job, 503, "the server did not take the call: "+event.Error, owner.jitter(owner.Bounds.Round()))
+		router.refuse(now, job, 503, "the server did not take the call: "+event.Error, router.jitter(router.Bounds.Round()))
 		return
 	}
-	owner.count("repeats_after_not_run")
-	owner.enter(now, job)
+	router.count("repeats_after_not_run")
+	router.enqueue(now, job)
 }
 
-// left is a caller that went away: what waits is removed, what runs is cancelled and never run again.
-func (owner *Owner) left(now time.Duration, event Left) {
-	job, there := owner.jobs[event.Token]
-	if !there {
+// callerLeft handles a disconnected caller: a waiting call is dropped, and a running one is cancelled and not retried.
+func (router *Router) callerLeft(now time.Duration, event CallerLeft) {
+	job, exists := router.jobs[event.Token]
+	if !exists {
 		return
 	}
-	job.silent = true
-	owner.count("callers_left")
+	job.callerGone = true
+	router.count("callers_left")
 	outcome := call.NotRun
-	if job.phase == phaseRunning || job.phase == phasePassed {
+	if job.phase == phaseRunning || job.phase == phaseForwarded {
 		outcome = call.Interrupted
 	}
-	owner.finish(now, job, outcome, nil)
+	router.finish(now, job, outcome, nil)
 }
 
-// recall asks servers that are cut to give back calls that they never started.
-func (owner *Owner) recall(servers []string) {
+// recall asks servers that are being retired to give back calls that they have not started, so that they can run elsewhere.
+func (router *Router) recall(servers []string) {
 	if len(servers) == 0 {
 		return
 	}
-	for _, token := range owner.tokens() {
-		job := owner.jobs[token]
-		if job.call.Lookup {
+	for _, token := range router.tokens() {
+		job := router.jobs[token]
+		if job.call.IsLookup {
 			continue
 		}
-		for _, number := range sortedAttempts(job.attempts) {
-			attempt := job.attempts[number]
-			if attempt.pieces || attempt.recalled || !slices.Contains(servers, attempt.server.Name) {
+		for _, attemptNumber := range sortedAttempts(job.attempts) {
+			attempt := job.attempts[attemptNumber]
+			if attempt.hasChunks || attempt.recallSent || !slices.Contains(servers, attempt.server.Name) {
 				continue
 			}
-			attempt.recalled = true
-			owner.emit(Recall{Token: token, Attempt: number, Identity: identity(owner.Self(), job, number), Server: attempt.server})
+			attempt.recallSent = true
+			router.emit(RecallAttempt{Token: token, Attempt: attemptNumber, AttemptID: attemptID(router.Self(), job, attemptNumber), Server: attempt.server})
 		}
 	}
 }
 
-func (owner *Owner) recalled(now time.Duration, event Recalled) {
-	job, there := owner.jobs[event.Token]
-	if !there || !event.Never {
+// recallAnswered ends an attempt that its server confirmed not to have started, so that the call can be retried elsewhere.
+func (router *Router) recallAnswered(now time.Duration, event RecallAnswered) {
+	job, exists := router.jobs[event.Token]
+	if !exists || !event.Confirmed {
 		return
 	}
-	if attempt, there := job.attempts[event.Attempt]; there && !attempt.pieces {
-		owner.emit(Cancel{Token: event.Token, Attempt: event.Attempt})
-		owner.ended(now, Ended{Token: event.Token, Attempt: event.Attempt, Proof: call.Withdrawn, Error: "recalled before it started"})
+	if attempt, exists := job.attempts[event.Attempt]; exists && !attempt.hasChunks {
+		router.emit(CancelAttempt{Token: event.Token, Attempt: event.Attempt})
+		router.attemptEnded(now, AttemptEnded{Token: event.Token, Attempt: event.Attempt, Result: call.RecalledBeforeStart, Error: "recalled before it started"})
 	}
 }
--- a/data/leases.go
+++ b/data/leases.go
@@ -11,64 +11,70 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// grant is what this node holds of one shard: the newest lease and the highest epoch ever seen.
-type grant struct {
-	lease   contract.Lease
-	highest contract.Epoch
-	asked   time.Duration
-	expires time.Duration
-	hint    string
-	detour  machine.RelayPath
+// shardLease is this node's state for one shard of its region's servers: the newest lease, which lists the servers to pick from, and the
+// highest epoch ever seen. requestedAt is when that lease was requested, and hint the owner that another node named.
+type shardLease struct {
+	lease       contract.Lease
+	highest     contract.Epoch
+	requestedAt time.Duration
+	expiresAt   time.Duration
+	hint        string
+	detour      machine.RelayPath
 }
 
-func (owner *Owner) askLeases(now time.Duration) {
-	if now < owner.nextAsk || !owner.Feed.Known() {
+// requestLeases asks for a new lease of every shard in each interval. It asks the shard's first owner, the node of the last lease and
+// the hinted owner.
+func (router *Router) requestLeases(now time.Duration) {
+	if now < router.nextLeaseRequest || !router.Feed.Known() {
 		return
 	}
-	owner.nextAsk = now + owner.Bounds.Ask()
-	region := owner.Self().Region
-	members, shards := owner.Neighbours.Members(now), owner.shards()
+	router.nextLeaseRequest = now + router.Bounds.LeaseRenewal()
+	region := router.Self().Region
+	members, shards := router.Neighbours.Members(now), router.shards()
 	for index := 0; index < shards; index++ {
-		held, there := owner.grants[index]
-		if !there {
-			held = &grant{}
-			owner.grants[index] = held
+		current, exists := router.shardLeases[index]
+		if !exists {
+			current = &shardLease{}
+			router.shardLeases[index] = current
 		}
-		targets := map[string]bool{held.hint: true, held.lease.Epoch.Node: true}
-		first := shard.First(members, region, index)
+		targets := map[string]bool{current.hint: true, current.lease.Epoch.Node: true}
+		first := shard.PreferredOwner(members, region, index)
 		targets[first] = true
-		ask := contract.LeaseRequest{Node: owner.Self().Name, Address: owner.Self().Address, Region: region, Shard: index,
-			Asked: now, Highest: held.highest, Number: held.lease.Number, Shards: shards}
-		ask.Calls, ask.Lingering = owner.callsOn(index)
+		request := contract.LeaseRequest{Node: router.Self().Name, Address: router.Self().Address, Region: region, Shard: index,
+			SentAt: now, HighestEpoch: current.highest, Number: current.lease.Number, ShardCount: shards}
+		request.Calls, request.Abandoned = router.callsOnShard(index)
 		for _, name := range manifest.SortedKeys(targets) {
-			if member, there := owner.Neighbours.Look(name); there && member.Kind == contract.KindControl && owner.Neighbours.Alive(now, name) {
-				owner.emit(contract.Send{To: member.Address, Kind: shard.MessageAsk, Body: ask})
+			if member, exists := router.Neighbours.Lookup(name); exists && member.Kind == contract.KindControl && router.Neighbours.Alive(now, name) {
+				router.emit(contract.Send{To: member.Address, Kind: shard.MessageLeaseRequest, Body: request})
 			}
 		}
-		owner.askByRelay(now, held, first, ask)
+		router.requestByRelay(now, current, first, request)
 	}
 }
 
-// askByRelay asks a shard's first owner by way of other members when it has been silent for a third of a lease: a cut link between the
-// two must not stop a shard.
-func (owner *Owner) askByRelay(now time.Duration, held *grant, first string, ask contract.LeaseRequest) {
-	silent := now-held.asked > owner.Bounds.Lease()/3
-	target, there := owner.Neighbours.Look(first)
-	if !there {
+// requestByRelay asks a shard's first owner through other members after it was silent for a third of a lease, so that a broken link
+// between the two nodes does not stop the shard.
+func (router *Router) requestByRelay(now time.Duration, current *shardLease, first string, request contract.LeaseRequest) {
+	silent := now-current.requestedAt > router.Bounds.Lease()/3
+	target, exists := router.Neighbours.Lookup(first)
+	if !exists {
 		return
 	}
-	if route, tried, needed := held.detour.Next(silent); needed {
-		owner.emit(owner.SendByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageAsk, Body: ask}, route, tried)...)
+	if route, tried, needed := current.detour.Next(silent); needed {
+		router.emit(router.SendByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageLeaseRequest, Body: request}, route, tried)...)
 	}
 }
 
-func (owner *Owner) shards() int { return owner.Feed.Manifest().Regions[owner.Self().Region].Shards }
+// shards returns the number of shards of this node's region.
+func (router *Router) shards() int {
+	return router.Feed.Manifest().Regions[router.Self().Region].Shards
+}
 
-// callsOn counts what lies on the servers of a shard: this node's calls, and those that it gave up and that linger.
-func (owner *Owner) callsOn(index int) (calls, lingering map[string]int64) {
-	shards := owner.shards()
+// callsOnShard counts this node's calls per server of a shard: those that run, and abandoned ones that may still run.
+func (router *Router) callsOnShard(index int) (calls, lingering map[string]int64) {
+	shards := router.shards()
 	calls, lingering = map[string]int64{}, map[string]int64{}
-	for name, usage := range owner.usages {
+	for name, usage := range router.usages {
 		if contract.ShardOf(name, shards) != index {
 			continue
 		}
@@ -82,66 +88,68 @@
 	return calls, lingering
 }
 
-// lease takes a pick list unless a higher epoch was seen; its life counts from this node's own asking.
-func (owner *Owner) lease(now time.Duration, message contract.Message, lease contract.Lease) {
-	held, there := owner.grants[lease.Shard]
-	if !there || lease.Region != owner.Self().Region {
+// lease takes up a shard's lease unless a higher epoch was seen. It expires Life after this node requested it, so that no clocks are
+// compared. For each new load report of a server it notes how many of this node's calls the report already includes.
+func (router *Router) lease(now time.Duration, message contract.Message, lease contract.Lease) {
+	current, exists := router.shardLeases[lease.Shard]
+	if !exists || lease.Region != router.Self().Region {
 		return
 	}
-	if lease.Epoch.Before(held.highest) || lease.Shards != owner.shards() {
-		owner.count("leases_refused")
+	if lease.Epoch.Before(current.highest) || lease.ShardCount != router.shards() {
+		router.count("leases_refused")
 		return
 	}
-	same := lease.Epoch == held.highest
-	if lease.Asked > now || same && (lease.Number < held.lease.Number || lease.Asked < held.asked) {
-		owner.count("leases_late")
+	same := lease.Epoch == current.highest
+	if lease.RequestSentAt > now || same && (lease.Number < current.lease.Number || lease.RequestSentAt < current.requestedAt) {
+		router.count("leases_late")
 		return
 	}
-	if now >= held.expires {
-		owner.turned = map[string]rest{}
+	if now >= current.expiresAt {
+		router.backoffs = map[string]backoff{}
 	}
-	former := held.lease.Withdraw
-	held.detour.RecordAnswer(message.Via, held.asked == lease.Asked)
-	held.highest, held.lease, held.asked, held.hint = lease.Epoch, lease, lease.Asked, ""
-	held.expires = lease.Asked + lease.Life
+	previous := current.lease.Withdraw
+	current.detour.RecordAnswer(message.ReturnRoute, current.requestedAt == lease.RequestSentAt)
+	current.highest, current.lease, current.requestedAt, current.hint = lease.Epoch, lease, lease.RequestSentAt, ""
+	current.expiresAt = lease.RequestSentAt + lease.Duration
 	for _, candidate := range lease.Servers {
-		usage := owner.usages[candidate.Name]
-		if usage.Report != candidate.Report {
-			usage.Report, usage.AtReport = candidate.Report, usage.Own
-			owner.usages[candidate.Name] = usage
+		usage := router.usages[candidate.Name]
+		if usage.Report != candidate.ReportNumber {
+			usage.Report, usage.AtReport = candidate.ReportNumber, usage.Own
+			router.usages[candidate.Name] = usage
 		}
 	}
 	for _, name := range lease.Withdraw {
-		if !slices.Contains(former, name) {
-			owner.sessions.leave(name)
+		if !slices.Contains(previous, name) {
+			router.affinities.forgetServer(name)
 		}
 	}
-	owner.recall(lease.Recall)
-	owner.serve(now)
+	router.recall(lease.Recall)
+	router.dispatchQueued(now)
 }
 
-func (owner *Owner) notOwner(hint contract.NotOwner) {
-	if held, there := owner.grants[hint.Shard]; there && hint.Region == owner.Self().Region {
-		held.hint = hint.Owner
+// notOwner remembers the owner that a control-plane node named in place of itself.
+func (router *Router) notOwner(hint contract.NotOwner) {
+	if current, exists := router.shardLeases[hint.Shard]; exists && hint.Region == router.Self().Region {
+		current.hint = hint.Owner
 	}
 }
 
-// candidates gives the servers under leases that have not lapsed, and the shards that cannot be picked from now.
-func (owner *Owner) candidates(now time.Duration) ([]contract.Candidate, []int) {
-	candidates, lapsed, shards, former := []contract.Candidate{}, []int{}, owner.shards(), false
-	for _, held := range owner.grants {
-		former = former || now < held.expires && held.lease.Shards != shards
-	}
-	for _, index := range owner.shardIndexes() {
-		held := owner.grants[index]
-		if now >= held.expires {
-			if index < shards && !former {
+// candidates returns the servers of all unexpired leases, and the shards whose lease has expired, whose servers can't be picked.
+func (router *Router) candidates(now time.Duration) ([]contract.Candidate, []int) {
+	candidates, lapsed, shards, previous := []contract.Candidate{}, []int{}, router.shards(), false
+	for _, current := range router.shardLeases {
+		previous = previous || now < current.expiresAt && current.lease.ShardCount != shards
+	}
+	for _, index := range router.shardIndexes() {
+		current := router.shardLeases[index]
+		if now >= current.expiresAt {
+			if index < shards && !previous {
 				lapsed = append(lapsed, index)
 			}
 			continue
 		}
-		for _, candidate := range held.lease.Servers {
-			if owner.grantOf(now, candidate.Name) == held {
+		for _, candidate := range current.lease.Servers {
+			if router.shardLeaseOf(now, candidate.Name) == current {
 				candidates = append(candidates, candidate)
 			}
 		}
@@ -149,34 +157,35 @@
 	return candidates, lapsed
 }
 
-// grantOf gives the grant that a server is picked under: that of the present division, or while there is none yet, what is
-// left of a lease of the former one.
-func (owner *Owner) grantOf(now time.Duration, server string) *grant {
-	shards := owner.shards()
-	held, there := owner.grants[contract.ShardOf(server, shards)]
-	if there && now < held.expires && held.lease.Shards == shards {
-		return held
-	}
-	for _, index := range owner.shardIndexes() {
-		former := owner.grants[index]
-		if now < former.expires && former.lease.Shards != shards && contract.ShardOf(server, former.lease.Shards) == index {
-			return former
+// shardLeaseOf returns the lease that a server is picked under. After a change of the number of shards, leases of the previous number
+// stay in use until they expire or are replaced.
+func (router *Router) shardLeaseOf(now time.Duration, server string) *shardLease {
+	shards := router.shards()
+	current, exists := router.shardLeases[contract.ShardOf(server, shards)]
+	if exists && now < current.expiresAt && current.lease.ShardCount == shards {
+		return current
+	}
+	for _, index := range router.shardIndexes() {
+		previous := router.shardLeases[index]
+		if now < previous.expiresAt && previous.lease.ShardCount != shards && contract.ShardOf(server, previous.lease.ShardCount) == index {
+			return previous
 		}
 	}
-	return held
+	return current
 }
 
-// leasedUntil tells until when a server may be sent what was picked for it.
-func (owner *Owner) leasedUntil(now time.Duration, server string) time.Duration {
-	if held := owner.grantOf(now, server); held != nil {
-		return held.expires
+// leaseExpiry returns until when a call may be sent to a server; 0 if there is no lease.
+func (router *Router) leaseExpiry(now time.Duration, server string) time.Duration {
+	if current := router.shardLeaseOf(now, server); current != nil {
+		return current.expiresAt
 	}
 	return 0
 }
 
-func (owner *Owner) shardIndexes() []int {
+// shardIndexes returns the numbers of all known shards in ascending order.
+func (router *Router) shardIndexes() []int {
 	indexes := []int{}
-	for index := range owner.grants {
+	for index := range router.shardLeases {
 		indexes = append(indexes, index)
 	}
 	sort.Ints(indexes)
--- a/data/outer.go
+++ b/data/outer.go
@@ -7,57 +7,58 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// outer names the region whose word decides when just half of a home region's voters can be asked: the first other one, for all alike.
-func (owner *Owner) outer() string {
-	for _, name := range manifest.SortedKeys(owner.Feed.Manifest().Regions) {
-		if name != owner.Self().Region {
+// witnessRegion names the region that breaks the tie when exactly half of this region's voters can be reached: the first other one in
+// order of names, so that all nodes of this region choose the same. It is empty if there is no other region.
+func (router *Router) witnessRegion() string {
+	for _, name := range manifest.SortedKeys(router.Feed.Manifest().Regions) {
+		if name != router.Self().Region {
 			return name
 		}
 	}
 	return ""
 }
 
-// outerNodes gives the data nodes of that region's roster that are known here.
-func (owner *Owner) outerNodes() map[string]contract.Member {
+// witnessNodes returns the data nodes of the witness region's roster that are known here, by name.
+func (router *Router) witnessNodes() map[string]contract.Member {
 	nodes := map[string]contract.Member{}
-	for _, name := range owner.roster(owner.outer()) {
-		if member, there := owner.Neighbours.Look(name); there {
+	for _, name := range router.roster(router.witnessRegion()) {
+		if member, exists := router.Neighbours.Lookup(name); exists {
 			nodes[name] = member
 		}
 	}
 	return nodes
 }
 
-// most tells whether so many are a majority of the outer region's roster, so that any two majorities share a node.
-func (owner *Owner) most(count int) bool {
-	roster := len(owner.roster(owner.outer()))
+// witnessMajority reports whether count is a majority of the witness region's roster; any two majorities share a node.
+func (router *Router) witnessMajority(count int) bool {
+	roster := len(router.roster(router.witnessRegion()))
 	return roster > 0 && count*2 > roster
 }
 
-// widen asks the outer region to keep a call too, when just half of the voters have granted it.
-func (owner *Owner) widen(job *job) {
-	if job.outer != nil {
+// askWitnesses asks the witness region to grant the claim as well, once exactly half of the voters have granted it.
+func (router *Router) askWitnesses(job *job) {
+	if job.witness != nil {
 		return
 	}
-	owner.count("calls_widened")
-	job.outer = owner.outerNodes()
-	hold := Hold{Record: owner.record(job), Address: owner.Self().Address}
-	for _, name := range manifest.SortedKeys(job.outer) {
-		owner.emit(contract.Send{To: job.outer[name].Address, Kind: MessageHold, Body: hold})
+	router.count("calls_widened")
+	job.witness = router.witnessNodes()
+	claim := Claim{Record: router.record(job), Address: router.Self().Address}
+	for _, name := range manifest.SortedKeys(job.witness) {
+		router.emit(contract.Send{To: job.witness[name].Address, Kind: MessageClaim, Body: claim})
 	}
 }
 
-// vouched takes the word of a node of the outer region; one that may have forgotten vouches for nothing.
-func (owner *Owner) vouched(now time.Duration, job *job, from string, held Held) {
-	if _, asked := job.outer[from]; asked && held.Fine && held.Settled {
-		job.vouched[from] = true
-		owner.checkHold(now, job)
+// witnessed handles a witness's answer to a claim. The grant of one that may have forgotten records after a restart does not count.
+func (router *Router) witnessed(now time.Duration, job *job, from string, claimReply ClaimReply) {
+	if _, asked := job.witness[from]; asked && claimReply.Granted && claimReply.CaughtUp {
+		job.witnessed[from] = true
+		router.checkClaim(now, job)
 	}
 }
 
-// quorum holds when more than half of the voters granted, or half of them and most of the outer region vouch. Any two of these share a
-// node, so whoever else asks for the same call meets one that knows of it.
-func (owner *Owner) quorum(job *job) bool {
+// quorum reports whether more than half of the voters granted the claim, or exactly half of them and a majority of the witness region.
+// Any two such sets share a node, so a second claim of the same call reaches a node that knows of the first.
+func (router *Router) quorum(job *job) bool {
 	granted := len(job.granted) * 2
-	return granted > len(job.voters) || granted == len(job.voters) && owner.most(len(job.vouched))
+	return granted > len(job.voters) || granted == len(job.voters) && router.witnessMajority(len(job.witnessed))
 }
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -18,7 +18,7 @@
 type controlShell struct {
 	*process
 	settings env.Env
-	asks     map[int64]func(contract.Answer)
+	asks     map[int64]func(contract.Response)
 	token    int64
 }
 
@@ -31,7 +31,7 @@
 		}
 		recovered = &loaded
 	}
-	shell := &controlShell{settings: settings, asks: map[int64]func(contract.Answer){}}
+	shell := &controlShell{settings: settings, asks: map[int64]func(contract.Response){}}
 	owner := control.New(settings, machine.boot(), recovered, machine.random())
 	if machine.disk != nil {
 		snapshot, damaged := image.LoadIndex(machine.disk)
@@ -50,7 +50,7 @@
 		shell.machine.disk.Save(func() {
 			persisted := chain.Persisted{Token: command.Token}
 			if failure := image.Save(shell.machine.disk, command); failure != nil {
-				persisted.Failure = failure.Error()
+				persisted.Error = failure.Error()
 			}
 			shell.event(persisted)
 		})
@@ -67,15 +67,15 @@
 	case shard.ReadReport:
 		shell.readReport(command)
 	case shard.Order:
-		shell.event(shard.Ordered{Server: command.Server, Load: command.Load})
-	case contract.Answer:
+		shell.event(shard.OrderResult{Server: command.Server, Load: command.Load})
+	case contract.Response:
 		take := shell.asks[command.Token]
 		delete(shell.asks, command.Token)
 		if take != nil {
 			take(command)
 		}
 	case contract.Forward:
-		forward(shell.process, command, func(answer contract.Answer) { shell.act(answer) })
+		forward(shell.process, command, func(answer contract.Response) { shell.act(answer) })
 	default:
 		return false
 	}
@@ -83,8 +83,8 @@
 }
 
 // ask puts an operator's question to this process.
-func (shell *controlShell) ask(ask contract.Ask, take func(contract.Answer)) {
-	shell.Do(func() {
+func (shell *controlShell) ask(ask contract.OperatorRequest, take func(contract.Response)) {
+	shell.Run(func() {
 		shell.token++
 		ask.Token = shell.token
 		shell.asks[ask.Token] = take
@@ -93,29 +93,29 @@
 }
 
 // forward carries an ask to the authority; an answer that is lost is unknown.
-func forward(process *process, forward contract.Forward, give func(contract.Answer)) {
+func forward(process *process, forward contract.Forward, give func(contract.Response)) {
 	day, given := process.day, false
-	end := func(answer contract.Answer) {
+	end := func(answer contract.Response) {
 		if !given {
 			given = true
-			answer.Token = forward.Ask.Token
-			process.Do(func() { give(answer) })
+			answer.Token = forward.Request.Token
+			process.Run(func() { give(answer) })
 		}
 	}
 	process.after(process.machine.settings().Bounds.Deliver()*2, func() {
-		end(contract.Answer{Status: 504, Body: contract.Accepted{Outcome: "unknown", Operation: forward.Ask.Operation}})
+		end(contract.Response{Status: 504, Body: contract.WriteResult{Outcome: "unknown", Operation: forward.Request.Operation}})
 	})
 	target := day.listening(forward.Address)
 	if target == nil {
-		end(contract.Refuse(0, 503, "the authority cannot be reached; nothing was done", 0))
+		end(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0))
 		return
 	}
 	day.world.post(process.machine.place(), target.machine.place(), func() {
 		if !target.Up {
-			day.world.post(target.machine.place(), process.machine.place(), func() { end(contract.Refuse(0, 503, "the authority cannot be reached; nothing was done", 0)) })
+			day.world.post(target.machine.place(), process.machine.place(), func() { end(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0)) })
 			return
 		}
-		target.machine.control.ask(forward.Ask, func(answer contract.Answer) {
+		target.machine.control.ask(forward.Request, func(answer contract.Response) {
 			day.world.post(target.machine.place(), process.machine.place(), func() { end(answer) })
 		})
 	})
@@ -123,7 +123,7 @@
 
 // readList reads the list page by page, each within the time for it.
 func (shell *controlShell) readList() {
-	read, limit := shard.ListingRead{Began: shell.now()}, shell.settings.Bounds.PlatformPoll()
+	read, limit := shard.ListingResult{Began: shell.now()}, shell.settings.Bounds.PlatformPoll()
 	var page func(number int)
 	page = func(number int) {
 		question(shell.process, shell.day.list.place(), limit, func() (any, time.Duration) {
@@ -151,12 +151,12 @@
 }
 
 type listPage struct {
-	rows []contract.ServerRow
+	rows []contract.ListedServer
 	more bool
 }
 
 func (shell *controlShell) readReport(command shard.ReadReport) {
-	read := shard.ReportRead{Server: command.Server, For: command, Outcome: retire.Outcome{Began: shell.now()}}
+	read := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: shell.now()}}
 	server := shell.day.at(command.Address)
 	if server == nil {
 		read.Error = "nobody is there"
@@ -170,7 +170,7 @@
 		}
 		return report, time.Millisecond
 	}, func(answer any) {
-		if report, fine := answer.(contract.Report); fine {
+		if report, fine := answer.(contract.LoadReport); fine {
 			read.Report = report
 		} else {
 			read.Error = "no report"
@@ -185,7 +185,7 @@
 	end := func(answer any) {
 		if !done {
 			done = true
-			process.Do(func() { take(answer) })
+			process.Run(func() { take(answer) })
 		}
 	}
 	process.after(limit, func() { end(nil) })
@@ -212,5 +212,5 @@
 // leave tells the others, and ends after the time that this takes.
 func (shell *controlShell) leave(then func()) {
 	shell.event(control.Leave{})
-	shell.after(shell.settings.Bounds.Gossip(), then)
+	shell.after(shell.settings.Bounds.GossipInterval(), then)
 }
--- a/emulator/machine.go
+++ b/emulator/machine.go
@@ -41,7 +41,7 @@
 	kind    string
 	boot    string
 	began   time.Duration
-	owner   contract.Owner
+	owner   contract.StateMachine
 	perform func(contract.Command) bool
 }
 
@@ -98,7 +98,7 @@
 	if machine.controls() {
 		machine.control = newControlShell(machine, settings)
 	}
-	settings.Bounds.History = env.HistoryOfNodes
+	settings.Bounds.History = env.FollowerHistory
 	machine.data = newDataShell(machine, settings)
 	for _, process := range machine.processes() {
 		process.after(time.Duration(machine.day.world.random.Int64N(int64(settings.Bounds.Tick()))), func() { process.tick(settings.Bounds.Tick()) })
@@ -118,7 +118,7 @@
 
 func (machine *machine) up() bool { return machine.data != nil && machine.data.Up }
 
-func (machine *machine) process(kind string, owner contract.Owner) *process {
+func (machine *machine) process(kind string, owner contract.StateMachine) *process {
 	made := &process{day: machine.day, machine: machine, kind: kind, boot: machine.boot(), began: machine.day.world.Now, owner: owner, Process: virtual.Process{Up: true}}
 	return made
 }
@@ -132,7 +132,7 @@
 func (process *process) now() time.Duration { return process.day.world.Now - process.began }
 
 func (process *process) after(span time.Duration, then func()) {
-	process.day.world.After(span, func() { process.Do(then) })
+	process.day.world.After(span, func() { process.Run(then) })
 }
 
 func (process *process) tick(every time.Duration) {
@@ -140,19 +140,19 @@
 	process.after(every, func() { process.tick(every) })
 }
 
-func (process *process) event(event contract.Event) { process.Do(func() { process.handle(event) }) }
+func (process *process) event(event contract.Event) { process.Run(func() { process.handle(event) }) }
 
 func (process *process) handle(event contract.Event) {
 	for _, command := range process.owner.Handle(process.now(), event) {
 		switch command := command.(type) {
 		case contract.Send:
 			process.send(command)
-		case contract.Count:
-			process.day.counts[process.kind+" "+command.Name] += command.By
-		case contract.Gauge, contract.Took:
-		case contract.Say:
+		case contract.AddCounter:
+			process.day.counts[process.kind+" "+command.Name] += command.Delta
+		case contract.SetGauge, contract.ObserveDuration:
+		case contract.Log:
 			process.day.noticed(command)
-			process.day.say(process.machine.name+"-"+process.kind, command.What, command.Detail...)
+			process.day.say(process.machine.name+"-"+process.kind, command.Message, command.Attributes...)
 		default:
 			if !process.perform(command) {
 				panic(fmt.Sprintf("a command that nobody carries out: %T", command))
--- a/fleet/caller.go
+++ b/fleet/caller.go
@@ -82,7 +82,7 @@
 	model := visit.kind.Class != "lookup"
 	next.index = fleet.Ledger.Sent(visit.scoped, visit.kind.Class, visit.home, model, machine.Name, machine.Region != visit.home, fleet.World.Now, deadline)
 	asked := call.Call{Key: visit.scoped, Caller: visit.desk, Route: visit.kind.Route, Home: visit.home, Tokens: visit.kind.Tokens,
-		Repeat: visit.repeat, Deadline: deadline, Digest: contract.Digest([]byte(visit.scoped)), Lookup: !model,
+		IsRetry: visit.repeat, Deadline: deadline, Digest: contract.Digest([]byte(visit.scoped)), IsLookup: !model,
 		Session: visit.session}
 	if visit.repeat {
 		asked.Age = fleet.World.Now - visit.first + 1
@@ -104,7 +104,7 @@
 			fleet.World.carry(machine.place(), visit.place(), false, func() { next.end("not_run", 0) }, lost)
 			return
 		}
-		process.Do(func() {
+		process.Run(func() {
 			if !next.over {
 				process.arrive(next, asked)
 			}
@@ -123,9 +123,9 @@
 	try.visit.fleet.open--
 	try.reply.Outcome = "left"
 	try.visit.fleet.Ledger.Answered(try.visit.scoped, try.index, try.visit.fleet.World.Now, try.reply)
-	open.process.Do(func() {
+	open.process.Run(func() {
 		if !open.over {
-			open.process.handle(data.Left{Token: open.token})
+			open.process.handle(data.CallerLeft{Token: open.token})
 			open.close()
 		}
 	})
@@ -173,7 +173,7 @@
 	}
 }
 
-func (try *try) refused(status int, trouble contract.Trouble, after time.Duration) {
+func (try *try) refused(status int, trouble contract.ErrorBody, after time.Duration) {
 	try.reply.Status, try.reply.After = status, after
 	outcome := trouble.Outcome
 	if outcome == "" {
@@ -190,9 +190,9 @@
 	visit, fleet := try.visit, try.visit.fleet
 	fleet.open--
 	if open := try.session; outcome == ledger.Silence && open != nil && !open.over {
-		open.process.Do(func() {
+		open.process.Run(func() {
 			if !open.over {
-				open.process.handle(data.Left{Token: open.token})
+				open.process.handle(data.CallerLeft{Token: open.token})
 				open.close()
 			}
 		})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -46,12 +46,12 @@
 
 // New makes a fleet that has not started yet.
 func New(described site.Site, seed uint64, options ...Option) *Fleet {
-	fleet := &Fleet{World: newWorld(seed, time.Duration(described.GapMs)*time.Millisecond), Site: described, Bounds: env.DefaultBounds(),
+	fleet := &Fleet{World: newWorld(seed, time.Duration(described.RegionLatencyMs)*time.Millisecond), Site: described, Bounds: env.DefaultBounds(),
 		processes: map[string]*Process{}, byName: map[string]*Server{}, awaiting: map[string]time.Duration{}, undrained: map[string]int64{}, overlays: map[any]*overlay{}, lastTurn: map[string]string{}}
 	for _, option := range options {
 		option(fleet)
 	}
-	read, err := manifest.Read(described.Manifest)
+	read, err := manifest.Parse(described.Manifest)
 	if err != nil {
 		panic(err)
 	}
@@ -84,9 +84,9 @@
 	return machine
 }
 
-func (fleet *Fleet) say(process *Process, said contract.Say) {
+func (fleet *Fleet) say(process *Process, said contract.Log) {
 	if fleet.Tell != nil {
-		fleet.Tell(fmt.Sprintln(fleet.World.Now, process.machine.Name+"-"+process.kind, said.What, said.Detail))
+		fleet.Tell(fmt.Sprintln(fleet.World.Now, process.machine.Name+"-"+process.kind, said.Message, said.Attributes))
 	}
 }
 
--- a/fleet/passage.go
+++ b/fleet/passage.go
@@ -7,19 +7,19 @@
 )
 
 // pass carries a call on to a node of its home, to the next one only while nothing of it can have reached one.
-func (session *session) pass(pass data.Pass, nodes []string) {
+func (session *session) pass(pass data.HomeForward, nodes []string) {
 	process, fleet, asked := session.process, session.process.machine.fleet, session.asked
 	if len(nodes) == 0 {
-		process.handle(data.Passed{Token: session.token, Error: "no node of the home was reached"})
-		refusal := contract.Trouble{Outcome: string(call.NotRun), Error: "no node of the call's home was reached"}
+		process.handle(data.HomeForwardEnded{Token: session.token, Error: "no node of the home was reached"})
+		refusal := contract.ErrorBody{Outcome: string(call.NotRun), Error: "no node of the call's home was reached"}
 		session.towards(func() { session.try.refused(503, refusal, process.machine.env.Bounds.Round()) })
 		session.close()
 		return
 	}
-	asked.Hop, asked.Deadline = true, pass.Limit
+	asked.Forwarded, asked.Deadline = true, pass.Timeout
 	reached, given := false, false
 	next := func() {
-		process.Do(func() {
+		process.Run(func() {
 			if !reached && !given && !session.over {
 				given = true
 				session.pass(pass, nodes[1:])
@@ -27,7 +27,7 @@
 		})
 	}
 	process.after(process.machine.env.Bounds.Round(), next)
-	process.after(pass.Limit+process.machine.env.Bounds.Round()/2, func() { process.Do(session.lost) })
+	process.after(pass.Timeout+process.machine.env.Bounds.Round()/2, func() { process.Run(session.lost) })
 	target := fleet.processes[nodes[0]]
 	fleet.World.travel(process.machine.place(), target.machine.place(), false, func() {
 		if !target.Up {
@@ -38,7 +38,7 @@
 			return
 		}
 		reached = true
-		target.Do(func() { session.inner = target.open(session.try, asked, session) })
+		target.Run(func() { session.inner = target.open(session.try, asked, session) })
 	})
 }
 
@@ -51,7 +51,7 @@
 	outer := session.outer
 	session.last = max(session.last, world.Now+world.delay(here, there))
 	world.At(session.last, func() {
-		outer.process.Do(func() {
+		outer.process.Run(func() {
 			if !outer.over {
 				outer.written++
 				outer.towards(then)
@@ -65,9 +65,9 @@
 	if outer := session.outer; outer != nil {
 		session.outwards(func() {})
 		session.process.machine.fleet.World.At(session.last, func() {
-			outer.process.Do(func() {
+			outer.process.Run(func() {
 				if !outer.over && !session.stuck {
-					outer.process.handle(data.Passed{Token: outer.token, Node: session.process.machine.Name, Status: status})
+					outer.process.handle(data.HomeForwardEnded{Token: outer.token, Node: session.process.machine.Name, Status: status})
 					outer.close()
 				}
 			})
@@ -81,17 +81,17 @@
 	if session.outer != nil {
 		outer = session.outer
 		world := session.process.machine.fleet.World
-		world.travel(session.process.machine.place(), outer.process.machine.place(), false, func() { outer.process.Do(outer.lost) })
+		world.travel(session.process.machine.place(), outer.process.machine.place(), false, func() { outer.process.Run(outer.lost) })
 		return
 	}
 	if outer.over {
 		return
 	}
-	outer.process.handle(data.Passed{Token: outer.token, Status: 502, Error: "the home's answer was lost"})
+	outer.process.handle(data.HomeForwardEnded{Token: outer.token, Status: 502, Error: "the home's answer was lost"})
 	if outer.written > 0 {
 		outer.towards(outer.try.broke)
 	} else {
-		outer.towards(func() { outer.try.refused(502, contract.Trouble{Outcome: string(call.Unknown)}, 0) })
+		outer.towards(func() { outer.try.refused(502, contract.ErrorBody{Outcome: string(call.Unknown)}, 0) })
 	}
 	outer.close()
 }
@@ -100,9 +100,9 @@
 func (session *session) leave() {
 	world, outer := session.process.machine.fleet.World, session.outer
 	world.travel(outer.process.machine.place(), session.process.machine.place(), false, func() {
-		session.process.Do(func() {
+		session.process.Run(func() {
 			if !session.over {
-				session.process.handle(data.Left{Token: session.token})
+				session.process.handle(data.CallerLeft{Token: session.token})
 				session.close()
 			}
 		})
--- a/fleet/readback.go
+++ b/fleet/readback.go
@@ -27,14 +27,14 @@
 		if revision <= newest-fleet.Bounds.History {
 			continue
 		}
-		answer := fleet.Operate(live[int(revision)%len(live)], contract.Ask{Verb: contract.VerbGet, Revision: revision})
+		answer := fleet.Operate(live[int(revision)%len(live)], contract.OperatorRequest{Verb: contract.VerbGet, Revision: revision})
 		version, _ := answer.Body.(contract.Version)
 		digest := version.Digest
 		if answer.Status != 200 || version.Document().Digest() != digest {
 			digest = fmt.Sprintf("status %d", answer.Status)
 		}
 		fleet.Ledger.ReadBack(revision, digest, fleet.World.Now)
-		if tree, err := manifest.Tree(version.Document().JSON()); err == nil && answer.Status == 200 {
+		if tree, err := manifest.ParseObject(version.Document().JSON()); err == nil && answer.Status == 200 {
 			trees[revision] = tree
 		}
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-func sentBy(ask contract.Ask) map[string]any {
+func sentBy(ask contract.OperatorRequest) map[string]any {
 	under := func(kind, field string, value any) map[string]any {
 		return map[string]any{kind: map[string]any{ask.Subject: map[string]any{field: value}}}
 	}
@@ -73,7 +73,7 @@
 	case contract.VerbScale:
 		return under("pools", "scale", json.Number(strings.TrimSpace(string(ask.Body))))
 	}
-	tree, _ := manifest.Tree(ask.Body)
+	tree, _ := manifest.ParseObject(ask.Body)
 	return tree
 }
 
--- a/fleet/session.go
+++ b/fleet/session.go
@@ -32,7 +32,7 @@
 	session *session
 	command data.Dispatch
 	server  *Server
-	relay   *stream.Relay
+	relay   *stream.Parser
 	pieces  []string
 	closed  bool
 	stuck   bool
@@ -115,8 +115,8 @@
 	session.towards(func() { session.try.piece(text, number) })
 }
 
-func (session *session) answered(answer contract.Answer) {
-	if pass, away := answer.Body.(data.Pass); away {
+func (session *session) answered(answer contract.Response) {
+	if pass, away := answer.Body.(data.HomeForward); away {
 		session.pass(pass, pass.Nodes)
 		return
 	}
@@ -124,16 +124,16 @@
 	defer session.close()
 	defer session.inform(answer.Status)
 	if !whole {
-		trouble, _ := answer.Body.(contract.Trouble)
+		trouble, _ := answer.Body.(contract.ErrorBody)
 		if session.written > 0 {
 			session.towards(func() { session.try.err() })
 			return
 		}
-		session.towards(func() { session.try.refused(answer.Status, trouble, answer.After) })
+		session.towards(func() { session.try.refused(answer.Status, trouble, answer.RetryAfter) })
 		return
 	}
-	for session.written < len(reply.Pieces) && session.try.visit.kind.Class != "lookup" {
-		session.piece(reply.Pieces[session.written])
+	for session.written < len(reply.Chunks) && session.try.visit.kind.Class != "lookup" {
+		session.piece(reply.Chunks[session.written])
 	}
 	session.towards(func() { session.try.finished() })
 }
@@ -143,19 +143,19 @@
 	if open == nil {
 		return
 	}
-	next := &attempt{session: open, command: command, server: fleet.Server(command.Server.Name), relay: stream.New(command.Identity, process.machine.env.Bounds.ReplyBytes)}
+	next := &attempt{session: open, command: command, server: fleet.Server(command.Server.Name), relay: stream.NewParser(command.AttemptID, process.machine.env.Bounds.ReplyBytes)}
 	open.attempts[command.Attempt] = next
 	connected := false
-	process.after(command.Limit, func() {
+	process.after(command.Timeout, func() {
 		proof := call.NotSent
 		if connected {
-			proof = call.Silent
+			proof = call.NoReply
 		}
-		process.Do(func() { next.end(proof, "cut at its deadline") })
+		process.Run(func() { next.end(proof, "cut at its deadline") })
 	})
 	process.after(process.machine.env.Bounds.Round(), func() {
 		if !connected {
-			process.Do(func() { next.end(call.NotSent, "no link could be made") })
+			process.Run(func() { next.end(call.NotSent, "no link could be made") })
 		}
 	})
 	fleet.World.travel(process.machine.place(), next.server.place(), false, func() {
@@ -170,17 +170,17 @@
 func (attempt *attempt) close() { attempt.closed = true }
 
 // end is the last word of an attempt; once a piece has come it can only be whole or broken.
-func (attempt *attempt) end(proof call.Proof, err string) {
+func (attempt *attempt) end(proof call.Result, err string) {
 	if attempt.closed {
 		return
 	}
 	attempt.close()
-	if proof != call.Whole && len(attempt.pieces) > 0 {
-		proof = call.Broken
+	if proof != call.CompleteReply && len(attempt.pieces) > 0 {
+		proof = call.BrokenReply
 	}
 	process, open := attempt.session.process, attempt.session
-	process.handle(data.Ended{Token: open.token, Attempt: attempt.command.Attempt, Proof: proof, Pieces: attempt.pieces, Error: err})
-	if proof == call.Broken {
+	process.handle(data.AttemptEnded{Token: open.token, Attempt: attempt.command.Attempt, Result: proof, Chunks: attempt.pieces, Error: err})
+	if proof == call.BrokenReply {
 		open.towards(func() { open.try.err() })
 		open.inform(502)
 		open.close()
@@ -198,7 +198,7 @@
 		return
 	}
 	attempt.last = max(attempt.last, world.Now+world.delay(here, there))
-	world.At(attempt.last, func() { process.Do(then) })
+	world.At(attempt.last, func() { process.Run(then) })
 }
 
 func (attempt *attempt) refusedLink() {
@@ -210,7 +210,7 @@
 }
 
 func (attempt *attempt) linkBroke() {
-	attempt.back(func() { attempt.end(call.Silent, "the link broke") })
+	attempt.back(func() { attempt.end(call.NoReply, "the link broke") })
 }
 
 func (attempt *attempt) bytes(content string) {
@@ -220,15 +220,15 @@
 		}
 		for _, piece := range attempt.relay.Feed([]byte(content)) {
 			if len(attempt.pieces) == 0 {
-				attempt.session.process.handle(data.Begun{Token: attempt.session.token, Attempt: attempt.command.Attempt})
+				attempt.session.process.handle(data.FirstChunk{Token: attempt.session.token, Attempt: attempt.command.Attempt})
 			}
 			attempt.pieces = append(attempt.pieces, piece)
 			attempt.session.piece(piece)
 		}
 		if attempt.relay.Finished() {
-			attempt.end(call.Whole, "")
+			attempt.end(call.CompleteReply, "")
 		} else if attempt.relay.Err() != nil {
-			attempt.end(call.Silent, attempt.relay.Err().Error())
+			attempt.end(call.NoReply, attempt.relay.Err().Error())
 		}
 	})
 }
@@ -240,25 +240,25 @@
 		}
 		if attempt.session.try.visit.kind.Class == "lookup" {
 			var read struct{ ID, Key string }
-			if json.Unmarshal(content, &read) != nil || read.ID != attempt.command.Identity || read.Key != attempt.session.try.visit.scoped {
-				attempt.end(call.Silent, "another lookup's reply")
+			if json.Unmarshal(content, &read) != nil || read.ID != attempt.command.AttemptID || read.Key != attempt.session.try.visit.scoped {
+				attempt.end(call.NoReply, "another lookup's reply")
 				return
 			}
 			attempt.pieces = []string{string(content)}
-			attempt.end(call.Whole, "")
+			attempt.end(call.CompleteReply, "")
 			return
 		}
-		pieces, err := stream.Whole(content, attempt.command.Identity)
+		pieces, err := stream.CompleteReply(content, attempt.command.AttemptID)
 		if err != nil {
-			attempt.end(call.Silent, err.Error())
+			attempt.end(call.NoReply, err.Error())
 			return
 		}
 		attempt.pieces = pieces
-		attempt.end(call.Whole, "")
+		attempt.end(call.CompleteReply, "")
 	})
 }
 
-func (process *Process) cancel(command data.Cancel) {
+func (process *Process) cancel(command data.CancelAttempt) {
 	if open := process.sessions[command.Token]; open != nil {
 		if attempt := open.attempts[command.Attempt]; attempt != nil {
 			attempt.close()
@@ -266,12 +266,12 @@
 	}
 }
 
-func (process *Process) recall(command data.Recall) {
+func (process *Process) recall(command data.RecallAttempt) {
 	fleet, server := process.machine.fleet, process.machine.fleet.Server(command.Server.Name)
 	fleet.World.travel(process.machine.place(), server.place(), false, func() {
-		never := server.recall(command.Identity)
+		never := server.recall(command.AttemptID)
 		fleet.World.travel(server.place(), process.machine.place(), false, func() {
-			process.Event(data.Recalled{Token: command.Token, Attempt: command.Attempt, Never: never})
+			process.Event(data.RecallAnswered{Token: command.Token, Attempt: command.Attempt, Confirmed: never})
 		})
 	})
 }
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -99,7 +99,7 @@
 
 	// sendTolerating sends a short call to the east that tolerates no longer pause than the gap.
 	sendTolerating := func(router *testRouter, gap time.Duration) {
-		router.recordPromptSize(router.now, &callState{service: "s", route: manifest.GatewayRoute{Aim: 800 * time.Millisecond, Gap: gap}}, "east", false)
+		router.recordPromptSize(router.now, &callState{service: "s", route: manifest.GatewayRoute{LatencyTarget: 800 * time.Millisecond, TokenGap: gap}}, "east", false)
 	}
 
 	DescribeTable("given short calls that tolerate a pause, when a prompt that takes 280 ms to read is new there, then it goes to the region without short ones unless they tolerate it", func(gap time.Duration, own int) {
@@ -147,7 +147,7 @@
 		sendTolerating(router, 400*time.Millisecond)
 		router.Handle(router.now, configuration(func(read *manifest.Manifest) {
 			withEngines(read)
-			changeRoute("stream", func(route *manifest.GatewayRoute) { route.Regions = []string{"east"} })(read)
+			changeRoute("stream", func(route *manifest.GatewayRoute) { route.AllowedRegions = []string{"east"} })(read)
 		}))
 		own, others := offeredCandidates(router)
 		Expect(own).To(HaveLen(4))
@@ -180,7 +180,7 @@
 		nearby, distant := offeredCandidates(twoRegions(east, west, true))
 		Expect(nearby).To(HaveLen(own))
 		Expect(distant).To(HaveLen(others))
-		Expect(len(nearby) + len(distant)).To(BeNumerically("<=", index.MostCandidates))
+		Expect(len(nearby) + len(distant)).To(BeNumerically("<=", index.MaxCandidates))
 	},
 		Entry("many in both", 36, 36, 12, 4),
 		Entry("few here", 6, 36, 4, 12),
@@ -216,7 +216,7 @@
 		router := twoRegions(12, 12, false)
 		west := router.servers["w00"]
 		Expect(router.isMixed(router.now, west)).To(BeFalse())
-		router.Handle(router.now, ObservationsChanged{Region: "west", Observed: contract.Observed{Short: map[string]int64{"s": 400}}})
+		router.Handle(router.now, ObservationsChanged{Region: "west", CallObservations: contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 400}}})
 		Expect(router.isMixed(router.now, west)).To(BeTrue())
 		Expect(router.longPromptsRelieved(router.now, "s")).To(BeFalse())
 		Expect(west.promptSizes.shortestPause()).To(Equal(400 * time.Millisecond))
@@ -228,10 +228,10 @@
 
 	It("given observations of other nodes, when this node reports its own calls, then only those are reported, as long as they are recent", func() {
 		router := twoRegions(4, 4, false)
-		router.Handle(router.now, ObservationsChanged{Region: "west", Observed: contract.Observed{Short: map[string]int64{"s": 400}}})
-		Expect(router.Observations(router.now, "west").Short).To(BeEmpty())
-		Expect(router.Observations(router.now, "east").Short).To(Equal(map[string]int64{"s": 1}))
-		Expect(router.Observations(router.now+router.policy.RepeatWindow, "east").Short).To(BeEmpty())
+		router.Handle(router.now, ObservationsChanged{Region: "west", CallObservations: contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 400}}})
+		Expect(router.Observations(router.now, "west").ShortPromptGapMs).To(BeEmpty())
+		Expect(router.Observations(router.now, "east").ShortPromptGapMs).To(Equal(map[string]int64{"s": 1}))
+		Expect(router.Observations(router.now+router.policy.RepeatWindow, "east").ShortPromptGapMs).To(BeEmpty())
 	})
 
 	It("given the first calls of a service, when nobody can know yet where short prompts go, then all regions count as mixed for a moment", func() {
--- a/gateway/cache.go
+++ b/gateway/cache.go
@@ -71,7 +71,7 @@
 
 // cacheObservation returns what a call's first chunk shows about the place of its prompt, whichever node sent the prompt there before. The owner of
 // the index knows whether the prompt was read there, and whether it waited for prompts of other nodes.
-func (router *Router) cacheObservation(now time.Duration, call *callState) index.Shown {
+func (router *Router) cacheObservation(now time.Duration, call *callState) index.Verdict {
 	server, elapsed, shared := call.server, now-call.sentAt, call.Prompt.Shared()
 	ownRead := presumedReadTime(call.Prompt.Input - shared)
 	if elapsed < time.Duration(float64(presumedReadTime(call.Prompt.Input))/cachedSpeedup) {
--- a/gateway/cache_test.go
+++ b/gateway/cache_test.go
@@ -10,7 +10,7 @@
 
 // withEngines makes every server of the service a model server with a prompt cache.
 func withEngines(read *manifest.Manifest) {
-	read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, Stride: 5}}
+	read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, TokensPerStep: 5}}
 }
 
 func longPrompt(own string) engine.Prompt {
@@ -127,7 +127,7 @@
 	listed := eastList("a", "b", "c", "d", "e", "f")
 	for index := range listed.Servers {
 		if listed.Servers[index].Name == name {
-			listed.Servers[index].Cache = count
+			listed.Servers[index].CacheResets = count
 		}
 	}
 	return listed
--- a/gateway/condition_test.go
+++ b/gateway/condition_test.go
@@ -12,19 +12,19 @@
 
 // withWarmup lets the servers of the service start cold.
 func withWarmup(read *manifest.Manifest) {
-	read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
+	read.Gateway.Services["s"] = manifest.Service{WarmupDuration: 3 * time.Second, WarmupRate: 10}
 }
 
 // listWithCondition returns the list of servers a and b, with the given condition of a.
 func listWithCondition(suspected bool, ill int64) ServersListed {
 	suspect := candidate("a", "east-a")
-	suspect.Suspected, suspect.Ill = suspected, ill
+	suspect.Suspected, suspect.RecoverySteps = suspected, ill
 	return listOf("east", suspect, candidate("b", "east-a"))
 }
 
 // fleetWithRank returns a fleet in which this node has the given rank in the order for a server.
 func fleetWithRank(server string, count, place int) FleetChanged {
-	names := contract.Ordered("ramp/"+server, fleetOf(count))
+	names := contract.RendezvousOrder("ramp/"+server, fleetOf(count))
 	return FleetChanged{Self: names[place], Names: names}
 }
 
@@ -51,12 +51,12 @@
 var _ = Describe("the outcomes that a node reports of its servers", func() {
 	for _, test := range []struct {
 		outcome Outcome
-		want    contract.Tally
-	}{{OutcomeNotSent, contract.Tally{Lost: 1}}, {OutcomeBroken, contract.Tally{Failed: 1}}} {
+		want    contract.CallTally
+	}{{OutcomeNotSent, contract.CallTally{Unconnected: 1}}, {OutcomeBroken, contract.CallTally{Failed: 1}}} {
 		It("given a call that ended as "+string(test.outcome)+", when the list is asked for, then its server's tally is told", func() {
 			router := startedRouter(nil, eastList("a"))
 			router.endDispatch(router.dispatchCall("/write/x"), test.outcome)
-			Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.Tally{"a": test.want}))
+			Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.CallTally{"a": test.want}))
 			Expect(router.Tallies(router.now, "west")).To(BeEmpty())
 		})
 	}
@@ -66,24 +66,24 @@
 		first := router.dispatchCall("/write/x")
 		router.now += first.SilenceTimeout
 		router.handleOne(ServerSilent{Token: first.Token, Attempt: first.Attempt})
-		Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
+		Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.CallTally{"a": {Failed: 1}}))
 	})
 
 	It("given a server error, when the list is requested, then it is reported as a failed call", func() {
 		router := startedRouter(nil, eastList("a"))
 		dispatch := router.dispatchCall("/write/x")
 		router.handleOne(DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: OutcomeComplete, ServerError: true})
-		Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
+		Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.CallTally{"a": {Failed: 1}}))
 	})
 
 	It("given servers that answer, when the list is requested, then only the watched one is reported", func() {
 		list := listWithCondition(false, 0)
-		list.Servers[0].Watched = true
+		list.Servers[0].HealthTracked = true
 		router := startedRouter(nil, list)
 		Expect(countSentTo(router, "a", time.Second)).To(BeNumerically(">", 0))
 		tallies := router.Tallies(router.now, "east")
 		Expect(tallies).To(HaveLen(1))
-		Expect(tallies["a"].Well).To(BeNumerically(">", 0))
+		Expect(tallies["a"].Succeeded).To(BeNumerically(">", 0))
 	})
 
 	It("given a call that failed, when the contact time has passed, then it is no longer reported", func() {
@@ -129,9 +129,9 @@
 		node.now += node.listRequestInterval()
 		asked := 0
 		for _, command := range node.process(contract.Tick{}) {
-			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).Region == "east" {
+			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageLeaseRequest && send.Body.(contract.LeaseRequest).Region == "east" {
 				asked++
-				Expect(send.Body.(contract.LeaseRequest).Tallies).To(Equal(map[string]contract.Tally{"a": {Failed: 1}}))
+				Expect(send.Body.(contract.LeaseRequest).Tallies).To(Equal(map[string]contract.CallTally{"a": {Failed: 1}}))
 			}
 		}
 		Expect(asked).To(BeNumerically(">", 0))
--- a/gateway/cost_test.go
+++ b/gateway/cost_test.go
@@ -24,7 +24,7 @@
 }
 
 func readManifest(b *testing.B, routes int, warmup bool) manifest.Manifest {
-	read, err := manifest.Read(planned.Fleet{Routes: routes, Warmup: warmup}.Configuration())
+	read, err := manifest.Parse(planned.Fleet{Routes: routes, Warmup: warmup}.Configuration())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -147,7 +147,7 @@
 // ObservationsChanged brings what all nodes together observed about the calls that they send to a region.
 type ObservationsChanged struct {
 	Region string
-	contract.Observed
+	contract.CallObservations
 }
 
 // FleetChanged brings the names of the data nodes that share the limits; Self is this node's.
--- a/gateway/flow.go
+++ b/gateway/flow.go
@@ -75,11 +75,11 @@
 	chosen, expectedWait := router.pickServer(now, call)
 	if chosen == nil {
 		router.forgetCall(call)
-		return commandList(router.refuseForNow(call.Token, call.route.Aim, "no server can take it now"))
+		return commandList(router.refuseForNow(call.Token, call.route.LatencyTarget, "no server can take it now"))
 	}
 	if expectedWait > call.deadline-now {
 		router.forgetCall(call)
-		return commandList(router.refuseForNow(call.Token, call.route.Aim, "no server can answer it in time"))
+		return commandList(router.refuseForNow(call.Token, call.route.LatencyTarget, "no server can answer it in time"))
 	}
 	return commandList(router.sendTo(now, call, chosen))
 }
@@ -100,7 +100,7 @@
 		target.unreadTokens += call.unreadTokens
 		target.unreadPrompts++
 	}
-	if target.backoffUntil > 0 || target.Ill > 0 {
+	if target.backoffUntil > 0 || target.RecoverySteps > 0 {
 		target.probing, target.nextProbe = true, now+router.policy.Contact/4
 	}
 	target.inFlight++
@@ -204,7 +204,7 @@
 // nothing was sent, uses no attempt and no retry budget. Otherwise the budget is used only once a server is found.
 func (router *Router) sendElsewhere(now time.Duration, call *callState, failed *serverState, isFree bool) (sent []contract.Command, noServer bool) {
 	call.triedServers[failed.Name] = true
-	if !isFree && call.attemptsUsed >= call.route.Attempts {
+	if !isFree && call.attemptsUsed >= call.route.MaxAttempts {
 		return nil, false
 	}
 	chosen, expectedWait := router.pickServer(now, call)
@@ -245,7 +245,7 @@
 		if event.ServerError {
 			router.tallyOf(now, server).Failed++
 		} else {
-			router.tallyOf(now, server).Well++
+			router.tallyOf(now, server).Succeeded++
 		}
 		if call.route.Kind != manifest.KindStreaming {
 			server.recordCallTime(now - call.sentAt)
@@ -265,7 +265,7 @@
 		return commandList(Fail{Token: call.Token, Status: 502, Reason: string(event.Outcome)})
 	case OutcomeNotSent:
 		router.recordFault(now, server)
-		router.tallyOf(now, server).Lost++
+		router.tallyOf(now, server).Unconnected++
 		call.attemptsUsed--
 		call.unsentAttempts++
 		mayRetry = mayRetry && call.unsentAttempts < maxUnsentAttempts
@@ -290,5 +290,5 @@
 	if call.answerStarted || event.Outcome == OutcomeBroken && !noServer {
 		return commandList(Fail{Token: call.Token, Status: 502, Reason: event.Reason})
 	}
-	return commandList(router.refuseForNow(call.Token, call.route.Aim, event.Reason))
+	return commandList(router.refuseForNow(call.Token, call.route.LatencyTarget, event.Reason))
 }
--- a/gateway/flow_test.go
+++ b/gateway/flow_test.go
@@ -10,7 +10,7 @@
 
 var _ = Describe("a call that did not reach its server", func() {
 	It("given nothing was sent, when the dispatch ends, then another server gets the call within one attempt", func() {
-		router := startedRouter(changeRoute("write", func(route *manifest.GatewayRoute) { route.Attempts = 1 }), eastList("a", "b"))
+		router := startedRouter(changeRoute("write", func(route *manifest.GatewayRoute) { route.MaxAttempts = 1 }), eastList("a", "b"))
 		first := router.dispatchCall("/write/x")
 		second := expectDispatch(router.endDispatch(first, OutcomeNotSent))
 		Expect(second.Server.Name).NotTo(Equal(first.Server.Name))
@@ -57,7 +57,7 @@
 		})
 
 		It("given one attempt, when a server says "+string(outcome)+", then the call is refused with a time to come back", func() {
-			router := startedRouter(changeRoute("write", func(route *manifest.GatewayRoute) { route.Attempts = 1 }), eastList("a", "b"))
+			router := startedRouter(changeRoute("write", func(route *manifest.GatewayRoute) { route.MaxAttempts = 1 }), eastList("a", "b"))
 			refusal := expectRefusal(router.endDispatch(router.dispatchCall("/write/x"), outcome))
 			Expect(refusal.Status).To(Equal(503))
 			Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
--- a/gateway/index.go
+++ b/gateway/index.go
@@ -19,7 +19,7 @@
 			controls[member.Name] = member
 		}
 	}
-	for rank, name := range contract.Ordered("index", slices.Collect(maps.Keys(controls))) {
+	for rank, name := range contract.RendezvousOrder("index", slices.Collect(maps.Keys(controls))) {
 		member := controls[name]
 		if rank == 0 {
 			owner = member
@@ -46,7 +46,7 @@
 		node.emit(Update{reachability})
 	}
 	if uses := node.reports.TakePlaceUses(); owner.Name != "" && len(uses) > 0 {
-		node.emit(contract.Send{To: owner.Address, Kind: index.MessageUsed, Body: index.Used{Address: node.Self().Address, Uses: uses,
+		node.emit(contract.Send{To: owner.Address, Kind: index.MessageUsage, Body: index.Usage{Address: node.Self().Address, Uses: uses,
 			Results: index.Results(now, node.Bounds.Withdraw()/2, uses)}})
 	}
 }
@@ -60,11 +60,11 @@
 	}
 	body, err := json.Marshal(query.Ask)
 	if target.Name == "" || err != nil {
-		node.emit(contract.Refuse(query.Token, 503, reason, 0))
+		node.emit(contract.ErrorResponse(query.Token, 503, reason, 0))
 		return
 	}
 	if query.Ask.Known {
-		node.emit(contract.Count{Name: "places_asked_near", By: 1})
+		node.emit(contract.AddCounter{Name: "places_asked_near", Delta: 1})
 	}
-	node.emit(contract.Forward{Ask: contract.Ask{Token: query.Token, Verb: contract.VerbPlace, Body: body}, Address: target.Address})
+	node.emit(contract.Forward{Request: contract.OperatorRequest{Token: query.Token, Verb: contract.VerbPlace, Body: body}, Address: target.Address})
 }
--- a/gateway/index_test.go
+++ b/gateway/index_test.go
@@ -41,7 +41,7 @@
 var _ = Describe("the owner of the index, as a node sees it", func() {
 	controls := []contract.Member{controlNode("c4", "10.0.0.7"), controlNode("c5", "10.0.0.8"), controlNode("c6", "10.0.0.9")}
 	first := func() contract.Member {
-		name := contract.Ordered("index", []string{"c4-control", "c5-control", "c6-control"})[0]
+		name := contract.RendezvousOrder("index", []string{"c4-control", "c5-control", "c6-control"})[0]
 		Expect(name).NotTo(Equal("c4-control"), "the order is not that of names")
 		for _, member := range controls {
 			if member.Name == name {
@@ -60,7 +60,7 @@
 		node := startedNode()
 		node.addMembers(dataNode("a2", "east-a", "10.0.0.2"))
 		Expect(events[IndexReachability](tick(node))).To(BeEmpty())
-		Expect(node.process(ask)).To(ContainElement(contract.Refuse(9, 503, "no owner of the index is known", 0)))
+		Expect(node.process(ask)).To(ContainElement(contract.ErrorResponse(9, 503, "no owner of the index is known", 0)))
 	})
 
 	It("given control nodes, when a place is queried, then only the first in the rendezvous order is asked, in whatever order they were met", func() {
@@ -79,10 +79,10 @@
 			}
 			Expect(forwards).To(HaveLen(1))
 			Expect(forwards[0].Address).To(Equal(first().Address))
-			Expect(forwards[0].Ask.Token).To(Equal(int64(9)))
-			Expect(forwards[0].Ask.Verb).To(Equal(contract.VerbPlace))
+			Expect(forwards[0].Request.Token).To(Equal(int64(9)))
+			Expect(forwards[0].Request.Verb).To(Equal(contract.VerbPlace))
 			var carried index.Ask
-			Expect(json.Unmarshal(forwards[0].Ask.Body, &carried)).To(Succeed())
+			Expect(json.Unmarshal(forwards[0].Request.Body, &carried)).To(Succeed())
 			Expect(carried).To(Equal(ask.Ask))
 		}
 	})
@@ -99,7 +99,7 @@
 			for number := range count {
 				unordered = append(unordered, fmt.Sprintf("k%d-control", number))
 			}
-			ordered := contract.Ordered("index", unordered)
+			ordered := contract.RendezvousOrder("index", unordered)
 			for number := range ordered {
 				ordered[number] = strings.TrimSuffix(ordered[number], "-control")
 			}
@@ -136,7 +136,7 @@
 				node := startedNode()
 				node.addMembers(members...)
 				Expect(events[IndexReachability](tick(node))).To(Equal([]IndexReachability{{OwnerKnown: true}}))
-				Expect(node.process(known)).To(ContainElement(contract.Refuse(9, 503, "no replica of the index is near", 0)))
+				Expect(node.process(known)).To(ContainElement(contract.ErrorResponse(9, 503, "no replica of the index is near", 0)))
 				Expect(addresses(node.process(ask))).To(Equal([]string{names[0] + ":8166"}))
 			},
 			Entry("owner in the region, another in the zone", controlIn(names[0], "east-b", "east"), controlIn(names[1], "east-a", "east")),
@@ -150,7 +150,7 @@
 			reachability := events[IndexReachability](tick(node))
 			node.addMembers(controlIn(names[1], "east-b", "east"))
 			reachability = append(reachability, events[IndexReachability](tick(node))...)
-			node.process(message(neighbour.MessageBye, names[1], neighbour.Bye{Name: names[1] + "-control", Boot: "boot", Heartbeat: node.heartbeat}))
+			node.process(message(neighbour.MessageLeave, names[1], neighbour.Leave{Name: names[1] + "-control", Boot: "boot", Heartbeat: node.heartbeat}))
 			for range 2 {
 				reachability = append(reachability, events[IndexReachability](tick(node))...)
 			}
@@ -178,12 +178,12 @@
 		}}
 		node.addMembers(controls...)
 		node.now = node.nextIndexUpdate - 1
-		Expect(sends(node.process(contract.Tick{}), index.MessageUsed)).To(BeEmpty())
-		sent := sends(tick(node), index.MessageUsed)
+		Expect(sends(node.process(contract.Tick{}), index.MessageUsage)).To(BeEmpty())
+		sent := sends(tick(node), index.MessageUsage)
 		Expect(sent).To(HaveLen(1))
 		Expect(sent[0].To).To(Equal(first().Address))
-		Expect(sent[0].Body).To(Equal(index.Used{Address: node.Self().Address, Uses: []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 5}}}))
-		Expect(sends(tick(node), index.MessageUsed)).To(BeEmpty())
+		Expect(sent[0].Body).To(Equal(index.Usage{Address: node.Self().Address, Uses: []index.Use{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a", Took: 5}}}))
+		Expect(sends(tick(node), index.MessageUsage)).To(BeEmpty())
 	})
 
 	It("given a message of moved places, when it arrives, then the router gets them, and one that cannot be decoded changes nothing", func() {
--- a/gateway/interim_test.go
+++ b/gateway/interim_test.go
@@ -20,7 +20,7 @@
 	asks := func(node *testNode) map[string][]contract.LeaseRequest {
 		found := map[string][]contract.LeaseRequest{}
 		for _, command := range node.process(contract.Tick{}) {
-			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageAsk {
+			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageLeaseRequest {
 				found[send.To] = append(found[send.To], send.Body.(contract.LeaseRequest))
 			}
 		}
@@ -68,7 +68,7 @@
 		for _, requests := range both {
 			for _, ask := range requests {
 				Expect(ask.Interim).To(BeTrue())
-				Expect(ask.Brief).To(BeFalse())
+				Expect(ask.OmitUnchanged).To(BeFalse())
 			}
 		}
 		deliver(node, interimLease(node.now, "a"))
