--- a/gateway/lists.go
+++ b/gateway/lists.go
@@ -83,13 +83,13 @@
 // owner does not answer, the request also goes through relays, and other control nodes are asked for notices.
 func (node *Node) requestList(now time.Duration, members []contract.Member, region string, index, shards int) {
 	list, self := node.lists[region][index], node.Self()
-	ask := contract.LeaseRequest{Node: self.Name, Address: self.Address, Region: region, Shard: index, Asked: now,
-		Highest: list.highestEpoch, Number: list.number, Calls: node.reports.CallsInFlight(region), Stale: node.reports.StaleCaches(region),
-		Tallies: node.reports.Tallies(now, region), Observed: node.reports.Observations(now, region), Shards: shards, Brief: list.received,
+	ask := contract.LeaseRequest{Node: self.Name, Address: self.Address, Region: region, Shard: index, SentAt: now,
+		HighestEpoch: list.highestEpoch, Number: list.number, Calls: node.reports.CallsInFlight(region), StaleIndexes: node.reports.StaleCaches(region),
+		Tallies: node.reports.Tallies(now, region), CallObservations: node.reports.Observations(now, region), ShardCount: shards, OmitUnchanged: list.received,
 		Interim: !list.received && (list.interimAsOf == 0 || now-list.interimAsOf >= node.listRequestInterval())}
 	owners := node.ownerCandidates(members, list, region, index)
 	for _, owner := range owners {
-		node.emit(contract.Send{To: owner.Address, Kind: shard.MessageAsk, Body: ask})
+		node.emit(contract.Send{To: owner.Address, Kind: shard.MessageLeaseRequest, Body: ask})
 	}
 	if ask.Interim {
 		node.requestInterimList(members, owners, ask)
@@ -105,8 +105,8 @@
 // itself.
 func (node *Node) ownerCandidates(members []contract.Member, list *shardList, region string, index int) []contract.Member {
 	owners := []contract.Member{}
-	for _, name := range []string{shard.First(members, region, index), list.ownerHint} {
-		member, found := node.Neighbours.Look(name)
+	for _, name := range []string{shard.PreferredOwner(members, region, index), list.ownerHint} {
+		member, found := node.Neighbours.Lookup(name)
 		if name != "" && found && !slices.ContainsFunc(owners, func(owner contract.Member) bool { return owner.Name == name }) {
 			owners = append(owners, member)
 		}
@@ -126,8 +126,8 @@
 		others = node.Neighbours.Seeds()
 	}
 	if len(others) > 0 {
-		node.emit(contract.Count{Name: "lists_asked_around", By: 1},
-			contract.Send{To: others[node.Random.IntN(len(others))], Kind: shard.MessageAsk, Body: ask})
+		node.emit(contract.AddCounter{Name: "lists_asked_around", Delta: 1},
+			contract.Send{To: others[node.Random.IntN(len(others))], Kind: shard.MessageLeaseRequest, Body: ask})
 	}
 }
 
@@ -152,11 +152,11 @@
 	}
 	list.relayedAt = now
 	if route == "" {
-		node.emit(contract.Say{What: "list asked for by relays", Detail: []any{"region", ask.Region, "shard", ask.Shard, "number", list.number,
+		node.emit(contract.Log{Message: "list asked for by relays", Attributes: []any{"region", ask.Region, "shard", ask.Shard, "number", list.number,
 			"epoch", list.highestEpoch, "ageMs", (now - list.confirmedAsOf).Milliseconds(), "tried", failures, "owners", joinNames(owners)}})
 	}
 	for _, owner := range owners {
-		node.emit(node.SendByRelay(now, owner, contract.Send{To: owner.Address, Kind: shard.MessageAsk, Body: ask}, route, failures)...)
+		node.emit(node.SendByRelay(now, owner, contract.Send{To: owner.Address, Kind: shard.MessageLeaseRequest, Body: ask}, route, failures)...)
 	}
 }
 
@@ -177,24 +177,24 @@
 		node.acceptInterimList(list, message, lease)
 		return
 	}
-	if list == nil || lease.Epoch.Before(list.highestEpoch) || lease.Asked > now {
+	if list == nil || lease.Epoch.Before(list.highestEpoch) || lease.RequestSentAt > now {
 		node.reportRefusedList(list, message, lease)
 		return
 	}
-	if lease.Epoch == list.highestEpoch && (lease.Number < list.number || lease.Asked < list.confirmedAsOf) {
+	if lease.Epoch == list.highestEpoch && (lease.Number < list.number || lease.RequestSentAt < list.confirmedAsOf) {
 		return
 	}
-	if lease.Same && (lease.Epoch != list.epoch || lease.Number != list.number) {
+	if lease.Unchanged && (lease.Epoch != list.epoch || lease.Number != list.number) {
 		return
 	}
-	list.relayPath.RecordAnswer(message.Via, list.confirmedAsOf == lease.Asked)
-	list.highestEpoch, list.epoch, list.number, list.confirmedAsOf, list.ownerHint = lease.Epoch, lease.Epoch, lease.Number, lease.Asked, ""
+	list.relayPath.RecordAnswer(message.ReturnRoute, list.confirmedAsOf == lease.RequestSentAt)
+	list.highestEpoch, list.epoch, list.number, list.confirmedAsOf, list.ownerHint = lease.Epoch, lease.Epoch, lease.Number, lease.RequestSentAt, ""
 	node.clearOverdue(now, list, message, lease)
-	if previous := node.observations[lease.Region]; !maps.Equal(previous.Short, lease.Short) || !maps.Equal(previous.Read, lease.Read) {
-		node.observations[lease.Region] = lease.Observed
-		node.emit(Update{ObservationsChanged{Region: lease.Region, Observed: lease.Observed}})
+	if previous := node.observations[lease.Region]; !maps.Equal(previous.ShortPromptGapMs, lease.ShortPromptGapMs) || !maps.Equal(previous.PrefillUsPerK, lease.PrefillUsPerK) {
+		node.observations[lease.Region] = lease.CallObservations
+		node.emit(Update{ObservationsChanged{Region: lease.Region, CallObservations: lease.CallObservations}})
 	}
-	if lease.Same {
+	if lease.Unchanged {
 		return
 	}
 	list.received = true
@@ -203,27 +203,27 @@
 
 // reportRefusedList logs a list that was not accepted: one of a former owner, of an unknown shard, or in answer to a request in the future.
 func (node *Node) reportRefusedList(list *shardList, message contract.Message, lease contract.Lease) {
-	detail := []any{"region", lease.Region, "shard", lease.Shard, "from", message.From, "via", message.Via, "epoch", lease.Epoch}
+	detail := []any{"region", lease.Region, "shard", lease.Shard, "from", message.From, "via", message.ReturnRoute, "epoch", lease.Epoch}
 	if list != nil {
 		detail = append(detail, "highest", list.highestEpoch)
 	}
-	node.emit(contract.Count{Name: "lists_refused", By: 1}, contract.Say{What: "list refused", Detail: detail})
+	node.emit(contract.AddCounter{Name: "lists_refused", Delta: 1}, contract.Log{Message: "list refused", Attributes: detail})
 }
 
 // acceptInterimList accepts an interim list as long as this node has heard of no owner.
 func (node *Node) acceptInterimList(list *shardList, message contract.Message, lease contract.Lease) {
-	if list == nil || list.received || list.highestEpoch != (contract.Epoch{}) || lease.Asked <= list.interimAsOf {
+	if list == nil || list.received || list.highestEpoch != (contract.Epoch{}) || lease.RequestSentAt <= list.interimAsOf {
 		return
 	}
-	list.interimAsOf = lease.Asked
+	list.interimAsOf = lease.RequestSentAt
 	node.installList(message, lease)
 }
 
 // installList puts a list of servers in force and logs who sent it and through which relays.
 func (node *Node) installList(message contract.Message, lease contract.Lease) {
 	serverCount := node.setServers(lease.Region, lease.Shard, lease.Servers)
-	node.emit(contract.Say{What: "list", Detail: []any{"region", lease.Region, "epoch", lease.Epoch.Number, "shard", lease.Shard, "number", lease.Number,
-		"servers", serverCount, "from", message.From, "via", message.Via}})
+	node.emit(contract.Log{Message: "list", Attributes: []any{"region", lease.Region, "epoch", lease.Epoch.Number, "shard", lease.Shard, "number", lease.Number,
+		"servers", serverCount, "from", message.From, "via", message.ReturnRoute}})
 }
 
 // setServers puts the servers of a shard in force, tells the router all servers of the region, and returns how many these are.
@@ -256,12 +256,12 @@
 				continue
 			}
 			list.overdue = true
-			owner := shard.First(node.Neighbours.Members(now), region, index)
-			node.emit(contract.Count{Name: "lists_unconfirmed", By: 1}, contract.Say{What: "list is not confirmed", Detail: []any{
+			owner := shard.PreferredOwner(node.Neighbours.Members(now), region, index)
+			node.emit(contract.AddCounter{Name: "lists_unconfirmed", Delta: 1}, contract.Log{Message: "list is not confirmed", Attributes: []any{
 				"region", region, "shard", index, "number", list.number, "ageMs", age.Milliseconds(), "owner", owner, "hint", list.ownerHint}})
 		}
 	}
-	node.emit(contract.Gauge{Name: "list_age_ms", Value: oldest.Milliseconds()})
+	node.emit(contract.SetGauge{Name: "list_age_ms", Value: oldest.Milliseconds()})
 }
 
 // clearOverdue logs that an owner has confirmed a list that was overdue.
@@ -270,6 +270,6 @@
 		return
 	}
 	list.overdue = false
-	node.emit(contract.Say{What: "list is confirmed again", Detail: []any{
-		"region", lease.Region, "shard", lease.Shard, "number", lease.Number, "from", message.From, "via", message.Via, "tookMs", (now - lease.Asked).Milliseconds()}})
+	node.emit(contract.Log{Message: "list is confirmed again", Attributes: []any{
+		"region", lease.Region, "shard", lease.Shard, "number", lease.Number, "from", message.From, "via", message.ReturnRoute, "tookMs", (now - lease.RequestSentAt).Milliseconds()}})
 }
--- a/gateway/lists_test.go
+++ b/gateway/lists_test.go
@@ -11,10 +11,10 @@
 )
 
 // logEntries returns the log entries with a text among a node's commands.
-func logEntries(commands []contract.Command, what string) []contract.Say {
-	found := []contract.Say{}
+func logEntries(commands []contract.Command, what string) []contract.Log {
+	found := []contract.Log{}
 	for _, command := range commands {
-		if say, ok := command.(contract.Say); ok && say.What == what {
+		if say, ok := command.(contract.Log); ok && say.Message == what {
 			found = append(found, say)
 		}
 	}
@@ -35,8 +35,8 @@
 		node.now += node.unconfirmedAfter()
 		commands := node.process(contract.Tick{})
 		Expect(logEntries(commands, "list is not confirmed")).To(HaveLen(1))
-		Expect(commands).To(ContainElement(contract.Gauge{Name: "list_age_ms", Value: node.unconfirmedAfter().Milliseconds()}))
-		Expect(commands).To(ContainElement(contract.Count{Name: "lists_unconfirmed", By: 1}))
+		Expect(commands).To(ContainElement(contract.SetGauge{Name: "list_age_ms", Value: node.unconfirmedAfter().Milliseconds()}))
+		Expect(commands).To(ContainElement(contract.AddCounter{Name: "lists_unconfirmed", Delta: 1}))
 		node.now += time.Second
 		Expect(logEntries(node.process(contract.Tick{}), "list is not confirmed")).To(BeEmpty())
 	})
@@ -46,9 +46,9 @@
 		node.now += node.unconfirmedAfter()
 		node.process(contract.Tick{})
 		same := leaseOf(2, 5, node.now)
-		same.Same = true
+		same.Unchanged = true
 		Expect(logEntries(node.process(message(shard.MessageLease, "owner-control", same)), "list is confirmed again")).To(HaveLen(1))
-		Expect(node.process(contract.Tick{})).To(ContainElement(contract.Gauge{Name: "list_age_ms", Value: 0}))
+		Expect(node.process(contract.Tick{})).To(ContainElement(contract.SetGauge{Name: "list_age_ms", Value: 0}))
 	})
 })
 
@@ -57,16 +57,16 @@
 		node := startedNode()
 		node.process(contract.Tick{})
 		first := leaseOf(2, 5, node.now, "a")
-		first.Short = map[string]int64{"s": 400}
+		first.ShortPromptGapMs = map[string]int64{"s": 400}
 		region := first.Region
-		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", first)))).To(Equal([]ObservationsChanged{{region, first.Observed}}))
+		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", first)))).To(Equal([]ObservationsChanged{{region, first.CallObservations}}))
 		same := leaseOf(2, 5, node.now)
-		same.Same, same.Short = true, map[string]int64{"s": 400}
+		same.Unchanged, same.ShortPromptGapMs = true, map[string]int64{"s": 400}
 		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", same)))).To(BeEmpty())
-		same.Short = nil
+		same.ShortPromptGapMs = nil
 		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", same)))).To(Equal([]ObservationsChanged{{Region: region}}))
-		same.Read = map[string]int64{"s": 30000}
-		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", same)))).To(Equal([]ObservationsChanged{{region, same.Observed}}))
+		same.PrefillUsPerK = map[string]int64{"s": 30000}
+		Expect(events[ObservationsChanged](node.process(message(shard.MessageLease, "owner-control", same)))).To(Equal([]ObservationsChanged{{region, same.CallObservations}}))
 	})
 })
 
@@ -82,7 +82,7 @@
 			}
 			envelope := send.Body.(relay.Envelope)
 			Expect(envelope.To).To(Equal(owner.Address))
-			Expect(envelope.Kind).To(Equal(shard.MessageAsk))
+			Expect(envelope.Kind).To(Equal(shard.MessageLeaseRequest))
 			var ask contract.LeaseRequest
 			Expect(json.Unmarshal(envelope.Body, &ask)).To(Succeed())
 			if ask.Region == "east" && ask.Shard == 0 {
@@ -104,7 +104,7 @@
 	}
 	answer := func(node *testNode, via string, names ...string) {
 		given := message(shard.MessageLease, owner.Name, leaseOf(2, 6, node.now, names...))
-		given.Via = via
+		given.ReturnRoute = via
 		node.process(given)
 	}
 
--- a/gateway/node.go
+++ b/gateway/node.go
@@ -48,7 +48,7 @@
 	lists          map[string]map[int]*shardList
 	serversByShard map[string]map[int][]contract.Candidate
 	// observations is what all nodes together observe of their calls, by region, as the owners of the lists report it.
-	observations map[string]contract.Observed
+	observations map[string]contract.CallObservations
 	// nextListRequest and nextIndexUpdate are when the next requests for lists and the next report of place uses are due.
 	nextListRequest time.Duration
 	nextIndexUpdate time.Duration
@@ -67,9 +67,9 @@
 	// StaleCaches returns the servers whose index entries are wrong, with the generation that this holds for.
 	StaleCaches(region string) map[string]int64
 	// Tallies returns the recent outcomes of calls at servers that failed or are watched.
-	Tallies(now time.Duration, region string) map[string]contract.Tally
+	Tallies(now time.Duration, region string) map[string]contract.CallTally
 	// Observations returns what this node observes of the calls that it sends to a region.
-	Observations(now time.Duration, region string) contract.Observed
+	Observations(now time.Duration, region string) contract.CallObservations
 	// TakePlaceUses returns the uses of places in the index since the last call.
 	TakePlaceUses() []index.Use
 }
@@ -77,7 +77,7 @@
 // NewNode returns a node that knows nothing yet. Boot identifies this start of the process.
 func NewNode(settings env.Env, boot string, reports CallReports, random *rand.Rand) *Node {
 	return &Node{Node: machine.New(settings, contract.KindData, boot, random), settings: settings, reports: reports,
-		lists: map[string]map[int]*shardList{}, serversByShard: map[string]map[int][]contract.Candidate{}, observations: map[string]contract.Observed{}}
+		lists: map[string]map[int]*shardList{}, serversByShard: map[string]map[int][]contract.Candidate{}, observations: map[string]contract.CallObservations{}}
 }
 
 func (node *Node) emit(commands ...contract.Command) {
@@ -96,12 +96,12 @@
 	}
 	node.pending = nil
 	if gap := node.DetectFreeze(now); gap > 0 {
-		node.emit(contract.Count{Name: "woken", By: 1}, contract.Say{What: "woken from a freeze", Detail: []any{"ms", gap.Milliseconds()}})
+		node.emit(contract.AddCounter{Name: "woken", Delta: 1}, contract.Log{Message: "woken from a freeze", Attributes: []any{"ms", gap.Milliseconds()}})
 	}
 	for _, command := range node.Node.Handle(now, event) {
-		if adopted, ok := command.(contract.Adopted); ok {
+		if adopted, ok := command.(contract.VersionAdopted); ok {
 			node.emit(Update{ConfigurationChanged{Manifest: node.Feed.Manifest()}})
-			command = contract.Say{What: "manifest in force", Detail: []any{"revision", adopted.Version.Place.Revision}}
+			command = contract.Log{Message: "manifest in force", Attributes: []any{"revision", adopted.Version.Position.Revision}}
 		}
 		node.emit(command)
 	}
@@ -114,11 +114,11 @@
 	case contract.Message:
 		node.handleMessage(now, event)
 	case Lookup:
-		node.emit(contract.Answer{Token: event.Token, Status: 200, Body: node.lookup(now, event)})
+		node.emit(contract.Response{Token: event.Token, Status: 200, Body: node.lookup(now, event)})
 	case AskPlace:
 		node.forwardPlaceQuery(now, event)
 	case Leave:
-		node.emit(node.Neighbours.Farewell()...)
+		node.emit(node.Neighbours.AnnounceLeave()...)
 	}
 	commands := node.pending
 	node.pending = nil
@@ -132,8 +132,8 @@
 		if json.Unmarshal(message.Body, &lease) == nil {
 			node.acceptLease(now, message, lease)
 		}
-	case shard.MessageNotices:
-		var notices contract.Notices
+	case shard.MessageServerNotices:
+		var notices contract.DepartureNotice
 		if json.Unmarshal(message.Body, &notices) == nil {
 			node.applyNotices(message, notices)
 		}
@@ -160,14 +160,14 @@
 	}
 	names := []string{}
 	add := func(name string) {
-		if member, found := node.Neighbours.Look(name); found && member.Kind == contract.KindData {
+		if member, found := node.Neighbours.Lookup(name); found && member.Kind == contract.KindData {
 			names = append(names, name)
 		}
 	}
 	for _, member := range node.Neighbours.Members(now) {
 		add(member.Name)
 	}
-	for _, name := range node.Neighbours.Silent(now) {
+	for _, name := range node.Neighbours.Suspected(now) {
 		add(name)
 	}
 	slices.Sort(names)
@@ -185,7 +185,7 @@
 	_, port := manifest.SplitAddress(node.settings.Gateway.Traffic)
 	inZone, inRegion, everywhere := []string{}, []string{}, []string{}
 	for _, member := range node.Neighbours.Members(now) {
-		if member.Kind != contract.KindData || member.Place.Revision == 0 || member.Name == node.Self().Name && node.Neighbours.Left() {
+		if member.Kind != contract.KindData || member.Position.Revision == 0 || member.Name == node.Self().Name && node.Neighbours.HasLeft() {
 			continue
 		}
 		host, memberPort := manifest.SplitAddress(member.Address)
--- a/gateway/node_test.go
+++ b/gateway/node_test.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		panic(err)
 	}
-	version := contract.FirstVersion(contract.Place{View: 1, Revision: 1}, "", content)
-	return message(feed.MessageChange, "", feed.Delivery{Records: []contract.Record{version.WholeRecord()}})
+	version := contract.NewVersion(contract.Position{View: 1, Revision: 1}, "", content)
+	return message(feed.MessageDelivery, "", feed.Delivery{Records: []contract.Record{version.FullRecord()}})
 }
 
 func (node *testNode) process(event contract.Event) []contract.Command {
@@ -59,14 +59,14 @@
 		if member.Incarnation = max(member.Incarnation, 1); member.Heartbeat == 0 {
 			member.Heartbeat = node.heartbeat
 		}
-		node.process(message(neighbour.MessageShuffle, member.Name, neighbour.Shuffle{Members: []contract.Member{member}, Answer: true}))
+		node.process(message(neighbour.MessageShuffle, member.Name, neighbour.Shuffle{Members: []contract.Member{member}, IsReply: true}))
 	}
 	node.now += 10 * time.Millisecond
 }
 
 func dataNode(name, zone, host string) contract.Member {
 	return contract.Member{Name: name + "-data", Boot: "boot", Kind: contract.KindData, Zone: zone, Region: strings.Split(zone, "-")[0], Address: host + ":7720",
-		Place: contract.Place{View: 1, Revision: 1}}
+		Position: contract.Position{View: 1, Revision: 1}}
 }
 
 // listedNames returns the names of the servers in each ServersListed event for the router.
@@ -88,7 +88,7 @@
 }
 
 func leaseOf(epoch, number int64, asked time.Duration, names ...string) contract.Lease {
-	given := contract.Lease{Region: "east", Epoch: contract.Epoch{Number: epoch, Node: "owner"}, Number: number, Asked: asked}
+	given := contract.Lease{Region: "east", Epoch: contract.Epoch{Number: epoch, Node: "owner"}, Number: number, RequestSentAt: asked}
 	for _, name := range names {
 		given.Servers = append(given.Servers, candidate(name, "east-a"))
 	}
@@ -111,7 +111,7 @@
 		node := startedNode()
 		deliver(node, leaseOf(3, 4, 500, "a"))
 		Expect(deliver(node, leaseOf(2, 9, 600, "b"))).To(BeEmpty())
-		Expect(node.commands).To(ContainElement(contract.Count{Name: "lists_refused", By: 1}))
+		Expect(node.commands).To(ContainElement(contract.AddCounter{Name: "lists_refused", Delta: 1}))
 		Expect(deliver(node, leaseOf(3, 3, 600, "b"))).To(BeEmpty())
 		Expect(deliver(node, leaseOf(3, 5, 400, "b"))).To(BeEmpty())
 		Expect(deliver(node, leaseOf(3, 5, 600, "b"))).To(Equal([][]string{{"b"}}))
@@ -140,11 +140,11 @@
 		node := startedNode()
 		deliver(node, leaseOf(2, 2, 100, "a"))
 		same := leaseOf(2, 2, 300)
-		same.Same = true
+		same.Unchanged = true
 		Expect(deliver(node, same)).To(BeEmpty())
 		Expect(deliver(node, leaseOf(2, 2, 200))).To(BeEmpty(), "the confirmation is newer")
 		other := leaseOf(4, 2, 400)
-		other.Same = true
+		other.Unchanged = true
 		Expect(deliver(node, other)).To(BeEmpty())
 		Expect(deliver(node, leaseOf(3, 1, 500, "b"))).To(Equal([][]string{{"b"}}), "the epoch of a list that was not accepted has no effect")
 	})
@@ -174,22 +174,22 @@
 		node.now += node.listRequestInterval() * 2
 		asks := []contract.LeaseRequest{}
 		for _, command := range node.process(contract.Tick{}) {
-			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageAsk && send.To == owner.Address {
+			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageLeaseRequest && send.To == owner.Address {
 				asks = append(asks, send.Body.(contract.LeaseRequest))
 			}
 		}
 		Expect(asks).To(HaveLen(3), "two shards of the east, and the west, which has no node of its own")
-		Expect(asks[0].Highest).To(Equal(contract.Epoch{Number: 3, Node: "owner"}))
+		Expect(asks[0].HighestEpoch).To(Equal(contract.Epoch{Number: 3, Node: "owner"}))
 		Expect(asks[0].Number).To(Equal(int64(7)))
-		Expect(asks[0].Brief).To(BeTrue())
-		Expect(asks[1].Brief).To(BeFalse())
+		Expect(asks[0].OmitUnchanged).To(BeTrue())
+		Expect(asks[1].OmitUnchanged).To(BeFalse())
 	})
 })
 
 var _ = Describe("a lookup of nodes", func() {
 	lookUp := func(node *testNode, region, zone string) []string {
 		for _, command := range node.process(Lookup{Token: 5, Region: region, Zone: zone}) {
-			if answer, ok := command.(contract.Answer); ok {
+			if answer, ok := command.(contract.Response); ok {
 				Expect(answer.Token).To(Equal(int64(5)))
 				return answer.Body.(Addresses).Addresses
 			}
@@ -199,7 +199,7 @@
 	fleet := func() *testNode {
 		node := startedNode()
 		node.addMembers(dataNode("a2", "east-a", "10.0.0.2"), dataNode("b1", "east-b", "10.0.1.1"), dataNode("w1", "west-a", "10.1.0.1"),
-			contract.Member{Name: "c1-control", Boot: "boot", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: "10.0.0.8:8166", Place: contract.Place{View: 1, Revision: 1}})
+			contract.Member{Name: "c1-control", Boot: "boot", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: "10.0.0.8:8166", Position: contract.Position{View: 1, Revision: 1}})
 		return node
 	}
 
@@ -218,16 +218,16 @@
 
 	It("given nodes that left or have no configuration, when a caller asks, then they are left out", func() {
 		node := fleet()
-		node.process(message(neighbour.MessageBye, "a2-data", neighbour.Bye{Name: "a2-data", Boot: "boot"}))
+		node.process(message(neighbour.MessageLeave, "a2-data", neighbour.Leave{Name: "a2-data", Boot: "boot"}))
 		unconfigured := dataNode("a3", "east-a", "10.0.0.3")
-		unconfigured.Place = contract.Place{}
+		unconfigured.Position = contract.Position{}
 		node.addMembers(unconfigured)
 		Expect(lookUp(node, "east", "east-a")).To(ConsistOf("10.0.0.1:8161", "10.0.1.1:8161"))
 	})
 
 	It("given a farewell of an earlier start, when a caller asks, then the node's new start is returned", func() {
 		node := fleet()
-		node.process(message(neighbour.MessageBye, "a2-data", neighbour.Bye{Name: "a2-data", Boot: "former"}))
+		node.process(message(neighbour.MessageLeave, "a2-data", neighbour.Leave{Name: "a2-data", Boot: "former"}))
 		Expect(lookUp(node, "east", "east-a")).To(ContainElement("10.0.0.2:8161"))
 	})
 
@@ -256,7 +256,7 @@
 	It("given suspected nodes, when the fleet is reported, then they still count, and those that left do not", func() {
 		node := startedNode()
 		node.addMembers(dataNode("a2", "east-a", "10.0.0.2"), dataNode("a3", "east-a", "10.0.0.3"))
-		node.process(message(neighbour.MessageBye, "a3-data", neighbour.Bye{Name: "a3-data", Boot: "boot"}))
+		node.process(message(neighbour.MessageLeave, "a3-data", neighbour.Leave{Name: "a3-data", Boot: "boot"}))
 		var last FleetChanged
 		for range 100 {
 			node.now += 100 * time.Millisecond
@@ -277,11 +277,11 @@
 		node := startedNode()
 		node.process(contract.Tick{})
 		former := leaseOf(2, 5, node.now, "a", "b")
-		former.Epoch.Life = "first"
+		former.Epoch.Incarnation = "first"
 		Expect(listedNames(node.process(message(shard.MessageLease, "owner-control", former)))).To(HaveLen(1))
 		node.now += time.Second
 		restarted := leaseOf(2, 1, node.now, "a")
-		restarted.Epoch.Life = "second"
+		restarted.Epoch.Incarnation = "second"
 		Expect(listedNames(node.process(message(shard.MessageLease, "owner-control", restarted)))).To(Equal([][]string{{"a"}}))
 	})
 })
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -14,13 +14,13 @@
 		return contract.Member{Name: name + "-control", Boot: "boot", Kind: contract.KindControl, Zone: "east-a", Region: "east", Address: host + ":8166"}
 	}
 	notify := func(node *testNode, region string, leaving ...string) []contract.Command {
-		return node.process(message(shard.MessageNotices, "other-control", contract.Notices{Region: region, Leaving: leaving}))
+		return node.process(message(shard.MessageServerNotices, "other-control", contract.DepartureNotice{Region: region, Leaving: leaving}))
 	}
 	// asked returns the addresses that were asked for notices in one tick, sorted.
 	asked := func(node *testNode) []string {
 		addresses := []string{}
 		for _, command := range node.process(contract.Tick{}) {
-			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageAsk && send.Body.(contract.LeaseRequest).Notices {
+			if send, ok := command.(contract.Send); ok && send.Kind == shard.MessageLeaseRequest && send.Body.(contract.LeaseRequest).DeparturesOnly {
 				addresses = append(addresses, send.To)
 			}
 		}
@@ -30,7 +30,7 @@
 	nodeWithLists := func() *testNode {
 		node, sibling := startedNode(), control("node000", "10.0.0.9")
 		// A control node that cannot see the platform owns no shard while others can.
-		sibling.Blind = true
+		sibling.Impaired = true
 		node.addMembers(control("first", "10.0.0.1"), control("second", "10.0.0.2"), sibling)
 		node.process(contract.Tick{})
 		for _, region := range []string{"east", "west"} {
@@ -60,7 +60,7 @@
 		commands := notify(node, "east", "b", "unknown")
 		Expect(listedNames(commands)).To(Equal([][]string{{"a", "c"}}))
 		Expect(logEntries(commands, "servers leave by notice")).To(HaveLen(1))
-		Expect(commands).To(ContainElement(contract.Count{Name: "servers_noticed", By: 1}))
+		Expect(commands).To(ContainElement(contract.AddCounter{Name: "servers_noticed", Delta: 1}))
 		Expect(listedNames(notify(node, "east", "b"))).To(BeEmpty())
 	})
 
@@ -69,7 +69,7 @@
 		notify(node, "east", "b")
 		node.now += time.Second
 		same := leaseOf(2, 5, node.now-time.Millisecond)
-		same.Same = true
+		same.Unchanged = true
 		Expect(listedNames(node.process(message(shard.MessageLease, "first-control", same)))).To(BeEmpty())
 		Expect(listedNames(node.process(message(shard.MessageLease, "first-control", leaseOf(2, 6, node.now, "a", "c", "d"))))).To(Equal([][]string{{"a", "c", "d"}}))
 	})
--- a/gateway/pace_test.go
+++ b/gateway/pace_test.go
@@ -34,17 +34,17 @@
 			sendUnshared(router, 4000, 40*time.Millisecond+4*slow+wait)
 		}
 		Expect(router.readTime("s", 1000)).To(BeNumerically("~", slow, time.Millisecond))
-		Expect(router.Observations(router.now, "east").Read).To(Equal(map[string]int64{"s": slow.Microseconds()}))
+		Expect(router.Observations(router.now, "east").PrefillUsPerK).To(Equal(map[string]int64{"s": slow.Microseconds()}))
 	})
 
 	It("given observations of all nodes, when this node observed something else, then those of all nodes are used, within bounds", func() {
 		router := startedRouter(withEngines, eastList("a", "b"))
 		sendUnshared(router, 4000, 4*slow)
-		router.Handle(router.now, ObservationsChanged{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 30000}}})
+		router.Handle(router.now, ObservationsChanged{Region: "east", CallObservations: contract.CallObservations{PrefillUsPerK: map[string]int64{"s": 30000}}})
 		Expect(router.readTime("s", 1000)).To(Equal(30 * time.Millisecond))
-		router.Handle(router.now, ObservationsChanged{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 1 << 40}}})
+		router.Handle(router.now, ObservationsChanged{Region: "east", CallObservations: contract.CallObservations{PrefillUsPerK: map[string]int64{"s": 1 << 40}}})
 		Expect(router.readTime("s", 1000)).To(Equal(defaultReadTime * readTimeSpread))
-		router.Handle(router.now, ObservationsChanged{Region: "east", Observed: contract.Observed{Read: map[string]int64{"s": 1}}})
+		router.Handle(router.now, ObservationsChanged{Region: "east", CallObservations: contract.CallObservations{PrefillUsPerK: map[string]int64{"s": 1}}})
 		Expect(router.readTime("s", 1000)).To(Equal(defaultReadTime / readTimeSpread))
 	})
 
@@ -54,10 +54,10 @@
 		behind := router.dispatchPrompt("/stream/x", engine.Prompt{Model: "m", Input: 4000, Output: 9, Parts: []engine.Part{{ID: "y", Tokens: 4000}}})
 		router.now += time.Second
 		router.Handle(router.now, StreamStarted{Token: behind.Token, Attempt: behind.Attempt})
-		Expect(router.Observations(router.now, "east").Read).To(BeEmpty(), "it came behind another one")
+		Expect(router.Observations(router.now, "east").PrefillUsPerK).To(BeEmpty(), "it came behind another one")
 		router.extendColdness(router.now, router.servers["a"], time.Minute)
 		router.Handle(router.now, StreamStarted{Token: sent.Token, Attempt: sent.Attempt})
-		Expect(router.Observations(router.now, "east").Read).To(BeEmpty(), "its server is cold")
+		Expect(router.Observations(router.now, "east").PrefillUsPerK).To(BeEmpty(), "its server is cold")
 	})
 
 	It("given more calls than are kept, when the engine has become faster, then the earlier ones are forgotten", func() {
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -43,7 +43,7 @@
 		if server.wrongServer || call.triedServers[server.Name] || router.manifest.Drained(server.Zone) || server.inFlight >= limit || router.blockedByWarmup(now, server, includeResting && len(call.triedServers) == 0) {
 			continue
 		}
-		if len(call.route.Regions) > 0 && !slices.Contains(call.route.Regions, server.region) {
+		if len(call.route.AllowedRegions) > 0 && !slices.Contains(call.route.AllowedRegions, server.region) {
 			continue
 		}
 		if !includeResting && (now < server.backoffUntil || server.probing || router.isResting(now, server)) {
@@ -187,7 +187,7 @@
 
 // silenceTimeout returns how long nothing may arrive before the server is doubted.
 func (router *Router) silenceTimeout(now time.Duration, call *callState) time.Duration {
-	silence := max(call.route.Aim, router.policy.Contact/8)
+	silence := max(call.route.LatencyTarget, router.policy.Contact/8)
 	return min(max(silence, router.readTime(call.service, call.unreadTokens)*2), max(time.Millisecond, call.deadline-now))
 }
 
@@ -209,10 +209,10 @@
 
 // maxConnections is this node's part of the connections that a server accepts from all nodes together.
 func (router *Router) maxConnections(service manifest.Service) int64 {
-	if service.Connections <= 0 {
+	if service.MaxConnections <= 0 {
 		return 1 << 20
 	}
-	return max(2, service.Connections*9/10/int64(router.nodeCount()))
+	return max(2, service.MaxConnections*9/10/int64(router.nodeCount()))
 }
 
 // priority returns the priority that the server is told: 2 for short prompts, and a negative one, which is not sent, for other calls.
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -40,7 +40,7 @@
 	// maxOwnerQueries is how often the owner of the index is asked for one call.
 	maxOwnerQueries = 2
 	// rootCandidates is how many of the offered servers are the same for all prompts of one root.
-	rootCandidates = index.MostCandidates / 2
+	rootCandidates = index.MaxCandidates / 2
 )
 
 // placeIndex is what this node knows of the shared index of prompts.
@@ -69,7 +69,7 @@
 
 // placeKeyOf returns the key of a call's prompt in the index. The scope consists of the service and of the regions that the call is bound to.
 func placeKeyOf(call *callState) index.Key {
-	return index.Key{Scope: call.service + "\x00" + strings.Join(call.route.Regions, ","), Anchor: call.Prompt.Anchor()}
+	return index.Key{Scope: call.service + "\x00" + strings.Join(call.route.AllowedRegions, ","), Anchor: call.Prompt.Anchor()}
 }
 
 // placeQueryFor returns the query that a call with a long shared prompt has to send before its dispatch, if any.
@@ -127,8 +127,8 @@
 			otherRegions = append(otherRegions, server)
 		}
 	}
-	otherCount := min(len(otherRegions), max(index.MostCandidates/4, index.MostCandidates-len(sameRegion)))
-	return slices.Concat(sameRegion[:min(len(sameRegion), index.MostCandidates-otherCount)], otherRegions[:otherCount])
+	otherCount := min(len(otherRegions), max(index.MaxCandidates/4, index.MaxCandidates-len(sameRegion)))
+	return slices.Concat(sameRegion[:min(len(sameRegion), index.MaxCandidates-otherCount)], otherRegions[:otherCount])
 }
 
 // orderByRoot orders servers for a prompt. The first ones are the same for all prompts of its root; the owner of the index leaves them only when they
@@ -186,9 +186,9 @@
 
 // recordPlaceUse records a call that went to the place of its prompt, for the owner of the index.
 func (router *Router) recordPlaceUse(now time.Duration, call *callState) {
-	if call.placeServer != "" && call.server.Name == call.placeServer && len(router.places.uses) < index.MostUses {
+	if call.placeServer != "" && call.server.Name == call.placeServer && len(router.places.uses) < index.MaxUses {
 		router.places.uses = append(router.places.uses, index.Use{Key: call.placeKey, Server: call.placeServer, Took: (now - call.sentAt).Milliseconds(),
-			Shown: router.cacheObservation(now, call), At: now})
+			Verdict: router.cacheObservation(now, call), At: now})
 	}
 }
 
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -207,7 +207,7 @@
 		Expect(router.TakePlaceUses()).To(BeEmpty())
 		key := router.learnPlace("b")
 		router.completeAfter(router.dispatchPrompt("/stream/x", shortSharedPrompt("one")), 20*time.Millisecond)
-		Expect(router.TakePlaceUses()).To(Equal([]index.Use{{Key: key, Server: "b", Took: 600, Shown: index.Missed(600*time.Millisecond, 317*time.Millisecond), At: 1600 * time.Millisecond}}))
+		Expect(router.TakePlaceUses()).To(Equal([]index.Use{{Key: key, Server: "b", Took: 600, Verdict: index.Missed(600*time.Millisecond, 317*time.Millisecond), At: 1600 * time.Millisecond}}))
 		Expect(router.TakePlaceUses()).To(BeEmpty())
 	})
 
@@ -225,10 +225,10 @@
 	It("given more uses than the limit, when nobody takes them, then the rest is dropped", func() {
 		router := routerWithIndex(withEngines)
 		router.learnPlace("b")
-		for range index.MostUses + 20 {
+		for range index.MaxUses + 20 {
 			router.completeAfter(expectDispatch(router.sendLongPrompt("one")), time.Millisecond)
 		}
-		Expect(router.TakePlaceUses()).To(HaveLen(index.MostUses))
+		Expect(router.TakePlaceUses()).To(HaveLen(index.MaxUses))
 	})
 
 	It("given a moved place, when the next call arrives, then it goes there without a query", func() {
@@ -242,7 +242,7 @@
 var _ = Describe("prompts of one root", func() {
 	It("given prompts with two shared parts, when they are queried, then each has its own place, its root is sent, and the first candidates are the same", func() {
 		names := []string{}
-		for number := range 3 * index.MostCandidates {
+		for number := range 3 * index.MaxCandidates {
 			names = append(names, fmt.Sprintf("s%02d", number))
 		}
 		router := startedRouter(withEngines, eastList(names...))
@@ -272,7 +272,7 @@
 	It("given a route that is bound to a region, when its calls share a prompt with others, then they have a place of their own", func() {
 		router := routerWithIndex(func(read *manifest.Manifest) {
 			withEngines(read)
-			changeRoute("resumed", func(route *manifest.GatewayRoute) { route.Regions = []string{"east"} })(read)
+			changeRoute("resumed", func(route *manifest.GatewayRoute) { route.AllowedRegions = []string{"east"} })(read)
 		})
 		router.Handle(router.now, listOf("west", candidate("w1", "west-a"), candidate("w2", "west-a")))
 		free := expectPlaceQuery(router.sendLongPrompt("one"))
--- a/gateway/ramp.go
+++ b/gateway/ramp.go
@@ -37,7 +37,7 @@
 // computeShare computes how many nodes send to the server, whether this node is one of them, and at which interval. The rate is the server's in calls
 // a second while it is cold; overage and allowance say by how much it may be exceeded (rate*overage + allowance calls in any second).
 func (ramp *warmupRamp) computeShare(server, self string, nodes []string, totalRate, overage, allowance float64) {
-	ordered := contract.Ordered("ramp/"+server, nodes)
+	ordered := contract.RendezvousOrder("ramp/"+server, nodes)
 	ramp.isSender, ramp.sendInterval, ramp.rank = false, 0, slices.Index(ordered, self)
 	if ramp.rank < 0 {
 		ramp.rank = math.MaxInt
--- a/gateway/shown_test.go
+++ b/gateway/shown_test.go
@@ -23,7 +23,7 @@
 }
 
 func isLate(use index.Use) bool {
-	_, late := use.Shown.Late(time.Duration(use.Took) * time.Millisecond)
+	_, late := use.Verdict.MissSlack(time.Duration(use.Took) * time.Millisecond)
 	return late
 }
 
@@ -43,30 +43,30 @@
 	It("given a place that only other nodes used, when the first chunk arrives, then it shows kept, unclear or late, and when", func() {
 		router := routerWithPlace()
 		use := router.useAfter(quick, lowLoad)
-		Expect(use.Shown).To(Equal(index.Kept))
+		Expect(use.Verdict).To(Equal(index.Kept))
 		Expect(use.At).To(Equal(router.now))
-		Expect(router.useAfter(between, lowLoad).Shown).To(Equal(index.Unclear))
+		Expect(router.useAfter(between, lowLoad).Verdict).To(Equal(index.Unclear))
 		Expect(isLate(router.useAfter(slow, lowLoad))).To(BeTrue())
 	})
 
 	It("given a first chunk that came sooner than reading allows, when the server is busy, then it still shows that the prompt was cached", func() {
-		Expect(routerWithPlace().useAfter(quick, &Load{Running: 48, Waiting: 6, Slots: 48}).Shown).To(Equal(index.Kept))
+		Expect(routerWithPlace().useAfter(quick, &Load{Running: 48, Waiting: 6, Slots: 48}).Verdict).To(Equal(index.Kept))
 	})
 
 	It("given a server where other calls wait, or where another call of this node is read, when the first chunk is late, then it is unclear", func() {
-		Expect(routerWithPlace().useAfter(slow, &Load{Running: 48, Waiting: 6, Slots: 48}).Shown).To(Equal(index.Unclear))
+		Expect(routerWithPlace().useAfter(slow, &Load{Running: 48, Waiting: 6, Slots: 48}).Verdict).To(Equal(index.Unclear))
 		router := routerWithPlace()
 		expectDispatch(router.sendLongPrompt("beside"))
-		Expect(router.useAfter(slow, lowLoad).Shown).To(Equal(index.Unclear))
+		Expect(router.useAfter(slow, lowLoad).Verdict).To(Equal(index.Unclear))
 	})
 
 	It("given calls that showed the usual overhead in a region, when one is later than that plus reading, then it is late, and before it was not", func() {
 		router, wait := routerWithPlace(), 320*time.Millisecond
-		Expect(router.useAfter(wait, lowLoad).Shown).To(Equal(index.Unclear))
+		Expect(router.useAfter(wait, lowLoad).Verdict).To(Equal(index.Unclear))
 		router.useAfter(quick, lowLoad)
 		use := router.useAfter(wait, lowLoad)
 		Expect(isLate(use)).To(BeTrue())
-		spare, _ := use.Shown.Late(wait)
+		spare, _ := use.Verdict.MissSlack(wait)
 		Expect(spare).To(And(BeNumerically(">", 0), BeNumerically("<", wait-presumedReadTime(13000)/2)))
 	})
 
--- a/gateway/sizes.go
+++ b/gateway/sizes.go
@@ -49,16 +49,16 @@
 
 // Observations returns what this node observes of the calls that it sends to a region: the services that get short prompts there, with the shortest
 // pause that these tolerate in ms, and the time that engines take to read 1,000 tokens, in microseconds.
-func (router *Router) Observations(now time.Duration, region string) contract.Observed {
-	observed := contract.Observed{Short: map[string]int64{}, Read: map[string]int64{}}
+func (router *Router) Observations(now time.Duration, region string) contract.CallObservations {
+	observed := contract.CallObservations{ShortPromptGapMs: map[string]int64{}, PrefillUsPerK: map[string]int64{}}
 	for key, history := range router.promptSizes {
 		if key.region == region && history.hasRecentShort(now, router.policy.RepeatWindow) {
-			observed.Short[key.service] = max(1, history.minPause.Milliseconds())
+			observed.ShortPromptGapMs[key.service] = max(1, history.minPause.Milliseconds())
 		}
 	}
 	for service, speed := range router.readSpeeds {
 		if readTime, found := speed.ownReadTime(); found {
-			observed.Read[service] = readTime.Microseconds()
+			observed.PrefillUsPerK[service] = readTime.Microseconds()
 		}
 	}
 	return observed
@@ -71,10 +71,10 @@
 			history.fleetMinPause = 0
 		}
 	}
-	for service, pause := range event.Short {
+	for service, pause := range event.ShortPromptGapMs {
 		router.sizeHistoryOf(service, event.Region).fleetMinPause = time.Duration(pause) * time.Millisecond
 	}
-	for service, readTime := range event.Read {
+	for service, readTime := range event.PrefillUsPerK {
 		router.readSpeedOf(service).fleetWide = time.Duration(readTime) * time.Microsecond
 	}
 	router.longPromptReliefs = map[string]longPromptRelief{}
@@ -110,10 +110,10 @@
 // toleratedPause returns the longest time without a chunk that a call tolerates: the target for the first chunk (Aim), or that for the gap between
 // later ones (Gap) if it is shorter.
 func toleratedPause(call *callState) time.Duration {
-	if call.route.Gap > 0 && (call.route.Aim == 0 || call.route.Gap < call.route.Aim) {
-		return call.route.Gap
+	if call.route.TokenGap > 0 && (call.route.LatencyTarget == 0 || call.route.TokenGap < call.route.LatencyTarget) {
+		return call.route.TokenGap
 	}
-	return call.route.Aim
+	return call.route.LatencyTarget
 }
 
 // wouldDisturb reports whether reading the call's prompt would occupy the server for longer than the short calls that go to its region tolerate.
@@ -174,7 +174,7 @@
 		}
 		ranks := map[string]int{}
 		for _, names := range regions {
-			for rank, name := range contract.Ordered("long", names) {
+			for rank, name := range contract.RendezvousOrder("long", names) {
 				ranks[name] = rank
 			}
 		}
--- a/gateway/suite_test.go
+++ b/gateway/suite_test.go
@@ -43,8 +43,8 @@
 		Gateway: manifest.Gateway{Revision: 1, Services: map[string]manifest.Service{"s": {}}}}
 	for _, route := range []manifest.GatewayRoute{{Name: "read", Kind: manifest.KindReadOnly}, {Name: "write", Kind: manifest.KindMutating},
 		{Name: "stream", Kind: manifest.KindStreaming}, {Name: "resumed", Kind: manifest.KindStreaming, Resumable: true}} {
-		route.Host, route.Prefix, route.Timeout, route.Aim, route.Attempts = "h.example", "/"+route.Name+"/", 8*time.Second, time.Second, 3
-		route.Split = []manifest.Share{{Service: "s", Weight: 1}}
+		route.Host, route.Prefix, route.Timeout, route.LatencyTarget, route.MaxAttempts = "h.example", "/"+route.Name+"/", 8*time.Second, time.Second, 3
+		route.Split = []manifest.WeightedService{{Service: "s", Weight: 1}}
 		current.Gateway.Routes = current.Gateway.Routes.With(route)
 	}
 	if change != nil {
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -19,7 +19,7 @@
 func (router *Router) tenantOf(route manifest.GatewayRoute, key *manifest.KeyDigest) (manifest.Tenant, bool) {
 	tenants := router.manifest.Gateway.Tenants
 	if key != nil {
-		if tenant, found := tenants.Holder(*key); found {
+		if tenant, found := tenants.ByKey(*key); found {
 			return tenant, true
 		}
 	}
@@ -45,11 +45,11 @@
 	if !known {
 		return nil, &Refuse{Token: event.Token, Status: statusNoTenant, Reason: "no tenant holds the key"}
 	}
-	regions, allowed := intersectRegions(route.Regions, tenant.Regions)
+	regions, allowed := intersectRegions(route.AllowedRegions, tenant.AllowedRegions)
 	if !allowed {
 		return nil, &Refuse{Token: event.Token, Status: statusNoRegion, Reason: "no region is allowed by both route and tenant"}
 	}
-	route.Regions = regions
+	route.AllowedRegions = regions
 	timeout := event.Timeout
 	if timeout <= 0 || timeout > route.Timeout {
 		timeout = route.Timeout
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -166,7 +166,7 @@
 
 // warmupTime returns how long a server of this service is cold after its start, 0 for never.
 func (router *Router) warmupTime(server *serverState) time.Duration {
-	return router.manifest.Gateway.Services[server.Pool].Warmup
+	return router.manifest.Gateway.Services[server.Pool].WarmupDuration
 }
 
 // assumeCold treats a server that may have restarted as cold, unless the servers of its service are never cold.
@@ -218,17 +218,17 @@
 	for _, candidate := range event.Servers {
 		server, found := router.servers[candidate.Name]
 		if !found {
-			server = &serverState{region: event.Region, callTime: initialCallTime, nameHash: contract.Weight(candidate.Name)}
+			server = &serverState{region: event.Region, callTime: initialCallTime, nameHash: contract.RendezvousWeight(candidate.Name)}
 			router.servers[candidate.Name] = server
 		}
 		server.Candidate, server.listed = candidate, true
-		router.updateGeneration(now, server, candidate.Cache)
+		router.updateGeneration(now, server, candidate.CacheResets)
 		router.endSuspicion(now, server)
 		if !found && listedBefore {
 			router.assumeCold(now, server, router.policy.Contact/4)
 		}
-		if candidate.WarmMs > 0 {
-			router.extendColdness(now, server, time.Duration(candidate.WarmMs)*time.Millisecond+router.policy.Contact/8)
+		if candidate.WarmupMs > 0 {
+			router.extendColdness(now, server, time.Duration(candidate.WarmupMs)*time.Millisecond+router.policy.Contact/8)
 		}
 	}
 	for name, server := range router.servers {
--- a/gateway/traffic_test.go
+++ b/gateway/traffic_test.go
@@ -72,7 +72,7 @@
 		split := func(read *manifest.Manifest) {
 			read.Gateway.Services["t"], read.Gateway.Services["u"] = manifest.Service{}, manifest.Service{}
 			changeRoute("read", func(route *manifest.GatewayRoute) {
-				route.Split = []manifest.Share{{Service: "s", Weight: 75}, {Service: "t", Weight: 25}, {Service: "u", Weight: 0}}
+				route.Split = []manifest.WeightedService{{Service: "s", Weight: 75}, {Service: "t", Weight: 25}, {Service: "u", Weight: 0}}
 			})(read)
 		}
 		servers := []contract.Candidate{}
@@ -94,12 +94,12 @@
 
 var _ = Describe("the pick of a server", func() {
 	engines := func(read *manifest.Manifest) {
-		read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 16, Tokens: 200000, Stride: 1}}
+		read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 16, Tokens: 200000, TokensPerStep: 1}}
 	}
 	west := listOf("west", candidate("w1", "west-a"), candidate("w2", "west-a"))
 
 	It("given a route with home regions, when no server there can take the call, then it is refused rather than sent to another region", func() {
-		router := startedRouter(changeRoute("read", func(route *manifest.GatewayRoute) { route.Regions = []string{"east"} }), eastList("a", "b"), west)
+		router := startedRouter(changeRoute("read", func(route *manifest.GatewayRoute) { route.AllowedRegions = []string{"east"} }), eastList("a", "b"), west)
 		for range 200 {
 			command := router.arrive("/read/x", nil)
 			for _, outcome := range []Outcome{OutcomeBroken, OutcomeNotSent, OutcomeNotRun} {
@@ -130,7 +130,7 @@
 	It("given a drain that ends, when many calls arrive, then the zone's cold servers get no more than their limit", func() {
 		withDrain := func(drained bool) ConfigurationChanged {
 			return configuration(func(read *manifest.Manifest) {
-				read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
+				read.Gateway.Services["s"] = manifest.Service{WarmupDuration: 3 * time.Second, WarmupRate: 10}
 				read.Zones["east-a"] = manifest.Zone{Region: "east", Drained: drained}
 			})
 		}
@@ -142,7 +142,7 @@
 
 	It("given a server that is new on the list, when many calls arrive, then it gets no more than its limit, but some", func() {
 		router := startedRouter(func(read *manifest.Manifest) {
-			read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
+			read.Gateway.Services["s"] = manifest.Service{WarmupDuration: 3 * time.Second, WarmupRate: 10}
 		}, eastList())
 		router.Handle(router.now, eastList("a"))
 		count := countUnderLoad(router, time.Second)
@@ -152,10 +152,10 @@
 
 	It("given a server that reports a warm-up, when many calls arrive, then it gets no more than its limit", func() {
 		router := startedRouter(func(read *manifest.Manifest) {
-			read.Gateway.Services["s"] = manifest.Service{Warmup: 3 * time.Second, WarmupRate: 10}
+			read.Gateway.Services["s"] = manifest.Service{WarmupDuration: 3 * time.Second, WarmupRate: 10}
 		})
 		warming := candidate("a", "east-a")
-		warming.WarmMs = 2000
+		warming.WarmupMs = 2000
 		router.Handle(router.now, listOf("east", warming))
 		Expect(countUnderLoad(router, time.Second)).To(BeNumerically("<=", 10*1.5+5))
 	})
@@ -167,7 +167,7 @@
 	})
 
 	It("given servers with a connection limit, when many calls arrive, then this node's part of it holds", func() {
-		router := startedRouter(func(read *manifest.Manifest) { read.Gateway.Services["s"] = manifest.Service{Connections: 100} }, eastList("a", "b"))
+		router := startedRouter(func(read *manifest.Manifest) { read.Gateway.Services["s"] = manifest.Service{MaxConnections: 100} }, eastList("a", "b"))
 		router.Handle(router.now, FleetChanged{Self: "node000-data", Names: fleetOf(10)})
 		sent := map[string]int{}
 		for range 100 {
--- a/machine/relays_test.go
+++ b/machine/relays_test.go
@@ -24,7 +24,7 @@
 func nodeWithMembers(members ...[2]string) *Node {
 	settings := env.New(env.WithName("self"), env.WithZone("a"), env.WithRegion("east"), env.WithData("self-data"))
 	node := New(settings, contract.KindData, "boot", rand.New(rand.NewPCG(1, 1)))
-	shuffle := neighbour.Shuffle{Answer: true}
+	shuffle := neighbour.Shuffle{IsReply: true}
 	for _, member := range members {
 		shuffle.Members = append(shuffle.Members, contract.Member{Name: member[0], Zone: member[1], Address: member[0], Boot: "b", Incarnation: 1, Heartbeat: 1})
 	}
@@ -54,7 +54,7 @@
 
 	It("given suspected members, when relays are drawn, then they are left out", func() {
 		node := nodeWithMembers([2]string{"near-data", "b"}, [2]string{"owner-control", "b"})
-		Expect(node.ChooseRelays(time.Second+node.Bounds.Suspicion(), target, 3)).To(BeEmpty())
+		Expect(node.ChooseRelays(time.Second+node.Bounds.SuspicionTimeout(), target, 3)).To(BeEmpty())
 	})
 
 	It("given members of both zones, when single relays failed, then routes over two are drawn: one of the own zone, then one of the target's", func() {
@@ -71,7 +71,7 @@
 			asked := []string{}
 			for _, command := range node.SendByRelay(time.Second, target, contract.Send{To: "owner-control", Kind: "question", Body: 1}, "", failures) {
 				if send, isSend := command.(contract.Send); isSend {
-					asked = append(asked, relay.Route(append([]string{send.To}, send.Body.(relay.Envelope).Ahead...)...))
+					asked = append(asked, relay.Route(append([]string{send.To}, send.Body.(relay.Envelope).RemainingRelays...)...))
 				}
 			}
 			return asked
@@ -82,7 +82,7 @@
 
 	It("given an envelope, when it arrives, then its message is handled as coming from its sender, and one for an unknown target is refused", func() {
 		node := nodeWithMembers([2]string{"asker-data", "b"}, [2]string{"middle-data", "b"})
-		envelope := relay.Envelope{To: "self-data", Passed: []string{"middle-data"}, From: "asker-data", Address: "asker-data", Kind: "question", Body: json.RawMessage("1")}
+		envelope := relay.Envelope{To: "self-data", PassedRelays: []string{"middle-data"}, From: "asker-data", Address: "asker-data", Kind: "question", Body: json.RawMessage("1")}
 		body, failure := json.Marshal(envelope)
 		Expect(failure).NotTo(HaveOccurred())
 		handled := []contract.Event{}
@@ -90,13 +90,13 @@
 			handled = append(handled, event)
 			return []contract.Command{contract.Send{To: "asker-data", Kind: "answer", Body: 2}}
 		})
-		Expect(handled).To(Equal([]contract.Event{contract.Message{Kind: "question", From: "asker-data", Body: json.RawMessage("1"), Via: "middle-data"}}))
+		Expect(handled).To(Equal([]contract.Event{contract.Message{Kind: "question", From: "asker-data", Body: json.RawMessage("1"), ReturnRoute: "middle-data"}}))
 		Expect(answered).To(ContainElement(HaveField("To", "middle-data")))
 
 		envelope.To = "nobody"
 		body, failure = json.Marshal(envelope)
 		Expect(failure).NotTo(HaveOccurred())
 		refused := node.HandleRelayed(time.Second, contract.Message{Kind: relay.MessageForward, Body: body}, func(time.Duration, contract.Event) []contract.Command { return nil })
-		Expect(refused).To(Equal([]contract.Command{contract.Count{Name: "relays_refused", By: 1}}))
+		Expect(refused).To(Equal([]contract.Command{contract.AddCounter{Name: "relays_refused", Delta: 1}}))
 	})
 })
--- a/modelcheck/action.go
+++ b/modelcheck/action.go
@@ -147,10 +147,10 @@
 }
 
 // headOf and tailOf find the members that take writes, and that believe themselves to be the tail.
-var headOf, tailOf = (*chain.Owner).Open, (*chain.Owner).IsTail
+var headOf, tailOf = (*chain.Replica).AcceptsWrites, (*chain.Replica).IsTail
 
 // first gives the first member that fits, from a place on.
-func (cluster *Cluster) first(place int, fits func(*chain.Owner) bool) *member {
+func (cluster *Cluster) first(place int, fits func(*chain.Replica) bool) *member {
 	for offset := range cluster.members {
 		if member := cluster.members[(place+offset)%len(cluster.members)]; member.up() && fits(member.owner) {
 			return member
@@ -169,7 +169,7 @@
 
 func (cluster *Cluster) powerOff(member *member) {
 	member.owner, member.pending = nil, nil
-	member.disk.LosePowerByName(cluster.coin)
+	member.disk.LosePowerPartially(cluster.coin)
 }
 
 // tearWrite ends a process after so many operations of the write that its disk has under way, and takes the power too at odd places.
@@ -183,7 +183,7 @@
 	_ = image.Save(member.disk, work)
 	member.disk.budget = -1
 	if place%2 == 1 {
-		member.disk.LosePowerByName(cluster.coin)
+		member.disk.LosePowerPartially(cluster.coin)
 	}
 }
 
--- a/modelcheck/move.go
+++ b/modelcheck/move.go
@@ -202,7 +202,7 @@
 		member.owner, member.pending = nil, nil
 	case PowerHead, PowerMiddle, PowerTail:
 		member.owner, member.pending = nil, nil
-		member.disk.LosePowerByName(func() bool { return false })
+		member.disk.LosePowerPartially(func() bool { return false })
 	case EmptyHead, EmptyTail:
 		cluster.wipe(member)
 	case ReplaceHead, ReplaceTail:
@@ -279,7 +279,7 @@
 	return ""
 }
 
-func lackedBy(owner *chain.Owner, acked map[string]int64) (string, bool) {
+func lackedBy(owner *chain.Replica, acked map[string]int64) (string, bool) {
 	for operation := range acked {
 		if _, there := owner.Operation(operation); !there {
 			return operation, true
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -61,7 +61,7 @@
 
 func New(described site.Site, bin, folder string, seed uint64) (*Rig, error) {
 	bounds := env.DefaultBounds()
-	read, err := manifest.Read(described.Manifest)
+	read, err := manifest.Parse(described.Manifest)
 	if err != nil {
 		return nil, err
 	}
@@ -190,7 +190,7 @@
 		return err
 	}
 	path := filepath.Join(node.folder, "env.json")
-	if err := os.WriteFile(path, node.Settings.Text(), 0o600); err != nil {
+	if err := os.WriteFile(path, node.Settings.JSON(), 0o600); err != nil {
 		return err
 	}
 	started := []*program{}
--- a/stories/core/chain_test.go
+++ b/stories/core/chain_test.go
@@ -88,7 +88,7 @@
 		}
 		_, newest := played.Manifest(played.Machines[2])
 		for _, machine := range played.Cores() {
-			machine.Disk.Lies = 4
+			machine.Disk.LostSaves = 4
 		}
 		played.KillFor(played.Cores(), time.Second)
 		played.Run(12 * time.Second)
@@ -123,7 +123,7 @@
 		played.Run(5 * time.Second)
 		written := harness.Patched(played, played.Machines[1], 1)
 		Expect(written.Status).To(Equal(202))
-		Expect(written.Accepted.Lacking).To(ContainElement(cores[0].Name + "-control"))
+		Expect(written.Accepted.MissingNodes).To(ContainElement(cores[0].Name + "-control"))
 		cores[1].Kill()
 		played.Run(5 * time.Second)
 		refused := harness.Patched(played, played.Machines[1], 2)
@@ -162,7 +162,7 @@
 		other := played.Patch(2)
 		other.Operation = ask.Operation
 		Expect(played.Do(played.Machines[2], other).Status).To(Equal(422))
-		asked := played.Operate(played.Machines[7], contract.Ask{Verb: contract.VerbOperation, Subject: ask.Operation})
+		asked := played.Operate(played.Machines[7], contract.OperatorRequest{Verb: contract.VerbOperation, Subject: ask.Operation})
 		Expect(asked.Status).To(Equal(200))
 		harness.NothingWrong(played)
 	})
@@ -187,7 +187,7 @@
 			Expect(harness.Patched(played, played.Machines[index], index).Status).To(Equal(200))
 		}
 		for _, machine := range played.Cores() {
-			machine.Disk.Lies = 60
+			machine.Disk.LostSaves = 60
 		}
 		played.KillFor(played.Cores(), time.Second)
 		played.Run(15 * time.Second)
@@ -234,10 +234,10 @@
 		played.Swap(cores[0])
 		played.Swap(cores[1])
 		played.Run(15 * time.Second)
-		Expect(played.Operate(played.Machines[1], contract.Ask{Verb: contract.VerbGet}).Status).To(BeElementOf(503, 504))
-		Expect(played.Operate(played.Machines[1], contract.Ask{Verb: contract.VerbGone, Subject: cores[2].Name}).Status).To(Equal(409))
-		Expect(played.Operate(played.Machines[1], contract.Ask{Verb: contract.VerbGone, Subject: cores[0].Name}).Status).To(Equal(200))
-		Expect(played.Operate(played.Machines[1], contract.Ask{Verb: contract.VerbGone, Subject: cores[1].Name}).Status).To(Equal(200))
+		Expect(played.Operate(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbGet}).Status).To(BeElementOf(503, 504))
+		Expect(played.Operate(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbGone, Subject: cores[2].Name}).Status).To(Equal(409))
+		Expect(played.Operate(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbGone, Subject: cores[0].Name}).Status).To(Equal(200))
+		Expect(played.Operate(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbGone, Subject: cores[1].Name}).Status).To(Equal(200))
 		played.Run(15 * time.Second)
 		Expect(harness.ChainView(played, played.Machines[1]).Chain).To(HaveLen(3))
 		Expect(harness.Patched(played, played.Machines[1], 2).Status).To(BeElementOf(200, 202))
