--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -78,7 +78,7 @@
 	settings.Wide, settings.Gateway = true, env.Gateway{Traffic: "10.0.0.1:80", Contact: 4 * time.Second, RepeatWindow: 10 * time.Second}
 	boot := fmt.Sprint("boot", simulation.boots)
 	simulation.nodes[machine+"-control"] = &node{name: machine + "-control", region: region, owner: New(settings, boot, nil, simulation.random)}
-	simulation.nodes[machine+"-data"] = &node{name: machine + "-data", region: region, owner: gateway.NewNode(settings, boot, gateway.NewTraffic(settings, simulation.random), simulation.random), lists: map[string][]string{}}
+	simulation.nodes[machine+"-data"] = &node{name: machine + "-data", region: region, owner: gateway.NewNode(settings, boot, gateway.NewRouter(settings, simulation.random), simulation.random), lists: map[string][]string{}}
 	delete(simulation.down, machine+"-control")
 }
 
@@ -107,7 +107,7 @@
 			simulation.listingReads++
 			simulation.messages[from.name] = append(simulation.messages[from.name], shard.ListingResult{Region: command.Region, Began: simulation.now, Listing: simulation.listing})
 		case gateway.Update:
-			listed, ok := command.Event.(gateway.Listed)
+			listed, ok := command.Event.(gateway.ServersListed)
 			if !ok {
 				continue
 			}
--- a/serve/face.go
+++ b/serve/face.go
@@ -16,7 +16,7 @@
 	Settings(kind string) (env.Env, error)
 	// CallArrived reads a caller's call from its headers, including its API key. Token, host, path and size are filled in by the caller of
 	// this method. identity is the ID that the caller gave this attempt.
-	CallArrived(request *http.Request) (arrive gateway.Arrive, identity string)
+	CallArrived(request *http.Request) (arrive gateway.CallArrived, identity string)
 	// SetServerHeaders sets the headers of a request to a server: the intended server, the tenant in place of the caller's API key, the
 	// time left, and the ID of the last event of a stream that the caller has.
 	SetServerHeaders(header http.Header, dispatch gateway.Dispatch, after string)
--- a/serve/gateway.go
+++ b/serve/gateway.go
@@ -35,7 +35,7 @@
 	*Process
 	adapter    Adapter
 	lock       sync.Mutex
-	traffic    *gateway.Traffic
+	traffic    *gateway.Router
 	pool       *upstream.Pool
 	token      atomic.Int64
 	limits     atomic.Pointer[manifest.Limits]
@@ -51,7 +51,7 @@
 		return err
 	}
 	random := newRandom()
-	process := &gatewayProcess{adapter: adapter, traffic: gateway.NewTraffic(settings, newRandom()), pool: upstream.NewPool(maxIdlePerServer, settings.Gateway.Contact*2)}
+	process := &gatewayProcess{adapter: adapter, traffic: gateway.NewRouter(settings, newRandom()), pool: upstream.NewPool(maxIdlePerServer, settings.Gateway.Contact*2)}
 	process.limits.Store(&manifest.Limits{})
 	node := gateway.NewNode(settings, newBootID(), process, random)
 	process.Process = newProcess(settings, node.Self(), node, "")
@@ -106,17 +106,17 @@
 }
 
 // Calls returns the number of this node's running calls per server of a region.
-func (process *gatewayProcess) Calls(region string) map[string]int64 {
+func (process *gatewayProcess) CallsInFlight(region string) map[string]int64 {
 	process.lock.Lock()
 	defer process.lock.Unlock()
-	return process.traffic.Calls(region)
+	return process.traffic.CallsInFlight(region)
 }
 
 // Stale returns the servers of a region whose prompt index this node found to be wrong.
-func (process *gatewayProcess) Stale(region string) map[string]int64 {
+func (process *gatewayProcess) StaleCaches(region string) map[string]int64 {
 	process.lock.Lock()
 	defer process.lock.Unlock()
-	return process.traffic.Stale(region)
+	return process.traffic.StaleCaches(region)
 }
 
 // Tallies returns where calls to a region's servers failed recently.
@@ -127,17 +127,17 @@
 }
 
 // Observed returns what this node observed of the sizes of calls in a region.
-func (process *gatewayProcess) Observed(now time.Duration, region string) contract.CallObservations {
+func (process *gatewayProcess) Observations(now time.Duration, region string) contract.CallObservations {
 	process.lock.Lock()
 	defer process.lock.Unlock()
-	return process.traffic.Observed(now, region)
+	return process.traffic.Observations(now, region)
 }
 
 // Uses returns the uses of the prompt index's entries since the previous call of Uses.
-func (process *gatewayProcess) Uses() []index.Use {
+func (process *gatewayProcess) TakePlaceUses() []index.Use {
 	process.lock.Lock()
 	defer process.lock.Unlock()
-	return process.traffic.Uses()
+	return process.traffic.TakePlaceUses()
 }
 
 // act carries out a command of the node. It reports whether it knows the command.
@@ -261,18 +261,18 @@
 	}
 	arrive, attemptID := process.adapter.CallArrived(request)
 	arrive.Token, arrive.Host, arrive.Path, arrive.Size = process.token.Add(1), request.Host, request.URL.EscapedPath(), int64(len(body))
-	if arrive.Left > 0 {
-		arrive.Left = max(time.Millisecond, arrive.Left-time.Since(arrivedAt))
+	if arrive.Timeout > 0 {
+		arrive.Timeout = max(time.Millisecond, arrive.Timeout-time.Since(arrivedAt))
 	}
-	call := &proxyCall{process: process, writer: writer, request: request, body: body, attemptID: attemptID, lastEventID: arrive.After}
+	call := &proxyCall{process: process, writer: writer, request: request, body: body, attemptID: attemptID, lastEventID: arrive.LastEventID}
 	command := process.decide(arrive)
 	for command != nil {
 		switch next := command.(type) {
 		case gateway.Dispatch:
 			command = call.attempt(next)
-		case gateway.Place:
+		case gateway.PlaceQuery:
 			command = process.place(request.Context(), next)
-		case gateway.Pass:
+		case gateway.PassAnswer:
 			call.sendReply()
 			return
 		case gateway.Refuse:
@@ -315,16 +315,16 @@
 // refuse answers a call that did not run.
 func (process *gatewayProcess) refuse(writer http.ResponseWriter, refuse gateway.Refuse) {
 	process.Loop.Count("refused_"+strconv.Itoa(refuse.Status), 1)
-	if refuse.After > 0 {
-		process.adapter.After(writer.Header(), refuse.After)
+	if refuse.RetryAfter > 0 {
+		process.adapter.After(writer.Header(), refuse.RetryAfter)
 	}
 	writer.WriteHeader(refuse.Status)
 }
 
 // dial returns a connection to the server, from the pool if there is one.
 func (process *gatewayProcess) dial(ctx context.Context, dispatch gateway.Dispatch) (*upstream.Conn, error) {
-	if conn := process.pool.Get(dispatch.Server.Address, dispatch.Idle); conn != nil {
+	if conn := process.pool.Get(dispatch.Server.Address, dispatch.MaxIdle); conn != nil {
 		return conn, nil
 	}
-	return process.pool.Dial(ctx, dispatch.Server.Address, min(dispatch.Connect, dispatch.Left))
+	return process.pool.Dial(ctx, dispatch.Server.Address, min(dispatch.ConnectTimeout, dispatch.Timeout))
 }
--- a/serve/place_test.go
+++ b/serve/place_test.go
@@ -67,7 +67,7 @@
 	configured := routes(3)
 	configured.Manifest.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, TokensPerStep: 5}}
 	created.proxy.Apply(configured)
-	created.proxy.Apply(gateway.Indexed{Known: true})
+	created.proxy.Apply(gateway.IndexReachability{OwnerKnown: true})
 	return created, indexServer
 }
 
@@ -130,7 +130,7 @@
 			}
 			answerPlace(writer, ask, "server3")
 		})
-		fixture.proxy.Apply(gateway.Indexed{Known: true, Near: true})
+		fixture.proxy.Apply(gateway.IndexReachability{OwnerKnown: true, ReplicaNear: true})
 		Expect(fixture.sendComplete("/write/x")).To(Equal("server3"))
 		Expect(knownFlags(indexServer.asked())).To(Equal([]bool{true, false}))
 		knows.Store(true)
@@ -150,7 +150,7 @@
 			writer.WriteHeader(404)
 		})
 		defer close(late)
-		fixture.proxy.Apply(gateway.Indexed{Known: true, Near: true})
+		fixture.proxy.Apply(gateway.IndexReachability{OwnerKnown: true, ReplicaNear: true})
 		fixture.sendComplete("/write/x")
 		fixture.sendComplete("/write/x")
 		Expect(knownFlags(indexServer.asked())).To(Equal([]bool{true, false, false}))
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -37,7 +37,7 @@
 			}
 			if first {
 				first = false
-				call.process.handle(gateway.First{Token: dispatch.Token, Attempt: dispatch.Attempt})
+				call.process.handle(gateway.StreamStarted{Token: dispatch.Token, Attempt: dispatch.Attempt})
 			}
 			if last := lastID(buffered[:completeBytes]); last != "" {
 				call.lastEventID = last
