--- a/feed/feed.go
+++ b/feed/feed.go
@@ -172,7 +172,7 @@
 	return contract.Version{}, false
 }
 
-// CatchUp asks two members that are ahead, chosen anew each time: one of those that this node hears from directly, and one of all
+// CatchUp asks two members that are ahead, chosen again each time: one of those that this node hears from directly, and one of all
 // members, since links may be cut in either direction.
 func (owner *Owner) CatchUp(now time.Duration, members, near []contract.Member, random *rand.Rand) []contract.Command {
 	if now-owner.catchUpAt < owner.bounds.GossipInterval() {
@@ -212,8 +212,8 @@
 		return nil
 	}
 	missing, gaps := owner.Missing(), []int64{}
-	for position, revision := range missing {
-		if position == 0 || missing[position-1] != revision-1 {
+	for index, revision := range missing {
+		if index == 0 || missing[index-1] != revision-1 {
 			gaps = append(gaps, revision)
 		}
 	}
--- a/index/checks.go
+++ b/index/checks.go
@@ -68,23 +68,23 @@
 	if slices.IndexFunc(uses, func(use Use) bool { return use.Verdict != 0 }) < 0 {
 		return ""
 	}
-	messages := make([]byte, 0, 2*len(uses))
+	characters := make([]byte, 0, 2*len(uses))
 	for _, use := range uses {
 		verdict := use.Verdict
 		if verdict == 0 {
 			verdict = Unclear
 		}
-		messages = append(messages, byte(verdict), 'a'+byte(min(maxAgeStep, max(0, (now-use.At)*ageSteps/cooldown))))
+		characters = append(characters, byte(verdict), 'a'+byte(min(maxAgeStep, max(0, (now-use.At)*ageSteps/cooldown))))
 	}
-	return string(messages)
+	return string(characters)
 }
 
 // result decodes the verdict and time of one use; without results it is unclear.
-func (usage Usage) result(now, cooldown time.Duration, place int) (Verdict, time.Duration) {
+func (usage Usage) result(now, cooldown time.Duration, position int) (Verdict, time.Duration) {
 	if len(usage.Results) != 2*len(usage.Uses) {
 		return Unclear, now
 	}
-	return Verdict(usage.Results[2*place]), now - cooldown/ageSteps*time.Duration(min(maxAgeStep, max(0, int(usage.Results[2*place+1])-'a')))
+	return Verdict(usage.Results[2*position]), now - cooldown/ageSteps*time.Duration(min(maxAgeStep, max(0, int(usage.Results[2*position+1])-'a')))
 }
 
 // call is one reported use of a place. A possible miss is decided when other nodes had time to report; previousUse is the use before it.
@@ -127,34 +127,34 @@
 }
 
 func (owner *Owner) checksOf(key Key, server string) *checks {
-	known, found := owner.checks.Get(server)
+	stats, found := owner.checks.Get(server)
 	if !found {
-		known = &checks{}
-		owner.checks.Add(server, known)
+		stats = &checks{}
+		owner.checks.Add(server, stats)
 	}
-	known.service = key.service()
-	return known
+	stats.service = key.service()
+	return stats
 }
 
 // recordUse adds a use to the checks of its server and returns the updated place.
 func (owner *Owner) recordUse(now time.Duration, place entry, use Use) entry {
 	began := use.At - time.Duration(max(0, use.Took))*time.Millisecond
-	known := owner.checksOf(use.Key, use.Server)
+	stats := owner.checksOf(use.Key, use.Server)
 	slack, late := use.Verdict.MissSlack(use.At - began)
 	late = late && place.read > 0 && place.read < began && began-place.used < owner.halfLife*retentionHalfLives
-	known.calls = slices.DeleteFunc(known.calls, func(current call) bool { return !current.missed && current.ended < now-owner.halfLife/callsPerHalfLife })
-	if len(known.calls) >= maxCalls {
-		known.calls = known.calls[1:]
+	stats.calls = slices.DeleteFunc(stats.calls, func(current call) bool { return !current.missed && current.ended < now-owner.halfLife/callsPerHalfLife })
+	if len(stats.calls) >= maxCalls {
+		stats.calls = stats.calls[1:]
 	}
-	known.calls, known.used = append(known.calls, call{use.Key, began, use.At, place.used, slack, late}), now
+	stats.calls, stats.used = append(stats.calls, call{use.Key, began, use.At, place.used, slack, late}), now
 	if late {
 		owner.pending = append(owner.pending, pending{use.Server, now + owner.halfLife/settlesPerHalfLife})
 	}
 	if use.Verdict == Kept {
-		owner.recordCheck(now, known, true)
-		known.suspect.clear(began, place.used)
-		if place.used > 0 && place.used < known.doubtedSince && began > known.doubtedSince {
-			known.doubtedUntil = 0
+		owner.recordCheck(now, stats, true)
+		stats.suspect.clear(began, place.used)
+		if place.used > 0 && place.used < stats.doubtedSince && began > stats.doubtedSince {
+			stats.doubtedUntil = 0
 		}
 	}
 	if place.read == 0 {
@@ -165,36 +165,36 @@
 }
 
 // recordCheck counts one check of a server, and reduces its share of the work by a step or restores a step.
-func (owner *Owner) recordCheck(now time.Duration, known *checks, kept bool) {
-	forgotten := math.Exp2(-float64(now-known.updatedAt) / float64(owner.halfLife))
-	known.recentChecked, known.recentMissed, known.updatedAt = known.recentChecked*forgotten+1, known.recentMissed*forgotten, now
+func (owner *Owner) recordCheck(now time.Duration, stats *checks, kept bool) {
+	decay := math.Exp2(-float64(now-stats.updatedAt) / float64(owner.halfLife))
+	stats.recentChecked, stats.recentMissed, stats.updatedAt = stats.recentChecked*decay+1, stats.recentMissed*decay, now
 	if kept {
-		known.kept++
+		stats.kept++
 	} else {
-		known.missed++
-		known.recentMissed++
+		stats.missed++
+		stats.recentMissed++
 	}
 	wanted := 0
-	if known.recentMissed >= minMisses {
-		wanted = min(shareSteps-1, int(known.recentMissed/known.recentChecked*shareSteps))
+	if stats.recentMissed >= minMisses {
+		wanted = min(shareSteps-1, int(stats.recentMissed/stats.recentChecked*shareSteps))
 	}
 	switch {
-	case wanted < known.reduced:
-		known.reduced--
-	case wanted > known.reduced && (known.reduced > 0 || owner.mayReduce(now, known.service)):
-		known.reduced++
+	case wanted < stats.reduced:
+		stats.reduced--
+	case wanted > stats.reduced && (stats.reduced > 0 || owner.mayReduce(now, stats.service)):
+		stats.reduced++
 	}
 }
 
 // mayReduce reports whether one more server of a service may get a smaller share: at most half of those used lately, so never the only one.
 func (owner *Owner) mayReduce(now time.Duration, service string) bool {
 	reduced, used := 1, 0
-	for _, known := range owner.checks.Values() {
-		if known.service != service || now-known.used > owner.halfLife*repeatHalfLives {
+	for _, stats := range owner.checks.Values() {
+		if stats.service != service || now-stats.used > owner.halfLife*repeatHalfLives {
 			continue
 		}
 		used++
-		if known.reduced > 0 {
+		if stats.reduced > 0 {
 			reduced++
 		}
 	}
@@ -203,11 +203,11 @@
 
 // share is the factor on a server's share of the work, 1 if it is not reduced.
 func (owner *Owner) share(server string) float64 {
-	known, found := owner.checks.Peek(server)
+	stats, found := owner.checks.Peek(server)
 	if !found {
 		return 1
 	}
-	return 1 - float64(known.reduced)/shareSteps
+	return 1 - float64(stats.reduced)/shareSteps
 }
 
 // settleMisses decides the possible misses that other nodes had time to explain.
@@ -215,14 +215,14 @@
 	commands := []contract.Command{}
 	for ; len(owner.pending) > 0 && now >= owner.pending[0].dueAt; owner.pending = owner.pending[1:] {
 		server := owner.pending[0].server
-		known, found := owner.checks.Peek(server)
-		for place := 0; found && place < len(known.calls); place++ {
-			current := &known.calls[place]
+		stats, found := owner.checks.Peek(server)
+		for position := 0; found && position < len(stats.calls); position++ {
+			current := &stats.calls[position]
 			if !current.missed || now-current.ended < owner.halfLife/settlesPerHalfLife {
 				continue
 			}
-			if current.missed = false; !owner.explained(known.calls, place) {
-				commands = append(commands, owner.recordMismatch(now, server, known, *current)...)
+			if current.missed = false; !owner.explained(stats.calls, position) {
+				commands = append(commands, owner.recordMismatch(now, server, stats, *current)...)
 			}
 		}
 	}
@@ -230,10 +230,10 @@
 }
 
 // explained reports whether another call that arrived first, within the skew of network paths, delayed a call by more than its slack.
-func (owner *Owner) explained(calls []call, place int) bool {
-	current := calls[place]
+func (owner *Owner) explained(calls []call, position int) bool {
+	current := calls[position]
 	for index, other := range calls {
-		if index != place && other.began <= current.began+owner.cooldown/pathSkewsPerCooldown && other.ended > current.began+current.slack {
+		if index != position && other.began <= current.began+owner.cooldown/pathSkewsPerCooldown && other.ended > current.began+current.slack {
 			return true
 		}
 	}
@@ -242,28 +242,28 @@
 
 // recordMismatch records a cache miss. The server has just read the prompt, so the place is right again, unless the server misses the
 // prompt repeatedly: then the prompt's next call is placed elsewhere.
-func (owner *Owner) recordMismatch(now time.Duration, server string, known *checks, current call) []contract.Command {
-	owner.recordCheck(now, known, false)
+func (owner *Owner) recordMismatch(now time.Duration, server string, stats *checks, current call) []contract.Command {
+	owner.recordCheck(now, stats, false)
 	commands := []contract.Command{contract.AddCounter{Name: "index_checked", Delta: 1}, contract.AddCounter{Name: "index_mismatches", Delta: 1},
 		contract.Log{Message: "cache mismatch", Attributes: []any{"server", server, "scope", current.key.Scope, "anchor", current.key.Anchor, "agoMs", (now - current.ended).Milliseconds()}}}
-	if known.suspect.addMiss(current, owner.halfLife) {
-		known.doubtedSince, known.doubtedUntil = known.suspect.since, now+owner.halfLife
-		known.suspect = suspicion{}
+	if stats.suspect.addMiss(current, owner.halfLife) {
+		stats.doubtedSince, stats.doubtedUntil = stats.suspect.since, now+owner.halfLife
+		stats.suspect = suspicion{}
 		commands = append(commands, contract.AddCounter{Name: "index_losses_noticed", Delta: 1}, contract.Log{Message: "cache loss noticed", Attributes: []any{"server", server}})
 	}
-	position, found := owner.places.Peek(current.key)
-	if !found || position.server != server {
+	place, found := owner.places.Peek(current.key)
+	if !found || place.server != server {
 		return commands
 	}
-	again := position.missed > 0 && current.ended-position.missed < owner.halfLife*repeatHalfLives
-	position.missed = current.ended
-	if again && known.reduced > 0 && !position.leaving && now >= position.moved+owner.cooldown {
-		position.leaving = true
+	repeated := place.missed > 0 && current.ended-place.missed < owner.halfLife*repeatHalfLives
+	place.missed = current.ended
+	if repeated && stats.reduced > 0 && !place.leaving && now >= place.moved+owner.cooldown {
+		place.leaving = true
 		owner.changed.Add(current.key, struct{}{})
 		owner.dirty = true
 		commands = append(commands, contract.AddCounter{Name: "index_places_left", Delta: 1})
 	}
-	owner.places.Add(current.key, position)
+	owner.places.Add(current.key, place)
 	return commands
 }
 
@@ -310,11 +310,11 @@
 		views[place.server] = view
 	}
 	for _, server := range owner.checks.Keys() {
-		known, _ := owner.checks.Peek(server)
+		stats, _ := owner.checks.Peek(server)
 		view := views[server]
-		view.Service, view.Kept, view.Missed, view.Checked = known.service, known.kept, known.missed, known.kept+known.missed
-		if now < known.doubtedUntil {
-			view.DoubtedMs = (now - known.doubtedSince).Milliseconds()
+		view.Service, view.Kept, view.Missed, view.Checked = stats.service, stats.kept, stats.missed, stats.kept+stats.missed
+		if now < stats.doubtedUntil {
+			view.DoubtedMs = (now - stats.doubtedSince).Milliseconds()
 		}
 		views[server] = view
 	}
--- a/index/cost_test.go
+++ b/index/cost_test.go
@@ -31,23 +31,23 @@
 func BenchmarkPlace(b *testing.B) {
 	for name, offset := range map[string]int{"known": 0, "new": maxPlaces, "replica": 0} {
 		b.Run(name, func(b *testing.B) {
-			owner, asks := filled(maxPlaces, 5000), make([][]byte, 4096)
-			for number := range asks {
-				ask := Ask{Key: key(uint64(offset + number)), Candidates: candidates(number, 5000), Work: 280}
+			owner, requests := filled(maxPlaces, 5000), make([][]byte, 4096)
+			for number := range requests {
+				request := Ask{Key: key(uint64(offset + number)), Candidates: candidates(number, 5000), Work: 280}
 				if name == "replica" {
-					ask = Ask{Key: ask.Key, Known: true}
+					request = Ask{Key: request.Key, Known: true}
 				}
-				asks[number], _ = json.Marshal(ask)
+				requests[number], _ = json.Marshal(request)
 			}
-			b.SetBytes(int64(len(asks[0])))
+			b.SetBytes(int64(len(requests[0])))
 			b.ResetTimer()
 			for number := range b.N {
-				var ask Ask
-				if json.Unmarshal(asks[number%len(asks)], &ask) != nil {
-					b.Fatal("an ask cannot be read")
+				var request Ask
+				if json.Unmarshal(requests[number%len(requests)], &request) != nil {
+					b.Fatal("an ask cannot be decoded")
 				}
-				ask.Anchor += uint64(number/len(asks)) * uint64(offset)
-				owner.Place(time.Duration(number)*time.Microsecond, ask)
+				request.Anchor += uint64(number/len(requests)) * uint64(offset)
+				owner.Place(time.Duration(number)*time.Microsecond, request)
 			}
 		})
 	}
--- a/index/index.go
+++ b/index/index.go
@@ -104,7 +104,7 @@
 // stays until it is asked for with other candidates.
 type entry struct {
 	server             string
-	moved              time.Duration
+	moved              time.Duration // last move
 	confirmed, leaving bool
 	read, used, missed time.Duration
 }
@@ -117,12 +117,11 @@
 	return place.server
 }
 
-// load is the work assigned to a server, decaying by half in each half-life. It reads the prompts placed there until busyUntil, and
-// counts as lost until lost.
+// load is the work assigned to a server, decaying by half in each half-life. The server reads the prompts placed there until busyUntil.
 type load struct {
-	work      float64
+	work      float64 // milliseconds, as of updatedAt
 	updatedAt time.Duration
-	lost      time.Duration
+	lost      time.Duration // until when it gets no place
 	busyUntil time.Duration
 }
 
@@ -148,30 +147,30 @@
 
 // work returns a server's decayed work in milliseconds.
 func (owner *Owner) work(now time.Duration, server string) float64 {
-	known, found := owner.loads.Peek(server)
+	serverLoad, found := owner.loads.Peek(server)
 	if !found {
 		return 0
 	}
-	return known.work * math.Exp2(-float64(now-known.updatedAt)/float64(owner.halfLife))
+	return serverLoad.work * math.Exp2(-float64(now-serverLoad.updatedAt)/float64(owner.halfLife))
 }
 
 func (owner *Owner) addWork(now time.Duration, server string, work int64) {
-	known, _ := owner.loads.Peek(server)
-	owner.loads.Add(server, load{owner.work(now, server) + float64(work), now, known.lost, known.busyUntil})
+	serverLoad, _ := owner.loads.Peek(server)
+	owner.loads.Add(server, load{owner.work(now, server) + float64(work), now, serverLoad.lost, serverLoad.busyUntil})
 }
 
 // queueRead adds the reading of a prompt to a server's work, after the prompts it was given before.
 func (owner *Owner) queueRead(now time.Duration, server string, work int64) {
 	owner.addWork(now, server, work)
-	known, _ := owner.loads.Peek(server)
-	known.busyUntil = max(now, known.busyUntil) + time.Duration(work)*time.Millisecond
-	owner.loads.Add(server, known)
+	serverLoad, _ := owner.loads.Peek(server)
+	serverLoad.busyUntil = max(now, serverLoad.busyUntil) + time.Duration(work)*time.Millisecond
+	owner.loads.Add(server, serverLoad)
 }
 
 // backlog is how long a server will still read the prompts that it was given.
 func (owner *Owner) backlog(now time.Duration, server string) time.Duration {
-	known, _ := owner.loads.Peek(server)
-	return max(0, known.busyUntil-now)
+	serverLoad, _ := owner.loads.Peek(server)
+	return max(0, serverLoad.busyUntil-now)
 }
 
 // markLost records a report that a server is lost; nothing is placed there during the cooldown.
@@ -181,94 +180,95 @@
 	}
 }
 
+// lost reports whether a server was reported lost within the cooldown.
 func (owner *Owner) lost(now time.Duration, server string) bool {
-	known, found := owner.loads.Peek(server)
-	return found && now < known.lost
+	serverLoad, found := owner.loads.Peek(server)
+	return found && now < serverLoad.lost
 }
 
 // Place answers an Ask with the existing place or with a candidate that has little work. It returns false if there is no place to give:
 // no candidate is usable, or the place has moved within the cooldown.
-func (owner *Owner) Place(now time.Duration, lookup Ask) (Place, bool) {
-	if lookup.Known {
-		return owner.known(now, lookup)
+func (owner *Owner) Place(now time.Duration, request Ask) (Place, bool) {
+	if request.Known {
+		return owner.existing(now, request)
 	}
-	owner.markLost(now, lookup.Lost)
-	known, found := owner.places.Get(lookup.Key)
-	if found && known.server != lookup.Lost && !known.leaving {
-		return Place{Key: lookup.Key, Server: known.server}, true
+	owner.markLost(now, request.Lost)
+	existing, found := owner.places.Get(request.Key)
+	if found && existing.server != request.Lost && !existing.leaving {
+		return Place{Key: request.Key, Server: existing.server}, true
 	}
-	if found && now < known.moved+owner.cooldown || len(lookup.Candidates) > MaxCandidates {
+	if found && now < existing.moved+owner.cooldown || len(request.Candidates) > MaxCandidates {
 		return Place{}, false
 	}
-	candidates := slices.DeleteFunc(slices.Clone(lookup.Candidates), func(name string) bool {
-		return owner.lost(now, name) || known.leaving && name == known.server
+	candidates := slices.DeleteFunc(slices.Clone(request.Candidates), func(name string) bool {
+		return owner.lost(now, name) || existing.leaving && name == existing.server
 	})
 	if len(candidates) == 0 {
-		if !known.leaving || known.server == lookup.Lost {
+		if !existing.leaving || existing.server == request.Lost {
 			return Place{}, false
 		}
-		known.leaving, known.missed, known.moved = false, 0, now
-		owner.store(lookup.Key, known)
-		return Place{Key: lookup.Key, Server: known.server}, true
+		existing.leaving, existing.missed, existing.moved = false, 0, now
+		owner.store(request.Key, existing)
+		return Place{Key: request.Key, Server: existing.server}, true
 	}
-	chosen := owner.chooseServer(now, candidates, lookup)
-	owner.store(lookup.Key, entry{server: chosen, moved: now, confirmed: true})
-	owner.queueRead(now, chosen, owner.unread(lookup, chosen))
-	if lookup.Root != 0 {
-		owner.roots.Add(lookup.rootOnServer(chosen), struct{}{})
+	chosen := owner.chooseServer(now, candidates, request)
+	owner.store(request.Key, entry{server: chosen, moved: now, confirmed: true})
+	owner.queueRead(now, chosen, owner.unread(request, chosen))
+	if request.Root != 0 {
+		owner.roots.Add(request.rootOnServer(chosen), struct{}{})
 	}
-	return Place{Key: lookup.Key, Server: chosen}, true
+	return Place{Key: request.Key, Server: chosen}, true
 }
 
-// known answers an Ask from existing places only, for a node that has a replica nearer than the owner.
-func (owner *Owner) known(now time.Duration, lookup Ask) (Place, bool) {
-	known, found := owner.places.Peek(lookup.Key)
-	if !found || known.leaving || known.server == lookup.Lost || owner.lost(now, known.server) {
+// existing answers an Ask from existing places only, for a node that has a replica nearer than the owner.
+func (owner *Owner) existing(now time.Duration, request Ask) (Place, bool) {
+	existing, found := owner.places.Peek(request.Key)
+	if !found || existing.leaving || existing.server == request.Lost || owner.lost(now, existing.server) {
 		return Place{}, false
 	}
-	owner.places.Get(lookup.Key)
-	return Place{Key: lookup.Key, Server: known.server}, true
+	owner.places.Get(request.Key)
+	return Place{Key: request.Key, Server: existing.server}, true
 }
 
-func (lookup Ask) rootOnServer(server string) rootOnServer {
-	return rootOnServer{Key{Scope: lookup.Scope, Anchor: lookup.Root}, server}
+func (request Ask) rootOnServer(server string) rootOnServer {
+	return rootOnServer{Key{Scope: request.Scope, Anchor: request.Root}, server}
 }
 
 // unread is the work of reading a prompt on a server; the root is not read again where a prompt with it was placed.
-func (owner *Owner) unread(lookup Ask, server string) int64 {
-	if lookup.Root != 0 && owner.roots.Contains(lookup.rootOnServer(server)) {
-		return max(0, lookup.Work-lookup.RootWork)
+func (owner *Owner) unread(request Ask, server string) int64 {
+	if request.Root != 0 && owner.roots.Contains(request.rootOnServer(server)) {
+		return max(0, request.Work-request.RootWork)
 	}
-	return max(0, lookup.Work)
+	return max(0, request.Work)
 }
 
 // chooseServer returns the candidate that will have read the prompt first, among those within their bounded share of the work, or else
 // among all; ties go to the candidates' order. A server that often misses cached prompts has a smaller share. An idle first candidate
 // is usually chosen, so a lost index is mostly rebuilt alike (Mirrokni, Thorup, Zadimoghaddam, "Consistent Hashing with Bounded Loads").
-func (owner *Owner) chooseServer(now time.Duration, candidates []string, lookup Ask) string {
-	sum, parts := float64(max(0, lookup.Work)), 0.0
+func (owner *Owner) chooseServer(now time.Duration, candidates []string, request Ask) string {
+	totalWork, totalShare := float64(max(0, request.Work)), 0.0
 	for _, name := range candidates {
-		sum += owner.work(now, name)
-		parts += owner.share(name)
+		totalWork += owner.work(now, name)
+		totalShare += owner.share(name)
 	}
-	fair := slices.DeleteFunc(slices.Clone(candidates), func(name string) bool {
-		return owner.work(now, name)+float64(owner.unread(lookup, name)) > capacityFactor*sum*owner.share(name)/parts
+	withinShare := slices.DeleteFunc(slices.Clone(candidates), func(name string) bool {
+		return owner.work(now, name)+float64(owner.unread(request, name)) > capacityFactor*totalWork*owner.share(name)/totalShare
 	})
-	done := func(name string) float64 {
-		unread := owner.unread(lookup, name)
+	finishTime := func(name string) float64 {
+		unread := owner.unread(request, name)
 		return (float64(owner.backlog(now, name).Milliseconds()) + float64(unread)) / owner.share(name)
 	}
-	full := func(name string) float64 {
-		return (owner.work(now, name) + float64(owner.unread(lookup, name))) / owner.share(name)
+	relativeWork := func(name string) float64 {
+		return (owner.work(now, name) + float64(owner.unread(request, name))) / owner.share(name)
 	}
-	if len(fair) == 0 {
-		least := slices.MinFunc(candidates, func(left, right string) int { return cmp.Compare(full(left), full(right)) })
+	if len(withinShare) == 0 {
+		least := slices.MinFunc(candidates, func(left, right string) int { return cmp.Compare(relativeWork(left), relativeWork(right)) })
 		if owner.backlog(now, least) == 0 {
 			return least
 		}
-		fair = candidates
+		withinShare = candidates
 	}
-	return slices.MinFunc(fair, func(left, right string) int { return cmp.Compare(done(left), done(right)) })
+	return slices.MinFunc(withinShare, func(left, right string) int { return cmp.Compare(finishTime(left), finishTime(right)) })
 }
 
 // store sets a new or moved place and marks it to be announced and saved.
@@ -310,16 +310,16 @@
 		}
 		use.Verdict, use.At = usage.result(now, owner.cooldown, number)
 		owner.addWork(now, use.Server, max(0, use.Took))
-		known, found := owner.places.Get(use.Key)
+		existing, found := owner.places.Get(use.Key)
 		switch {
-		case !found || !known.confirmed && known.server != use.Server:
+		case !found || !existing.confirmed && existing.server != use.Server:
 			owner.store(use.Key, owner.recordUse(now, entry{server: use.Server, moved: now, confirmed: true}, use))
-		case known.server == use.Server:
-			known.confirmed = true
-			owner.places.Add(use.Key, owner.recordUse(now, known, use))
+		case existing.server == use.Server:
+			existing.confirmed = true
+			owner.places.Add(use.Key, owner.recordUse(now, existing, use))
 		}
-		if found && known.announcedServer() != use.Server && known.confirmed {
-			moved.Places = append(moved.Places, Place{Key: use.Key, Server: known.announcedServer()})
+		if found && existing.announcedServer() != use.Server && existing.confirmed {
+			moved.Places = append(moved.Places, Place{Key: use.Key, Server: existing.announcedServer()})
 		}
 		if use.Verdict == Kept {
 			kept++
--- a/index/index_test.go
+++ b/index/index_test.go
@@ -167,7 +167,7 @@
 		fixture.now += cooldown
 		Expect(fixture.mustPlace(1, "a", "a", "b", "c")).To(Equal(Place{Key: key(1), Server: "b"}))
 		fixture.now += cooldown - 1
-		Expect(fixture.mustPlace(1, "a", "a", "b", "c").Server).To(Equal("b"), "others that lost the former place are told the new one")
+		Expect(fixture.mustPlace(1, "a", "a", "b", "c").Server).To(Equal("b"), "others that lost the former place get the new one")
 		_, found := fixture.place(1, "b", "a", "b", "c")
 		Expect(found).To(BeFalse())
 		Expect(fixture.mustPlace(1, "", "a", "b", "c").Server).To(Equal("b"))
--- a/index/replication.go
+++ b/index/replication.go
@@ -61,16 +61,16 @@
 // Snapshot returns the most recently used places.
 func (owner *Owner) Snapshot() Snapshot { return Snapshot{owner.latestPlaces(MaxSaved)} }
 
-func (owner *Owner) latestPlaces(most int) []Place {
+func (owner *Owner) latestPlaces(limit int) []Place {
 	keys := owner.places.Keys()
-	return owner.placesOf(keys[max(0, len(keys)-most):])
+	return owner.placesOf(keys[max(0, len(keys)-limit):])
 }
 
 func (owner *Owner) placesOf(keys []Key) []Place {
 	places := make([]Place, 0, len(keys))
 	for _, key := range keys {
-		if known, found := owner.places.Peek(key); found {
-			places = append(places, Place{Key: key, Server: known.announcedServer()})
+		if existing, found := owner.places.Peek(key); found {
+			places = append(places, Place{Key: key, Server: existing.announcedServer()})
 		}
 	}
 	return places
@@ -148,11 +148,11 @@
 		moved -= owner.cooldown
 	}
 	for _, place := range announcement.Places[:min(len(announcement.Places), maxAnnounced)] {
-		known, found := owner.places.Peek(place.Key)
+		existing, found := owner.places.Peek(place.Key)
 		if place.Server == "" && !announcement.Backfill {
 			owner.places.Remove(place.Key)
 		}
-		if place.Server == "" || found && (announcement.Backfill || known.server == place.Server) {
+		if place.Server == "" || found && (announcement.Backfill || existing.server == place.Server) {
 			continue
 		}
 		owner.places.Add(place.Key, entry{server: place.Server, moved: moved})
--- a/index/replication_test.go
+++ b/index/replication_test.go
@@ -74,7 +74,7 @@
 		}
 		fixture.Handle(fixture.now, Persisted{})
 		_, snapshots := fixture.tick()
-		Expect(snapshots).To(BeEmpty(), "the beat holds then too")
+		Expect(snapshots).To(BeEmpty(), "the interval applies then too")
 		fixture.now += saveInterval
 		_, snapshots = fixture.tick()
 		Expect(snapshots).To(HaveLen(1))
--- a/link/compress_test.go
+++ b/link/compress_test.go
@@ -79,13 +79,13 @@
 
 	ginkgo.It("given the heartbeats of a large fleet, when they are compressed, then they expand to the same and each takes less than half", func() {
 		for round := range 3 {
-			beats := ""
+			heartbeats := ""
 			for member := range 48 {
-				beats += fmt.Sprintf("machine-of-zone-%d-%d-data %d %d;", member%3, member*7%93, 1+member%2, 1000+member*37+round)
+				heartbeats += fmt.Sprintf("machine-of-zone-%d-%d-data %d %d;", member%3, member*7%93, 1+member%2, 1000+member*37+round)
 			}
-			body, encoding := compress([]byte(beats))
-			gomega.Expect(len(body) * 2).To(gomega.BeNumerically("<", len(beats)))
-			gomega.Expect(read(body, encoding)).To(gomega.Equal(beats))
+			body, encoding := compress([]byte(heartbeats))
+			gomega.Expect(len(body) * 2).To(gomega.BeNumerically("<", len(heartbeats)))
+			gomega.Expect(read(body, encoding)).To(gomega.Equal(heartbeats))
 		}
 	})
 
--- a/link/cost_test.go
+++ b/link/cost_test.go
@@ -65,15 +65,15 @@
 	loop := link.NewLoop(idleOwner{}, time.Hour, nil, log.NewNopLogger())
 	go loop.Run(stop)
 	receiver := receiver{listener.Addr().String(), make(chan int64, 1), make(chan []byte, 1)}
-	count, former, face := &atomic.Int64{}, int64(0), link.Receive(loop)
+	count, previous, handler := &atomic.Int64{}, int64(0), link.Receive(loop)
 	server := &http.Server{Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		total := count.Load()
 		request.Body = io.NopCloser(bytes.NewReader(body))
-		receiver.wire <- total - former
+		receiver.wire <- total - previous
 		receiver.body <- body
-		former = total
-		face.ServeHTTP(writer, request)
+		previous = total
+		handler.ServeHTTP(writer, request)
 	})}
 	go func() { _ = server.Serve(countedListener{listener, count}) }()
 	go func() {
--- a/link/operators.go
+++ b/link/operators.go
@@ -85,8 +85,8 @@
 		if err != nil {
 			return nil, err
 		}
-		ask := contract.OperatorRequest{Verb: verb, Subject: request.PathValue("subject"), Body: content, Operation: request.Header.Get("Operation-Key")}
-		if len(ask.Operation) > 128 || strings.Contains(ask.Operation, "/") {
+		question := contract.OperatorRequest{Verb: verb, Subject: request.PathValue("subject"), Body: content, Operation: request.Header.Get("Operation-Key")}
+		if len(question.Operation) > 128 || strings.Contains(question.Operation, "/") {
 			return nil, badRequest{400, "Operation-Key: at most 128 characters, no slash"}
 		}
 		query := request.URL.Query()
@@ -95,17 +95,17 @@
 				return nil, badRequest{400, "query " + name + ": unknown field"}
 			}
 		}
-		if ask.HasBaseRevision = query.Has("base"); ask.HasBaseRevision {
-			if ask.BaseRevision, err = strconv.ParseInt(query.Get("base"), 10, 64); err != nil || ask.BaseRevision < 0 {
+		if question.HasBaseRevision = query.Has("base"); question.HasBaseRevision {
+			if question.BaseRevision, err = strconv.ParseInt(query.Get("base"), 10, 64); err != nil || question.BaseRevision < 0 {
 				return nil, badRequest{400, "query base: want a revision"}
 			}
 		}
 		if query.Has("revision") {
-			if ask.Revision, err = strconv.ParseInt(query.Get("revision"), 10, 64); err != nil || ask.Revision < 1 {
+			if question.Revision, err = strconv.ParseInt(query.Get("revision"), 10, 64); err != nil || question.Revision < 1 {
 				return nil, badRequest{400, "query revision: want a revision"}
 			}
 		}
-		return ask, nil
+		return question, nil
 	}
 }
 
@@ -114,21 +114,21 @@
 	if err != nil {
 		return nil, err
 	}
-	var ask contract.OperatorRequest
-	if json.Unmarshal(content, &ask) != nil {
+	var question contract.OperatorRequest
+	if json.Unmarshal(content, &question) != nil {
 		return nil, badRequest{400, "not an ask"}
 	}
-	ask.Forwarded = true
-	return ask, nil
+	question.Forwarded = true
+	return question, nil
 }
 
 func (api *OperatorAPI) answer() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		ask := request.(contract.OperatorRequest)
+		question := request.(contract.OperatorRequest)
 		answers := make(chan contract.Response, 1)
-		ask.Token = api.loop.Token(func(answer contract.Response) { answers <- answer })
-		defer api.loop.Forget(ask.Token)
-		if !api.loop.TryPost(ask) {
+		question.Token = api.loop.Token(func(answer contract.Response) { answers <- answer })
+		defer api.loop.Forget(question.Token)
+		if !api.loop.TryPost(question) {
 			return nil, badRequest{503, "this node is overloaded; nothing was done"}
 		}
 		select {
@@ -147,8 +147,8 @@
 }
 
 // Ask puts a question to this node's loop and returns the status, the Retry-After time and the body of the answer.
-func (api *OperatorAPI) Ask(ctx context.Context, ask contract.OperatorRequest) (int, time.Duration, []byte) {
-	response, err := api.answer()(ctx, ask)
+func (api *OperatorAPI) Ask(ctx context.Context, question contract.OperatorRequest) (int, time.Duration, []byte) {
+	response, err := api.answer()(ctx, question)
 	if err != nil {
 		status := http.StatusBadRequest
 		var bad badRequest
--- a/neighbour/look.go
+++ b/neighbour/look.go
@@ -37,10 +37,10 @@
 }
 
 // mostRecentlyHeard returns the members whose own messages arrived here last, however long ago: an isolated node starts with them.
-func (owner *Owner) mostRecentlyHeard(most int) []string {
+func (owner *Owner) mostRecentlyHeard(limit int) []string {
 	names := slices.DeleteFunc(slices.Clone(owner.names()), func(name string) bool { return owner.table[name].heard == 0 })
 	slices.SortStableFunc(names, func(left, right string) int { return cmp.Compare(owner.table[right].heard, owner.table[left].heard) })
-	return names[:min(most, len(names))]
+	return names[:min(limit, len(names))]
 }
 
 // Lookup returns the row of a member, alive or not.
--- a/neighbour/neighbour.go
+++ b/neighbour/neighbour.go
@@ -224,7 +224,7 @@
 // sample returns a random part of the live members; a newcomer gets full rows only.
 func (owner *Owner) sample(now time.Duration, newcomer bool) Shuffle {
 	shuffle := Shuffle{Members: []contract.Member{owner.self}}
-	names, beats := []string{}, []string{}
+	names, heartbeats := []string{}, []string{}
 	for _, name := range owner.names() {
 		if owner.Alive(now, name) {
 			names = append(names, name)
@@ -242,11 +242,11 @@
 			continue
 		}
 		if samePosition {
-			shuffle.SamePosition |= 1 << len(beats)
+			shuffle.SamePosition |= 1 << len(heartbeats)
 		}
-		beats = append(beats, name+" "+strconv.FormatInt(record.member.Incarnation, 10)+" "+strconv.FormatInt(record.member.Heartbeat, 10))
+		heartbeats = append(heartbeats, name+" "+strconv.FormatInt(record.member.Incarnation, 10)+" "+strconv.FormatInt(record.member.Heartbeat, 10))
 	}
-	shuffle.Heartbeats = strings.Join(beats, ";")
+	shuffle.Heartbeats = strings.Join(heartbeats, ";")
 	return shuffle
 }
 
--- a/shard/condition_test.go
+++ b/shard/condition_test.go
@@ -63,8 +63,8 @@
 		}
 		for _, node := range fixture.nodes[1:] {
 			last := fixture.leases[node.Name]
-			ask := contract.LeaseRequest{Node: node.Name, Region: "east", Address: node.Name, ShardCount: 1, HighestEpoch: last.Epoch, Number: last.Number, OmitUnchanged: true, Tallies: fixture.tallies[node.Name]}
-			body, _ := json.Marshal(ask)
+			request := contract.LeaseRequest{Node: node.Name, Region: "east", Address: node.Name, ShardCount: 1, HighestEpoch: last.Epoch, Number: last.Number, OmitUnchanged: true, Tallies: fixture.tallies[node.Name]}
+			body, _ := json.Marshal(request)
 			for _, command := range fixture.Handle(fixture.now, contract.Message{Kind: MessageLeaseRequest, Body: body}) {
 				if lease, ok := fixture.lease(command); ok && !lease.Unchanged {
 					fixture.leases[node.Name] = lease
--- a/shard/duty.go
+++ b/shard/duty.go
@@ -35,7 +35,7 @@
 	Retired []Retired `json:"retired"` // running retirements, then the latest ended ones
 }
 
-// scalePlan returns the loaded servers beyond the scale in the manifest with the cause to retire them, and the unloaded ones to load again.
+// surplus returns the loaded servers beyond the scale in the manifest with the cause to retire them, and the unloaded ones to load again.
 func (owner *Owner) surplus() (map[string]retire.Cause, map[string]bool) {
 	causes, wanted := map[string]retire.Cause{}, map[string]bool{}
 	pools := map[string][]contract.ListedServer{}
@@ -131,22 +131,22 @@
 	}
 	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), Link: owner.bounds.LeaseRenewal(), Remaining: remaining}
 	shard.retirements[row.Name] = retire.New(now, row.Name, row.Incarnation, cause, shard.listNumber+1, terms)
-	owner.emit(contract.AddCounter{Name: "retirements", Delta: 1}, contract.Log{Message: "withdrawn", Attributes: []any{"server", row.Name, "cause", cause}})
+	owner.emit(contract.AddCounter{Name: "retirements", Delta: 1}, contract.Log{Message: "retirement started", Attributes: []any{"server", row.Name, "cause", cause}})
 	owner.refreshList(now, shard)
 	shard.retirements[row.Name].ListNumber = shard.listNumber
 }
 
 // stepRetirement advances one retirement by the nodes' latest acknowledgements.
 func (owner *Owner) stepRetirement(now time.Duration, shard *shardState, retirement *retire.Retirement) {
-	facts := retire.Evidence{Nodes: map[string]retire.NodeStatus{}}
-	for node, word := range shard.nodeAcks {
-		if now-word.GrantedAt > owner.bounds.Return() {
+	progress := retire.Evidence{Nodes: map[string]retire.NodeStatus{}}
+	for node, ack := range shard.nodeAcks {
+		if now-ack.GrantedAt > owner.bounds.Return() {
 			continue
 		}
-		word.Calls = shard.callsByNode[node][retirement.Server]
-		facts.Nodes[node] = word
+		ack.Calls = shard.callsByNode[node][retirement.Server]
+		progress.Nodes[node] = ack
 	}
-	readNow, ended := retirement.Step(now, facts)
+	readNow, ended := retirement.Step(now, progress)
 	if ended && retirement.State == retire.Released {
 		owner.releaseServer(now, shard, retirement)
 		return
--- a/shard/interim_test.go
+++ b/shard/interim_test.go
@@ -41,7 +41,7 @@
 		}
 		return sent
 	}
-	asks := func(node *poller, at time.Duration, interim bool) []contract.Send {
+	requestList := func(node *poller, at time.Duration, interim bool) []contract.Send {
 		return send(node, at, contract.LeaseRequest{Interim: interim})
 	}
 
@@ -58,7 +58,7 @@
 	})
 
 	ginkgo.It("given a node without a list, when it asks, then it gets the owner's name and the eligible servers as seen here, without an epoch", func() {
-		replies := asks(node(true), now, true)
+		replies := requestList(node(true), now, true)
 		Expect(replies).To(HaveLen(2))
 		Expect(replies[0].Kind).To(Equal(MessageNotOwner))
 		lease := replies[1].Body.(contract.Lease)
@@ -73,11 +73,11 @@
 	})
 
 	ginkgo.It("given a node with a list, or binding leases, when it asks, then it gets only the owner's name", func() {
-		Expect(asks(node(true), now, false)).To(HaveLen(1))
-		Expect(asks(node(false), now, true)).To(HaveLen(1))
+		Expect(requestList(node(true), now, false)).To(HaveLen(1))
+		Expect(requestList(node(false), now, true)).To(HaveLen(1))
 	})
 
 	ginkgo.It("given an old listing, when a node without a list asks, then it gets none", func() {
-		Expect(asks(node(true), now+env.DefaultBounds().PlatformGrace(), true)).To(HaveLen(1))
+		Expect(requestList(node(true), now+env.DefaultBounds().PlatformGrace(), true)).To(HaveLen(1))
 	})
 })
--- a/shard/list.go
+++ b/shard/list.go
@@ -212,7 +212,7 @@
 // any more may still run what it began under its last lease. That counts in full until a later report of the server, and then as far as
 // the report exceeds what the others report. A new owner does not know of such nodes and uses the report.
 func (owner *Owner) otherNodesLoad(now time.Duration, shard *shardState, server, node string) (names []string, others int64) {
-	known, reported, unheardLoad := owner.servers[server], int64(0), int64(0)
+	state, reported, unheardLoad := owner.servers[server], int64(0), int64(0)
 	for _, name := range manifest.SortedKeys(shard.nodeAcks) {
 		outstanding := shard.callsByNode[name][server] + shard.lingeringByNode[name][server]
 		bound, expiry := max(shard.rampShares[server][name], outstanding), shard.nodeAcks[name].GrantedAt+owner.bounds.Lease()
@@ -222,16 +222,16 @@
 			if name != node {
 				others += bound
 			}
-		case known.sampledAt <= expiry+owner.bounds.LeaseRenewal():
+		case state.sampledAt <= expiry+owner.bounds.LeaseRenewal():
 			others += bound
 		default:
 			unheardLoad += bound
 		}
 	}
 	if now-shard.takenAt < owner.seen.Manifest.Retirement.Ramp {
-		unheardLoad = known.report.Running + known.report.Waiting
+		unheardLoad = state.report.Running + state.report.Waiting
 	}
-	return names, others + min(unheardLoad, max(0, known.report.Running+known.report.Waiting-reported))
+	return names, others + min(unheardLoad, max(0, state.report.Running+state.report.Waiting-reported))
 }
 
 // withdrawZone takes a zone's servers off the lists ahead of the manifest that drains it, and confirms this for the shards owned here.
--- a/shard/observed.go
+++ b/shard/observed.go
@@ -74,9 +74,9 @@
 			}
 		}
 	}
-	for service, told := range times {
-		slices.Sort(told)
-		selected[service] = told[len(told)/readTimeDivisor]
+	for service, serviceTimes := range times {
+		slices.Sort(serviceTimes)
+		selected[service] = serviceTimes[len(serviceTimes)/readTimeDivisor]
 	}
 	return selected
 }
--- a/shard/observed_test.go
+++ b/shard/observed_test.go
@@ -12,7 +12,7 @@
 var _ = ginkgo.Describe("observations of all nodes", func() {
 	ginkgo.It("given nodes that report short calls, when others ask, then they get the shortest pause, as long as those nodes ask and report", func() {
 		fixture := newFixture(2, 3, 2)
-		ask := func(node string, short map[string]int64) map[string]int64 {
+		requestLease := func(node string, short map[string]int64) map[string]int64 {
 			ginkgo.GinkgoHelper()
 			fixture.now += fixture.bounds.Withdraw() / 8
 			request := contract.LeaseRequest{Node: node, Address: node + ":1", Region: "east", SentAt: fixture.now, ShardCount: 1, CallObservations: contract.CallObservations{ShortPromptGapMs: short}}
@@ -28,14 +28,14 @@
 			ginkgo.Fail("no list")
 			return nil
 		}
-		Expect(ask("node00", nil)).To(BeEmpty())
-		ask("node01", map[string]int64{"s": 600, "t": 200})
-		Expect(ask("node00", map[string]int64{"s": 400})).To(Equal(map[string]int64{"s": 400, "t": 200}))
-		Expect(ask("node00", nil)).To(Equal(map[string]int64{"s": 600, "t": 200}))
+		Expect(requestLease("node00", nil)).To(BeEmpty())
+		requestLease("node01", map[string]int64{"s": 600, "t": 200})
+		Expect(requestLease("node00", map[string]int64{"s": 400})).To(Equal(map[string]int64{"s": 400, "t": 200}))
+		Expect(requestLease("node00", nil)).To(Equal(map[string]int64{"s": 600, "t": 200}))
 		for ends := fixture.now + fixture.bounds.Lease(); fixture.now < ends; {
-			ask("node02", nil)
+			requestLease("node02", nil)
 		}
-		Expect(ask("node02", nil)).To(BeEmpty(), "a node that stopped asking no longer counts")
+		Expect(requestLease("node02", nil)).To(BeEmpty(), "a node that stopped asking no longer counts")
 	})
 
 	ginkgo.It("given many requests within a moment, when they are answered, then the nodes' reports are merged once", func() {
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -116,7 +116,7 @@
 	listVersion     int64                        // Owner.stateVersion when the list was computed
 	nodeAcks        map[string]retire.NodeStatus // by node: the list that it last confirmed
 	callsByNode     map[string]map[string]int64  // by node and server: running calls
-	lingeringByNode map[string]map[string]int64  // by node and server: calls begun under an earlier lease
+	lingeringByNode map[string]map[string]int64  // by node and server: abandoned calls that the server may still run
 	rampShares      map[string]map[string]int64  // by server and node: calls granted during the ramp
 	retirements     map[string]*retire.Retirement
 	released        map[string]string // by server: the incarnation whose retirement ended in release
@@ -389,10 +389,10 @@
 
 const unreachableFailures = 2 // consecutive failed reads after which a server is taken off the list
 
-func sortedIndexes(duties map[int]*shardState) []int {
+func sortedIndexes(states map[int]*shardState) []int {
 	indexes := []int{}
-	for index := 0; len(indexes) < len(duties); index++ {
-		if _, found := duties[index]; found {
+	for index := 0; len(indexes) < len(states); index++ {
+		if _, found := states[index]; found {
 			indexes = append(indexes, index)
 		}
 	}
--- a/shard/sight.go
+++ b/shard/sight.go
@@ -138,9 +138,9 @@
 // handleReportExchange reads a report for a peer, or handles the report that a peer has read.
 func (owner *Owner) handleReportExchange(now time.Duration, message contract.Message) {
 	if message.Kind == MessageReportRequest {
-		var ask ReadReport
-		if json.Unmarshal(message.Body, &ask) == nil && ask.ReplyTo != "" {
-			owner.emit(ask)
+		var request ReadReport
+		if json.Unmarshal(message.Body, &request) == nil && request.ReplyTo != "" {
+			owner.emit(request)
 		}
 		return
 	}
