--- a/call/call.go
+++ b/call/call.go
@@ -71,7 +71,7 @@
 	Age time.Duration
 	// Deadline is the time left to answer; 0 means the route's default.
 	Deadline time.Duration
-	// BodyDigest tells apart calls that reuse a key with a different body.
+	// Digest tells apart calls that reuse a key with a different body.
 	Digest string
 	// IsLookup marks a read-only lookup: it has no idempotency record and may run more than once.
 	IsLookup bool
--- a/data/data.go
+++ b/data/data.go
@@ -25,7 +25,7 @@
 	maxKeptReplies = 32
 )
 
-// Arrive is the event of a new call from a caller. Unless the caller leaves, each gets exactly one contract.Answer with the same
+// Arrive is the event of a new call from a caller. Unless the caller leaves, each gets exactly one contract.Response with the same
 // token; chunks of a streamed reply go to the caller before it.
 type Arrive struct {
 	Token int64
@@ -96,7 +96,7 @@
 	Server    contract.Candidate
 }
 
-// Reply is the body of a successful contract.Answer. Server is empty if the reply comes from an idempotency record.
+// Reply is the body of a successful contract.Response. Server is empty if the reply comes from an idempotency record.
 type Reply struct {
 	Chunks []string
 	Server string
--- a/data/keep.go
+++ b/data/keep.go
@@ -154,7 +154,7 @@
 	if !exists || job.phase != phaseClaiming || job.call.ScopedKey() != claimReply.ScopedKey {
 		return
 	}
-	if _, keeper := job.replicas[from]; !keeper && (claimReply.Granted || claimReply.Full) {
+	if _, replica := job.replicas[from]; !replica && (claimReply.Granted || claimReply.Full) {
 		router.witnessed(now, job, from, claimReply)
 		return
 	}
@@ -207,8 +207,8 @@
 func (router *Router) grantedByOldReplica(job *job) bool {
 	old := int64(router.Bounds.RecordRetention() / router.Bounds.GossipInterval())
 	any := false
-	for name, keeper := range job.replicas {
-		if keeper.Heartbeat >= old {
+	for name, replica := range job.replicas {
+		if replica.Heartbeat >= old {
 			any = true
 			if job.granted[name] {
 				return true
--- a/data/outer.go
+++ b/data/outer.go
@@ -50,7 +50,7 @@
 
 // witnessed handles a witness's answer to a claim. The grant of one that may have forgotten records after a restart does not count.
 func (router *Router) witnessed(now time.Duration, job *job, from string, claimReply ClaimReply) {
-	if _, asked := job.witness[from]; asked && claimReply.Granted && claimReply.CaughtUp {
+	if _, wasAsked := job.witness[from]; wasAsked && claimReply.Granted && claimReply.CaughtUp {
 		job.witnessed[from] = true
 		router.checkClaim(now, job)
 	}
--- a/data/pass.go
+++ b/data/pass.go
@@ -7,7 +7,7 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// HomeForward is the body of a contract.Answer that tells the process to forward a call or a question to one of its home region's Nodes
+// HomeForward is the body of a contract.Response that tells the process to forward a call or a question to one of its home region's Nodes
 // and to relay that node's answer. The nodes are tried in turn as long as no byte can have reached one. Timeout is the time left.
 type HomeForward struct {
 	Home    string
--- a/serve/control.go
+++ b/serve/control.go
@@ -68,11 +68,11 @@
 		}
 		recovered, process.files = &loaded, folder
 	}
-	owner := control.New(settings, bootID, recovered, newRandom())
-	process.Process = newProcess(settings, owner.Self(), owner, faultsPath)
+	stateMachine := control.New(settings, bootID, recovered, newRandom())
+	process.Process = newProcess(settings, stateMachine.Self(), stateMachine, faultsPath)
 	if recovered != nil {
 		snapshot, damaged := image.LoadIndex(process.files)
-		owner.Restore(snapshot)
+		stateMachine.Restore(snapshot)
 		process.Loop.Count("index_snapshots_damaged", int64(damaged))
 		process.Loop.Count("index_places_restored", int64(len(snapshot.Places)))
 		process.files = link.FaultyDisk(process.files, process.Faults)
--- a/serve/data.go
+++ b/serve/data.go
@@ -36,8 +36,8 @@
 // Data runs a data-plane node (cedardp) with the built-in protocol until a signal stops it. faultsPath names a file of faults for tests,
 // or is empty.
 func Data(settings env.Env, faultsPath string) error {
-	owner := data.New(settings, newBootID(), newRandom())
-	process := &dataProcess{Process: newProcess(settings, owner.Self(), owner, faultsPath), sessions: map[int64]*session{}, cancels: map[attemptKey]context.CancelFunc{}}
+	router := data.New(settings, newBootID(), newRandom())
+	process := &dataProcess{Process: newProcess(settings, router.Self(), router, faultsPath), sessions: map[int64]*session{}, cancels: map[attemptKey]context.CancelFunc{}}
 	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	process.client = &http.Client{Transport: process.transport(), CheckRedirect: noRedirects}
 	process.recallClient = &http.Client{Timeout: settings.Bounds.Round(), CheckRedirect: noRedirects}
--- a/serve/dispatch.go
+++ b/serve/dispatch.go
@@ -39,12 +39,12 @@
 	*guard
 }
 
-func (leased leasedConn) Write(content []byte) (int, error) {
-	if !leased.sent.Load() && leased.expired() {
+func (conn leasedConn) Write(content []byte) (int, error) {
+	if !conn.sent.Load() && conn.expired() {
 		return 0, eris.New("the lease lapsed before a byte was sent")
 	}
-	leased.sent.Store(true)
-	return leased.Conn.Write(content)
+	conn.sent.Store(true)
+	return conn.Conn.Write(content)
 }
 
 // transport returns an HTTP transport that dials a new connection for each call, with a short timeout, and closes one that was
--- a/serve/exchange.go
+++ b/serve/exchange.go
@@ -35,17 +35,17 @@
 // attempt sends the call to one server and returns the state machine's next command for the call.
 func (call *proxyCall) attempt(dispatch gateway.Dispatch) contract.Command {
 	ctx, process := call.request.Context(), call.process
-	serveErr := gateway.Ended{Token: dispatch.Token, Attempt: dispatch.Attempt}
+	ended := gateway.Ended{Token: dispatch.Token, Attempt: dispatch.Attempt}
 	var watchdog *watchdog
 	finish := func(outcome gateway.Outcome, reason string) contract.Command {
 		if command := watchdog.decision(); command != nil {
 			return command
 		}
-		serveErr.Outcome, serveErr.Begun, serveErr.Reason = outcome, call.started, reason
+		ended.Outcome, ended.Begun, ended.Reason = outcome, call.started, reason
 		if ctx.Err() != nil && outcome != gateway.Whole {
-			serveErr.Outcome = gateway.Left
+			ended.Outcome = gateway.Left
 		}
-		return process.decide(serveErr)
+		return process.decide(ended)
 	}
 	deadline := time.Now().Add(dispatch.Left)
 	conn, err := process.dial(ctx, dispatch)
@@ -74,7 +74,7 @@
 		return lost(err, "no answer")
 	}
 	head := process.adapter.Head(response)
-	serveErr.Load = head.Load
+	ended.Load = head.Load
 	if head.AttemptID != "" && head.AttemptID != call.attemptID {
 		return lost(errors.New("another identity"), "the answer is another call's")
 	}
@@ -98,7 +98,7 @@
 		return lost(errors.New("no length"), "nothing tells where the answer ends")
 	}
 	process.handle(gateway.Head{Token: dispatch.Token, Attempt: dispatch.Attempt, Load: head.Load})
-	serveErr.Failed = response.StatusCode >= 500
+	ended.Failed = response.StatusCode >= 500
 	if success && dispatch.Stream {
 		err = call.relayEvents(response, dispatch, watchdog)
 	} else if call.started {
@@ -218,9 +218,9 @@
 	detach       func() bool
 }
 
-func newWatchdog(call *proxyCall, conn *upstream.Conn, dispatch gateway.Dispatch, limit time.Time) *watchdog {
+func newWatchdog(call *proxyCall, conn *upstream.Conn, dispatch gateway.Dispatch, deadline time.Time) *watchdog {
 	created := &watchdog{call: call, conn: conn, dispatch: dispatch, lastActivity: time.Now(), timeout: dispatch.Patience}
-	_ = conn.SetDeadline(limit)
+	_ = conn.SetDeadline(deadline)
 	created.lock.Lock()
 	created.timer = time.AfterFunc(dispatch.Patience, created.expire)
 	created.lock.Unlock()
--- a/serve/pass.go
+++ b/serve/pass.go
@@ -35,18 +35,18 @@
 
 // homeRequest returns the forwarded request of a call.
 func (session *session) homeRequest(target data.HomeForward) *homeRequest {
-	parsed := session.callRequest.call
+	original := session.callRequest.call
 	home := &homeRequest{process: session.process, target: target, method: http.MethodPost, path: "/v1/chat/completions", body: session.callRequest.body, headers: map[string]string{
-		"Content-Type": "application/json", "Cedar-Caller": parsed.Caller, "Cedar-Route": parsed.Route, "Cedar-Session": parsed.Session, "Idempotency-Key": parsed.Key}}
-	if parsed.IsLookup {
+		"Content-Type": "application/json", "Cedar-Caller": original.Caller, "Cedar-Route": original.Route, "Cedar-Session": original.Session, "Idempotency-Key": original.Key}}
+	if original.IsLookup {
 		home.method, home.body = http.MethodGet, nil
-		home.path = "/v1/lookups/" + url.PathEscape(parsed.Route) + "/" + url.PathEscape(parsed.Key)
+		home.path = "/v1/lookups/" + url.PathEscape(original.Route) + "/" + url.PathEscape(original.Key)
 	}
-	if parsed.IsRetry {
+	if original.IsRetry {
 		home.headers["Cedar-Attempt"] = "2"
 	}
-	if parsed.Age > 0 {
-		home.headers["Cedar-Age-Ms"] = strconv.FormatInt(max(1, parsed.Age.Milliseconds()), 10)
+	if original.Age > 0 {
+		home.headers["Cedar-Age-Ms"] = strconv.FormatInt(max(1, original.Age.Milliseconds()), 10)
 	}
 	return home
 }
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -58,12 +58,12 @@
 }
 
 // newProcess sets up the loop, the links and the HTTP handlers of a node.
-func newProcess(settings env.Env, self contract.Member, owner contract.StateMachine, faultsPath string) *Process {
+func newProcess(settings env.Env, self contract.Member, stateMachine contract.StateMachine, faultsPath string) *Process {
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "node", self.Name, "time", log.DefaultTimestampUTC)
 	process := &Process{Settings: settings, Logger: logger, stop: make(chan struct{}), Mux: http.NewServeMux()}
 	process.Faults = link.NewFaults(faultsPath, process.stop)
 	sender := link.NewSender(self, settings.Bounds.Round(), process.Faults, process.stop)
-	process.Loop = link.NewLoop(owner, settings.Bounds.Tick(), sender, logger)
+	process.Loop = link.NewLoop(stateMachine, settings.Bounds.Tick(), sender, logger)
 	sender.Counting(process.Loop.Count)
 	sender.Saying(func(line contract.Log) { process.Loop.Do(line) })
 	process.operators = link.NewOperators(process.Loop, settings.Bounds.BodyBytes, settings.Bounds.Deliver()*2, process.Faults)
