--- a/data/end.go
+++ b/data/end.go
@@ -83,7 +83,7 @@
 	switch {
 	case event.Result == call.CompleteReply:
 		delete(router.backoffs, attempt.server.Name)
-		router.queues.Served(job.call.Route, now-attempt.startedAt)
+		router.queues.ObserveDuration(job.call.Route, now-attempt.startedAt)
 		router.succeed(now, job, attempt, event)
 	case event.Result.NeverRan() || job.call.IsLookup && event.Result == call.NoReply:
 		router.retry(now, job, event)
--- a/data/find.go
+++ b/data/find.go
@@ -41,7 +41,7 @@
 			}
 			continue
 		}
-		if member, exists := router.Neighbours.Look(name); exists {
+		if member, exists := router.Neighbours.Lookup(name); exists {
 			search.waiting.Add(name)
 			router.emit(contract.Send{To: member.Address, Kind: MessageFind, Body: ask})
 		}
--- a/data/job.go
+++ b/data/job.go
@@ -144,7 +144,7 @@
 
 // finish removes a call from its queue, records its outcome, cancels its attempts and emits its answer, if there is one to give.
 func (router *Router) finish(now time.Duration, job *job, outcome call.Outcome, answer contract.Command) {
-	router.queues.Leave(job.call.Route, job.token)
+	router.queues.Remove(job.call.Route, job.token)
 	delete(router.jobs, job.token)
 	router.recordOutcome(job, outcome, nil)
 	for _, attemptNumber := range sortedAttempts(job.attempts) {
@@ -182,8 +182,8 @@
 
 // enqueue puts a claimed call into its route's queue, or refuses it at once if it can't be expected to be served before its deadline.
 func (router *Router) enqueue(now time.Duration, job *job) {
-	wait := router.queues.Wait(job.call.Route, router.queues.Ahead(job.call.Route, job.call.Caller), router.runningCalls(job.call.Route))
-	joined, displaced := router.queues.Join(job.call.Route, job.call.Caller, job.token, job.route.QueueLimit)
+	wait := router.queues.EstimateWait(job.call.Route, router.queues.Ahead(job.call.Route, job.call.Caller), router.runningCalls(job.call.Route))
+	joined, displaced := router.queues.Enqueue(job.call.Route, job.call.Caller, job.token, job.route.QueueLimit)
 	if other, exists := router.jobs[displaced]; exists {
 		router.count("calls_displaced")
 		router.refuse(now, other, 429, "the line is full, and most of it is of this caller", router.jitter(max(wait/2, router.Bounds.Round())))
@@ -198,7 +198,7 @@
 		router.refuse(now, job, 503, "its servers turn calls away; the call did not run", router.jitter(router.Bounds.Lease()))
 		return
 	}
-	if job.phase == phaseQueued && now+wait+router.queues.Service(job.call.Route) > job.deadline {
+	if job.phase == phaseQueued && now+wait+router.queues.MeanDuration(job.call.Route) > job.deadline {
 		router.refuse(now, job, 429, "it cannot be served before its deadline", router.jitter(max(wait/2, router.Bounds.Round())))
 	}
 }
@@ -220,7 +220,7 @@
 		return
 	}
 	candidates, lapsed := router.candidates(now)
-	router.queues.Serve(func(token int64) bool {
+	router.queues.Dispatch(func(token int64) bool {
 		job, exists := router.jobs[token]
 		return !exists || router.dispatch(now, job, candidates, lapsed)
 	})
@@ -297,7 +297,7 @@
 			router.claimAgain(job)
 		case job.phase == phaseClaiming:
 			router.checkClaim(now, job)
-		case job.phase == phaseQueued && now+router.queues.Service(job.call.Route)/2 >= job.deadline:
+		case job.phase == phaseQueued && now+router.queues.MeanDuration(job.call.Route)/2 >= job.deadline:
 			router.refuse(now, job, 503, "no server was free in time; the call did not run", router.jitter(router.Bounds.Round()))
 		case job.phase == phaseRunning && job.call.IsLookup && !job.hedged:
 			router.hedge(now, job)
@@ -310,7 +310,7 @@
 
 // hedge sends a slow lookup to a second server as well, if the retry budget allows it.
 func (router *Router) hedge(now time.Duration, job *job) {
-	hedgeDelay := max(router.queues.Service(job.call.Route)*hedgeFactor, router.Bounds.LeaseRenewal())
+	hedgeDelay := max(router.queues.MeanDuration(job.call.Route)*hedgeFactor, router.Bounds.LeaseRenewal())
 	first, exists := job.attempts[job.attemptCount]
 	if !exists || now-first.startedAt < hedgeDelay || job.attemptCount >= maxAttempts {
 		return
--- a/data/keep.go
+++ b/data/keep.go
@@ -78,7 +78,7 @@
 func (router *Router) liveReplicas(now time.Duration, voters []string) map[string]contract.Member {
 	replicas := map[string]contract.Member{}
 	for _, name := range voters {
-		if member, exists := router.Neighbours.Look(name); exists && router.Neighbours.Alive(now, name) {
+		if member, exists := router.Neighbours.Lookup(name); exists && router.Neighbours.Alive(now, name) {
 			replicas[name] = member
 		}
 	}
@@ -240,7 +240,7 @@
 	case record.Outcome == call.Interrupted:
 		router.fail(now, job, 502, call.Interrupted, "the call was interrupted", 0)
 	case record.Outcome == call.Running && record.Remaining > 0 && router.stillRuns(now, record):
-		after := min(max(router.queues.Service(job.call.Route)/2, router.Bounds.Round()), record.Remaining+router.Bounds.Round())
+		after := min(max(router.queues.MeanDuration(job.call.Route)/2, router.Bounds.Round()), record.Remaining+router.Bounds.Round())
 		router.fail(now, job, 409, call.Running, "the call is still running", router.jitter(after))
 	default:
 		router.fail(now, job, 502, call.Unknown, "the call was taken and its end is not known", 0)
@@ -249,7 +249,7 @@
 
 // stillRuns reports whether the node that claimed a call is alive and has not restarted since.
 func (router *Router) stillRuns(now time.Duration, record call.Record) bool {
-	member, exists := router.Neighbours.Look(record.Node)
+	member, exists := router.Neighbours.Lookup(record.Node)
 	return exists && member.Boot == record.Boot && router.Neighbours.Alive(now, record.Node)
 }
 
--- a/data/leases.go
+++ b/data/leases.go
@@ -44,7 +44,7 @@
 			SentAt: now, HighestEpoch: current.highest, Number: current.lease.Number, ShardCount: shards}
 		request.Calls, request.Abandoned = router.callsOnShard(index)
 		for _, name := range manifest.SortedKeys(targets) {
-			if member, exists := router.Neighbours.Look(name); exists && member.Kind == contract.KindControl && router.Neighbours.Alive(now, name) {
+			if member, exists := router.Neighbours.Lookup(name); exists && member.Kind == contract.KindControl && router.Neighbours.Alive(now, name) {
 				router.emit(contract.Send{To: member.Address, Kind: shard.MessageLeaseRequest, Body: request})
 			}
 		}
@@ -56,7 +56,7 @@
 // between the two nodes does not stop the shard.
 func (router *Router) requestByRelay(now time.Duration, current *shardLease, first string, request contract.LeaseRequest) {
 	silent := now-current.requestedAt > router.Bounds.Lease()/3
-	target, exists := router.Neighbours.Look(first)
+	target, exists := router.Neighbours.Lookup(first)
 	if !exists {
 		return
 	}
--- a/data/outer.go
+++ b/data/outer.go
@@ -22,7 +22,7 @@
 func (router *Router) witnessNodes() map[string]contract.Member {
 	nodes := map[string]contract.Member{}
 	for _, name := range router.roster(router.witnessRegion()) {
-		if member, exists := router.Neighbours.Look(name); exists {
+		if member, exists := router.Neighbours.Lookup(name); exists {
 			nodes[name] = member
 		}
 	}
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -84,7 +84,7 @@
 
 // ask puts an operator's question to this process.
 func (shell *controlShell) ask(ask contract.OperatorRequest, take func(contract.Response)) {
-	shell.Do(func() {
+	shell.Run(func() {
 		shell.token++
 		ask.Token = shell.token
 		shell.asks[ask.Token] = take
@@ -99,7 +99,7 @@
 		if !given {
 			given = true
 			answer.Token = forward.Request.Token
-			process.Do(func() { give(answer) })
+			process.Run(func() { give(answer) })
 		}
 	}
 	process.after(process.machine.settings().Bounds.Deliver()*2, func() {
@@ -156,7 +156,7 @@
 }
 
 func (shell *controlShell) readReport(command shard.ReadReport) {
-	read := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: shell.now()}}
+	read := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: shell.now()}}
 	server := shell.day.at(command.Address)
 	if server == nil {
 		read.Error = "nobody is there"
@@ -185,7 +185,7 @@
 	end := func(answer any) {
 		if !done {
 			done = true
-			process.Do(func() { take(answer) })
+			process.Run(func() { take(answer) })
 		}
 	}
 	process.after(limit, func() { end(nil) })
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -174,7 +174,7 @@
 		answers := make(chan contract.Response, 1)
 		query.Token = process.Loop.Token(func(answer contract.Response) { answers <- answer })
 		defer process.Loop.Forget(query.Token)
-		if !process.Loop.Try(query) {
+		if !process.Loop.TryPost(query) {
 			return nil, requestError{status: 503, message: "this node is overloaded", retryAfter: process.Settings.Bounds.Round()}
 		}
 		select {
--- a/serve/control.go
+++ b/serve/control.go
@@ -81,7 +81,7 @@
 		}
 	}
 	process.client = &http.Client{Timeout: settings.Bounds.PlatformPoll(), CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	process.Loop.Act(process.act)
+	process.Loop.SetExecutor(process.act)
 	go process.writeLoop()
 	if adapter != nil {
 		process.ReloadSettings = func() (env.Env, error) { return adapter.Settings(contract.KindControl) }
@@ -105,7 +105,7 @@
 	case shard.ReadPlatform:
 		process.startRead(func() { process.readPlatform(command) }, shard.ListingResult{Error: "too many reads at once"})
 	case shard.ReadReport:
-		process.startRead(func() { process.readReport(command) }, shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Error: "too many reads at once"}})
+		process.startRead(func() { process.readReport(command) }, shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{Error: "too many reads at once"}})
 	case shard.Order:
 		process.startRead(func() { process.sendOrder(command) }, shard.OrderResult{Server: command.Server, Load: command.Load, Error: "too many reads at once"})
 	case contract.Forward:
@@ -150,7 +150,7 @@
 			work()
 		}()
 	default:
-		process.Loop.Try(rejected)
+		process.Loop.TryPost(rejected)
 	}
 }
 
@@ -195,7 +195,7 @@
 
 // readReport reads the load report of one model server.
 func (process *controlProcess) readReport(command shard.ReadReport) {
-	result := shard.ReportResult{Server: command.Server, Request: command, Outcome: retire.Outcome{Began: process.Loop.Now()}}
+	result := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: process.Loop.Now()}}
 	content, err := process.get("http://" + command.Address + "/report")
 	switch {
 	case err == nil && process.adapter != nil:
--- a/serve/data.go
+++ b/serve/data.go
@@ -41,7 +41,7 @@
 	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	process.client = &http.Client{Transport: process.transport(), CheckRedirect: noRedirects}
 	process.recallClient = &http.Client{Timeout: settings.Bounds.Round(), CheckRedirect: noRedirects}
-	process.Loop.Act(process.act)
+	process.Loop.SetExecutor(process.act)
 	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(encodeError)}
 	process.Mux.Handle("POST /v1/chat/completions", kithttp.NewServer(process.serveCall(), process.decodeCall, encodeCall, options...))
 	process.Mux.Handle("GET /v1/lookups/{route}/{key}", kithttp.NewServer(process.serveCall(), process.decodeLookup, encodeCall, options...))
--- a/serve/export_test.go
+++ b/serve/export_test.go
@@ -47,8 +47,8 @@
 func (test *TestGateway) AskAt(address string, stop chan struct{}) {
 	process := test.process
 	process.Loop = link.NewLoop(placeForwarder{address}, time.Hour, nil, log.NewNopLogger())
-	process.Loop.Act(process.act)
-	process.operators = link.NewOperators(process.Loop, 1<<20, 10*time.Second, link.NewFaults("", stop))
+	process.Loop.SetExecutor(process.act)
+	process.operators = link.NewOperatorAPI(process.Loop, 1<<20, 10*time.Second, link.NewFaults("", stop))
 	go process.Loop.Run(stop)
 }
 
--- a/serve/gateway.go
+++ b/serve/gateway.go
@@ -55,7 +55,7 @@
 	process.limits.Store(&manifest.Limits{})
 	node := gateway.NewNode(settings, newBootID(), process, random)
 	process.Process = newProcess(settings, node.Self(), node, "")
-	process.Loop.Act(process.act)
+	process.Loop.SetExecutor(process.act)
 	process.ReloadSettings = func() (env.Env, error) { return adapter.Settings(contract.KindData) }
 	ready, lookup := adapter.Paths()
 	checks, lookups := http.NewServeMux(), http.NewServeMux()
@@ -216,7 +216,7 @@
 	answers := make(chan contract.Response, 1)
 	query.Token = process.Loop.Token(func(answer contract.Response) { answers <- answer })
 	defer process.Loop.Forget(query.Token)
-	if !process.Loop.Try(query) {
+	if !process.Loop.TryPost(query) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/serve/place.go
+++ b/serve/place.go
@@ -17,7 +17,7 @@
 	placed, answers := gateway.Placed{Token: query.Token, Late: true}, make(chan gateway.Placed, 1)
 	token := process.Loop.Token(func(answer contract.Response) {
 		var place index.Place
-		status, body := link.Given(answer)
+		status, body := link.ForwardedAnswer(answer)
 		if status == 200 && json.Unmarshal(body, &place) == nil && place.Server != "" {
 			process.handle(gateway.Relocated{Places: []index.Place{place}})
 			process.Loop.Count("places_answered", 1)
@@ -26,7 +26,7 @@
 		}
 		answers <- gateway.Placed{Token: query.Token, Late: !gateway.Refuses(status)}
 	})
-	if !process.Loop.Try(gateway.AskPlace{Token: token, Ask: query.Ask}) {
+	if !process.Loop.TryPost(gateway.AskPlace{Token: token, Ask: query.Ask}) {
 		process.Loop.Forget(token)
 		return process.decide(placed)
 	}
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -36,7 +36,7 @@
 	ReloadSettings func() (env.Env, error)
 	stop           chan struct{}
 	server         *http.Server
-	operators      *link.Operators
+	operators      *link.OperatorAPI
 }
 
 // newBootID returns a random identifier of this process start.
@@ -64,9 +64,9 @@
 	process.Faults = link.NewFaults(faultsPath, process.stop)
 	sender := link.NewSender(self, settings.Bounds.Round(), process.Faults, process.stop)
 	process.Loop = link.NewLoop(stateMachine, settings.Bounds.Tick(), sender, logger)
-	sender.Counting(process.Loop.Count)
-	sender.Saying(func(line contract.Log) { process.Loop.Do(line) })
-	process.operators = link.NewOperators(process.Loop, settings.Bounds.BodyBytes, settings.Bounds.Deliver()*2, process.Faults)
+	sender.SetCounter(process.Loop.Count)
+	sender.SetLogger(func(line contract.Log) { process.Loop.Do(line) })
+	process.operators = link.NewOperatorAPI(process.Loop, settings.Bounds.BodyBytes, settings.Bounds.Deliver()*2, process.Faults)
 	process.operators.Register(process.Mux)
 	process.Mux.Handle("POST "+link.Path, link.Receive(process.Loop))
 	process.Mux.Handle("GET /metrics", link.Metrics(process.Loop))
--- a/serve/session.go
+++ b/serve/session.go
@@ -43,7 +43,7 @@
 		process.lock.Lock()
 		process.sessions[session.token] = session
 		process.lock.Unlock()
-		if !process.Loop.Try(data.Arrive{Token: session.token, Call: session.callRequest.call}) {
+		if !process.Loop.TryPost(data.Arrive{Token: session.token, Call: session.callRequest.call}) {
 			session.close()
 			return nil, requestError{status: 503, message: "this node is overloaded", retryAfter: process.Settings.Bounds.Round()}
 		}
