--- a/client/client.go
+++ b/client/client.go
@@ -1,4 +1,4 @@
-// Package client asks any node of cedarreel; its operations are made from the schema.
+// Package client calls the HTTP API of any node of cedarreel. Its operations are generated from the schema.
 package client
 
 import (
@@ -16,92 +16,99 @@
 	"github.com/rotisserie/eris"
 )
 
-// Client tries its nodes in turn. A call of a model is tried at another node only while no link to the former one was made.
+// Client sends each operation to its nodes in turn until one answers, whatever the status. A call of a model is only sent to another node
+// if no connection to the former one could be made, as it might run twice otherwise.
 type Client struct {
 	nodes []string
-	web   *http.Client
+	inner *http.Client
 }
 
+// Option configures a client.
 type Option func(*Client)
 
-func WithWeb(web *http.Client) Option { return func(client *Client) { client.web = web } }
+// WithHTTPClient sets the HTTP client, http.DefaultClient otherwise.
+func WithHTTPClient(inner *http.Client) Option { return func(client *Client) { client.inner = inner } }
 
+// New returns a client of the nodes with these addresses, each as IP:port.
 func New(nodes []string, options ...Option) *Client {
-	client := &Client{nodes: nodes, web: http.DefaultClient}
+	client := &Client{nodes: nodes, inner: http.DefaultClient}
 	for _, option := range options {
 		option(client)
 	}
 	return client
 }
 
-// Given is a node's answer, whatever its status.
-type Given struct {
+// Response is a node's answer, whatever its status.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-type word struct{ in, name, value string }
+// parameter is a parameter of an operation; in is "path", "query" or "header".
+type parameter struct{ in, name, value string }
 
-type question struct {
+// apiCall is one use of an operation of the schema.
+type apiCall struct {
 	method, path string
-	words        []word
+	parameters   []parameter
 	body         []byte
 }
 
-// request lays the words where the schema has them; an empty one is left out.
-func (question question) request(ctx context.Context, node string) (*http.Request, error) {
-	path, query := question.path, url.Values{}
-	for _, word := range question.words {
+// request returns the HTTP request to a node. Empty query and header parameters are left out.
+func (apiCall apiCall) request(ctx context.Context, node string) (*http.Request, error) {
+	path, query := apiCall.path, url.Values{}
+	for _, parameter := range apiCall.parameters {
 		switch {
-		case word.in == "path":
-			path = strings.Replace(path, "{"+word.name+"}", url.PathEscape(word.value), 1)
-		case word.in == "query" && word.value != "":
-			query.Set(word.name, word.value)
+		case parameter.in == "path":
+			path = strings.Replace(path, "{"+parameter.name+"}", url.PathEscape(parameter.value), 1)
+		case parameter.in == "query" && parameter.value != "":
+			query.Set(parameter.name, parameter.value)
 		}
 	}
 	if len(query) > 0 {
 		path += "?" + query.Encode()
 	}
-	request, err := http.NewRequestWithContext(ctx, question.method, "http://"+node+path, io.NopCloser(bytes.NewReader(question.body)))
+	request, err := http.NewRequestWithContext(ctx, apiCall.method, "http://"+node+path, io.NopCloser(bytes.NewReader(apiCall.body)))
 	if err != nil {
 		return nil, err
 	}
-	if request.ContentLength = int64(len(question.body)); question.body == nil {
+	if request.ContentLength = int64(len(apiCall.body)); apiCall.body == nil {
 		request.Body = http.NoBody
 	}
-	for _, word := range question.words {
-		if word.in == "header" && word.value != "" {
-			request.Header.Set(word.name, word.value)
+	for _, parameter := range apiCall.parameters {
+		if parameter.in == "header" && parameter.value != "" {
+			request.Header.Set(parameter.name, parameter.value)
 		}
 	}
 	return request, nil
 }
 
-// runs holds for a question that makes a server do something, under the caller's own key.
-func (question question) runs() bool {
-	return slices.ContainsFunc(question.words, func(word word) bool { return word.name == "Idempotency-Key" })
+// isModelCall reports whether the call makes a server run something. Such operations have the caller's idempotency key.
+func (apiCall apiCall) isModelCall() bool {
+	return slices.ContainsFunc(apiCall.parameters, func(parameter parameter) bool { return parameter.name == "Idempotency-Key" })
 }
 
-func (client *Client) ask(ctx context.Context, question question) (Given, error) {
+// do sends a call to the nodes in turn.
+func (client *Client) do(ctx context.Context, apiCall apiCall) (Response, error) {
 	last := error(eris.New("no node to ask"))
 	for _, node := range client.nodes {
-		request, err := question.request(ctx, node)
+		request, err := apiCall.request(ctx, node)
 		if err != nil {
-			return Given{}, eris.Wrap(err, "question")
+			return Response{}, eris.Wrap(err, "question")
 		}
-		response, err := client.web.Do(request)
+		response, err := client.inner.Do(request)
 		if err != nil {
 			last = fmt.Errorf("%s: %w", node, err)
 			var dialed *net.OpError
-			if question.runs() && !(errors.As(err, &dialed) && dialed.Op == "dial") {
-				return Given{}, last
+			if apiCall.isModelCall() && !(errors.As(err, &dialed) && dialed.Op == "dial") {
+				return Response{}, last
 			}
 			continue
 		}
 		defer response.Body.Close()
 		body, err := io.ReadAll(response.Body)
-		return Given{Status: response.StatusCode, Header: response.Header, Body: body}, eris.Wrap(err, "the answer broke off")
+		return Response{Status: response.StatusCode, Header: response.Header, Body: body}, eris.Wrap(err, "the answer broke off")
 	}
-	return Given{}, last
+	return Response{}, last
 }
--- a/cmd/cedarctl/main.go
+++ b/cmd/cedarctl/main.go
@@ -65,7 +65,7 @@
 	if !there || len(words)-1 != len(command.arguments) {
 		fail(exitUsage, fmt.Errorf("no such command with %d words: %s\n%s", len(words)-1, words[0], listing()))
 	}
-	code, err := command.run(&asker{common: given, client: client.New(given.Nodes, client.WithWeb(&http.Client{Timeout: given.Patience}))}, words[1:])
+	code, err := command.run(&asker{common: given, client: client.New(given.Nodes, client.WithHTTPClient(&http.Client{Timeout: given.Patience}))}, words[1:])
 	if err != nil {
 		fail(code, err)
 	}
@@ -78,21 +78,21 @@
 }
 
 // plainly is a question without words of its own.
-func plainly(ask func(*client.Client, context.Context) (client.Given, error)) func(*asker, []string) (int, error) {
+func plainly(ask func(*client.Client, context.Context) (client.Response, error)) func(*asker, []string) (int, error) {
 	return func(asker *asker, _ []string) (int, error) {
 		return asker.tell(ask(asker.client, context.Background()))
 	}
 }
 
 // about is a question about one thing.
-func about(ask func(*client.Client, context.Context, string) (client.Given, error)) func(*asker, []string) (int, error) {
+func about(ask func(*client.Client, context.Context, string) (client.Response, error)) func(*asker, []string) (int, error) {
 	return func(asker *asker, words []string) (int, error) {
 		return asker.tell(ask(asker.client, context.Background(), words[0]))
 	}
 }
 
 // order is a write about one thing, under the operation key.
-func order(ask func(*client.Client, context.Context, string, string) (client.Given, error)) func(*asker, []string) (int, error) {
+func order(ask func(*client.Client, context.Context, string, string) (client.Response, error)) func(*asker, []string) (int, error) {
 	return func(asker *asker, words []string) (int, error) {
 		return asker.tell(ask(asker.client, context.Background(), words[0], asker.operation()))
 	}
@@ -175,7 +175,7 @@
 	return asker.Operation
 }
 
-func (asker *asker) tell(given client.Given, err error) (int, error) {
+func (asker *asker) tell(given client.Response, err error) (int, error) {
 	if err != nil && asker.Operation != "" {
 		return exitFailed, fmt.Errorf("%w (operation key %s)", err, asker.Operation)
 	}
--- a/compression/compression.go
+++ b/compression/compression.go
@@ -1,4 +1,4 @@
-// Package compression writes and reads gzip with writers and readers that are used again.
+// Package compression compresses and decompresses gzip with pooled writers and readers.
 package compression
 
 import (
@@ -8,50 +8,51 @@
 	"sync"
 )
 
-// Encoding is the name that HTTP has for it.
+// Encoding is the value of the HTTP header Content-Encoding.
 const Encoding = "gzip"
 
 var writers = sync.Pool{New: func() any {
-	writer, failure := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
-	if failure != nil {
-		panic(failure)
+	writer, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
+	if err != nil {
+		panic(err)
 	}
 	return writer
 }}
 
 var readers = sync.Pool{New: func() any { return new(gzip.Reader) }}
 
+// Compress returns the compressed content, at the level that favours speed.
 func Compress(content []byte) []byte {
 	buffer := bytes.NewBuffer(make([]byte, 0, len(content)/4))
 	writer := writers.Get().(*gzip.Writer)
 	defer writers.Put(writer)
 	writer.Reset(buffer)
-	if _, failure := writer.Write(content); failure != nil {
-		panic(failure)
+	if _, err := writer.Write(content); err != nil {
+		panic(err)
 	}
-	if failure := writer.Close(); failure != nil {
-		panic(failure)
+	if err := writer.Close(); err != nil {
+		panic(err)
 	}
 	return buffer.Bytes()
 }
 
-// lent is a reader that goes back when its content has been read.
-type lent struct {
+// pooledReader returns its gzip reader to the pool when it is closed.
+type pooledReader struct {
 	io.Reader
 	reader *gzip.Reader
 }
 
-func (lent lent) Close() error {
-	readers.Put(lent.reader)
+func (pooledReader pooledReader) Close() error {
+	readers.Put(pooledReader.reader)
 	return nil
 }
 
-// Decompress gives at most so many bytes of what the content unfolds to; whoever has read it closes it, once.
-func Decompress(content io.Reader, most int64) (io.ReadCloser, error) {
+// Decompress returns a reader of the decompressed content, which ends after at most limit bytes. The caller must close it exactly once.
+func Decompress(content io.Reader, limit int64) (io.ReadCloser, error) {
 	reader := readers.Get().(*gzip.Reader)
-	if failure := reader.Reset(content); failure != nil {
+	if err := reader.Reset(content); err != nil {
 		readers.Put(reader)
-		return nil, failure
+		return nil, err
 	}
-	return lent{io.LimitReader(reader, most), reader}, nil
+	return pooledReader{io.LimitReader(reader, limit), reader}, nil
 }
--- a/compression/compression_test.go
+++ b/compression/compression_test.go
@@ -18,16 +18,16 @@
 
 var _ = Describe("compressed content", func() {
 	configuration := []byte(strings.Repeat("configuration ", 4000))
-	read := func(content []byte, most int64) ([]byte, error) {
-		reader, failure := compression.Decompress(bytes.NewReader(content), most)
-		if failure != nil {
-			return nil, failure
+	read := func(content []byte, limit int64) ([]byte, error) {
+		reader, err := compression.Decompress(bytes.NewReader(content), limit)
+		if err != nil {
+			return nil, err
 		}
 		defer reader.Close()
 		return io.ReadAll(reader)
 	}
 
-	It("given a configuration, when it is compressed and read one time after the other, then it comes out unchanged", func() {
+	It("given a configuration, when it is compressed and read several times, then it is unchanged", func() {
 		for range 3 {
 			content := compression.Compress(configuration)
 			Expect(len(content) * 10).To(BeNumerically("<", len(configuration)))
@@ -35,15 +35,15 @@
 		}
 	})
 
-	It("given a small content that unfolds to a large one, when it is read, then it ends at the bound", func() {
+	It("given a small content that decompresses to a large one, when it is read, then it ends at the limit", func() {
 		Expect(read(compression.Compress(configuration), 100)).To(Equal(configuration[:100]))
 	})
 
 	It("given content that is cut short or no gzip, when it is read, then it is refused, and the next one is read", func() {
 		content := compression.Compress(configuration)
 		for _, broken := range [][]byte{content[:len(content)/2], []byte("no gzip at all"), {}} {
-			_, failure := read(broken, 1<<20)
-			Expect(failure).To(HaveOccurred())
+			_, err := read(broken, 1<<20)
+			Expect(err).To(HaveOccurred())
 		}
 		Expect(read(content, 1<<20)).To(Equal(configuration))
 	})
--- a/schema/generate/main.go
+++ b/schema/generate/main.go
@@ -1,4 +1,4 @@
-// generate writes the client's code from the schema: go run ./schema/generate > client/operations.go
+// generate writes the code of the client's operations to standard output: go run ./schema/generate > client/operations.go
 package main
 
 import (
@@ -9,10 +9,10 @@
 )
 
 func main() {
-	made, err := schema.Client()
+	generated, err := schema.GenerateClient()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "generate:", err)
 		os.Exit(1)
 	}
-	_, _ = os.Stdout.Write(made)
+	_, _ = os.Stdout.Write(generated)
 }
--- a/schema/schema.go
+++ b/schema/schema.go
@@ -1,4 +1,4 @@
-// Package schema holds the description of cedarreel's faces and makes the client's code from it.
+// Package schema contains the OpenAPI description of cedarreel's HTTP API and generates the client's code from it.
 package schema
 
 import (
@@ -14,24 +14,25 @@
 )
 
 //go:embed cedarreel.yaml
-var text []byte
+var specification []byte
 
-// Operation is one question of the faces.
+// Operation is an operation of the API. Name is the method of the client, Summary its doc comment without the name; Body tells whether a
+// request has a body.
 type Operation struct {
 	Name, Summary, Method, Path string
-	Words                       []Word
+	Arguments                   []Argument
 	Body                        bool
 }
 
-// Word is one thing that a question is asked with.
-type Word struct {
-	Name, Field, In string
-	Must            bool
+// Argument is a parameter of an operation. In is "path", "query" or "header"; Variable is the name of the method's argument.
+type Argument struct {
+	Name, Variable, In string
+	IsRequired         bool
 }
 
-// Read checks the schema and gives its operations in the order of their names.
-func Read() ([]Operation, error) {
-	document, err := openapi3.NewLoader().LoadFromData(text)
+// Load validates the schema and returns its operations in the order of their names.
+func Load() ([]Operation, error) {
+	document, err := openapi3.NewLoader().LoadFromData(specification)
 	if err != nil {
 		return nil, eris.Wrap(err, "schema")
 	}
@@ -41,10 +42,10 @@
 	operations := []Operation{}
 	for path, item := range document.Paths.Map() {
 		for method, operation := range item.Operations() {
-			next := Operation{Name: title(operation.OperationID), Summary: operation.Summary, Method: method, Path: path, Body: operation.RequestBody != nil}
+			next := Operation{Name: exportedName(operation.OperationID), Summary: operation.Summary, Method: method, Path: path, Body: operation.RequestBody != nil}
 			for _, parameter := range operation.Parameters {
-				word := Word{Name: parameter.Value.Name, Field: variable(parameter.Value.Name), In: parameter.Value.In, Must: parameter.Value.Required}
-				next.Words = append(next.Words, word)
+				argument := Argument{Name: parameter.Value.Name, Variable: variableName(parameter.Value.Name), In: parameter.Value.In, IsRequired: parameter.Value.Required}
+				next.Arguments = append(next.Arguments, argument)
 			}
 			operations = append(operations, next)
 		}
@@ -53,10 +54,11 @@
 	return operations, nil
 }
 
-func title(name string) string { return strings.ToUpper(name[:1]) + name[1:] }
+// exportedName returns a name with its first letter in upper case.
+func exportedName(name string) string { return strings.ToUpper(name[:1]) + name[1:] }
 
-// variable makes a name of Go's from one of the schema's.
-func variable(name string) string {
+// variableName returns the Go variable for a parameter of the schema.
+func variableName(name string) string {
 	name = strings.TrimSuffix(strings.TrimPrefix(name, "Cedar-"), "-Ms")
 	switch name {
 	case "Idempotency-Key":
@@ -67,30 +69,31 @@
 	return strings.ToLower(name)
 }
 
-const source = `// Code generated from the schema; DO NOT EDIT.
+// clientTemplate is the template of client/operations.go.
+const clientTemplate = `// Code generated from the schema; DO NOT EDIT.
 
 package client
 
 import "context"
 {{range .}}
 // {{.Name}} {{.Summary}}.
-func (client *Client) {{.Name}}(ctx context.Context{{range .Words}}, {{.Field}} string{{end}}{{if .Body}}, body []byte{{end}}) (Given, error) {
-	return client.ask(ctx, question{method: "{{.Method}}", path: "{{.Path}}"{{if .Body}}, body: body{{end}}{{if .Words}}, words: []word{
-		{{range .Words}}{"{{.In}}", "{{.Name}}", {{.Field}}},
+func (client *Client) {{.Name}}(ctx context.Context{{range .Arguments}}, {{.Variable}} string{{end}}{{if .Body}}, body []byte{{end}}) (Response, error) {
+	return client.do(ctx, apiCall{method: "{{.Method}}", path: "{{.Path}}"{{if .Body}}, body: body{{end}}{{if .Arguments}}, parameters: []parameter{
+		{{range .Arguments}}{"{{.In}}", "{{.Name}}", {{.Variable}}},
 		{{end}} }{{end}}})
 }
 {{end}}`
 
-// Client gives the client's code.
-func Client() ([]byte, error) {
-	operations, err := Read()
+// GenerateClient returns the Go code of the client's operations.
+func GenerateClient() ([]byte, error) {
+	operations, err := Load()
 	if err != nil {
 		return nil, err
 	}
 	var out bytes.Buffer
-	if err = template.Must(template.New("client").Parse(source)).Execute(&out, operations); err != nil {
+	if err = template.Must(template.New("client").Parse(clientTemplate)).Execute(&out, operations); err != nil {
 		return nil, eris.Wrap(err, "client")
 	}
-	made, err := format.Source(out.Bytes())
-	return made, eris.Wrap(err, "client")
+	generated, err := format.Source(out.Bytes())
+	return generated, eris.Wrap(err, "client")
 }
--- a/schema/schema_test.go
+++ b/schema/schema_test.go
@@ -15,32 +15,32 @@
 }
 
 var _ = It("is what the client's code was made from", func() {
-	made, err := Client()
+	generated, err := GenerateClient()
 	Expect(err).NotTo(HaveOccurred())
-	kept, err := os.ReadFile("../client/operations.go")
+	committed, err := os.ReadFile("../client/operations.go")
 	Expect(err).NotTo(HaveOccurred())
-	Expect(string(kept)).To(Equal(string(made)), "go run ./schema/generate > client/operations.go")
+	Expect(string(committed)).To(Equal(string(generated)), "go run ./schema/generate > client/operations.go")
 })
 
-var _ = It("has just the questions that the nodes answer", func() {
-	operations, err := Read()
+var _ = It("has just the operations that the nodes serve", func() {
+	operations, err := Load()
 	Expect(err).NotTo(HaveOccurred())
-	faces := ""
+	sources := ""
 	for _, path := range []string{"../link/operators.go", "../serve/data.go", "../serve/serve.go"} {
 		content, err := os.ReadFile(path)
 		Expect(err).NotTo(HaveOccurred())
-		faces += string(content)
+		sources += string(content)
 	}
 	described := 0
 	for _, operation := range operations {
 		path := operation.Path
-		for _, word := range operation.Words {
-			if word.In == "path" && !strings.HasPrefix(path, "/v1/lookups/") && !strings.HasPrefix(path, "/v1/calls/") {
-				path = strings.Replace(path, "{"+word.Name+"}", "{subject}", 1)
+		for _, argument := range operation.Arguments {
+			if argument.In == "path" && !strings.HasPrefix(path, "/v1/lookups/") && !strings.HasPrefix(path, "/v1/calls/") {
+				path = strings.Replace(path, "{"+argument.Name+"}", "{subject}", 1)
 			}
 		}
-		Expect(faces).To(ContainSubstring("\""+operation.Method+" "+path+"\""), operation.Name)
+		Expect(sources).To(ContainSubstring("\""+operation.Method+" "+path+"\""), operation.Name)
 		described++
 	}
-	Expect(strings.Count(faces, "/v1/")).To(Equal(described-1), "every face is described; one is /metrics")
+	Expect(strings.Count(sources, "/v1/")).To(Equal(described-1), "every path is described; the one without a version is /metrics")
 })
