--- a/virtual/disk.go
+++ b/virtual/disk.go
@@ -182,7 +182,7 @@
 }
 
 // WriteAside writes a temporary file; see Settle.
-func (disk *Disk) WriteAside(name string, content []byte) error {
+func (disk *Disk) WriteTemp(name string, content []byte) error {
 	if disk.Full {
 		return eris.New("no space left")
 	}
@@ -191,7 +191,7 @@
 }
 
 // Settle renames a temporary file, in place of a file with the new name.
-func (disk *Disk) Settle(aside, name string) error {
+func (disk *Disk) Rename(aside, name string) error {
 	content, found := disk.files[aside]
 	if !found {
 		return os.ErrNotExist
