--- a/cmd/cedarcp/main.go
+++ b/cmd/cedarcp/main.go
@@ -1,4 +1,4 @@
-// cedarcp is the control plane: it knows nodes and servers and keeps the manifest.
+// cedarcp is the control-plane program. It tracks nodes and model servers and stores the manifest.
 package main
 
 import (
--- a/cmd/cedarctl/plain.go
+++ b/cmd/cedarctl/plain.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// plain prints an answer for people: a line a field, a row a list item.
-func plain(content []byte) string {
+// formatBody formats a JSON answer for reading, with one line for each field or list item. Other text is returned as it is.
+func formatBody(content []byte) string {
 	decoder := json.NewDecoder(strings.NewReader(string(content)))
 	decoder.UseNumber()
 	var value any
@@ -16,11 +16,12 @@
 		return string(content)
 	}
 	out := &strings.Builder{}
-	write(out, "", value)
+	writeValue(out, "", value)
 	return out.String()
 }
 
-func write(out *strings.Builder, indent string, value any) {
+// writeValue writes a value on lines with an indent.
+func writeValue(out *strings.Builder, indent string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
 		names := []string{}
@@ -29,38 +30,39 @@
 		}
 		sort.Strings(names)
 		for _, name := range names {
-			if text, simple := short(value[name]); simple {
+			if text, isShort := formatShort(value[name]); isShort {
 				fmt.Fprintf(out, "%s%s: %s\n", indent, name, text)
 				continue
 			}
 			fmt.Fprintf(out, "%s%s:\n", indent, name)
-			write(out, indent+"  ", value[name])
+			writeValue(out, indent+"  ", value[name])
 		}
 	case []any:
 		for _, item := range value {
-			if text, simple := short(item); simple {
+			if text, isShort := formatShort(item); isShort {
 				fmt.Fprintf(out, "%s- %s\n", indent, text)
 				continue
 			}
 			fmt.Fprintf(out, "%s-\n", indent)
-			write(out, indent+"  ", item)
+			writeValue(out, indent+"  ", item)
 		}
 	default:
-		text, _ := short(value)
+		text, _ := formatShort(value)
 		fmt.Fprintf(out, "%s%s\n", indent, text)
 	}
 }
 
-func short(value any) (string, bool) {
+// formatShort formats a value on one line. It returns false if the value is nested or too long for that.
+func formatShort(value any) (string, bool) {
 	switch value := value.(type) {
 	case map[string]any:
 		if len(value) == 0 {
 			return "none", true
 		}
 		parts := []string{}
-		for name, part := range value {
-			text, simple := short(part)
-			if _, nested := part.(map[string]any); !simple || nested {
+		for name, element := range value {
+			text, isShort := formatShort(element)
+			if _, nested := element.(map[string]any); !isShort || nested {
 				return "", false
 			}
 			parts = append(parts, name+"="+text)
@@ -70,9 +72,9 @@
 		return line, len(line) < 160
 	case []any:
 		parts := []string{}
-		for _, part := range value {
-			text, simple := short(part)
-			if _, nested := part.(map[string]any); !simple || nested {
+		for _, element := range value {
+			text, isShort := formatShort(element)
+			if _, nested := element.(map[string]any); !isShort || nested {
 				return "", false
 			}
 			parts = append(parts, text)
--- a/cmd/cedardp/main.go
+++ b/cmd/cedardp/main.go
@@ -1,4 +1,4 @@
-// cedardp is the data plane: it takes calls and carries them to servers.
+// cedardp is the data-plane program. It accepts calls and forwards them to model servers.
 package main
 
 import (
