--- a/rig/builds.go
+++ b/rig/builds.go
@@ -2,50 +2,54 @@
 
 import "sync"
 
-// alternation chooses between two builds for the programs of one machine, so that a fleet runs mixed versions.
-type alternation struct {
+// buildRotation alternates between two builds for the programs of one machine, so that a fleet runs mixed versions.
+type buildRotation struct {
+	// folders holds the rig's own build and the other one.
 	folders [2]string
 	lock    sync.Mutex
-	machine int
-	starts  map[string]int
+	// machineIndex is the machine's position in the fleet.
+	machineIndex int
+	// starts counts the starts of each program so far.
+	starts map[string]int
 }
 
 // dataPlane is the program whose build differs from that of the control plane on every other pair of machines.
 const dataPlane = "cedardp"
 
-// mixBuilds makes the machines of the fleet, and those that join later, alternate between the rig's build and another one. An empty folder changes nothing.
+// mixBuilds makes all machines, including those that join later, alternate between the rig's build and another one. An empty folder changes
+// nothing.
 func (rig *Rig) mixBuilds(otherBin string) {
 	rig.otherBin = otherBin
-	for place, node := range rig.Nodes {
-		node.builds = rig.alternation(place)
+	for index, node := range rig.Nodes {
+		node.builds = rig.newBuildRotation(index)
 	}
 }
 
-// alternation gives the choice of builds for the machine at a place of the fleet, nil where there is one build.
-func (rig *Rig) alternation(machine int) *alternation {
+// newBuildRotation returns the rotation for the machine at an index of the fleet, or nil if there is only one build.
+func (rig *Rig) newBuildRotation(machine int) *buildRotation {
 	if rig.otherBin == "" {
 		return nil
 	}
-	return &alternation{folders: [2]string{rig.bin, rig.otherBin}, machine: machine, starts: map[string]int{}}
+	return &buildRotation{folders: [2]string{rig.bin, rig.otherBin}, machineIndex: machine, starts: map[string]int{}}
 }
 
-// next gives the folder for the next start of a program. Neighbouring machines begin with different builds, each restart changes the build, and of
-// four machines one has each combination of builds of the two programs.
-func (alternation *alternation) next(program string) string {
-	alternation.lock.Lock()
-	defer alternation.lock.Unlock()
-	choice := alternation.machine + alternation.starts[program]
+// nextFolder returns the folder of the build for the next start of a program. Neighbouring machines begin with different builds, each restart
+// switches builds, and four consecutive machines cover each combination of builds of the two programs.
+func (rotation *buildRotation) nextFolder(program string) string {
+	rotation.lock.Lock()
+	defer rotation.lock.Unlock()
+	choice := rotation.machineIndex + rotation.starts[program]
 	if program == dataPlane {
-		choice += alternation.machine / len(alternation.folders)
+		choice += rotation.machineIndex / len(rotation.folders)
 	}
-	alternation.starts[program]++
-	return alternation.folders[choice%len(alternation.folders)]
+	rotation.starts[program]++
+	return rotation.folders[choice%len(rotation.folders)]
 }
 
-// folderOfBuild gives the folder that the next start of a program takes its binary from.
-func (node *Node) folderOfBuild(program string) string {
+// nextBuildFolder returns the folder that holds the binary for the next start of a program.
+func (node *Node) nextBuildFolder(program string) string {
 	if node.builds == nil {
 		return node.bin
 	}
-	return node.builds.next(program)
+	return node.builds.nextFolder(program)
 }
--- a/rig/builds_test.go
+++ b/rig/builds_test.go
@@ -10,19 +10,19 @@
 		rig := &Rig{bin: "new", otherBin: "old"}
 		combinations := map[string]bool{}
 		for machine := range 4 {
-			builds := rig.alternation(machine)
-			combinations[builds.next("cedarcp")+" "+builds.next("cedardp")] = true
+			builds := rig.newBuildRotation(machine)
+			combinations[builds.nextFolder("cedarcp")+" "+builds.nextFolder("cedardp")] = true
 		}
 		Expect(combinations).To(HaveLen(4))
 	})
 
 	It("changes the build of a program at each of its restarts", func() {
-		builds := (&Rig{bin: "new", otherBin: "old"}).alternation(0)
-		Expect([]string{builds.next("cedarcp"), builds.next("cedarcp"), builds.next("cedardp"), builds.next("cedarcp")}).To(Equal([]string{"new", "old", "new", "new"}))
+		builds := (&Rig{bin: "new", otherBin: "old"}).newBuildRotation(0)
+		Expect([]string{builds.nextFolder("cedarcp"), builds.nextFolder("cedarcp"), builds.nextFolder("cedardp"), builds.nextFolder("cedarcp")}).To(Equal([]string{"new", "old", "new", "new"}))
 	})
 
 	It("is not mixed without another build", func() {
-		node := &Node{bin: "new", builds: (&Rig{bin: "new"}).alternation(1)}
-		Expect(node.folderOfBuild("cedardp")).To(Equal("new"))
+		node := &Node{bin: "new", builds: (&Rig{bin: "new"}).newBuildRotation(1)}
+		Expect(node.nextBuildFolder("cedardp")).To(Equal("new"))
 	})
 })
--- a/rig/mixed.go
+++ b/rig/mixed.go
@@ -13,99 +13,106 @@
 	"github.com/cedarreel/cedarreel/ledger"
 )
 
-// zonesApart cuts the machines of the first region's two zones from each other; all others still hear both.
+// zonesApart cuts the links between the two zones of the first region; all other links stay up.
 func zonesApart(rig *Rig, plan Plan) error {
 	zone, region := rig.Nodes[0].Machine.Zone, rig.Nodes[0].Machine.Region
-	time.Sleep(plan.part(0.2))
-	rig.Cut(rig.where(func(node *Node) bool { return node.Machine.Zone == zone }),
-		rig.where(func(node *Node) bool { return node.Machine.Region == region && node.Machine.Zone != zone }))
-	time.Sleep(plan.part(0.5))
+	time.Sleep(plan.fraction(0.2))
+	rig.Cut(rig.nodesWhere(func(node *Node) bool { return node.Machine.Zone == zone }),
+		rig.nodesWhere(func(node *Node) bool { return node.Machine.Region == region && node.Machine.Zone != zone }))
+	time.Sleep(plan.fraction(0.5))
 	rig.Heal()
-	return rig.Await("serving again", rig.bounds.Return(), rig.serves)
+	return rig.Await("serving again", rig.bounds.Return(), rig.isServing)
 }
 
 const (
-	stalledReaders = 40
-	stalledPieces  = 50
-	stalledWidth   = 16 << 10
-	stalledFor     = 4 * time.Second
+	// stalledReaderCount is how many readers stall at once.
+	stalledReaderCount = 40
+	// stalledReplyPieces is the number of pieces in the reply to each of them.
+	stalledReplyPieces = 50
+	// stalledPieceBytes is the padding of each piece.
+	stalledPieceBytes = 16 << 10
+	// stalledDeadline is the deadline of each call.
+	stalledDeadline = 4 * time.Second
 )
 
-// slowReaders open streams of long replies over sockets that take little and read nothing. Each must come to an
-// end, and none may look finished that is not; the callers beside them are judged as ever.
+// slowReaders opens streams of long replies on sockets with small receive buffers and reads nothing. Each stream must end, and none that was
+// truncated may look complete; the ordinary callers are checked as usual.
 func slowReaders(rig *Rig, plan Plan) error {
-	time.Sleep(plan.part(0.1))
-	group, errs := sync.WaitGroup{}, make([]error, stalledReaders)
-	for place := range stalledReaders {
+	time.Sleep(plan.fraction(0.1))
+	group, errs := sync.WaitGroup{}, make([]error, stalledReaderCount)
+	for index := range stalledReaderCount {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			errs[place] = rig.stall(rig.Nodes[place%len(rig.Nodes)], fmt.Sprintf("stalled-%d", place))
+			errs[index] = rig.runStalledReader(rig.Nodes[index%len(rig.Nodes)], fmt.Sprintf("stalled-%d", index))
 		}()
 	}
 	group.Wait()
-	plan.Say(fmt.Sprintf("%d stalled readers held %d bytes of the %d that were theirs", stalledReaders, rig.stalls.Load(), stalledReaders*stalledPieces*stalledWidth))
+	plan.Log(fmt.Sprintf("%d stalled readers held %d bytes of the %d that were theirs", stalledReaderCount, rig.stalledBytes.Load(), stalledReaderCount*stalledReplyPieces*stalledPieceBytes))
 	return errors.Join(errs...)
 }
 
-func (rig *Rig) stall(node *Node, key string) error {
-	made, err := net.Dial("tcp", node.Settings.Data)
+// runStalledReader sends one call, reads nothing until well past its deadline, and then checks how the connection ended.
+func (rig *Rig) runStalledReader(node *Node, key string) error {
+	connection, err := net.Dial("tcp", node.Settings.Data)
 	if err != nil {
 		return err
 	}
-	defer made.Close()
-	_ = made.(*net.TCPConn).SetReadBuffer(4 << 10)
+	defer connection.Close()
+	_ = connection.(*net.TCPConn).SetReadBuffer(4 << 10)
 	route := ""
 	for _, kind := range rig.Site.Callers {
 		if kind.Class == "short" {
 			route = kind.Route
 		}
 	}
-	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"call %s pieces %d wide %d"}]}`, route, key, stalledPieces, stalledWidth)
-	began, index := time.Now(), rig.Ledger.Sent(key, "stalled", node.Settings.Region, true, node.Settings.Name, false, rig.now(), stalledFor)
-	if _, err = fmt.Fprintf(made, "POST /v1/chat/completions HTTP/1.1\r\nHost: node\r\nConnection: close\r\nContent-Type: application/json\r\nCedar-Route: %s\r\nCedar-Caller: desk\r\n"+
-		"Idempotency-Key: %s\r\nCedar-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", route, key, stalledFor.Milliseconds(), len(body), body); err != nil {
+	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"call %s pieces %d wide %d"}]}`, route, key, stalledReplyPieces, stalledPieceBytes)
+	began, index := time.Now(), rig.Ledger.Sent(key, "stalled", node.Settings.Region, true, node.Settings.Name, false, rig.now(), stalledDeadline)
+	if _, err = fmt.Fprintf(connection, "POST /v1/chat/completions HTTP/1.1\r\nHost: node\r\nConnection: close\r\nContent-Type: application/json\r\nCedar-Route: %s\r\nCedar-Caller: desk\r\n"+
+		"Idempotency-Key: %s\r\nCedar-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", route, key, stalledDeadline.Milliseconds(), len(body), body); err != nil {
 		return err
 	}
-	time.Sleep(stalledFor + rig.bounds.Round()*2)
+	time.Sleep(stalledDeadline + rig.bounds.Round()*2)
 	rig.Ledger.Answered(key, index, rig.now(), ledger.Reply{Outcome: "left"})
-	_ = made.SetReadDeadline(time.Now().Add(stalledFor * 8))
-	left, err := io.ReadAll(bufio.NewReader(made))
-	if timeout, fine := err.(net.Error); fine && timeout.Timeout() {
-		return fmt.Errorf("%s at %s still holds its caller %v after the call came", key, node.Settings.Name, time.Since(began))
+	_ = connection.SetReadDeadline(time.Now().Add(stalledDeadline * 8))
+	remaining, err := io.ReadAll(bufio.NewReader(connection))
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
+		return fmt.Errorf("%s at %s has not closed its connection %v after the call was sent", key, node.Settings.Name, time.Since(began))
 	}
-	rig.stalls.Add(int64(len(left)))
-	if text := string(left); strings.Contains(text, "[DONE]") && strings.Count(text, "\ndata: ") < stalledPieces {
+	rig.stalledBytes.Add(int64(len(remaining)))
+	if text := string(remaining); strings.Contains(text, "[DONE]") && strings.Count(text, "\ndata: ") < stalledReplyPieces {
 		return fmt.Errorf("%s looks finished after %d events", key, strings.Count(text, "\ndata: "))
 	}
 	return nil
 }
 
-// mixed plays two lanes of failures at once for the whole span: one of nodes, links and disks, one of servers, operators and callers.
-func mixed(rig *Rig, plan Plan) error {
+// mixedStories plays two series of random stories concurrently for the whole run: one on nodes, links and disks, one on servers, operators and
+// callers.
+func mixedStories(rig *Rig, plan Plan) error {
 	lanes := [][]string{
 		{"kill", "kill many", "kill zone", "kill cores", "kill region", "freeze", "cut", "cut one way", "cut region", "zones apart", "lossy", "disk full", "disk stalled",
 			"disk slow", "disk lies", "disk torn", "wipe core", "graceful stop"},
 		{"server crash", "bad replies", "reclaim", "drain", "crowd", "slow readers", "rolling", "platform broken"},
 	}
-	ends, group, errs := rig.now()+plan.Span*9/10, sync.WaitGroup{}, make([]error, len(lanes))
-	part := plan
-	part.Span = mixedPart
-	for place, lane := range lanes {
+	endsAt, group, errs := rig.now()+plan.Span*9/10, sync.WaitGroup{}, make([]error, len(lanes))
+	storyPlan := plan
+	storyPlan.Span = mixedStorySpan
+	for index, lane := range lanes {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for rig.now() < ends-mixedPart && errs[place] == nil {
-				name := lane[rig.draw(len(lane))]
-				plan.Say(fmt.Sprintf("%v %s", rig.now().Round(time.Second), name))
-				if err := stories[name](rig, part); err != nil {
-					errs[place] = fmt.Errorf("%s: %w", name, err)
+			for rig.now() < endsAt-mixedStorySpan && errs[index] == nil {
+				name := lane[rig.randomBelow(len(lane))]
+				plan.Log(fmt.Sprintf("%v %s", rig.now().Round(time.Second), name))
+				if err := stories[name](rig, storyPlan); err != nil {
+					errs[index] = fmt.Errorf("%s: %w", name, err)
 				}
 			}
 		}()
 	}
 	group.Wait()
-	return errors.Join(append(errs, rig.Await("serving again", 2*rig.bounds.Return(), rig.serves), rig.readBack())...)
+	return errors.Join(append(errs, rig.Await("serving again", 2*rig.bounds.Return(), rig.isServing), rig.readBackAccepted())...)
 }
 
-const mixedPart = 12 * time.Second
+// mixedStorySpan is the length of each story in a mixed run.
+const mixedStorySpan = 12 * time.Second
--- a/rig/operate.go
+++ b/rig/operate.go
@@ -13,13 +13,13 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// Operate asks a node as an operator would.
-func (rig *Rig) Operate(address, method, path, operation string, body []byte) (int, []byte, error) {
+// Operate sends an operator's request to a node and returns the status and body of the answer. operationKey makes writes idempotent.
+func (rig *Rig) Operate(address, method, path, operationKey string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	request.Header.Set("Operation-Key", operation)
+	request.Header.Set("Operation-Key", operationKey)
 	response, err := rig.client.Do(request)
 	if err != nil {
 		return 0, nil, err
@@ -29,40 +29,41 @@
 	return response.StatusCode, content, err
 }
 
-// Write carries a write through any node and notes it if it was accepted.
-func (rig *Rig) Write(node *Node, method, path, operation string, body []byte) (int, contract.WriteResult, error) {
-	accepted := contract.WriteResult{}
-	status, content, err := rig.Operate(node.Settings.Control, method, path, operation, body)
+// Write sends a write through a node and records in the ledger the revision that was accepted. A status of 300 or above is returned with an
+// error, a failed connection as status 0.
+func (rig *Rig) Write(node *Node, method, path, operationKey string, body []byte) (int, contract.WriteResult, error) {
+	result := contract.WriteResult{}
+	status, content, err := rig.Operate(node.Settings.Control, method, path, operationKey, body)
 	if err != nil {
-		return 0, accepted, err
+		return 0, result, err
 	}
-	_ = json.Unmarshal(content, &accepted)
+	_ = json.Unmarshal(content, &result)
 	if status == 200 || status == 202 {
-		rig.Ledger.Accepted(accepted.Revision, "", rig.now())
+		rig.Ledger.Accepted(result.Revision, "", rig.now())
 	}
 	if status >= 300 {
 		err = fmt.Errorf("%s %s: %d %s", method, path, status, strings.TrimSpace(string(content)))
 	}
-	return status, accepted, err
+	return status, result, err
 }
 
-// Adopt writes the site's manifest as soon as the core has been founded.
-func (rig *Rig) Adopt(limit time.Duration) error {
-	var last error
+// InstallManifest writes the site's manifest as the first revision, retrying until the core of the control plane has formed or the limit is over.
+func (rig *Rig) InstallManifest(limit time.Duration) error {
+	var lastErr error
 	err := rig.Await("the first manifest", limit, func() bool {
 		status, _, err := rig.Write(rig.Nodes[len(rig.Nodes)-1], http.MethodPut, "/v1/manifest?base=0", "first", rig.Site.Manifest)
-		last = err
+		lastErr = err
 		return status == 200
 	})
 	if err != nil {
-		return fmt.Errorf("%w: %v", err, last)
+		return fmt.Errorf("%w: %v", err, lastErr)
 	}
 	return nil
 }
 
-// Gauge reads one figure of a node's metrics page.
-func (rig *Rig) Gauge(address, name string) (int64, bool) {
-	response, err := rig.looker.Get("http://" + address + "/metrics")
+// Metric reads one value from a node's metrics page. The name comes without the cedarreel_ prefix; false means that it could not be read.
+func (rig *Rig) Metric(address, name string) (int64, bool) {
+	response, err := rig.metricsClient.Get("http://" + address + "/metrics")
 	if err != nil {
 		return 0, false
 	}
@@ -72,7 +73,7 @@
 		return 0, false
 	}
 	for _, line := range strings.Split(string(content), "\n") {
-		if text, fine := strings.CutPrefix(line, "cedarreel_"+name+" "); fine {
+		if text, ok := strings.CutPrefix(line, "cedarreel_"+name+" "); ok {
 			value, err := strconv.ParseInt(text, 10, 64)
 			return value, err == nil
 		}
--- a/rig/platform.go
+++ b/rig/platform.go
@@ -9,50 +9,58 @@
 	"time"
 )
 
-// Platform stands in for the outside platform: it lists servers, marks them, and takes orders under an epoch.
+// Platform simulates the external platform: it lists servers, marks them as leaving, and obeys load and unload orders unless their epoch is
+// stale.
 type Platform struct {
+	// Address is the base URL.
 	Address string
 	rig     *Rig
 	lock    sync.Mutex
 	servers []*Server
-	epochs  map[string]int64
-	broken  bool
-	Orders  []string
+	// newestEpochs holds the newest epoch seen from each shard of a region.
+	newestEpochs map[string]int64
+	// broken makes every listing incomplete.
+	broken bool
+	// Orders are the accepted orders, each a verb and a server name.
+	Orders []string
 }
 
+// newPlatform starts a platform on a free port.
 func newPlatform(rig *Rig) (*Platform, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	platform := &Platform{Address: "http://" + listener.Addr().String(), rig: rig, epochs: map[string]int64{}}
+	platform := &Platform{Address: "http://" + listener.Addr().String(), rig: rig, newestEpochs: map[string]int64{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /servers", platform.list)
-	mux.HandleFunc("POST /servers/{name}/{verb}", platform.order)
+	mux.HandleFunc("GET /servers", platform.serveList)
+	mux.HandleFunc("POST /servers/{name}/{verb}", platform.serveOrder)
 	go func() { _ = (&http.Server{Handler: mux}).Serve(listener) }()
 	return platform, nil
 }
 
-func (platform *Platform) Break(broken bool) {
+// SetBroken makes listings incomplete, or complete again.
+func (platform *Platform) SetBroken(broken bool) {
 	platform.lock.Lock()
 	defer platform.lock.Unlock()
 	platform.broken = broken
 }
 
-func (platform *Platform) list(writer http.ResponseWriter, request *http.Request) {
+// serveList answers with the servers of a region.
+func (platform *Platform) serveList(writer http.ResponseWriter, request *http.Request) {
 	region := request.URL.Query().Get("region")
 	platform.lock.Lock()
 	defer platform.lock.Unlock()
 	rows := []any{}
 	for _, server := range platform.servers {
-		if server.Row.Region != region {
+		if server.Spec.Region != region {
 			continue
 		}
 		server.lock.Lock()
-		row := map[string]any{"name": server.Row.Name, "address": server.Address, "zone": server.Row.Zone, "pool": server.Row.Pool,
-			"incarnation": fmt.Sprint(server.incarnation), "leaving": !server.leaving.IsZero(), "unloaded": server.unloaded}
-		if !server.leaving.IsZero() && server.leavingMs > 0 {
-			row["remainingMs"] = max(0, server.leavingMs-time.Since(server.leaving).Milliseconds())
+		row := map[string]any{"name": server.Spec.Name, "address": server.Address, "zone": server.Spec.Zone, "pool": server.Spec.Pool,
+			"incarnation": fmt.Sprint(server.incarnation), "leaving": !server.leavingSince.IsZero(), "unloaded": server.unloaded}
+		if !server.leavingSince.IsZero() && server.leavingWindowMs > 0 {
+			row["remainingMs"] = max(0, server.leavingWindowMs-time.Since(server.leavingSince).Milliseconds())
 		}
 		server.lock.Unlock()
 		rows = append(rows, row)
@@ -64,7 +72,8 @@
 	_ = json.NewEncoder(writer).Encode(listing)
 }
 
-func (platform *Platform) order(writer http.ResponseWriter, request *http.Request) {
+// serveOrder accepts a load or unload order, or answers 409 if a newer epoch of the same shard has given orders.
+func (platform *Platform) serveOrder(writer http.ResponseWriter, request *http.Request) {
 	var order struct {
 		Region string `json:"region"`
 		Shard  int    `json:"shard"`
@@ -76,11 +85,11 @@
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	subject := fmt.Sprintf("%s/%d", order.Region, order.Shard)
+	shard := fmt.Sprintf("%s/%d", order.Region, order.Shard)
 	platform.lock.Lock()
-	stale := order.Epoch.Number < platform.epochs[subject]
+	stale := order.Epoch.Number < platform.newestEpochs[shard]
 	if !stale {
-		platform.epochs[subject] = order.Epoch.Number
+		platform.newestEpochs[shard] = order.Epoch.Number
 		platform.Orders = append(platform.Orders, request.PathValue("verb")+" "+request.PathValue("name"))
 	}
 	platform.lock.Unlock()
@@ -89,27 +98,28 @@
 		return
 	}
 	if server := platform.rig.Server(request.PathValue("name")); server != nil {
-		platform.carryOut(server, request.PathValue("verb") == "load")
+		platform.applyOrder(server, request.PathValue("verb") == "load")
 	}
 	_, _ = writer.Write([]byte("{}\n"))
 }
 
-func (platform *Platform) carryOut(server *Server, load bool) {
+// applyOrder starts or stops a server if it is not in the wanted state yet.
+func (platform *Platform) applyOrder(server *Server, load bool) {
 	server.lock.Lock()
-	change := server.unloaded == load
+	changed := server.unloaded == load
 	server.unloaded = !load
 	server.lock.Unlock()
-	if change && load {
+	if changed && load {
 		_ = server.start()
-	} else if change {
+	} else if changed {
 		server.Crash()
 	}
 }
 
-// Mark says that a server is leaving, with the time it has left.
-func (platform *Platform) Mark(server *Server, remaining time.Duration) {
+// MarkLeaving lists a server as leaving, with the time that remains to it.
+func (platform *Platform) MarkLeaving(server *Server, remaining time.Duration) {
 	server.lock.Lock()
-	server.leaving, server.leavingMs = time.Now(), remaining.Milliseconds()
+	server.leavingSince, server.leavingWindowMs = time.Now(), remaining.Milliseconds()
 	server.lock.Unlock()
-	platform.rig.Ledger.Marked(server.Row.Name, platform.rig.now())
+	platform.rig.Ledger.Marked(server.Spec.Name, platform.rig.now())
 }
--- a/rig/play.go
+++ b/rig/play.go
@@ -13,27 +13,39 @@
 	"github.com/cedarreel/cedarreel/site"
 )
 
-// Plan is one run of the rig.
+// Plan describes one run of the rig.
 type Plan struct {
+	// Site is the fleet to run, with its manifest, servers and callers.
 	Site site.Site
-	Bin  string
+	// Bin is the folder of the programs.
+	Bin string
 	// OtherBin is the folder of a second build, for a fleet of mixed versions; empty for one build.
 	OtherBin string
-	Folder   string
-	Span     time.Duration
-	Rate     float64
-	Seed     uint64
-	Story    string
-	Stay     bool
-	Say      func(string)
+	// Folder takes the settings, logs and data of all machines.
+	Folder string
+	// Span is how long callers start calls; stories scale their pauses by it.
+	Span time.Duration
+	// Rate multiplies the call rates of the site.
+	Rate float64
+	// Seed determines the traffic and the random choices of stories.
+	Seed uint64
+	// Story names what happens while traffic runs; StoryNames lists the names.
+	Story string
+	// KeepRunning leaves the fleet up after the run until a signal comes.
+	KeepRunning bool
+	// Log takes the lines of the run's output.
+	Log func(string)
 }
 
+// story injects faults or operator actions while traffic runs. Its error fails the run.
 type story func(rig *Rig, plan Plan) error
 
+// stories holds all stories by name. It is set in init, since some stories play others.
 var stories map[string]story
 
 func init() { stories = allStories() }
 
+// StoryNames returns the names of all stories, sorted.
 func StoryNames() []string {
 	names := []string{}
 	for name := range stories {
@@ -43,15 +55,17 @@
 	return names
 }
 
-type end struct {
+// playResult holds the return values of a run: whether the ledger found no breach, and the error.
+type playResult struct {
 	clean bool
 	err   error
 }
 
-// Play brings a fleet up, lets the callers come, plays the story, and tells whether the ledger found nothing wrong.
+// Play starts a fleet, its callers and the story, and reports whether the run had no breach of the ledger's rules. A SIGINT or SIGTERM ends
+// the run with an error; all processes have ended when Play returns.
 func Play(plan Plan) (bool, error) {
-	told, there := stories[plan.Story]
-	if !there {
+	runStory, found := stories[plan.Story]
+	if !found {
 		return false, fmt.Errorf("no story %q; there are %v", plan.Story, StoryNames())
 	}
 	rig, err := New(plan.Site, plan.Bin, plan.Folder, plan.Seed)
@@ -62,137 +76,139 @@
 	rig.mixBuilds(plan.OtherBin)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	ended := make(chan end, 1)
+	results := make(chan playResult, 1)
 	go func() {
-		clean, err := rig.play(plan, told)
-		ended <- end{clean, err}
+		clean, err := rig.run(plan, runStory)
+		results <- playResult{clean, err}
 	}()
 	select {
 	case <-signals:
 		return false, errors.New("ended by a signal; every process that was started is ended too")
-	case over := <-ended:
-		if plan.Stay && over.err == nil {
-			plan.Say("the fleet stays up; end it with a signal")
+	case result := <-results:
+		if plan.KeepRunning && result.err == nil {
+			plan.Log("the fleet stays up; end it with a signal")
 			<-signals
 		}
-		return over.clean, over.err
+		return result.clean, result.err
 	}
 }
 
-// play is a run from the start of the processes to the ledger's last look.
-func (rig *Rig) play(plan Plan, told story) (bool, error) {
+// run starts the processes, runs traffic and story, and prints the figures and breaches from the ledger.
+func (rig *Rig) run(plan Plan, runStory story) (bool, error) {
 	err := error(nil)
 	if err = rig.Start(); err != nil {
 		return false, err
 	}
-	if err = rig.Adopt(adoptTime * time.Duration(max(1, len(rig.Nodes)/fewNodes))); err != nil {
+	if err = rig.InstallManifest(firstManifestLimit * time.Duration(max(1, len(rig.Nodes)/smallFleetNodes))); err != nil {
 		return false, err
 	}
-	plan.Say(fmt.Sprintf("%s: the manifest is in force after %v; settings and logs in %s", plan.Site.Name, rig.now().Round(time.Millisecond), plan.Folder))
-	plan.Say("any node answers operators, for example " + rig.Nodes[0].Settings.Control)
-	if err = rig.Await("serving", rig.bounds.Return()*time.Duration(max(1, len(rig.Nodes)/fewNodes)), rig.serves); err != nil {
+	plan.Log(fmt.Sprintf("%s: the manifest is in force after %v; settings and logs in %s", plan.Site.Name, rig.now().Round(time.Millisecond), plan.Folder))
+	plan.Log("any node answers operators, for example " + rig.Nodes[0].Settings.Control)
+	if err = rig.Await("serving", rig.bounds.Return()*time.Duration(max(1, len(rig.Nodes)/smallFleetNodes)), rig.isServing); err != nil {
 		return false, err
 	}
-	crowd := rig.NewCrowd(plan.Seed)
-	crowd.Run(plan.Span, plan.Rate)
+	traffic := rig.NewTraffic(plan.Seed)
+	traffic.Run(plan.Span, plan.Rate)
 	stop := make(chan struct{})
 	watched := make(chan struct{})
 	go func() {
 		defer close(watched)
-		rig.watch(stop)
+		rig.watchRevisions(stop)
 	}()
-	err = told(rig, plan)
-	crowd.Wait()
+	err = runStory(rig, plan)
+	traffic.Wait()
 	close(stop)
 	<-watched
 	rig.Ledger.Close(rig.now())
-	plan.Say(fmt.Sprintf("seed %d story %s\n%s", plan.Seed, plan.Story, rig.Ledger.Figures.Text()))
+	plan.Log(fmt.Sprintf("seed %d story %s\n%s", plan.Seed, plan.Story, rig.Ledger.Figures.Text()))
 	breaches := rig.Ledger.Breaches()
 	for index, breach := range breaches {
 		if index < 20 {
-			plan.Say(fmt.Sprintf("BREACH %v at %v: %s", breach.Rule, breach.At.Round(time.Millisecond), breach.Detail))
+			plan.Log(fmt.Sprintf("BREACH %v at %v: %s", breach.Rule, breach.At.Round(time.Millisecond), breach.Detail))
 		}
 	}
-	plan.Say(fmt.Sprintf("breaches: %d", len(breaches)))
+	plan.Log(fmt.Sprintf("breaches: %d", len(breaches)))
 	return len(breaches) == 0 && err == nil, err
 }
 
-// serves holds when every data node can pick from every shard of its region.
-func (rig *Rig) serves() bool {
+// isServing reports whether every data node has a manifest and no lapsed shard, so that it can choose servers from every shard of its region.
+func (rig *Rig) isServing() bool {
 	for _, node := range rig.Nodes {
-		lapsed, there := rig.Gauge(node.Settings.Data, "shards_lapsed")
-		revision, known := rig.Gauge(node.Settings.Data, "manifest_revision")
-		if !there || !known || lapsed > 0 || revision == 0 {
+		lapsed, lapsedFound := rig.Metric(node.Settings.Data, "shards_lapsed")
+		revision, revisionFound := rig.Metric(node.Settings.Data, "manifest_revision")
+		if !lapsedFound || !revisionFound || lapsed > 0 || revision == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-const watchPeriod = 200 * time.Millisecond
+// revisionPollInterval is the time between samples of the manifest revisions of a small fleet.
+const revisionPollInterval = 200 * time.Millisecond
 
-// look is what a node's metrics page said of the manifest in force, and when.
-type look struct {
+// revisionSample is the manifest revision that a node reported and when it was asked, since the rig's start.
+type revisionSample struct {
 	revision int64
 	at       time.Duration
 }
 
-// looks reads the metrics pages of all nodes side by side; a node that does not answer is left out.
-func (rig *Rig) looks() map[string]look {
-	seen, lock, group := map[string]look{}, sync.Mutex{}, sync.WaitGroup{}
+// sampleRevisions reads the metrics pages of all nodes concurrently and leaves out nodes that don't answer.
+func (rig *Rig) sampleRevisions() map[string]revisionSample {
+	samples, lock, group := map[string]revisionSample{}, sync.Mutex{}, sync.WaitGroup{}
 	for _, node := range rig.Nodes {
 		group.Add(1)
 		go func() {
 			defer group.Done()
 			at := rig.now()
-			revision, there := rig.Gauge(node.Settings.Data, "manifest_revision")
-			if there && revision > 0 {
+			revision, found := rig.Metric(node.Settings.Data, "manifest_revision")
+			if found && revision > 0 {
 				lock.Lock()
 				defer lock.Unlock()
-				seen[node.Machine.Name] = look{revision, at}
+				samples[node.Machine.Name] = revisionSample{revision, at}
 			}
 		}()
 	}
 	group.Wait()
-	return seen
+	return samples
 }
 
-// watch notes which revision each node has in force, and since when a node that is not cut off has had a newer one.
-func (rig *Rig) watch(stop chan struct{}) {
-	behind := map[string]time.Duration{}
+// watchRevisions records in the ledger which manifest revision each node uses, and for how long a node has been behind the newest revision of
+// the nodes that are not cut off.
+func (rig *Rig) watchRevisions(stop chan struct{}) {
+	behindSince := map[string]time.Duration{}
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(watchPeriod * time.Duration(max(1, len(rig.Nodes)/fewNodes))):
+		case <-time.After(revisionPollInterval * time.Duration(max(1, len(rig.Nodes)/smallFleetNodes))):
 		}
-		seen, newest := rig.looks(), int64(0)
+		samples, newest := rig.sampleRevisions(), int64(0)
 		for _, node := range rig.Nodes {
-			if len(node.cut) == 0 {
-				newest = max(newest, seen[node.Machine.Name].revision)
+			if len(node.cutAddresses) == 0 {
+				newest = max(newest, samples[node.Machine.Name].revision)
 			}
 		}
 		for _, node := range rig.Nodes {
 			name := node.Machine.Name
-			one, there := seen[name]
-			since, known := behind[name]
+			sample, found := samples[name]
+			since, known := behindSince[name]
 			switch {
-			case !there || len(node.cut) > 0 || one.revision >= newest:
-				delete(behind, name)
+			case !found || len(node.cutAddresses) > 0 || sample.revision >= newest:
+				delete(behindSince, name)
 			case !known:
-				behind[name] = one.at
+				behindSince[name] = sample.at
 			}
-			if there && known {
-				rig.Ledger.Held(name+"-data", one.revision, one.at, one.at-since)
-			} else if there {
-				rig.Ledger.Held(name+"-data", one.revision, one.at, 0)
+			if found && known {
+				rig.Ledger.Held(name+"-data", sample.revision, sample.at, sample.at-since)
+			} else if found {
+				rig.Ledger.Held(name+"-data", sample.revision, sample.at, 0)
 			}
 		}
 	}
 }
 
-// adoptTime is how long a fleet of few nodes may take from its start until it takes its first manifest.
-const adoptTime = 20 * time.Second
+// firstManifestLimit is how long a small fleet may take from its start until it accepts its first manifest.
+const firstManifestLimit = 20 * time.Second
 
-// fewNodes is the size of a fleet that is looked at in each watchPeriod; larger ones are looked at less often.
-const fewNodes = 12
+// smallFleetNodes is the size up to which a fleet is small. Time limits and poll intervals grow in proportion for larger ones.
+const smallFleetNodes = 12
--- a/rig/program.go
+++ b/rig/program.go
@@ -8,42 +8,45 @@
 	"time"
 )
 
-// program is one process of a machine. Ended is closed when it is over; its state, and how long it lived, can be read from then on.
+// program is one process of a machine. ended is closed when the process has ended; lifetime and the state of command are valid only after
+// that.
 type program struct {
-	name    string
-	command *exec.Cmd
-	began   time.Time
-	lived   time.Duration
-	ended   chan struct{}
+	name      string
+	command   *exec.Cmd
+	startedAt time.Time
+	lifetime  time.Duration
+	ended     chan struct{}
 }
 
-// start runs a program of a node with its settings file, its lines go to a log file.
-func (node *Node) start(name, path string) (*program, error) {
+// startProgram starts a program of a node with its settings file and appends its output to a log file.
+func (node *Node) startProgram(name, path string) (*program, error) {
 	output, err := os.OpenFile(filepath.Join(node.folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	defer output.Close()
-	command := exec.Command(filepath.Join(node.folderOfBuild(name), name), "--env", path, "--faults", node.faultsPath())
+	command := exec.Command(filepath.Join(node.nextBuildFolder(name), name), "--env", path, "--faults", node.faultsPath())
 	command.Stdout, command.Stderr = output, output
 	if err = command.Start(); err != nil {
 		return nil, err
 	}
-	started := &program{name: name, command: command, began: time.Now(), ended: make(chan struct{})}
+	started := &program{name: name, command: command, startedAt: time.Now(), ended: make(chan struct{})}
 	go func() {
 		_ = command.Wait()
-		started.lived = time.Since(started.began)
+		started.lifetime = time.Since(started.startedAt)
 		close(started.ended)
 	}()
 	return started, nil
 }
 
+// pid returns the process id.
 func (program *program) pid() int { return program.command.Process.Pid }
 
+// signal sends a signal and ignores the error of a process that has ended.
 func (program *program) signal(signal syscall.Signal) { _ = program.command.Process.Signal(signal) }
 
-// over tells whether the process has ended.
-func (program *program) over() bool {
+// hasEnded reports whether the process has ended.
+func (program *program) hasEnded() bool {
 	select {
 	case <-program.ended:
 		return true
@@ -52,14 +55,14 @@
 	}
 }
 
-// clean waits for the end and tells whether it came with exit code 0.
-func (program *program) clean() bool {
+// waitForCleanExit waits until the process has ended and reports whether its exit code was 0.
+func (program *program) waitForCleanExit() bool {
 	<-program.ended
 	return program.command.ProcessState.Success()
 }
 
-// signalled tells whether a process that is over was ended by a signal rather than by itself.
-func (program *program) signalled() bool {
-	status, fine := program.command.ProcessState.Sys().(syscall.WaitStatus)
-	return fine && status.Signaled()
+// endedBySignal reports whether a process that has ended was killed by a signal.
+func (program *program) endedBySignal() bool {
+	status, ok := program.command.ProcessState.Sys().(syscall.WaitStatus)
+	return ok && status.Signaled()
 }
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -1,4 +1,4 @@
-// Package rig plays a whole fleet as processes on one machine, with stand-ins for all that is outside, and breaks it.
+// Package rig runs a fleet of real processes on one machine, simulates the servers, platform and callers around it, and injects faults.
 package rig
 
 import (
@@ -22,79 +22,95 @@
 	"github.com/cedarreel/cedarreel/site"
 )
 
+// Rig is one fleet with its simulated surroundings. Close ends it.
 type Rig struct {
-	Site     site.Site
-	Ledger   *ledger.Ledger
+	// Site is the description that the fleet was made from.
+	Site site.Site
+	// Ledger records what callers and servers saw and checks it against the rules.
+	Ledger *ledger.Ledger
+	// Platform and Nodes are the simulated platform and the machines; stories may replace a node.
 	Platform *Platform
 	Nodes    []*Node
 	folder   string
 	bin      string
-	otherBin string
-	servers  []*Server
-	began    time.Time
-	bounds   env.Bounds
-	random   *rand.Rand
-	drawing  sync.Mutex
-	stalls   atomic.Int64
-	client   *http.Client
-	// looker reads metrics pages; a process that is frozen answers nothing.
-	looker *http.Client
-	// given are the addresses that were given to nodes; one of a node that is not up is free to the kernel.
-	given map[string]bool
+	// otherBin is the folder of a second build; empty for one build.
+	otherBin  string
+	servers   []*Server
+	startedAt time.Time
+	bounds    env.Bounds
+	random    *rand.Rand
+	// randomLock guards random, which concurrent stories share.
+	randomLock sync.Mutex
+	// stalledBytes counts what stalled readers found in their sockets when they read at last.
+	stalledBytes atomic.Int64
+	client       *http.Client
+	// metricsClient reads metrics pages. It has a timeout, since a frozen process doesn't answer.
+	metricsClient *http.Client
+	// usedAddresses are the addresses that were assigned. The kernel considers those of stopped nodes free.
+	usedAddresses map[string]bool
 }
 
-const lookTime = time.Second
+// metricsTimeout bounds one read of a metrics page.
+const metricsTimeout = time.Second
 
-// Node is one machine: a cedarcp and a cedardp with a settings file, a faults file and, on core machines, a data folder.
+// Node is one machine: a cedarcp and a cedardp process with a settings file, a faults file and, on core machines, a data folder.
 type Node struct {
-	Machine  site.Machine
+	// Machine is the machine's entry in the site; its Core field says whether it runs a member of the control plane's core.
+	Machine site.Machine
+	// Settings are the contents of the settings file.
 	Settings env.Env
 	folder   string
 	bin      string
-	builds   *alternation
+	// builds chooses the build of each start, nil if there is one build.
+	builds   *buildRotation
 	lock     sync.Mutex
 	programs []*program
-	cut      map[string]bool
-	disk     string
-	loss     int
+	// cutAddresses, diskFault and lossPercent are the contents of the faults file: addresses that the node cannot reach, the state of its disk
+	// (empty for healthy) and the percentage of messages that its links lose.
+	cutAddresses map[string]bool
+	diskFault    string
+	lossPercent  int
 }
 
-func New(described site.Site, bin, folder string, seed uint64) (*Rig, error) {
+// New prepares a fleet of the programs in bin and starts its platform and servers. Start starts the nodes.
+func New(description site.Site, bin, folder string, seed uint64) (*Rig, error) {
 	bounds := env.DefaultBounds()
-	read, err := manifest.Parse(described.Manifest)
+	parsed, err := manifest.Parse(description.Manifest)
 	if err != nil {
 		return nil, err
 	}
-	rig := &Rig{Site: described, folder: folder, bin: bin, began: time.Now(), bounds: bounds, random: rand.New(rand.NewPCG(seed, 1)),
-		Ledger: ledger.New(ledger.Judging(bounds, read, len(described.Machines))), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
-		given: map[string]bool{}, looker: &http.Client{Timeout: lookTime, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
+	rig := &Rig{Site: description, folder: folder, bin: bin, startedAt: time.Now(), bounds: bounds, random: rand.New(rand.NewPCG(seed, 1)),
+		Ledger: ledger.New(ledger.Judging(bounds, parsed, len(description.Machines))), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+		usedAddresses: map[string]bool{}, metricsClient: &http.Client{Timeout: metricsTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 	if rig.Platform, err = newPlatform(rig); err != nil {
 		return nil, err
 	}
-	for _, row := range described.Servers {
-		rig.Ledger.Server(row.Name, row.Zone, row.Region, row.Slots)
-		server, err := newServer(rig, row)
+	for _, spec := range description.Servers {
+		rig.Ledger.Server(spec.Name, spec.Zone, spec.Region, spec.Slots)
+		server, err := newServer(rig, spec)
 		if err != nil {
 			return nil, err
 		}
 		rig.servers = append(rig.servers, server)
 	}
 	rig.Platform.servers = rig.servers
-	return rig, rig.place()
+	return rig, rig.createNodes()
 }
 
-// draw gives a number below a bound; stories that play at once share the seed.
-func (rig *Rig) draw(bound int) int {
-	rig.drawing.Lock()
-	defer rig.drawing.Unlock()
+// randomBelow returns a random number in [0, bound).
+func (rig *Rig) randomBelow(bound int) int {
+	rig.randomLock.Lock()
+	defer rig.randomLock.Unlock()
 	return rig.random.IntN(bound)
 }
 
-func (rig *Rig) now() time.Duration { return time.Since(rig.began) }
+// now returns the time since the rig was made, which all ledger entries use.
+func (rig *Rig) now() time.Duration { return time.Since(rig.startedAt) }
 
+// Server returns the server of a name, or nil.
 func (rig *Rig) Server(name string) *Server {
 	for _, server := range rig.servers {
-		if server.Row.Name == name {
+		if server.Spec.Name == name {
 			return server
 		}
 	}
@@ -102,33 +118,36 @@
 }
 
 const (
-	firstPort  = 15000
-	portCount  = 1000
-	portRanges = 17
-	portTries  = 200
+	// Addresses come from portRangeCount ranges of portsPerRange ports each, beginning at firstPort.
+	firstPort      = 15000
+	portsPerRange  = 1000
+	portRangeCount = 17
+	// maxPortAttempts bounds the search for a free port.
+	maxPortAttempts = 200
 )
 
-// freeAddress finds a free port below those that the kernel gives to outgoing links, so that none is taken in between, and in a range of this
-// process's own, since another rig beside it would take the port of a node that is down.
+// freeAddress finds a free port below the range that the kernel assigns to outgoing connections, so that none of these takes it, and in a
+// range chosen by this process's id, since another rig could otherwise take the port of a node that is down.
 func (rig *Rig) freeAddress() (string, error) {
 	var err error
-	for range portTries {
+	for range maxPortAttempts {
 		var listener net.Listener
-		listener, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstPort+os.Getpid()%portRanges*portCount+rand.IntN(portCount)))
+		listener, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", firstPort+os.Getpid()%portRangeCount*portsPerRange+rand.IntN(portsPerRange)))
 		if err != nil {
 			continue
 		}
 		address := listener.Addr().String()
 		_ = listener.Close()
-		if !rig.given[address] {
-			rig.given[address] = true
+		if !rig.usedAddresses[address] {
+			rig.usedAddresses[address] = true
 			return address, nil
 		}
 	}
 	return "", errors.Join(err, errors.New("no port is free for another process"))
 }
 
-func (rig *Rig) place() error {
+// createNodes creates a node for each machine of the site and gives all of them the addresses of the core.
+func (rig *Rig) createNodes() error {
 	for _, machine := range rig.Site.Machines {
 		node, err := rig.newNode(machine)
 		if err != nil {
@@ -137,28 +156,30 @@
 		rig.Nodes = append(rig.Nodes, node)
 	}
 	for _, node := range rig.Nodes {
-		node.Settings.Seeds = rig.seeds()
+		node.Settings.Seeds = rig.seedAddresses()
 	}
 	return nil
 }
 
+// newNode assigns addresses, a folder and settings to a machine without starting it.
 func (rig *Rig) newNode(machine site.Machine) (*Node, error) {
-	control, first := rig.freeAddress()
-	data, second := rig.freeAddress()
-	if first != nil {
-		return nil, first
+	control, controlErr := rig.freeAddress()
+	data, dataErr := rig.freeAddress()
+	if controlErr != nil {
+		return nil, controlErr
 	}
-	node := &Node{Machine: machine, folder: filepath.Join(rig.folder, machine.Name), bin: rig.bin, cut: map[string]bool{}}
-	node.builds = rig.alternation(len(rig.Nodes))
+	node := &Node{Machine: machine, folder: filepath.Join(rig.folder, machine.Name), bin: rig.bin, cutAddresses: map[string]bool{}}
+	node.builds = rig.newBuildRotation(len(rig.Nodes))
 	node.Settings = env.New(env.WithName(machine.Name), env.WithZone(machine.Zone), env.WithRegion(machine.Region),
 		env.WithControl(control), env.WithData(data), env.WithPlatform(rig.Platform.Address))
 	if machine.Core {
 		node.Settings.Folder = filepath.Join(node.folder, "data")
 	}
-	return node, second
+	return node, dataErr
 }
 
-func (rig *Rig) seeds() []string {
+// seedAddresses returns the control addresses of the core machines.
+func (rig *Rig) seedAddresses() []string {
 	seeds := []string{}
 	for _, node := range rig.Nodes {
 		if node.Machine.Core {
@@ -168,20 +189,23 @@
 	return seeds
 }
 
+// faultsPath returns the path of the file from which the programs read the faults to simulate.
 func (node *Node) faultsPath() string { return filepath.Join(node.folder, "faults.json") }
 
+// writeFaults replaces the faults file atomically.
 func (node *Node) writeFaults() error {
-	content, err := json.Marshal(map[string]any{"cut": manifest.SortedKeys(node.cut), "disk": node.disk, "loss": node.loss})
+	content, err := json.Marshal(map[string]any{"cut": manifest.SortedKeys(node.cutAddresses), "disk": node.diskFault, "loss": node.lossPercent})
 	if err != nil {
 		return err
 	}
-	aside := node.faultsPath() + ".aside"
-	if err = os.WriteFile(aside, content, 0o600); err != nil {
+	temporary := node.faultsPath() + ".aside"
+	if err = os.WriteFile(temporary, content, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(aside, node.faultsPath())
+	return os.Rename(temporary, node.faultsPath())
 }
 
+// Start writes the settings and starts both programs.
 func (node *Node) Start() error {
 	if err := os.MkdirAll(node.folder, 0o700); err != nil {
 		return err
@@ -195,92 +219,96 @@
 	}
 	started := []*program{}
 	for _, name := range programNames {
-		program, err := node.start(name, path)
+		program, err := node.startProgram(name, path)
 		if err != nil {
 			return err
 		}
 		started = append(started, program)
 	}
-	node.runs(started)
+	node.setPrograms(started)
 	return nil
 }
 
-// programNames are those that each machine runs.
+// programNames are the programs that each machine runs.
 var programNames = []string{"cedarcp", "cedardp"}
 
-func (node *Node) runs(programs []*program) {
+// setPrograms replaces the list of running programs.
+func (node *Node) setPrograms(programs []*program) {
 	node.lock.Lock()
 	defer node.lock.Unlock()
 	node.programs = programs
 }
 
-// each does something with the programs that were started last.
-func (node *Node) each(then func(*program)) {
+// forEachProgram calls action for each program that was started last, without holding the lock.
+func (node *Node) forEachProgram(action func(*program)) {
 	node.lock.Lock()
 	programs := slices.Clone(node.programs)
 	node.lock.Unlock()
 	for _, program := range programs {
-		then(program)
+		action(program)
 	}
 }
 
-// Kill ends both processes at once, without a farewell.
+// Kill ends both processes with SIGKILL and waits for them.
 func (node *Node) Kill() {
-	node.each(func(program *program) {
+	node.forEachProgram(func(program *program) {
 		program.signal(syscall.SIGKILL)
 		<-program.ended
 	})
-	node.runs(nil)
+	node.setPrograms(nil)
 }
 
-// Stop asks both processes to end and tells whether both did so cleanly.
+// Stop ends both processes with SIGTERM and reports whether both exited with code 0.
 func (node *Node) Stop() bool {
 	clean := true
-	node.each(func(program *program) { program.signal(syscall.SIGTERM) })
-	node.each(func(program *program) { clean = program.clean() && clean })
-	node.runs(nil)
+	node.forEachProgram(func(program *program) { program.signal(syscall.SIGTERM) })
+	node.forEachProgram(func(program *program) { clean = program.waitForCleanExit() && clean })
+	node.setPrograms(nil)
 	return clean
 }
 
-// Revive starts those programs again that ended by themselves, as a platform does, and gives them.
-func (node *Node) Revive() ([]*program, error) {
-	ended, kept := []*program{}, []*program{}
-	node.each(func(program *program) {
-		if program.over() {
+// RestartEnded restarts the programs that have ended on their own, as a supervisor would, and returns the ended processes.
+func (node *Node) RestartEnded() ([]*program, error) {
+	ended, running := []*program{}, []*program{}
+	node.forEachProgram(func(program *program) {
+		if program.hasEnded() {
 			ended = append(ended, program)
 		} else {
-			kept = append(kept, program)
+			running = append(running, program)
 		}
 	})
 	for _, program := range ended {
-		started, err := node.start(program.name, filepath.Join(node.folder, "env.json"))
+		started, err := node.startProgram(program.name, filepath.Join(node.folder, "env.json"))
 		if err != nil {
 			return ended, err
 		}
-		kept = append(kept, started)
+		running = append(running, started)
 	}
-	node.runs(kept)
+	node.setPrograms(running)
 	return ended, nil
 }
 
-// wipe empties a core machine's data folder.
-func (node *Node) wipe() error { return os.RemoveAll(node.Settings.Folder) }
+// wipeData deletes a core machine's data folder.
+func (node *Node) wipeData() error { return os.RemoveAll(node.Settings.Folder) }
 
+// Freeze suspends both processes with SIGSTOP.
 func (node *Node) Freeze() { node.signal(syscall.SIGSTOP) }
 
-func (node *Node) Wake() { node.signal(syscall.SIGCONT) }
+// Resume continues both processes after Freeze.
+func (node *Node) Resume() { node.signal(syscall.SIGCONT) }
 
-// signal sends a signal to both processes that were started last.
+// signal sends a signal to both processes.
 func (node *Node) signal(signal syscall.Signal) {
-	node.each(func(program *program) { program.signal(signal) })
+	node.forEachProgram(func(program *program) { program.signal(signal) })
 }
 
-func (node *Node) Disk(state string) {
-	node.disk = state
+// SetDiskFault simulates a disk that is "full", "stalled" or "slow"; an empty state ends the fault.
+func (node *Node) SetDiskFault(state string) {
+	node.diskFault = state
 	_ = node.writeFaults()
 }
 
-// Cut breaks every link between two groups of machines, both ways; Heal mends all.
+// Cut breaks every link between two groups of machines in both directions until Heal is called.
 func (rig *Rig) Cut(left, right []*Node) {
 	for _, one := range left {
 		for _, other := range right {
@@ -288,29 +316,32 @@
 				continue
 			}
 			for _, address := range []string{other.Settings.Control, other.Settings.Data} {
-				one.cut[address] = true
+				one.cutAddresses[address] = true
 			}
 			for _, address := range []string{one.Settings.Control, one.Settings.Data} {
-				other.cut[address] = true
+				other.cutAddresses[address] = true
 			}
 		}
 	}
-	rig.rewrite()
+	rig.writeAllFaults()
 }
 
+// Heal restores all links.
 func (rig *Rig) Heal() {
 	for _, node := range rig.Nodes {
-		node.cut = map[string]bool{}
+		node.cutAddresses = map[string]bool{}
 	}
-	rig.rewrite()
+	rig.writeAllFaults()
 }
 
-func (rig *Rig) rewrite() {
+// writeAllFaults writes the faults files of all nodes.
+func (rig *Rig) writeAllFaults() {
 	for _, node := range rig.Nodes {
 		_ = node.writeFaults()
 	}
 }
 
+// Start starts the processes of all nodes.
 func (rig *Rig) Start() error {
 	for _, node := range rig.Nodes {
 		if err := node.Start(); err != nil {
@@ -320,9 +351,10 @@
 	return nil
 }
 
+// Close kills all processes and closes all simulated servers.
 func (rig *Rig) Close() {
 	for _, node := range rig.Nodes {
-		node.Wake()
+		node.Resume()
 		node.Kill()
 	}
 	for _, server := range rig.servers {
@@ -330,12 +362,12 @@
 	}
 }
 
-// Await asks until a condition holds or its time is over.
-func (rig *Rig) Await(what string, limit time.Duration, holds func() bool) error {
+// Await polls a condition until it holds, or returns an error that names it when the limit is over.
+func (rig *Rig) Await(description string, limit time.Duration, condition func() bool) error {
 	for began := time.Now(); time.Since(began) < limit; time.Sleep(50 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s did not hold within %v", what, limit)
+	return fmt.Errorf("%s did not hold within %v", description, limit)
 }
--- a/rig/soak.go
+++ b/rig/soak.go
@@ -9,343 +9,356 @@
 	"time"
 )
 
-// soaking is a soak under way: lanes of signals, restarts, changes, departures and cuts that go on side by side. Callers go on using
-// their open connections whatever happens to the processes behind them.
-type soaking struct {
+// soakRun is a soak in progress: concurrent lanes of signals, restarts, manifest writes, server departures and cuts. Callers keep using their
+// open connections whatever happens to the processes behind them.
+type soakRun struct {
 	rig  *Rig
 	plan Plan
-	ends time.Duration
-	lock sync.Mutex
-	// busy names the machines that a lane stops or starts now.
+	// endsAt is when the lanes stop, since the rig's start.
+	endsAt time.Duration
+	lock   sync.Mutex
+	// busy holds the names of machines that a lane is stopping or starting, and of servers that are leaving.
 	busy map[string]bool
-	// coreLost counts core machines that are down, frozen or cut off, of which one may be at a time.
-	coreLost int
-	stops    []span
-	troubles []span
+	// lostCores counts core machines that are down or cut off; at most one may be at a time.
+	lostCores int
+	// stops are the graceful stops, faults the kills and freezes.
+	stops  []timeSpan
+	faults []timeSpan
+	// counts counts the events of each kind.
 	counts   map[string]int
 	failures []error
-	// writes holds a place for each change under way.
+	// writes holds an entry for each manifest write in progress.
 	writes chan struct{}
 	group  sync.WaitGroup
 }
 
-// span is a time in which something was done to a machine's processes.
-type span struct {
+// timeSpan is a period during which a machine's processes were stopped, killed or frozen.
+type timeSpan struct {
 	node        string
 	from, until time.Duration
 }
 
 const (
-	// stopLimit is how long a process may take to end after SIGTERM: the longest reply that it lets end, and time for a frozen one.
-	stopLimit    = 45 * time.Second
-	hangupGap    = 150 * time.Millisecond
-	changeGap    = 150 * time.Millisecond
-	mostWrites   = 8
-	drainGap     = 9 * time.Second
-	departureGap = 2500 * time.Millisecond
-	departureFor = 6 * time.Second
-	cutGap       = 9 * time.Second
-	settleFor    = 2 * time.Second
-	watchGap     = 200 * time.Millisecond
-	// startTime is how long a process may take until its first line runs, on a busy machine.
-	startTime = 300 * time.Millisecond
+	// stopTimeout is how long a process may take to end after SIGTERM: the longest reply that it completes, plus time for a frozen one.
+	stopTimeout = 45 * time.Second
+	// The intervals are mean pauses between two actions of a lane. maxConcurrentWrites limits the manifest writes in progress, departureWindow is
+	// the time that a leaving server or a drained zone is given, and minCutDuration is the shortest cut.
+	hangupInterval       = 150 * time.Millisecond
+	writeInterval        = 150 * time.Millisecond
+	maxConcurrentWrites  = 8
+	drainInterval        = 9 * time.Second
+	departureInterval    = 2500 * time.Millisecond
+	departureWindow      = 6 * time.Second
+	cutInterval          = 9 * time.Second
+	minCutDuration       = 2 * time.Second
+	restartCheckInterval = 200 * time.Millisecond
+	// signalHandlerSetupLimit is how long a process may take on a busy machine until its code runs and handles signals.
+	signalHandlerSetupLimit = 300 * time.Millisecond
 )
 
-// soak lets all lanes run until the plan's span is over, and then wants a fleet that serves, keeps what it accepted and is sound.
+// soak runs all lanes for nine tenths of the plan's span and then checks that the fleet serves, has kept what it accepted and is sound.
 func soak(rig *Rig, plan Plan) error {
-	soaked := &soaking{rig: rig, plan: plan, ends: rig.now() + plan.Span*9/10, busy: map[string]bool{}, counts: map[string]int{},
-		writes: make(chan struct{}, mostWrites)}
-	soaked.lane(1200*time.Millisecond, soaked.stop)
-	soaked.lane(1700*time.Millisecond, soaked.stop)
-	soaked.lane(4*time.Second, soaked.kill)
-	soaked.lane(3*time.Second, soaked.freeze)
-	soaked.lane(hangupGap, soaked.hangUp)
-	soaked.lane(changeGap, soaked.change)
-	soaked.lane(drainGap, soaked.drain)
-	soaked.lane(departureGap, soaked.depart)
-	soaked.lane(cutGap, soaked.cut)
-	soaked.lane(watchGap, soaked.watch)
-	soaked.group.Wait()
-	return soaked.settled()
+	run := &soakRun{rig: rig, plan: plan, endsAt: rig.now() + plan.Span*9/10, busy: map[string]bool{}, counts: map[string]int{},
+		writes: make(chan struct{}, maxConcurrentWrites)}
+	run.startLane(1200*time.Millisecond, run.stopNode)
+	run.startLane(1700*time.Millisecond, run.stopNode)
+	run.startLane(4*time.Second, run.killNode)
+	run.startLane(3*time.Second, run.freezeNode)
+	run.startLane(hangupInterval, run.sendHangup)
+	run.startLane(writeInterval, run.writeManifest)
+	run.startLane(drainInterval, run.drainZone)
+	run.startLane(departureInterval, run.replaceServer)
+	run.startLane(cutInterval, run.cutCoreNode)
+	run.startLane(restartCheckInterval, run.restartEndedPrograms)
+	run.group.Wait()
+	return run.checkOutcome()
 }
 
-// lane does something again and again, with pauses around a gap, until the soak ends.
-func (soaked *soaking) lane(gap time.Duration, act func() error) {
-	soaked.group.Add(1)
+// startLane repeats an action in the background until the soak ends, with random pauses of half to one and a half intervals.
+func (run *soakRun) startLane(interval time.Duration, action func() error) {
+	run.group.Add(1)
 	go func() {
-		defer soaked.group.Done()
+		defer run.group.Done()
 		for {
-			time.Sleep(gap/2 + time.Duration(soaked.rig.draw(int(gap))))
-			if soaked.rig.now() >= soaked.ends {
+			time.Sleep(interval/2 + time.Duration(run.rig.randomBelow(int(interval))))
+			if run.rig.now() >= run.endsAt {
 				return
 			}
-			if failure := act(); failure != nil {
-				soaked.fail(failure)
+			if err := action(); err != nil {
+				run.recordFailure(err)
 			}
 		}
 	}()
 }
 
-func (soaked *soaking) fail(failure error) {
-	soaked.lock.Lock()
-	defer soaked.lock.Unlock()
-	soaked.failures = append(soaked.failures, failure)
-	soaked.plan.Say(fmt.Sprintf("%v FAILED %v", soaked.rig.now().Round(time.Millisecond), failure))
+// recordFailure keeps an error for the final result and prints it.
+func (run *soakRun) recordFailure(err error) {
+	run.lock.Lock()
+	defer run.lock.Unlock()
+	run.failures = append(run.failures, err)
+	run.plan.Log(fmt.Sprintf("%v FAILED %v", run.rig.now().Round(time.Millisecond), err))
 }
 
-func (soaked *soaking) count(what string) {
-	soaked.lock.Lock()
-	defer soaked.lock.Unlock()
-	soaked.counts[what]++
+// count counts an event.
+func (run *soakRun) count(event string) {
+	run.lock.Lock()
+	defer run.lock.Unlock()
+	run.counts[event]++
 }
 
-// claim draws a machine whose programs run and that no lane stops or starts, and none of the core while another of it is lost. Whoever
-// has it lets it go again.
-func (soaked *soaking) claim(fits func(*Node) bool) (*Node, func()) {
-	soaked.lock.Lock()
-	defer soaked.lock.Unlock()
-	node := soaked.rig.Nodes[soaked.rig.draw(len(soaked.rig.Nodes))]
-	if node.Machine.Core && soaked.coreLost > 0 || !fits(node) || !soaked.hold(node) {
+// claimNode draws a machine that matches, that no other lane stops or starts and, if it is a core machine, only while no other core machine is
+// lost. It returns the machine and a function that releases it, or nil if the drawn machine does not qualify.
+func (run *soakRun) claimNode(matches func(*Node) bool) (*Node, func()) {
+	run.lock.Lock()
+	defer run.lock.Unlock()
+	node := run.rig.Nodes[run.rig.randomBelow(len(run.rig.Nodes))]
+	if node.Machine.Core && run.lostCores > 0 || !matches(node) || !run.markBusy(node) {
 		return nil, nil
 	}
 	if node.Machine.Core {
-		soaked.coreLost++
+		run.lostCores++
 	}
 	return node, func() {
-		soaked.lock.Lock()
-		defer soaked.lock.Unlock()
-		soaked.let(node)
+		run.lock.Lock()
+		defer run.lock.Unlock()
+		run.clearBusy(node)
 		if node.Machine.Core {
-			soaked.coreLost--
+			run.lostCores--
 		}
 	}
 }
 
-// hold takes a machine unless another lane has it; the lock is held meanwhile.
-func (soaked *soaking) hold(node *Node) bool {
-	if soaked.busy[node.Machine.Name] {
+// markBusy marks a machine as busy and reports whether it was free. The caller holds the lock.
+func (run *soakRun) markBusy(node *Node) bool {
+	if run.busy[node.Machine.Name] {
 		return false
 	}
-	soaked.busy[node.Machine.Name] = true
+	run.busy[node.Machine.Name] = true
 	return true
 }
 
-func (soaked *soaking) let(node *Node) { delete(soaked.busy, node.Machine.Name) }
+// clearBusy ends markBusy. The caller holds the lock.
+func (run *soakRun) clearBusy(node *Node) { delete(run.busy, node.Machine.Name) }
 
+// anyNode matches every node.
 func anyNode(*Node) bool { return true }
 
-// started tells whether all programs of a machine run, and have run for long enough to have caught signals.
-func started(node *Node) bool {
+// allStarted reports whether all programs of a machine run, and have run for long enough to handle signals.
+func allStarted(node *Node) bool {
 	all := true
-	node.each(func(program *program) { all = all && !program.over() && time.Since(program.began) > startTime })
+	node.forEachProgram(func(program *program) {
+		all = all && !program.hasEnded() && time.Since(program.startedAt) > signalHandlerSetupLimit
+	})
 	return all
 }
 
-// noted keeps a span that begins now; the function that it gives ends it.
-func (soaked *soaking) noted(spans *[]span, node *Node) func() {
-	soaked.lock.Lock()
-	defer soaked.lock.Unlock()
-	place := len(*spans)
-	*spans = append(*spans, span{node: node.Settings.Name, from: soaked.rig.now(), until: soaked.ends + stopLimit})
+// openSpan records a span that begins now and returns the function that ends it.
+func (run *soakRun) openSpan(spans *[]timeSpan, node *Node) func() {
+	run.lock.Lock()
+	defer run.lock.Unlock()
+	index := len(*spans)
+	*spans = append(*spans, timeSpan{node: node.Settings.Name, from: run.rig.now(), until: run.endsAt + stopTimeout})
 	return func() {
-		soaked.lock.Lock()
-		defer soaked.lock.Unlock()
-		(*spans)[place].until = soaked.rig.now()
+		run.lock.Lock()
+		defer run.lock.Unlock()
+		(*spans)[index].until = run.rig.now()
 	}
 }
 
-// stop sends SIGTERM, at times more than once and with SIGHUPs around it, waits for a clean end and starts the machine again.
-func (soaked *soaking) stop() error {
-	node, release := soaked.claim(started)
+// stopNode sends SIGTERM, sometimes repeatedly and preceded by SIGHUPs, waits for a clean exit and starts the machine again.
+func (run *soakRun) stopNode() error {
+	node, release := run.claimNode(allStarted)
 	if node == nil {
 		return nil
 	}
 	defer release()
-	soaked.count("stops")
-	over := soaked.noted(&soaked.stops, node)
-	for range soaked.rig.draw(3) {
+	run.count("stops")
+	endSpan := run.openSpan(&run.stops, node)
+	for range run.rig.randomBelow(3) {
 		node.signal(syscall.SIGHUP)
 	}
 	ended := make(chan bool, 1)
 	go func() { ended <- node.Stop() }()
-	for range soaked.rig.draw(3) {
-		time.Sleep(time.Duration(soaked.rig.draw(int(100 * time.Millisecond))))
+	for range run.rig.randomBelow(3) {
+		time.Sleep(time.Duration(run.rig.randomBelow(int(100 * time.Millisecond))))
 		node.signal(syscall.SIGTERM)
 	}
 	clean, timely := false, false
 	select {
 	case clean = <-ended:
 		timely = true
-	case <-time.After(stopLimit):
+	case <-time.After(stopTimeout):
 		node.Kill()
 	}
-	over()
-	soaked.rig.Ledger.Restarted(node.Machine.Name + "-data")
-	failure := soaked.restart(node)
+	endSpan()
+	run.rig.Ledger.Restarted(node.Machine.Name + "-data")
+	err := run.restartNode(node)
 	if !timely {
-		return errors.Join(failure, fmt.Errorf("%s did not end within %v of SIGTERM", node.Machine.Name, stopLimit))
+		return errors.Join(err, fmt.Errorf("%s did not end within %v of SIGTERM", node.Machine.Name, stopTimeout))
 	}
 	if !clean {
-		return errors.Join(failure, fmt.Errorf("%s ended with a failure on SIGTERM", node.Machine.Name))
+		return errors.Join(err, fmt.Errorf("%s ended with a failure on SIGTERM", node.Machine.Name))
 	}
-	return failure
+	return err
 }
 
-// restart starts a machine after a short pause; some get a SIGHUP as soon as they are there.
-func (soaked *soaking) restart(node *Node) error {
-	time.Sleep(time.Duration(soaked.rig.draw(int(800 * time.Millisecond))))
-	failure := node.Start()
-	if soaked.rig.draw(2) == 0 {
+// restartNode starts a machine after a short pause and sends a SIGHUP immediately in half of the cases.
+func (run *soakRun) restartNode(node *Node) error {
+	time.Sleep(time.Duration(run.rig.randomBelow(int(800 * time.Millisecond))))
+	err := node.Start()
+	if run.rig.randomBelow(2) == 0 {
 		node.signal(syscall.SIGHUP)
 	}
-	return failure
+	return err
 }
 
-// kill ends a machine's processes without a farewell.
-func (soaked *soaking) kill() error {
-	node, release := soaked.claim(anyNode)
+// killNode kills a machine's processes and starts them again.
+func (run *soakRun) killNode() error {
+	node, release := run.claimNode(anyNode)
 	if node == nil {
 		return nil
 	}
 	defer release()
-	soaked.count("kills")
-	over := soaked.noted(&soaked.troubles, node)
-	defer over()
+	run.count("kills")
+	endSpan := run.openSpan(&run.faults, node)
+	defer endSpan()
 	node.Kill()
-	soaked.rig.Ledger.Restarted(node.Machine.Name + "-data")
-	return soaked.restart(node)
+	run.rig.Ledger.Restarted(node.Machine.Name + "-data")
+	return run.restartNode(node)
 }
 
-// freeze stops a machine's processes for up to four seconds; other lanes may stop or kill a frozen one.
-func (soaked *soaking) freeze() error {
-	node := soaked.rig.Nodes[soaked.rig.draw(len(soaked.rig.Nodes))]
+// freezeNode suspends the processes of a machine outside the core for up to four seconds. Other lanes may stop or kill it meanwhile.
+func (run *soakRun) freezeNode() error {
+	node := run.rig.Nodes[run.rig.randomBelow(len(run.rig.Nodes))]
 	if node.Machine.Core {
 		return nil
 	}
-	soaked.count("freezes")
-	over := soaked.noted(&soaked.troubles, node)
-	defer over()
+	run.count("freezes")
+	endSpan := run.openSpan(&run.faults, node)
+	defer endSpan()
 	node.Freeze()
-	time.Sleep(time.Duration(soaked.rig.draw(int(4 * time.Second))))
-	node.Wake()
+	time.Sleep(time.Duration(run.rig.randomBelow(int(4 * time.Second))))
+	node.Resume()
 	return nil
 }
 
-func (soaked *soaking) hangUp() error {
-	soaked.count("hang-ups")
-	soaked.rig.Nodes[soaked.rig.draw(len(soaked.rig.Nodes))].signal(syscall.SIGHUP)
+// sendHangup sends SIGHUP to both processes of a machine.
+func (run *soakRun) sendHangup() error {
+	run.count("hang-ups")
+	run.rig.Nodes[run.rig.randomBelow(len(run.rig.Nodes))].signal(syscall.SIGHUP)
 	return nil
 }
 
-// change begins a write to the manifest through any node; several are under way at once. While the core is unsettled a write may be
-// refused or remain unclear.
-func (soaked *soaking) change() error {
+// writeManifest starts a manifest write through any node, unless too many are in progress. While the core is unsettled a write may fail or
+// remain unclear, but must not be answered with a client error.
+func (run *soakRun) writeManifest() error {
 	select {
-	case soaked.writes <- struct{}{}:
+	case run.writes <- struct{}{}:
 	default:
 		return nil
 	}
-	soaked.group.Add(1)
+	run.group.Add(1)
 	go func() {
-		defer soaked.group.Done()
-		defer func() { <-soaked.writes }()
-		rig, node := soaked.rig, soaked.rig.Nodes[soaked.rig.draw(len(soaked.rig.Nodes))]
-		body := fmt.Appendf(nil, `{"homes":{"guest-%d":%q}}`, rig.draw(10), rig.Site.Regions()[rig.draw(len(rig.Site.Regions()))])
-		status, _, _ := rig.Write(node, http.MethodPatch, "/v1/manifest", fmt.Sprintf("soak-%d-%d", rig.now(), rig.draw(1<<30)), body)
-		soaked.count(fmt.Sprintf("changes answered %d", status))
+		defer run.group.Done()
+		defer func() { <-run.writes }()
+		rig, node := run.rig, run.rig.Nodes[run.rig.randomBelow(len(run.rig.Nodes))]
+		body := fmt.Appendf(nil, `{"homes":{"guest-%d":%q}}`, rig.randomBelow(10), rig.Site.Regions()[rig.randomBelow(len(rig.Site.Regions()))])
+		status, _, _ := rig.Write(node, http.MethodPatch, "/v1/manifest", fmt.Sprintf("soak-%d-%d", rig.now(), rig.randomBelow(1<<30)), body)
+		run.count(fmt.Sprintf("changes answered %d", status))
 		if status >= 400 && status < 500 {
-			soaked.fail(fmt.Errorf("a proper change was answered %d by %s", status, node.Machine.Name))
+			run.recordFailure(fmt.Errorf("a valid manifest change was answered %d by %s", status, node.Machine.Name))
 		}
 	}()
 	return nil
 }
 
-func (soaked *soaking) drain() error {
-	rig := soaked.rig
-	zone := rig.Nodes[rig.draw(len(rig.Nodes))].Machine.Zone
-	soaked.count("drains")
-	if failure := rig.insist("/v1/zones/" + zone + "/drain"); failure != nil {
-		return failure
+// drainZone drains a zone for a while.
+func (run *soakRun) drainZone() error {
+	rig := run.rig
+	zone := rig.Nodes[rig.randomBelow(len(rig.Nodes))].Machine.Zone
+	run.count("drains")
+	if err := rig.writeUntilAccepted("/v1/zones/" + zone + "/drain"); err != nil {
+		return err
 	}
 	rig.Ledger.Drained(zone, rig.now())
-	time.Sleep(departureFor)
+	time.Sleep(departureWindow)
 	rig.Ledger.Undrained(zone, rig.now())
-	return rig.insist("/v1/zones/" + zone + "/undrain")
+	return rig.writeUntilAccepted("/v1/zones/" + zone + "/undrain")
 }
 
-// depart marks a server and replaces it; departures overlap, but no more than a third of the servers leaves at once.
-func (soaked *soaking) depart() error {
-	rig := soaked.rig
-	server := rig.servers[rig.draw(len(rig.servers))]
-	soaked.lock.Lock()
-	leaving := soaked.counts["leaving"]
-	taken := soaked.busy[server.Row.Name] || 3*(leaving+1) > len(rig.servers)
-	if !taken {
-		soaked.busy[server.Row.Name] = true
-		soaked.counts["leaving"]++
-		soaked.counts["departures"]++
+// replaceServer marks a server as leaving and later replaces it. Departures overlap, but at most a third of the servers leave at once.
+func (run *soakRun) replaceServer() error {
+	rig := run.rig
+	server := rig.servers[rig.randomBelow(len(rig.servers))]
+	run.lock.Lock()
+	leaving := run.counts["leaving"]
+	skip := run.busy[server.Spec.Name] || 3*(leaving+1) > len(rig.servers)
+	if !skip {
+		run.busy[server.Spec.Name] = true
+		run.counts["leaving"]++
+		run.counts["departures"]++
 	}
-	soaked.lock.Unlock()
-	if taken {
+	run.lock.Unlock()
+	if skip {
 		return nil
 	}
-	soaked.group.Add(1)
+	run.group.Add(1)
 	go func() {
-		defer soaked.group.Done()
-		rig.Platform.Mark(server, departureFor)
-		time.Sleep(departureFor)
-		failure := rig.Platform.Replace(server)
-		soaked.lock.Lock()
-		delete(soaked.busy, server.Row.Name)
-		soaked.counts["leaving"]--
-		soaked.lock.Unlock()
-		if failure != nil {
-			soaked.fail(failure)
+		defer run.group.Done()
+		rig.Platform.MarkLeaving(server, departureWindow)
+		time.Sleep(departureWindow)
+		err := rig.Platform.Replace(server)
+		run.lock.Lock()
+		delete(run.busy, server.Spec.Name)
+		run.counts["leaving"]--
+		run.lock.Unlock()
+		if err != nil {
+			run.recordFailure(err)
 		}
 	}()
 	return nil
 }
 
-// cut takes a core machine from the other core machines, or from all machines of other zones too.
-func (soaked *soaking) cut() error {
-	node, release := soaked.claim(func(node *Node) bool { return node.Machine.Core })
+// cutCoreNode cuts a core machine off from the other core machines, and in half of the cases also from all machines of other zones.
+func (run *soakRun) cutCoreNode() error {
+	node, release := run.claimNode(func(node *Node) bool { return node.Machine.Core })
 	if node == nil {
 		return nil
 	}
 	defer release()
-	soaked.count("cuts")
-	near := soaked.rig.draw(2) == 0
-	others := soaked.rig.where(func(other *Node) bool {
-		return other != node && (other.Machine.Core || near && other.Machine.Zone != node.Machine.Zone)
+	run.count("cuts")
+	wholeZone := run.rig.randomBelow(2) == 0
+	others := run.rig.nodesWhere(func(other *Node) bool {
+		return other != node && (other.Machine.Core || wholeZone && other.Machine.Zone != node.Machine.Zone)
 	})
-	soaked.rig.Cut([]*Node{node}, others)
-	time.Sleep(settleFor + time.Duration(soaked.rig.draw(int(6*time.Second))))
-	soaked.rig.Heal()
+	run.rig.Cut([]*Node{node}, others)
+	time.Sleep(minCutDuration + time.Duration(run.rig.randomBelow(int(6*time.Second))))
+	run.rig.Heal()
 	return nil
 }
 
-// watch starts programs again that ended by themselves. That is a failure unless a signal came in the first moments of the process, before
-// its first line could run.
-func (soaked *soaking) watch() error {
+// restartEndedPrograms restarts programs that ended on their own. That is a failure unless a signal killed the process before its code could
+// handle signals.
+func (run *soakRun) restartEndedPrograms() error {
 	failures := []error{}
-	for _, node := range soaked.rig.Nodes {
-		soaked.lock.Lock()
-		held := soaked.hold(node)
-		soaked.lock.Unlock()
-		if !held {
+	for _, node := range run.rig.Nodes {
+		run.lock.Lock()
+		claimed := run.markBusy(node)
+		run.lock.Unlock()
+		if !claimed {
 			continue
 		}
-		ended, failure := node.Revive()
-		failures = append(failures, failure)
+		ended, err := node.RestartEnded()
+		failures = append(failures, err)
 		for _, program := range ended {
-			soaked.count("ended by a signal at a start")
-			if !program.signalled() || program.lived > startTime {
-				failures = append(failures, fmt.Errorf("%s of %s ended by itself after %v: %v", program.name, node.Machine.Name, program.lived, program.command.ProcessState))
+			run.count("ended by a signal at a start")
+			if !program.endedBySignal() || program.lifetime > signalHandlerSetupLimit {
+				failures = append(failures, fmt.Errorf("%s of %s ended by itself after %v: %v", program.name, node.Machine.Name, program.lifetime, program.command.ProcessState))
 			}
 		}
-		soaked.lock.Lock()
-		soaked.let(node)
-		soaked.lock.Unlock()
+		run.lock.Lock()
+		run.clearBusy(node)
+		run.lock.Unlock()
 	}
 	return errors.Join(failures...)
 }
--- a/rig/soak_check.go
+++ b/rig/soak_check.go
@@ -16,126 +16,133 @@
 )
 
 const (
-	// readBackNewest is how many of the newest accepted revisions are read back; the oldest of a long soak are no longer kept.
-	readBackNewest = 100
-	// mostMemory bounds the memory of one process at its peak, in KB: what the users' machines give a control process.
-	mostMemory = 128 << 10
+	// readBackCount is how many of the newest accepted revisions are read back; the oldest of a long soak are no longer stored.
+	readBackCount = 100
+	// maxProcessMemoryKB bounds the peak memory of one process: what a deployment gives to a control process.
+	maxProcessMemoryKB = 128 << 10
 )
 
-// settled wants a fleet that is whole again after a soak: it serves, reads back what it accepted, and its programs are sound.
-func (soaked *soaking) settled() error {
-	rig := soaked.rig
-	failures := soaked.failures
+// checkOutcome checks the fleet after a soak: it serves again, returns the revisions that it accepted, its programs are sound, and no call was
+// lost to a graceful stop.
+func (run *soakRun) checkOutcome() error {
+	rig := run.rig
+	failures := run.failures
 	failures = append(failures, rig.Await("serving again", 2*rig.bounds.Return(), func() bool {
-		failures = append(failures, soaked.watch())
-		return rig.serves()
-	}), soaked.readBack(), rig.sound())
-	for _, lost := range soaked.lostAtStops() {
+		failures = append(failures, run.restartEndedPrograms())
+		return rig.isServing()
+	}), run.readBackNewestRevisions(), rig.checkProcesses())
+	for _, lost := range run.lostDuringStops() {
 		failures = append(failures, fmt.Errorf("call %s ran and got no answer while %s stopped as planned, sent at %v, ended at %v", lost.Call, lost.Node, lost.Sent, lost.Ended))
 	}
-	soaked.plan.Say(fmt.Sprint(rig.Taken()))
-	for _, what := range manifest.SortedKeys(soaked.counts) {
-		soaked.plan.Say(fmt.Sprintf("  %-28s %d", what, soaked.counts[what]))
+	run.plan.Log(fmt.Sprint(rig.ResourceUsage()))
+	for _, event := range manifest.SortedKeys(run.counts) {
+		run.plan.Log(fmt.Sprintf("  %-28s %d", event, run.counts[event]))
 	}
 	return errors.Join(failures...)
 }
 
-func (soaked *soaking) readBack() error {
-	rig := soaked.rig
+// readBackNewestRevisions reads the newest accepted revisions.
+func (run *soakRun) readBackNewestRevisions() error {
+	rig := run.rig
 	accepted := rig.Ledger.AcceptedRevisions()
-	for place, revision := range accepted[max(0, len(accepted)-readBackNewest):] {
-		if failure := rig.readRevision(place, revision); failure != nil {
-			return failure
+	for index, revision := range accepted[max(0, len(accepted)-readBackCount):] {
+		if err := rig.awaitRevision(index, revision); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// lostAtStops gives the calls that a server ran and that were cut while their machine stopped as planned and had no other trouble.
-func (soaked *soaking) lostAtStops() []ledger.Cut {
+// lostDuringStops returns the calls that a server ran and that were broken off while their machine stopped gracefully without being killed or
+// frozen around that time.
+func (run *soakRun) lostDuringStops() []ledger.Cut {
 	lost := []ledger.Cut{}
-	for _, cut := range soaked.rig.Ledger.Cuts() {
-		if during(soaked.stops, cut, 0) && !during(soaked.troubles, cut, soaked.rig.bounds.Withdraw()) {
+	for _, cut := range run.rig.Ledger.Cuts() {
+		if overlapsAny(run.stops, cut, 0) && !overlapsAny(run.faults, cut, run.rig.bounds.Withdraw()) {
 			lost = append(lost, cut)
 		}
 	}
 	return lost
 }
 
-// during tells whether a call was under way while something was done to its machine, or so long after.
-func during(spans []span, cut ledger.Cut, after time.Duration) bool {
+// overlapsAny reports whether a call was in progress during one of the spans of its machine, or within margin after it.
+func overlapsAny(spans []timeSpan, cut ledger.Cut, margin time.Duration) bool {
 	for _, span := range spans {
-		if span.node == cut.Node && span.from <= cut.Ended && cut.Sent <= span.until+after {
+		if span.node == cut.Node && span.from <= cut.Ended && cut.Sent <= span.until+margin {
 			return true
 		}
 	}
 	return false
 }
 
-// sound looks at the programs' own lines and at what the processes took; it says the largest of each.
-func (rig *Rig) sound() error {
+// checkProcesses checks the programs' logs for crashes and data races, and their peak memory against its bound.
+func (rig *Rig) checkProcesses() error {
 	failures := []error{}
 	for _, node := range rig.Nodes {
 		for _, program := range programNames {
-			content, failure := os.ReadFile(filepath.Join(node.folder, program+".log"))
-			failures = append(failures, failure)
+			content, err := os.ReadFile(filepath.Join(node.folder, program+".log"))
+			failures = append(failures, err)
 			for _, word := range []string{"panic:", "fatal error:", "DATA RACE"} {
 				if bytes.Contains(content, []byte(word)) {
 					failures = append(failures, fmt.Errorf("%s of %s wrote %q", program, node.Machine.Name, word))
 				}
 			}
 		}
-		node.each(func(program *program) {
-			if taken := peakMemory(program.pid()); taken > mostMemory {
-				failures = append(failures, fmt.Errorf("a process of %s took %d KB", node.Machine.Name, taken))
+		node.forEachProgram(func(program *program) {
+			if memory := peakMemoryKB(program.pid()); memory > maxProcessMemoryKB {
+				failures = append(failures, fmt.Errorf("a process of %s used %d KB at its peak", node.Machine.Name, memory))
 			}
 		})
 	}
 	return errors.Join(failures...)
 }
 
-// peakMemory gives the most memory that a process has had, in KB, or 0 if it is not there.
-func peakMemory(pid int) int64 { return statusFigure(pid, "VmHWM:") }
+// peakMemoryKB returns the peak resident memory of a process in KB, or 0 if the process does not exist.
+func peakMemoryKB(pid int) int64 { return processStatusKB(pid, "VmHWM:") }
 
-func statusFigure(pid int, name string) int64 {
-	content, failure := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if failure != nil {
+// processStatusKB reads a value in KB from /proc/PID/status, or 0 if it is not there.
+func processStatusKB(pid int, name string) int64 {
+	content, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
 		return 0
 	}
 	for _, line := range strings.Split(string(content), "\n") {
-		if text, fine := strings.CutPrefix(line, name); fine {
-			figure, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(text, "kB")), 10, 64)
-			return figure
+		if text, ok := strings.CutPrefix(line, name); ok {
+			value, _ := strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(text, "kB")), 10, 64)
+			return value
 		}
 	}
 	return 0
 }
 
-// Taken is what all processes of a fleet take together.
-type Taken struct {
+// ResourceUsage is what all processes of a fleet use together.
+type ResourceUsage struct {
+	// Processes is the number of processes, MemoryMB their resident memory together.
 	Processes int
 	MemoryMB  int64
-	MostMB    int64
-	MostFiles int
+	// MaxMemoryMB is the largest peak memory and MaxFiles the largest number of open files of one process.
+	MaxMemoryMB int64
+	MaxFiles    int
 }
 
-func (taken Taken) String() string {
-	return fmt.Sprintf("%d processes, %d MB in all, %d MB and %d descriptors at most in one", taken.Processes, taken.MemoryMB, taken.MostMB, taken.MostFiles)
+// String formats the usage on one line.
+func (usage ResourceUsage) String() string {
+	return fmt.Sprintf("%d processes, %d MB in all, %d MB and %d descriptors at most in one", usage.Processes, usage.MemoryMB, usage.MaxMemoryMB, usage.MaxFiles)
 }
 
-// Taken sums what the processes take now.
-func (rig *Rig) Taken() Taken {
-	taken, lock := Taken{}, sync.Mutex{}
+// ResourceUsage sums up what the processes use now.
+func (rig *Rig) ResourceUsage() ResourceUsage {
+	usage, lock := ResourceUsage{}, sync.Mutex{}
 	for _, node := range rig.Nodes {
-		node.each(func(program *program) {
+		node.forEachProgram(func(program *program) {
 			lock.Lock()
 			defer lock.Unlock()
 			files, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", program.pid()))
-			taken.Processes++
-			taken.MemoryMB += statusFigure(program.pid(), "VmRSS:") >> 10
-			taken.MostMB = max(taken.MostMB, peakMemory(program.pid())>>10)
-			taken.MostFiles = max(taken.MostFiles, len(files))
+			usage.Processes++
+			usage.MemoryMB += processStatusKB(program.pid(), "VmRSS:") >> 10
+			usage.MaxMemoryMB = max(usage.MaxMemoryMB, peakMemoryKB(program.pid())>>10)
+			usage.MaxFiles = max(usage.MaxFiles, len(files))
 		})
 	}
-	return taken
+	return usage
 }
--- a/rig/troubles.go
+++ b/rig/troubles.go
@@ -11,69 +11,73 @@
 	"time"
 )
 
-// cutOneWay stops what two machines send; they still hear all.
+// cutOneWay drops what two machines send; they still receive everything.
 func cutOneWay(rig *Rig, plan Plan) error {
-	time.Sleep(plan.part(0.2))
-	for _, node := range rig.some(2) {
+	time.Sleep(plan.fraction(0.2))
+	for _, node := range rig.randomNodes(2) {
 		for _, other := range rig.Nodes {
 			if other != node {
-				node.cut[other.Settings.Control], node.cut[other.Settings.Data] = true, true
+				node.cutAddresses[other.Settings.Control], node.cutAddresses[other.Settings.Data] = true, true
 			}
 		}
 	}
-	rig.rewrite()
-	time.Sleep(plan.part(0.3))
+	rig.writeAllFaults()
+	time.Sleep(plan.fraction(0.3))
 	rig.Heal()
-	return rig.Await("serving again", rig.bounds.Return(), rig.serves)
+	return rig.Await("serving again", rig.bounds.Return(), rig.isServing)
 }
 
+// lossPercent is the message loss of the story with lossy links.
 const lossPercent = 10
 
-func lossy(rig *Rig, plan Plan) error {
-	time.Sleep(plan.part(0.2))
-	rig.lose(lossPercent)
-	time.Sleep(plan.part(0.5))
-	err := rig.writes("while links lose")
-	rig.lose(0)
+// lossyLinks makes all links lose messages; writes must still be accepted.
+func lossyLinks(rig *Rig, plan Plan) error {
+	time.Sleep(plan.fraction(0.2))
+	rig.setLoss(lossPercent)
+	time.Sleep(plan.fraction(0.5))
+	err := rig.awaitWrite("while links lose")
+	rig.setLoss(0)
 	return err
 }
 
-func (rig *Rig) lose(percent int) {
+// setLoss sets the message loss of all links.
+func (rig *Rig) setLoss(percent int) {
 	for _, node := range rig.Nodes {
-		node.loss = percent
+		node.lossPercent = percent
 	}
-	rig.rewrite()
+	rig.writeAllFaults()
 }
 
-func (rig *Rig) cores() []*Node {
-	return rig.where(func(node *Node) bool { return node.Machine.Core })
+// coreNodes returns the core machines.
+func (rig *Rig) coreNodes() []*Node {
+	return rig.nodesWhere(func(node *Node) bool { return node.Machine.Core })
 }
 
-// lyingDisk takes a core machine back to an older copy of its folder, as a disk does that lost what it had acknowledged.
-func lyingDisk(rig *Rig, plan Plan) error {
-	time.Sleep(plan.part(0.1))
-	node := rig.cores()[rig.draw(3)]
-	copied := filepath.Join(node.folder, "older")
-	if err := os.CopyFS(copied, os.DirFS(node.Settings.Folder)); err != nil {
+// lostDiskWrites resets a core machine to an older copy of its data, as after a disk that lost writes it had acknowledged.
+func lostDiskWrites(rig *Rig, plan Plan) error {
+	time.Sleep(plan.fraction(0.1))
+	node := rig.coreNodes()[rig.randomBelow(3)]
+	backup := filepath.Join(node.folder, "older")
+	if err := os.CopyFS(backup, os.DirFS(node.Settings.Folder)); err != nil {
 		return err
 	}
-	if err := rig.writes("before the loss"); err != nil {
+	if err := rig.awaitWrite("before the loss"); err != nil {
 		return err
 	}
-	time.Sleep(plan.part(0.1))
+	time.Sleep(plan.fraction(0.1))
 	node.Kill()
 	rig.Ledger.Restarted(node.Machine.Name + "-data")
-	if err := errors.Join(node.wipe(), os.Rename(copied, node.Settings.Folder), node.Start()); err != nil {
+	if err := errors.Join(node.wipeData(), os.Rename(backup, node.Settings.Folder), node.Start()); err != nil {
 		return err
 	}
-	time.Sleep(plan.part(0.2))
-	return errors.Join(rig.writes("after the loss"), rig.readBack())
+	time.Sleep(plan.fraction(0.2))
+	return errors.Join(rig.awaitWrite("after the loss"), rig.readBackAccepted())
 }
 
-// tornDisk cuts the newest files of a core machine in half while it is down.
+// tornDisk truncates the newest files of a core machine to half their size while it is down.
 func tornDisk(rig *Rig, plan Plan) error {
-	time.Sleep(plan.part(0.2))
-	node := rig.cores()[rig.draw(3)]
+	time.Sleep(plan.fraction(0.2))
+	node := rig.coreNodes()[rig.randomBelow(3)]
 	node.Kill()
 	rig.Ledger.Restarted(node.Machine.Name + "-data")
 	entries, err := os.ReadDir(node.Settings.Folder)
@@ -88,37 +92,38 @@
 			}
 		}
 	}
-	time.Sleep(plan.part(0.1))
+	time.Sleep(plan.fraction(0.1))
 	if err = node.Start(); err != nil {
 		return err
 	}
-	time.Sleep(plan.part(0.2))
-	return errors.Join(rig.writes("after the tear"), rig.readBack())
+	time.Sleep(plan.fraction(0.2))
+	return errors.Join(rig.awaitWrite("after the tear"), rig.readBackAccepted())
 }
 
-// readBack wants every accepted revision through any node.
-func (rig *Rig) readBack() error {
-	for place, revision := range rig.Ledger.AcceptedRevisions() {
-		if err := rig.readRevision(place, revision); err != nil {
+// readBackAccepted checks that every accepted revision can be read.
+func (rig *Rig) readBackAccepted() error {
+	for index, revision := range rig.Ledger.AcceptedRevisions() {
+		if err := rig.awaitRevision(index, revision); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readRevision wants an accepted revision through one of the nodes.
-func (rig *Rig) readRevision(place int, revision int64) error {
+// awaitRevision waits until an accepted revision can be read through the node of an index.
+func (rig *Rig) awaitRevision(index int, revision int64) error {
 	return rig.Await(fmt.Sprintf("revision %d", revision), rig.bounds.Return(), func() bool {
-		status, _, _ := rig.Operate(rig.Nodes[place%len(rig.Nodes)].Settings.Control, http.MethodGet, fmt.Sprintf("/v1/manifest?revision=%d", revision), "", nil)
+		status, _, _ := rig.Operate(rig.Nodes[index%len(rig.Nodes)].Settings.Control, http.MethodGet, fmt.Sprintf("/v1/manifest?revision=%d", revision), "", nil)
 		return status == http.StatusOK
 	})
 }
 
+// lateReports makes all servers repeat old load reports; scaling down must still unload a server.
 func lateReports(rig *Rig, plan Plan) error {
 	for _, server := range rig.servers {
-		server.Mode("late")
+		server.SetMode("late")
 	}
-	pool := rig.servers[0].Row.Pool
+	pool := rig.servers[0].Spec.Pool
 	_, _, err := rig.Write(rig.Nodes[7], http.MethodPost, "/v1/pools/"+pool+"/scale", "down", []byte("3"))
 	if err == nil {
 		err = rig.Await("an unload by late reports", 3*rig.bounds.Return(), func() bool {
@@ -128,22 +133,22 @@
 		})
 	}
 	for _, server := range rig.servers {
-		server.Mode("")
+		server.SetMode("")
 	}
 	return err
 }
 
-// rolling replaces every server of a region, one after another.
-func rolling(rig *Rig, plan Plan) error {
+// rollingReplacement replaces every server of a region, one after another.
+func rollingReplacement(rig *Rig, plan Plan) error {
 	region, servers := rig.Site.Regions()[0], []*Server{}
 	for _, server := range rig.servers {
-		if server.Row.Region == region {
+		if server.Spec.Region == region {
 			servers = append(servers, server)
 		}
 	}
-	pause := plan.part(0.8) / time.Duration(len(servers))
+	pause := plan.fraction(0.8) / time.Duration(len(servers))
 	for _, server := range servers {
-		rig.Platform.Mark(server, pause)
+		rig.Platform.MarkLeaving(server, pause)
 		time.Sleep(pause)
 		if err := rig.Platform.Replace(server); err != nil {
 			return err
@@ -152,45 +157,46 @@
 	return nil
 }
 
-// Replace puts a cold server in the place of one that was marked.
+// Replace restarts a server that was marked as leaving with empty caches and removes the mark.
 func (platform *Platform) Replace(server *Server) error {
 	server.Crash()
 	server.lock.Lock()
-	server.leaving, server.leavingMs, server.unloaded = time.Time{}, 0, false
+	server.leavingSince, server.leavingWindowMs, server.unloaded = time.Time{}, 0, false
 	server.lock.Unlock()
-	platform.rig.Ledger.Unmarked(server.Row.Name)
+	platform.rig.Ledger.Unmarked(server.Spec.Name)
 	return server.start()
 }
 
-func crowded(rig *Rig, plan Plan) error {
-	time.Sleep(plan.part(0.2))
-	crowd := rig.NewCrowd(plan.Seed + 1000)
-	crowd.prefix = "crowd-"
-	crowd.Run(plan.part(0.4), 3)
-	crowd.Wait()
+// extraTraffic adds three times the site's traffic for a part of the run.
+func extraTraffic(rig *Rig, plan Plan) error {
+	time.Sleep(plan.fraction(0.2))
+	traffic := rig.NewTraffic(plan.Seed + 1000)
+	traffic.keyPrefix = "crowd-"
+	traffic.Run(plan.fraction(0.4), 3)
+	traffic.Wait()
 	return nil
 }
 
-// races has two operators drain two zones, undrain them, and patch, all at once and through different nodes.
-func races(rig *Rig, plan Plan) error {
+// concurrentOperators drains and then undrains all zones of a region through different nodes while manifest writes are sent.
+func concurrentOperators(rig *Rig, plan Plan) error {
 	zones := []string{}
 	for _, node := range rig.Nodes {
 		if node.Machine.Region == rig.Site.Regions()[0] && !slices.Contains(zones, node.Machine.Zone) {
 			zones = append(zones, node.Machine.Zone)
 		}
 	}
-	time.Sleep(plan.part(0.2))
-	for turn, verb := range []string{"drain", "undrain"} {
+	time.Sleep(plan.fraction(0.2))
+	for round, verb := range []string{"drain", "undrain"} {
 		group, errs := sync.WaitGroup{}, make([]error, len(zones)+1)
-		for place, zone := range zones {
+		for index, zone := range zones {
 			group.Add(1)
 			go func() {
 				defer group.Done()
 				if verb == "undrain" {
 					rig.Ledger.Undrained(zone, rig.now())
 				}
-				_, _, errs[place] = rig.Write(rig.Nodes[place*3+turn], http.MethodPost, "/v1/zones/"+zone+"/"+verb, fmt.Sprintf("%s-%s-%d", verb, zone, rig.now()), nil)
-				if verb == "drain" && errs[place] == nil {
+				_, _, errs[index] = rig.Write(rig.Nodes[index*3+round], http.MethodPost, "/v1/zones/"+zone+"/"+verb, fmt.Sprintf("%s-%s-%d", verb, zone, rig.now()), nil)
+				if verb == "drain" && errs[index] == nil {
 					rig.Ledger.Drained(zone, rig.now())
 				}
 			}()
@@ -198,13 +204,13 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			errs[len(zones)] = storm(rig, Plan{Seed: plan.Seed})
+			errs[len(zones)] = writeBurst(rig, Plan{Seed: plan.Seed})
 		}()
 		group.Wait()
 		if err := errors.Join(errs...); err != nil {
 			return err
 		}
-		time.Sleep(plan.part(0.2))
+		time.Sleep(plan.fraction(0.2))
 	}
-	return rig.readBack()
+	return rig.readBackAccepted()
 }
