--- a/cmd/cedarrig/explore.go
+++ b/cmd/cedarrig/explore.go
@@ -8,47 +8,47 @@
 	"github.com/cedarreel/cedarreel/nodecheck"
 )
 
-// walkSteps is how many actions a walk has after the core came up.
+// walkSteps is the number of actions in each walk after the core has formed.
 const walkSteps = 2000
 
-// explore checks the core in random walks and prints what was explored, and a replay of the walk that broke something.
-func explore(given arguments) (bool, error) {
-	if given.Plant == "list" {
+// explore checks the core in random walks and prints a summary, with a replay line for a walk that broke a rule.
+func explore(args arguments) (bool, error) {
+	if args.PlantedFault == "list" {
 		for _, fault := range modelcheck.Faults() {
 			fmt.Println(fault)
 		}
 		return true, nil
 	}
-	summary := modelcheck.Explore(modelcheck.Plan{Seed: given.Seed, Steps: walkSteps, Sizes: given.Members, Fault: modelcheck.Fault(given.Plant),
-		States: given.Explore, Within: time.Duration(given.Minutes) * time.Minute})
+	summary := modelcheck.Explore(modelcheck.Plan{Seed: args.Seed, Steps: walkSteps, Sizes: args.Members, Fault: modelcheck.Fault(args.PlantedFault),
+		States: args.ExploredStates, Within: time.Duration(args.Minutes) * time.Minute})
 	fmt.Println(summary)
 	return summary.Broken == nil, nil
 }
 
-// enumeratedStates is how many states a search may hold.
-const enumeratedStates = 2_000_000
+// maxEnumeratedStates bounds the states that an exhaustive search holds.
+const maxEnumeratedStates = 2_000_000
 
-// enumerate checks the core in all traces of moves up to a depth, each state visited once.
-func enumerate(given arguments) (bool, error) {
-	found := modelcheck.Enumerate(modelcheck.Search{Members: coreMembers, Bounds: modelcheck.DefaultBounds(), Depth: given.Depth, States: enumeratedStates,
-		Within: time.Duration(given.Minutes) * time.Minute, Fault: modelcheck.Fault(given.Plant)})
-	fmt.Println(found)
-	return found.Violation == "", nil
+// enumerate checks the core in all traces of moves up to a depth, visiting each state once.
+func enumerate(args arguments) (bool, error) {
+	result := modelcheck.Enumerate(modelcheck.Search{Members: enumeratedMembers, Bounds: modelcheck.DefaultBounds(), Depth: args.EnumerateDepth, States: maxEnumeratedStates,
+		Within: time.Duration(args.Minutes) * time.Minute, Fault: modelcheck.Fault(args.PlantedFault)})
+	fmt.Println(result)
+	return result.Violation == "", nil
 }
 
-// coreMembers is the size of the core that is searched.
-const coreMembers = 3
+// enumeratedMembers is the size of the core in an exhaustive search.
+const enumeratedMembers = 3
 
-// walkNodes checks whole control nodes in walks; 'list' names the faults that can be planted in them.
-func walkNodes(given arguments) (bool, error) {
-	if given.Plant == "list" {
+// walkNodes checks whole control nodes in random walks, or lists the faults that can be injected into them.
+func walkNodes(args arguments) (bool, error) {
+	if args.PlantedFault == "list" {
 		for _, fault := range nodecheck.Faults() {
 			fmt.Println(fault)
 		}
 		return true, nil
 	}
-	summary := nodecheck.Explore(nodecheck.Options{Seed: given.Seed, Span: time.Duration(given.Span) * time.Second, Fault: nodecheck.Fault(given.Plant)}, given.Nodes,
-		time.Duration(given.Minutes)*time.Minute)
+	summary := nodecheck.Explore(nodecheck.Options{Seed: args.Seed, Span: time.Duration(args.SpanSeconds) * time.Second, Fault: nodecheck.Fault(args.PlantedFault)}, args.NodeWalks,
+		time.Duration(args.Minutes)*time.Minute)
 	fmt.Println(summary)
 	return summary.Broken == nil, nil
 }
--- a/cmd/cedarrig/load.go
+++ b/cmd/cedarrig/load.go
@@ -9,21 +9,21 @@
 	"github.com/cedarreel/cedarreel/site"
 )
 
-// loads plays every scene of load with several seeds and prints what each class saw.
-func loads(given arguments) (bool, error) {
-	debug.SetGCPercent(sweepGarbage)
-	described, err := site.Load(given.Site)
+// runLoadScenes runs every load scene in memory with several seeds and prints the figures of each call class.
+func runLoadScenes(args arguments) (bool, error) {
+	debug.SetGCPercent(gcPercent)
+	deployment, err := site.Load(args.Site)
 	if err != nil {
 		return false, err
 	}
 	clean := true
 	for _, name := range fleet.SceneNames() {
-		sum, hits, asked, turns, kept, breaches := ledger.NewFigures(), 0, 0, 0, 0, 0
-		for _, one := range beside(given, given.Load, func(seed uint64) fleet.Loaded { return fleet.Load(described, seed, name) }) {
-			sum.Add(one.Figures)
-			hits, asked, turns, kept, breaches = hits+one.Hits, asked+one.Asked, turns+one.Turns, kept+one.Kept, breaches+len(one.Breaches)
+		figures, prefixHits, prefixLookups, turns, sessionsKept, breaches := ledger.NewFigures(), 0, 0, 0, 0, 0
+		for _, result := range runParallel(args, args.LoadSeeds, func(seed uint64) fleet.Loaded { return fleet.Load(deployment, seed, name) }) {
+			figures.Add(result.Figures)
+			prefixHits, prefixLookups, turns, sessionsKept, breaches = prefixHits+result.Hits, prefixLookups+result.Asked, turns+result.Turns, sessionsKept+result.Kept, breaches+len(result.Breaches)
 		}
-		fmt.Printf("%s: %d seeds from %d, prefixes held %d of %d, sessions kept %d of %d, breaches %d\n%s\n", name, given.Load, given.Seed, hits, asked, kept, turns, breaches, sum.Text())
+		fmt.Printf("%s: %d seeds from %d, prefixes held %d of %d, sessions kept %d of %d, breaches %d\n%s\n", name, args.LoadSeeds, args.Seed, prefixHits, prefixLookups, sessionsKept, turns, breaches, figures.Text())
 		clean = clean && breaches == 0
 	}
 	return clean, nil
--- a/cmd/cedarrig/main.go
+++ b/cmd/cedarrig/main.go
@@ -1,4 +1,4 @@
-// cedarrig plays a whole fleet on one machine and breaks it; it is for tests only.
+// cedarrig runs a whole fleet on one machine, or emulates one in memory, and injects faults. It is a test tool only.
 package main
 
 import (
@@ -15,94 +15,95 @@
 	"github.com/jessevdk/go-flags"
 )
 
+// arguments are the command-line flags. Flags that count runs, such as --sweep, select what runs instead of real processes.
 type arguments struct {
-	Site     string  `long:"site" description:"folder of a deployment, or its file with --play" default:"deploy/brazos"`
-	Bin      string  `long:"bin" description:"folder of the programs; beside cedarrig when not given"`
-	OtherBin string  `long:"other-bin" description:"folder of another build; machines and their restarts alternate between the two"`
-	Folder   string  `long:"folder" description:"folder for settings, logs and data; a new temporary one when not given"`
-	Seconds  int     `long:"seconds" description:"how long traffic runs" default:"20"`
-	Rate     float64 `long:"rate" description:"traffic as a part of the site's" default:"1"`
-	Seed     uint64  `long:"seed" description:"seed of the traffic and of the faults" default:"1"`
-	Story    string  `long:"story" description:"what happens while traffic runs; 'list' names the stories" default:"calm"`
-	Stay     bool    `long:"stay" description:"after the traffic, leave the fleet up until a signal comes"`
-	Machines int     `long:"machines" description:"how many machines the deployment has at least; those that are added hold nothing of the core"`
-	Sweep    int     `long:"sweep" description:"instead of processes, play so many seeded days in memory"`
-	Faults   int     `long:"faults" description:"faults in each day of a sweep" default:"4"`
-	Fault    string  `long:"fault" description:"play this fault alone in a sweep; 'list' names them"`
-	Span     int     `long:"span" description:"seconds of trouble in each day of a sweep" default:"50"`
-	Record   string  `long:"record" description:"file that takes each day of a sweep; a sweep that was stopped goes on after it"`
-	Retire   int     `long:"retire" description:"instead of processes, measure so many seeded retirements of each cause in memory"`
-	Load     int     `long:"load" description:"instead of processes, play each scene of load in memory with so many seeds"`
-	Beside   int     `long:"beside" description:"days of a sweep played side by side" default:"8"`
-	Explore  int64   `long:"explore" description:"instead of processes, check the core in random walks of so many states"`
-	Depth    int     `long:"enumerate" description:"instead of processes, check the core in all traces of up to so many moves, each state once"`
-	Nodes    int     `long:"nodes" description:"instead of processes, check whole control nodes in so many walks of --span seconds"`
-	Members  []int   `long:"members" description:"members of the core that is checked, one size each time it is given" default:"3" default:"5" default:"6"`
-	Minutes  int     `long:"minutes" description:"how long a check of the core may take" default:"30"`
-	Plant    string  `long:"plant" description:"plant this fault in the core that is checked; 'list' names them"`
-	Play     int     `long:"play" description:"instead of processes, emulate so many seeded days of the site file that --site names"`
-	Soak     int     `long:"soak" description:"instead of processes, emulate so many seeded long days of overlapping series of troubles on the site file that --site names"`
-	Tenants  int     `long:"tenants" description:"with --play and --soak, how many organisations the configuration names, whose keys come and go"`
-	Vs       string  `long:"vs" description:"with --play, compare with another setting of the product over the same seeds: gateway.repeatRatio=0.1"`
-	Oracle   bool    `long:"oracle" description:"with --play, tell all nodes at once of each cache that is lost, as nothing in the product can"`
-	Plot     string  `long:"plot" description:"file that takes the plot of a comparison" default:"target/vs.svg"`
-	Tell     bool    `long:"tell" description:"print every change of state in a sweep"`
-	Version  bool    `long:"version" description:"print the version and stop"`
+	Site           string  `long:"site" description:"folder of a deployment, or a site file with --play and --soak" default:"deploy/brazos"`
+	Bin            string  `long:"bin" description:"folder of the programs; the folder of cedarrig by default"`
+	OtherBin       string  `long:"other-bin" description:"folder of a second build; machines and their restarts alternate between the two"`
+	Folder         string  `long:"folder" description:"folder for settings, logs and data; a new temporary folder by default"`
+	Seconds        int     `long:"seconds" description:"duration of the traffic in seconds" default:"20"`
+	Rate           float64 `long:"rate" description:"factor on the site's call rates" default:"1"`
+	Seed           uint64  `long:"seed" description:"seed of the traffic and of the faults" default:"1"`
+	Story          string  `long:"story" description:"story to play while traffic runs; 'list' prints the stories" default:"calm"`
+	KeepRunning    bool    `long:"stay" description:"keep the fleet running after the traffic until a signal arrives"`
+	Machines       int     `long:"machines" description:"minimum number of machines; added ones are not members of the core"`
+	SweepDays      int     `long:"sweep" description:"instead of processes, run this many seeded days in memory"`
+	FaultCount     int     `long:"faults" description:"number of faults in each day of a sweep" default:"4"`
+	FaultName      string  `long:"fault" description:"inject only this fault in a sweep; 'list' prints the faults"`
+	SpanSeconds    int     `long:"span" description:"seconds during which faults occur in each day of a sweep" default:"50"`
+	Record         string  `long:"record" description:"file to which each day of a sweep is appended; an interrupted sweep resumes from it"`
+	Retirements    int     `long:"retire" description:"instead of processes, measure this many seeded server retirements of each cause in memory"`
+	LoadSeeds      int     `long:"load" description:"instead of processes, run each load scene in memory with this many seeds"`
+	Parallel       int     `long:"beside" description:"number of runs in parallel" default:"8"`
+	ExploredStates int64   `long:"explore" description:"instead of processes, check the core in random walks over this many states"`
+	EnumerateDepth int     `long:"enumerate" description:"instead of processes, check the core in all traces of up to this many moves, visiting each state once"`
+	NodeWalks      int     `long:"nodes" description:"instead of processes, check whole control nodes in this many random walks of --span seconds"`
+	Members        []int   `long:"members" description:"number of core members to check; may be repeated" default:"3" default:"5" default:"6"`
+	Minutes        int     `long:"minutes" description:"time limit in minutes for a check of the core or of control nodes" default:"30"`
+	PlantedFault   string  `long:"plant" description:"inject this fault into the core or nodes being checked; 'list' prints the faults"`
+	EmulatedDays   int     `long:"play" description:"instead of processes, emulate this many seeded days of the site file in --site"`
+	SoakDays       int     `long:"soak" description:"instead of processes, emulate this many seeded soaks of overlapping series of faults on the site file in --site"`
+	Tenants        int     `long:"tenants" description:"with --play and --soak, number of organisations in the configuration, whose keys are added and removed"`
+	CompareWith    string  `long:"vs" description:"with --play, compare with a changed setting over the same seeds, for example gateway.repeatRatio=0.1"`
+	Oracle         bool    `long:"oracle" description:"with --play, inform all nodes immediately of each lost cache, as an upper bound that the product cannot reach"`
+	Plot           string  `long:"plot" description:"output file for the plot of a comparison" default:"target/vs.svg"`
+	Trace          bool    `long:"tell" description:"print every state change of emulated runs"`
+	Version        bool    `long:"version" description:"print the version and stop"`
 }
 
 func main() {
-	var given arguments
-	parser := flags.NewParser(&given, flags.HelpFlag|flags.PassDoubleDash)
+	var args arguments
+	parser := flags.NewParser(&args, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.Parse(); err != nil {
-		var asked *flags.Error
-		if errors.As(err, &asked) && asked.Type == flags.ErrHelp {
-			fmt.Println(asked.Message)
+		var flagsErr *flags.Error
+		if errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp {
+			fmt.Println(flagsErr.Message)
 			return
 		}
 		fmt.Fprintln(os.Stderr, "cedarrig:", err)
 		os.Exit(2)
 	}
-	if given.Version {
+	if args.Version {
 		fmt.Println("cedarrig", serve.Version)
 		return
 	}
-	if given.Story == "list" {
+	if args.Story == "list" {
 		for _, name := range rig.StoryNames() {
 			fmt.Println(name)
 		}
 		return
 	}
-	if given.Fault == "list" {
+	if args.FaultName == "list" {
 		for _, name := range fleet.FaultNames() {
 			fmt.Println(name)
 		}
 		return
 	}
-	run := play
-	if given.Sweep > 0 {
+	run := playStory
+	if args.SweepDays > 0 {
 		run = sweep
 	}
-	if given.Retire > 0 {
-		run = retirements
+	if args.Retirements > 0 {
+		run = measureRetirements
 	}
-	if given.Load > 0 {
-		run = loads
+	if args.LoadSeeds > 0 {
+		run = runLoadScenes
 	}
-	if given.Play > 0 {
-		run = playDays
+	if args.EmulatedDays > 0 {
+		run = emulateDays
 	}
-	if given.Soak > 0 {
-		run = soakDays
+	if args.SoakDays > 0 {
+		run = emulateSoaks
 	}
 	switch {
-	case given.Depth > 0:
+	case args.EnumerateDepth > 0:
 		run = enumerate
-	case given.Nodes > 0:
+	case args.NodeWalks > 0:
 		run = walkNodes
-	case given.Explore > 0 || given.Plant != "":
+	case args.ExploredStates > 0 || args.PlantedFault != "":
 		run = explore
 	}
-	clean, err := run(given)
+	clean, err := run(args)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "cedarrig:", err)
 		os.Exit(1)
@@ -112,26 +113,27 @@
 	}
 }
 
-func play(given arguments) (bool, error) {
-	described, err := site.Load(given.Site)
+// playStory runs a fleet of real processes with the story that was chosen.
+func playStory(args arguments) (bool, error) {
+	deployment, err := site.Load(args.Site)
 	if err != nil {
 		return false, err
 	}
-	if given.Bin == "" {
-		own, err := os.Executable()
+	if args.Bin == "" {
+		executable, err := os.Executable()
 		if err != nil {
 			return false, err
 		}
-		given.Bin = filepath.Dir(own)
+		args.Bin = filepath.Dir(executable)
 	}
-	if given.Folder == "" {
-		if given.Folder, err = os.MkdirTemp("", "cedarrig-"); err != nil {
+	if args.Folder == "" {
+		if args.Folder, err = os.MkdirTemp("", "cedarrig-"); err != nil {
 			return false, err
 		}
 	}
-	if described, err = described.WithMachines(given.Machines); err != nil {
+	if deployment, err = deployment.WithMachines(args.Machines); err != nil {
 		return false, err
 	}
-	return rig.Play(rig.Plan{Site: described, Bin: given.Bin, OtherBin: given.OtherBin, Folder: given.Folder, Span: time.Duration(given.Seconds) * time.Second,
-		Rate: given.Rate, Seed: given.Seed, Story: given.Story, Stay: given.Stay, Say: func(text string) { fmt.Println(text) }})
+	return rig.Play(rig.Plan{Site: deployment, Bin: args.Bin, OtherBin: args.OtherBin, Folder: args.Folder, Span: time.Duration(args.Seconds) * time.Second,
+		Rate: args.Rate, Seed: args.Seed, Story: args.Story, KeepRunning: args.KeepRunning, Log: func(text string) { fmt.Println(text) }})
 }
--- a/cmd/cedarrig/play.go
+++ b/cmd/cedarrig/play.go
@@ -19,148 +19,153 @@
 )
 
 const (
-	mostBreaches = 5
-	boxWidth     = vg.Length(14)
-	rowHeight    = vg.Length(26)
-	plotWidth    = vg.Length(640)
+	// maxPrintedBreaches bounds the printed breaches of one rule in one day.
+	maxPrintedBreaches = 5
+	// Sizes of the plot in points.
+	boxWidth  = vg.Length(14)
+	rowHeight = vg.Length(26)
+	plotWidth = vg.Length(640)
 )
 
-// playDays emulates seeded days side by side, prints each one with a broken rule and its replay line, and compares two settings.
-func playDays(given arguments) (bool, error) {
-	debug.SetGCPercent(sweepGarbage)
-	described, failure := emulator.LoadSite(given.Site)
-	if failure != nil {
-		return false, failure
-	}
-	described.Tenants = given.Tenants
+// emulateDays emulates seeded days in parallel, prints each day that broke a rule with its replay line, and compares two settings if asked to.
+func emulateDays(args arguments) (bool, error) {
+	debug.SetGCPercent(gcPercent)
+	model, err := emulator.LoadSite(args.Site)
+	if err != nil {
+		return false, err
+	}
+	model.Tenants = args.Tenants
 	changes := []emulator.Change{}
-	if given.Vs != "" {
-		change, failure := emulator.ReadChange(given.Vs)
-		if failure != nil {
-			return false, failure
+	if args.CompareWith != "" {
+		change, err := emulator.ReadChange(args.CompareWith)
+		if err != nil {
+			return false, err
 		}
 		changes = append(changes, change)
 	}
-	plan := emulator.Plan{Drawn: given.Faults}
-	if given.Fault != "" {
-		plan = emulator.Plan{Troubles: described.Named(given.Fault)}
+	plan := emulator.Plan{Drawn: args.FaultCount}
+	if args.FaultName != "" {
+		plan = emulator.Plan{Troubles: model.Named(args.FaultName)}
 		if len(plan.Troubles) == 0 {
-			return false, eris.Errorf("no trouble %q; there are %s", given.Fault, strings.Join(emulator.Kinds(), " "))
+			return false, eris.Errorf("no trouble %q; there are %s", args.FaultName, strings.Join(emulator.Kinds(), " "))
 		}
 	}
-	same := func(emulator.Site, uint64) emulator.Plan { return plan }
-	first, clean := days(given, described, same, "")
-	sumDays(first)
-	if given.Vs == "" {
+	samePlan := func(emulator.Site, uint64) emulator.Plan { return plan }
+	baseline, clean := runDays(args, model, samePlan, "")
+	printSpreads(baseline)
+	if args.CompareWith == "" {
 		return clean, nil
 	}
-	second, also := days(given, described, same, given.Vs, emulator.WithChanges(changes...))
-	compare(first, second, given.Vs)
-	return clean && also, drawBoxes(given, first, second)
+	changed, changedClean := runDays(args, model, samePlan, args.CompareWith, emulator.WithChanges(changes...))
+	printComparison(baseline, changed, args.CompareWith)
+	return clean && changedClean, plotComparison(args, baseline, changed)
 }
 
-// days emulates seeded days side by side, each by the plan of its seed.
-func days(given arguments, described emulator.Site, plan func(emulator.Site, uint64) emulator.Plan, setting string, options ...emulator.Option) ([]emulator.Figures, bool) {
-	if given.Oracle {
+// runDays emulates seeded days in parallel, each with the plan for its seed, and returns the figures of each and whether no rule was broken.
+func runDays(args arguments, model emulator.Site, plan func(emulator.Site, uint64) emulator.Plan, setting string, options ...emulator.Option) ([]emulator.Figures, bool) {
+	if args.Oracle {
 		options = append(options, emulator.WithOracle())
 	}
-	if given.Tell {
+	if args.Trace {
 		options = append(options, emulator.WithTell(func(text string) { fmt.Print(text) }))
 	}
-	figures, clean := make([]emulator.Figures, given.Play), true
-	places, lock, group := make(chan int), sync.Mutex{}, sync.WaitGroup{}
-	for range given.Beside {
+	figures, clean := make([]emulator.Figures, args.EmulatedDays), true
+	indexes, lock, group := make(chan int), sync.Mutex{}, sync.WaitGroup{}
+	for range args.Parallel {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for place := range places {
-				site, seed := described.Scaled(given.Rate, described.Length()), given.Seed+uint64(place)
+			for index := range indexes {
+				site, seed := model.Scaled(args.Rate, model.Length()), args.Seed+uint64(index)
 				result := emulator.Play(site, seed, plan(site, seed), options...)
 				lock.Lock()
-				figures[place] = result.Figures
-				if given.Play == 1 {
+				figures[index] = result.Figures
+				if args.EmulatedDays == 1 {
 					fmt.Println(result.Troubles)
 					fmt.Print(result.Figures.Text())
 				}
-				clean = tellDay(given, result, setting) && clean
+				clean = printDay(args, result, setting) && clean
 				lock.Unlock()
 			}
 		}()
 	}
-	for place := range given.Play {
-		places <- place
+	for index := range args.EmulatedDays {
+		indexes <- index
 	}
-	close(places)
+	close(indexes)
 	group.Wait()
 	return figures, clean
 }
 
-func tellDay(given arguments, result emulator.Result, setting string) bool {
+// printDay prints the breaches of a day and its replay line, and reports whether there were none.
+func printDay(args arguments, result emulator.Result, setting string) bool {
 	if len(result.Breaches) == 0 {
 		return true
 	}
 	fmt.Printf("seed %d %s: %d breaches, troubles %v\n", result.Seed, setting, len(result.Breaches), result.Troubles)
-	told := map[string]int{}
+	printed := map[string]int{}
 	for _, breach := range result.Breaches {
-		if told[breach.Rule]++; told[breach.Rule] <= mostBreaches {
+		if printed[breach.Rule]++; printed[breach.Rule] <= maxPrintedBreaches {
 			fmt.Println("  ", breach)
 		}
 	}
-	if given.Soak > 0 {
-		fmt.Printf("  replay: cedarrig --soak 1 --seed %d --site %s --span %d --rate %v --tenants %d\n", result.Seed, given.Site, given.Span, given.Rate, given.Tenants)
+	if args.SoakDays > 0 {
+		fmt.Printf("  replay: cedarrig --soak 1 --seed %d --site %s --span %d --rate %v --tenants %d\n", result.Seed, args.Site, args.SpanSeconds, args.Rate, args.Tenants)
 		return false
 	}
-	fmt.Printf("  replay: cedarrig --play 1 --seed %d --site %s --faults %d --fault %q --rate %v --tenants %d\n", result.Seed, given.Site, given.Faults, given.Fault, given.Rate, given.Tenants)
+	fmt.Printf("  replay: cedarrig --play 1 --seed %d --site %s --faults %d --fault %q --rate %v --tenants %d\n", result.Seed, args.Site, args.FaultCount, args.FaultName, args.Rate, args.Tenants)
 	return false
 }
 
-func sumDays(all []emulator.Figures) {
-	spreads := emulator.Spreads(all)
-	fmt.Printf("%d days: median (least to most)\n", len(all))
+// printSpreads prints the median, least and greatest value of each figure.
+func printSpreads(days []emulator.Figures) {
+	spreads := emulator.Spreads(days)
+	fmt.Printf("%d days: median (least to most)\n", len(days))
 	for _, name := range manifest.SortedKeys(spreads) {
 		fmt.Printf("  %-32s %12.2f (%.2f to %.2f)\n", name, spreads[name][0], spreads[name][1], spreads[name][2])
 	}
 }
 
-func compare(first, second []emulator.Figures, setting string) {
-	one, other := emulator.Spreads(first), emulator.Spreads(second)
+// printComparison prints the spreads of each figure under both settings side by side.
+func printComparison(baseline, changed []emulator.Figures, setting string) {
+	baselineSpreads, changedSpreads := emulator.Spreads(baseline), emulator.Spreads(changed)
 	fmt.Printf("as it is, then with %s: median (least to most)\n", setting)
-	for _, name := range manifest.SortedKeys(one) {
-		fmt.Printf("  %-32s %12.2f (%.2f to %.2f)  %12.2f (%.2f to %.2f)\n", name, one[name][0], one[name][1], one[name][2], other[name][0], other[name][1], other[name][2])
+	for _, name := range manifest.SortedKeys(baselineSpreads) {
+		fmt.Printf("  %-32s %12.2f (%.2f to %.2f)  %12.2f (%.2f to %.2f)\n", name, baselineSpreads[name][0], baselineSpreads[name][1], baselineSpreads[name][2], changedSpreads[name][0], changedSpreads[name][1], changedSpreads[name][2])
 	}
 }
 
-// drawBoxes plots every figure of both settings as a part of its median as it is.
-func drawBoxes(given arguments, first, second []emulator.Figures) error {
-	drawn := plot.New()
-	drawn.Title.Text = "as it is (grey), with " + given.Vs + " (blue)"
-	drawn.X.Label.Text = "part of the median as it is"
-	names, spreads := []string{}, emulator.Spreads(first)
+// plotComparison draws box plots of every figure under both settings, relative to its median under the unchanged setting.
+func plotComparison(args arguments, baseline, changed []emulator.Figures) error {
+	chart := plot.New()
+	chart.Title.Text = "as it is (grey), with " + args.CompareWith + " (blue)"
+	chart.X.Label.Text = "part of the median as it is"
+	names, spreads := []string{}, emulator.Spreads(baseline)
 	for _, name := range manifest.SortedKeys(spreads) {
-		if middle := spreads[name][0]; middle > 0 {
-			place := float64(len(names))
-			for side, figures := range [][]emulator.Figures{first, second} {
+		if median := spreads[name][0]; median > 0 {
+			row := float64(len(names))
+			for side, figures := range [][]emulator.Figures{baseline, changed} {
 				values := plotter.Values{}
 				for _, day := range figures {
-					values = append(values, math.Min(3, day.Values()[name]/middle))
+					values = append(values, math.Min(3, day.Values()[name]/median))
 				}
-				box, failure := plotter.NewBoxPlot(boxWidth/2, place+0.2-0.4*float64(side), values)
-				if failure != nil {
-					return eris.Wrap(failure, "plot")
+				box, err := plotter.NewBoxPlot(boxWidth/2, row+0.2-0.4*float64(side), values)
+				if err != nil {
+					return eris.Wrap(err, "plot")
 				}
 				box.Horizontal, box.FillColor = true, []color.Color{color.Gray{Y: 200}, color.RGBA{R: 120, G: 160, B: 230, A: 255}}[side]
-				drawn.Add(box)
+				chart.Add(box)
 			}
 			names = append(names, name)
 		}
 	}
-	drawn.NominalY(names...)
-	if failure := os.MkdirAll(filepath.Dir(given.Plot), 0o755); failure != nil {
-		return eris.Wrap(failure, "plot")
+	chart.NominalY(names...)
+	if err := os.MkdirAll(filepath.Dir(args.Plot), 0o755); err != nil {
+		return eris.Wrap(err, "plot")
 	}
-	if failure := drawn.Save(plotWidth, vg.Length(len(names)+2)*rowHeight, given.Plot); failure != nil {
-		return eris.Wrap(failure, "plot")
+	if err := chart.Save(plotWidth, vg.Length(len(names)+2)*rowHeight, args.Plot); err != nil {
+		return eris.Wrap(err, "plot")
 	}
-	fmt.Println("plot:", given.Plot)
+	fmt.Println("plot:", args.Plot)
 	return nil
 }
--- a/cmd/cedarrig/soak.go
+++ b/cmd/cedarrig/soak.go
@@ -8,16 +8,16 @@
 	"github.com/cedarreel/cedarreel/emulator"
 )
 
-// soakDays emulates long days of overlapping series of troubles, side by side, and prints each one with a broken rule and its replay line.
-func soakDays(given arguments) (bool, error) {
-	debug.SetGCPercent(sweepGarbage)
-	described, failure := emulator.LoadSite(given.Site)
-	if failure != nil {
-		return false, failure
+// emulateSoaks emulates soaks of overlapping series of faults in parallel and prints each one that broke a rule with its replay line.
+func emulateSoaks(args arguments) (bool, error) {
+	debug.SetGCPercent(gcPercent)
+	model, err := emulator.LoadSite(args.Site)
+	if err != nil {
+		return false, err
 	}
-	given.Play, described.Tenants = given.Soak, given.Tenants
-	figures, clean := days(given, described.Scaled(1, time.Duration(given.Span)*time.Second), emulator.Soak, "")
-	sumDays(figures)
-	fmt.Printf("soak: %d days of %d s on %s from seed %d, broken: %v\n", given.Soak, given.Span, given.Site, given.Seed, !clean)
+	args.EmulatedDays, model.Tenants = args.SoakDays, args.Tenants
+	figures, clean := runDays(args, model.Scaled(1, time.Duration(args.SpanSeconds)*time.Second), emulator.Soak, "")
+	printSpreads(figures)
+	fmt.Printf("soak: %d days of %d s on %s from seed %d, broken: %v\n", args.SoakDays, args.SpanSeconds, args.Site, args.Seed, !clean)
 	return clean, nil
 }
