--- a/emulator/account.go
+++ b/emulator/account.go
@@ -50,8 +50,8 @@
 		return seconds(float64(tokens) / engine.TokensPerMs * batch.server.speed / 1000)
 	}
 	reread, own := read(job.state.reread), read(job.state.fresh)
-	figure.waits = waits{earlier: try.Sent - job.request.began, node: job.sent - try.Sent, distance: 2 * (arrival.At - job.sent), reread: reread, own: own}
-	figure.waits.behind = max(0, batch.server.day.world.Now-arrival.At-reread-own-seconds(engine.FirstMs/1000))
+	figure.waits = waits{earlier: try.Sent - job.request.began, node: job.sent - try.Sent, distance: 2 * (arrival.ArrivedAt - job.sent), reread: reread, own: own}
+	figure.waits.behind = max(0, batch.server.day.world.Now-arrival.ArrivedAt-reread-own-seconds(engine.FirstMs/1000))
 }
 
 // Account counts, by class and reason, the calls that were not served inside their aim.
--- a/emulator/batch.go
+++ b/emulator/batch.go
@@ -264,19 +264,19 @@
 	}
 	state.made++
 	server, now := batch.server, batch.server.day.world.Now
-	if !job.arrival.Ran {
+	if !job.arrival.Executed {
 		batch.explain(job)
 	}
 	server.began(job)
 	if state.sent == job.after && state.made == int64(job.after)*stride+1 {
 		server.reply(job, head{status: 200})
 	}
-	for total := job.request.try.Total; state.sent < total && state.made > int64(state.sent)*stride; {
+	for total := job.request.try.TotalPieces; state.sent < total && state.made > int64(state.sent)*stride; {
 		state.sent++
-		piece, take := rules.Piece{Number: state.sent, Run: job.arrival.Run, Made: now}, job.piece
+		piece, take := rules.Piece{Number: state.sent, ExecutionID: job.arrival.ExecutionID, MadeAt: now}, job.piece
 		job.conn.send(far, pieceBytes, func() { take(piece) })
 	}
-	if state.sent >= job.request.try.Total {
+	if state.sent >= job.request.try.TotalPieces {
 		job.over, job.arrival.Ended = true, now
 		server.remove(job)
 		server.finish(job)
--- a/emulator/cache.go
+++ b/emulator/cache.go
@@ -29,7 +29,7 @@
 	at     time.Duration
 	tokens int64
 	aim    time.Duration
-	try    *rules.Try
+	try    *rules.Attempt
 	anchor uint64
 	// long tells that the prompt has a place in the index.
 	long bool
@@ -321,7 +321,7 @@
 }
 
 func (one mismatch) late() bool {
-	return len(one.try.Pieces) == 0 || one.try.Pieces[0].Came-one.try.Sent > one.aim
+	return len(one.try.Pieces) == 0 || one.try.Pieces[0].ReceivedAt-one.try.Sent > one.aim
 }
 
 func median(spans []time.Duration) time.Duration {
--- a/emulator/cache_test.go
+++ b/emulator/cache_test.go
@@ -20,9 +20,9 @@
 		Expect(played.Figures.Caches.Losses).To(BeNumerically(">", 0))
 		Expect(played.Figures.Caches.Mismatched).NotTo(BeEmpty(), "the trouble is felt")
 		lost := seconds(site.LeadS + site.Named("cache_lost/" + how)[0].AtS)
-		for _, try := range played.Record.Tries {
+		for _, try := range played.Record.Attempts {
 			if try.Sent >= lost && !try.Probe {
-				Expect(try.Status == 200 && try.Whole).To(BeTrue(), try.Class+" "+try.Identity)
+				Expect(try.Status == 200 && try.Complete).To(BeTrue(), try.Class+" "+try.Identity)
 			}
 		}
 		for class, figures := range played.Figures.Classes {
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -301,10 +301,10 @@
 	return prompt
 }
 
-func (call *call) try() *rules.Try {
+func (call *call) try() *rules.Attempt {
 	class, day := call.class, call.day
 	day.tries++
-	return &rules.Try{Identity: "t" + name(int(day.tries)), Call: "", Class: class.Name, Route: call.route, Service: class.Service, Kind: class.Kind,
+	return &rules.Attempt{Identity: "t" + name(int(day.tries)), Call: "", Class: class.Name, Route: call.route, Service: class.Service, Kind: class.Kind,
 		Zone: call.visitor.zone, Region: call.visitor.region, Repeatable: class.Kind == "read_only" || class.Resumable, Resumable: class.Resumable,
-		Stream: class.Kind == "streaming", Regions: class.Regions, Total: call.pieces, Deadline: call.ends, After: call.got, Key: call.key}
+		Stream: class.Kind == "streaming", Regions: class.Regions, TotalPieces: call.pieces, Deadline: call.ends, ResumeAfter: call.got, Key: call.key}
 }
--- a/emulator/caller_test.go
+++ b/emulator/caller_test.go
@@ -59,7 +59,7 @@
 		day.world.After(time.Millisecond, func() { visitor.known = []string{day.machines[0].address + ":" + trafficPort} })
 		day.world.RunUntil(day.world.Now + 8*time.Second)
 		Expect(one.Outcome).To(Or(Equal("served"), Equal("late")))
-		Expect(day.record.Tries).To(HaveLen(2))
+		Expect(day.record.Attempts).To(HaveLen(2))
 	})
 
 	It("gives up a repeatable try that a frozen node doesn't read, after a second", func() {
@@ -84,7 +84,7 @@
 		one := day.asks(visitor, "policy-check")
 		day.world.RunUntil(day.world.Now + 12*time.Second)
 		Expect(one.Outcome).To(Or(Equal("failed"), Equal("refused")))
-		for _, try := range day.record.Tries {
+		for _, try := range day.record.Attempts {
 			Expect(try.Pieces).To(BeEmpty())
 		}
 	})
@@ -101,7 +101,7 @@
 			one := day.asks(visitor, "policy-check")
 			day.world.RunUntil(day.world.Now + 6*time.Second)
 			Expect(one.Outcome).To(Equal("refused"))
-			gap := day.record.Tries[1].Sent - day.record.Tries[0].Ended
+			gap := day.record.Attempts[1].Sent - day.record.Attempts[0].Ended
 			if least == 0 {
 				Expect(gap).To(BeNumerically("<", 60*time.Millisecond))
 			} else {
@@ -118,11 +118,11 @@
 		one.send(false)
 		day.world.RunUntil(day.world.Now + 400*time.Millisecond)
 		Expect(one.got).To(BeNumerically(">", 0))
-		day.byName[day.record.Tries[0].Machine].kill()
+		day.byName[day.record.Attempts[0].Machine].kill()
 		day.world.RunUntil(day.world.Now + 5*time.Second)
-		Expect(day.record.Tries).To(HaveLen(2))
-		Expect(day.record.Tries[1].After).To(BeNumerically(">", 0))
+		Expect(day.record.Attempts).To(HaveLen(2))
+		Expect(day.record.Attempts[1].ResumeAfter).To(BeNumerically(">", 0))
 		Expect(one.got).To(Equal(60))
-		Expect(day.record.Tries[1].Whole).To(BeTrue())
+		Expect(day.record.Attempts[1].Complete).To(BeTrue())
 	})
 })
--- a/emulator/day.go
+++ b/emulator/day.go
@@ -300,12 +300,12 @@
 type Result struct {
 	Seed     uint64
 	Troubles []string
-	Breaches []rules.Breach
+	Breaches []rules.Violation
 	Figures  Figures
 	Record   *rules.Record
 	Counts   map[string]int64
 }
 
 func (day *Day) result(seed uint64) Result {
-	return Result{Seed: seed, Troubles: day.plan, Breaches: rules.Judge(day.record), Figures: day.sum(), Record: day.record, Counts: day.counts}
+	return Result{Seed: seed, Troubles: day.plan, Breaches: rules.Check(day.record), Figures: day.sum(), Record: day.record, Counts: day.counts}
 }
--- a/emulator/exchange.go
+++ b/emulator/exchange.go
@@ -13,7 +13,7 @@
 
 // request is one try of a caller as it travels.
 type request struct {
-	try    *rules.Try
+	try    *rules.Attempt
 	class  *Class
 	host   string
 	path   string
@@ -123,16 +123,16 @@
 		shell.token++
 		shell.exchanges++
 		shell.touched = shell.now()
-		request.try.Read = shell.day.world.Now
-		one := &exchange{shell: shell, conn: conn, request: request, back: back, token: shell.token, after: request.try.After}
+		request.try.ReadAt = shell.day.world.Now
+		one := &exchange{shell: shell, conn: conn, request: request, back: back, token: shell.token, after: request.try.ResumeAfter}
 		shell.callers[conn] = one.left
 		arrive := gateway.CallArrived{Token: one.token, Host: request.host, Path: request.path, Timeout: request.left, Prompt: request.prompt, Size: request.size}
 		if request.try.Key != "" {
 			digest := manifest.DigestKey(request.try.Key)
 			arrive.KeyDigest = &digest
 		}
-		if request.try.After > 0 {
-			arrive.LastEventID = strconv.Itoa(request.try.After)
+		if request.try.ResumeAfter > 0 {
+			arrive.LastEventID = strconv.Itoa(request.try.ResumeAfter)
 		}
 		one.perform(shell.decide(arrive))
 	})
--- a/emulator/list.go
+++ b/emulator/list.go
@@ -46,7 +46,7 @@
 	change.from = list.day.world.Now + lag
 	list.shows = append(list.shows, change)
 	if change.leaving || change.gone {
-		list.day.record.Leavings = append(list.day.record.Leavings, rules.Leaving{Server: change.server.name, Shown: change.from})
+		list.day.record.Departures = append(list.day.record.Departures, rules.Departure{Server: change.server.name, ListedAt: change.from})
 	}
 }
 
--- a/emulator/machine.go
+++ b/emulator/machine.go
@@ -227,14 +227,14 @@
 func (machine *machine) lose(from, until time.Duration) (back func(at time.Duration)) {
 	span, record := rules.Span{From: from, Until: until}, machine.record
 	record.Troubles = append(record.Troubles, span)
-	trouble, lost := len(record.Troubles)-1, len(record.Lost)
+	trouble, lost := len(record.Troubles)-1, len(record.Outages)
 	if machine.core {
-		record.Lost = append(record.Lost, span)
+		record.Outages = append(record.Outages, span)
 	}
 	return func(at time.Duration) {
 		record.Troubles[trouble].Until = at
 		if machine.core {
-			record.Lost[lost].Until = at
+			record.Outages[lost].Until = at
 		}
 	}
 }
--- a/emulator/mischief.go
+++ b/emulator/mischief.go
@@ -275,10 +275,10 @@
 // close is the last fault of a day: it comes right after a configuration was acknowledged.
 func (day *Day) close(how string) {
 	day.plan = append(day.plan, "closing:"+how)
-	day.record.Closing = day.world.Now
+	day.record.FinalFaultAt = day.world.Now
 	day.change(Trouble{})
 	day.operator.onAck = append(day.operator.onAck, func(acked *machine) {
-		day.record.Closing, day.record.Returned = day.world.Now, day.world.Now+closingDown
+		day.record.FinalFaultAt, day.record.RestartedAt = day.world.Now, day.world.Now+closingDown
 		day.record.Unplanned = append(day.record.Unplanned, rules.Span{From: day.world.Now, Until: day.world.Now + closingDown})
 		for _, machine := range day.machines {
 			switch how {
--- a/emulator/operator.go
+++ b/emulator/operator.go
@@ -128,11 +128,11 @@
 	for route, item := range next.routes {
 		tree := item.(map[string]any)
 		service, _ := tree["service"].(string)
-		known := rules.Route{Services: []string{service}, Late: next.Version.Base > 0 && operator.late(route)}
+		known := rules.Route{Services: []string{service}, AddedLater: next.Version.Base > 0 && operator.late(route)}
 		known.Regions, _ = tree["regions"].([]string)
 		next.Routes[route] = known
 	}
-	next.Holders = holders(next.tenants)
+	next.TenantsByKey = holders(next.tenants)
 	section := map[string]any{"revision": next.Number}
 	if verb == contract.VerbReplace {
 		section["routes"], section["services"], section["limits"] = next.routes, next.services, next.limits
@@ -180,7 +180,7 @@
 		now := operator.day.world.Now
 		switch status {
 		case 200, 202:
-			version.Took, version.Acked, version.Ended = true, now, now
+			version.Acknowledged, version.AcknowledgedAt, version.Ended = true, now, now
 			if operator.current.Number < version.Number {
 				operator.current = next
 			}
@@ -277,13 +277,13 @@
 	if off {
 		verb = contract.VerbUndrain
 	}
-	order := &rules.Evacuation{Zone: zone, Off: off, Sent: world.Now}
+	order := &rules.Evacuation{Zone: zone, Cancel: off, Sent: world.Now}
 	operator.day.record.Evacuations = append(operator.day.record.Evacuations, order)
 	operator.order(contract.OperatorRequest{Verb: verb, Subject: zone, ReplyOnCommit: true}, world.Now+operator.day.record.Bounds.Ack*2, func(status int, machine *machine) bool {
 		if status != 200 && status != 202 {
 			return status/100 == 4
 		}
-		order.Took, order.Acked, order.Ended = true, world.Now, world.Now
+		order.Acknowledged, order.AcknowledgedAt, order.Ended = true, world.Now, world.Now
 		operator.acknowledged(machine)
 		if then != nil {
 			then()
--- a/emulator/partition_test.go
+++ b/emulator/partition_test.go
@@ -61,8 +61,8 @@
 						{Kind: "evacuate", AtS: cutAt + 3, Zone: emptied.Name, ForS: 4}}})
 					Expect(played.Breaches).To(BeEmpty())
 					order := played.Record.Evacuations[0]
-					Expect(order.Took).To(BeTrue())
-					Expect(order.Acked-order.Sent).To(BeNumerically("<=", played.Record.Bounds.Ack), "%s emptied, the member of %s cut off", emptied.Name, zone.Name)
+					Expect(order.Acknowledged).To(BeTrue())
+					Expect(order.AcknowledgedAt-order.Sent).To(BeNumerically("<=", played.Record.Bounds.Ack), "%s emptied, the member of %s cut off", emptied.Name, zone.Name)
 				}
 			}
 		})
--- a/emulator/rules/answers.go
+++ b/emulator/rules/answers.go
@@ -5,213 +5,222 @@
 	"time"
 )
 
-// mixed: a success that is not the server's own, or any answer that belongs to another request.
-func (judge *judge) mixed() {
-	for _, try := range judge.Tries {
-		if try.Status == 0 {
+// checkMixed implements MIXED: a success must come from a server, and an answer must belong to the request that it is given to.
+func (checker *checker) checkMixed() {
+	for _, attempt := range checker.Attempts {
+		if attempt.Status == 0 {
 			continue
 		}
-		if try.AnswerOf != "" && try.AnswerOf != try.Identity {
-			judge.breach("MIXED", try.Ended, "%s got the answer of %s", try.Identity, try.AnswerOf)
+		if attempt.AnswerIdentity != "" && attempt.AnswerIdentity != attempt.Identity {
+			checker.report("MIXED", attempt.Ended, "%s got the answer of %s", attempt.Identity, attempt.AnswerIdentity)
 		}
-		if try.Status/100 == 2 && !try.Sealed {
-			judge.breach("MIXED", try.Ended, "%s got a success that no server sealed", try.Identity)
+		if attempt.Status/100 == 2 && !attempt.Sealed {
+			checker.report("MIXED", attempt.Ended, "%s got a success that no server sealed", attempt.Identity)
 		}
-		if try.Status/100 == 2 && try.Whole && !try.Stream && !judge.answered(try.Identity) {
-			judge.breach("MIXED", try.Ended, "%s got a success, no server gave one whole", try.Identity)
+		if attempt.Status/100 == 2 && attempt.Complete && !attempt.Stream && !checker.hasCompleteExecution(attempt.Identity) {
+			checker.report("MIXED", attempt.Ended, "%s got a success, no server gave one whole", attempt.Identity)
 		}
 	}
 }
 
-func (judge *judge) answered(identity string) bool {
-	return slices.ContainsFunc(judge.runs[identity], func(run *Arrival) bool { return !run.Broke && !run.Failed })
+// hasCompleteExecution tells whether some server executed the request without breaking off or failing.
+func (checker *checker) hasCompleteExecution(identity string) bool {
+	return slices.ContainsFunc(checker.executions[identity], func(execution *Arrival) bool { return !execution.Interrupted && !execution.Failed })
 }
 
-// unasked: a run that no caller sent, or whose content was changed.
-func (judge *judge) unasked() {
-	for identity, runs := range judge.runs {
-		for _, run := range runs {
-			if judge.tries[identity] == nil {
-				judge.breach("UNASKED", run.RanAt, "%s ran at %s, nobody sent it", identity, run.Server)
-			} else if run.Changed {
-				judge.breach("UNASKED", run.RanAt, "%s ran at %s with another content", identity, run.Server)
+// checkUnasked implements UNASKED: servers execute only requests that a caller sent, with unchanged content.
+func (checker *checker) checkUnasked() {
+	for identity, executions := range checker.executions {
+		for _, execution := range executions {
+			if checker.attempts[identity] == nil {
+				checker.report("UNASKED", execution.ExecutedAt, "%s ran at %s, nobody sent it", identity, execution.Server)
+			} else if execution.ContentChanged {
+				checker.report("UNASKED", execution.ExecutedAt, "%s ran at %s with another content", identity, execution.Server)
 			}
 		}
 	}
 }
 
-func (judge *judge) twice() {
-	for identity, runs := range judge.runs {
-		if try := judge.tries[identity]; try != nil && !try.Repeatable && len(runs) > 1 {
-			judge.breach("TWICE", runs[1].RanAt, "%s of %s ran %d times, at %s and %s", identity, try.Class, len(runs), runs[0].Server, runs[1].Server)
+// checkTwice implements TWICE: a request that is not repeatable is executed at most once.
+func (checker *checker) checkTwice() {
+	for identity, executions := range checker.executions {
+		if attempt := checker.attempts[identity]; attempt != nil && !attempt.Repeatable && len(executions) > 1 {
+			checker.report("TWICE", executions[1].ExecutedAt, "%s of %s ran %d times, at %s and %s", identity, attempt.Class, len(executions), executions[0].Server, executions[1].Server)
 		}
 	}
 }
 
-// promises are the statuses that say that a request has not run and never will.
-func promises(status int) bool {
+// promisesNotRun tells whether a status promises that the request was not executed and never will be.
+func promisesNotRun(status int) bool {
 	return status == 429 || status == 503 || status == 408 || status == 421
 }
 
-func (judge *judge) refused() {
-	for _, try := range judge.Tries {
-		if runs := judge.runs[try.Identity]; !try.Repeatable && promises(try.Status) && len(runs) > 0 {
-			judge.breach("REFUSED", try.Ended, "%s got %d, it ran at %s at %v", try.Identity, try.Status, runs[0].Server, runs[0].RanAt)
+// checkRefused implements REFUSED: a request that was answered with such a promise is never executed.
+func (checker *checker) checkRefused() {
+	for _, attempt := range checker.Attempts {
+		if executions := checker.executions[attempt.Identity]; !attempt.Repeatable && promisesNotRun(attempt.Status) && len(executions) > 0 {
+			checker.report("REFUSED", attempt.Ended, "%s got %d, it ran at %s at %v", attempt.Identity, attempt.Status, executions[0].Server, executions[0].ExecutedAt)
 		}
 	}
 }
 
 const (
-	deniedFree = 5
-	deniedPer  = 500
+	// deniedAllowance denials and one more for every requestsPerDenial requests are tolerated.
+	deniedAllowance   = 5
+	requestsPerDenial = 500
 )
 
-// denied: machines in touch end too many proper requests with a 3xx or 4xx that promises nothing.
-func (judge *judge) denied() {
+// checkDenied implements DENIED: machines in contact may end only a few valid requests with a 3xx or 4xx of their own that carries
+// no such promise.
+func (checker *checker) checkDenied() {
 	count, asked, last := 0, 0, time.Duration(0)
-	for _, try := range judge.Tries {
-		if try.Probe {
+	for _, attempt := range checker.Attempts {
+		if attempt.Probe {
 			continue
 		}
 		asked++
-		own := try.Status/100 == 3 || try.Status/100 == 4
-		if own && !promises(try.Status) && !try.Sealed && judge.allowed(try) && judge.touched(try.Machine, try.Sent, try.Ended) {
-			count, last = count+1, try.Ended
+		own := attempt.Status/100 == 3 || attempt.Status/100 == 4
+		if own && !promisesNotRun(attempt.Status) && !attempt.Sealed && checker.allowedByConfiguration(attempt) && checker.inContact(attempt.Machine, attempt.Sent, attempt.Ended) {
+			count, last = count+1, attempt.Ended
 		}
 	}
-	if count > deniedFree+asked/deniedPer {
-		judge.breach("DENIED", last, "%d of %d proper requests were ended with a 3xx or 4xx", count, asked)
+	if count > deniedAllowance+asked/requestsPerDenial {
+		checker.report("DENIED", last, "%d of %d proper requests were ended with a 3xx or 4xx", count, asked)
 	}
 }
 
-// allowed tells whether every version that may be in force allows the request.
-func (judge *judge) allowed(try *Try) bool {
-	versions := judge.inForce(try.Sent, try.Ended)
+// allowedByConfiguration tells whether every version that may be in force has the route and accepts the key.
+func (checker *checker) allowedByConfiguration(attempt *Attempt) bool {
+	versions := checker.versionsInForce(attempt.Sent, attempt.Ended)
 	for _, version := range versions {
-		if _, there := version.Routes[try.Route]; !there || !holds(version, try.Key) {
+		if _, found := version.Routes[attempt.Route]; !found || !acceptsKey(version, attempt.Key) {
 			return false
 		}
 	}
 	return len(versions) > 0
 }
 
-// route: a service runs a request that no version ever sent allows to go there, or another server than the one that was meant.
-func (judge *judge) route() {
-	for identity, runs := range judge.runs {
-		try := judge.tries[identity]
-		if try == nil {
+// checkRoute implements ROUTE: a request is executed only at a service that some version ever assigned to its route, and only at the
+// server that the node meant.
+func (checker *checker) checkRoute() {
+	for identity, executions := range checker.executions {
+		attempt := checker.attempts[identity]
+		if attempt == nil {
 			continue
 		}
-		for _, run := range runs {
-			if !slices.ContainsFunc(judge.Versions, func(version *Version) bool {
-				return !version.Invalid && slices.Contains(version.Routes[try.Route].Services, run.Service)
+		for _, execution := range executions {
+			if !slices.ContainsFunc(checker.Versions, func(version *Version) bool {
+				return !version.Invalid && slices.Contains(version.Routes[attempt.Route].Services, execution.Service)
 			}) {
-				judge.breach("ROUTE", run.RanAt, "%s of route %s ran at service %s", identity, try.Route, run.Service)
+				checker.report("ROUTE", execution.ExecutedAt, "%s of route %s ran at service %s", identity, attempt.Route, execution.Service)
 			}
-			if run.Target != "" && run.Target != run.Server {
-				judge.breach("ROUTE", run.RanAt, "%s was meant for %s and ran at %s", identity, run.Target, run.Server)
+			if execution.Target != "" && execution.Target != execution.Server {
+				checker.report("ROUTE", execution.ExecutedAt, "%s was meant for %s and ran at %s", identity, execution.Target, execution.Server)
 			}
 		}
 	}
 }
 
-// order: pieces of a stream that are missing, come twice or come of two runs, and a whole stream without its last piece.
-func (judge *judge) order() {
-	for _, try := range judge.Tries {
-		if !try.Stream || try.Status/100 != 2 {
+// checkOrder implements ORDER: the pieces of a stream come without gaps or repetition and, unless the call is resumable, from one
+// execution; a stream that ends as complete has all of them.
+func (checker *checker) checkOrder() {
+	for _, attempt := range checker.Attempts {
+		if !attempt.Stream || attempt.Status/100 != 2 {
 			continue
 		}
-		want, run := try.After+1, int64(0)
-		for _, piece := range try.Pieces {
+		want, execution := attempt.ResumeAfter+1, int64(0)
+		for _, piece := range attempt.Pieces {
 			if piece.Number != want {
-				judge.breach("ORDER", piece.Came, "%s got piece %d in the place of %d", try.Identity, piece.Number, want)
+				checker.report("ORDER", piece.ReceivedAt, "%s got piece %d in the place of %d", attempt.Identity, piece.Number, want)
 				break
 			}
-			if run != 0 && piece.Run != run && !try.Resumable {
-				judge.breach("ORDER", piece.Came, "%s got pieces of two runs", try.Identity)
+			if execution != 0 && piece.ExecutionID != execution && !attempt.Resumable {
+				checker.report("ORDER", piece.ReceivedAt, "%s got pieces of two runs", attempt.Identity)
 				break
 			}
-			want, run = want+1, piece.Run
+			want, execution = want+1, piece.ExecutionID
 		}
-		if try.Whole && want <= try.Total {
-			judge.breach("ORDER", try.Ended, "%s ended as whole at piece %d of %d", try.Identity, want-1, try.Total)
+		if attempt.Complete && want <= attempt.TotalPieces {
+			checker.report("ORDER", attempt.Ended, "%s ended as whole at piece %d of %d", attempt.Identity, want-1, attempt.TotalPieces)
 		}
 	}
 }
 
-// home: a request with homes reaches a server elsewhere, or its body goes to a machine that is neither in a home nor in its caller's
-// region. Here no machine passes a body on to another, so that only servers can break it.
-func (judge *judge) home() {
-	for identity, arrivals := range judge.arrivals {
-		try := judge.tries[identity]
-		if try == nil || len(try.Regions) == 0 {
+// checkHome implements HOME: a request that is bound to regions reaches servers in these alone. Nodes of the emulator don't pass
+// bodies on to each other, so only the choice of servers can break the rule.
+func (checker *checker) checkHome() {
+	for identity, arrivals := range checker.arrivals {
+		attempt := checker.attempts[identity]
+		if attempt == nil || len(attempt.Regions) == 0 {
 			continue
 		}
 		for _, arrival := range arrivals {
-			if !slices.Contains(try.Regions, arrival.Region) {
-				judge.breach("HOME", arrival.At, "%s of homes %v reached %s in %s", identity, try.Regions, arrival.Server, arrival.Region)
+			if !slices.Contains(attempt.Regions, arrival.Region) {
+				checker.report("HOME", arrival.ArrivedAt, "%s of homes %v reached %s in %s", identity, attempt.Regions, arrival.Server, arrival.Region)
 			}
 		}
 	}
 }
 
-// lost: a request that a process had read ends without an answer while its machine stops as planned, or much more often while the
-// configuration changes than at other times.
-func (judge *judge) lost() {
+// checkLost implements LOST: a request that a node has read gets an answer while its machine stops as planned, and requests are not
+// lost much more often during configuration changes than at other times.
+func (checker *checker) checkLost() {
 	changes := map[string][2]int{}
-	for _, try := range judge.Tries {
-		machine := judge.machines[try.Machine]
-		if machine == nil || !judge.endedOpen(try) || judge.serverBroke(try) || judge.disturbed(try) {
+	for _, attempt := range checker.Attempts {
+		machine := checker.machines[attempt.Machine]
+		if machine == nil || !checker.endedWithoutAnswer(attempt) || checker.serverAtFault(attempt) || checker.nearUnplannedTrouble(attempt) {
 			continue
 		}
-		passed := len(judge.arrivals[try.Identity]) > 0
-		if !passed && try.Ended-try.Sent <= judge.Bounds.Loss {
+		passed := len(checker.arrivals[attempt.Identity]) > 0
+		if !passed && attempt.Ended-attempt.Sent <= checker.Bounds.Loss {
 			continue
 		}
-		if judge.stopping(machine, try) {
-			judge.breach("LOST", try.Ended, "%s was read by %s while it stopped, and got no whole answer", try.Identity, try.Machine)
+		if checker.overlapsStop(machine, attempt) {
+			checker.report("LOST", attempt.Ended, "%s was read by %s while it stopped, and got no whole answer", attempt.Identity, attempt.Machine)
 			continue
 		}
-		count := changes[try.Machine]
-		if judge.changing(try.Ended) {
+		count := changes[attempt.Machine]
+		if checker.configurationChanging(attempt.Ended) {
 			count[0]++
 		} else {
 			count[1]++
 		}
-		changes[try.Machine] = count
+		changes[attempt.Machine] = count
 	}
-	within, beyond := judge.changingTime()
+	within, beyond := checker.configurationChangeTime()
 	for name, count := range changes {
 		during, others := float64(count[0])*beyond.Seconds(), float64(count[1])*within.Seconds()
-		if count[0] >= fewestLost && during > mostOften*others {
-			judge.breach("LOST", judge.End, "%s ended %d requests without an answer in %v of changes, %d in %v of other times", name, count[0], within, count[1], beyond)
+		if count[0] >= minLostDuringChanges && during > maxLossRateRatio*others {
+			checker.report("LOST", checker.End, "%s ended %d requests without an answer in %v of changes, %d in %v of other times", name, count[0], within, count[1], beyond)
 		}
 	}
 }
 
 const (
-	fewestLost = 3
-	mostOften  = 3
+	// A machine breaks the rule with at least minLostDuringChanges losses, at more than maxLossRateRatio times the usual rate.
+	minLostDuringChanges = 3
+	maxLossRateRatio     = 3
 )
 
-// endedOpen tells whether a request that was read got no whole answer, before its time was over.
-func (judge *judge) endedOpen(try *Try) bool {
-	open := try.Status == 0 || try.Status/100 == 2 && !try.Whole
-	return open && try.Read > 0 && !try.GivenUp && try.Ended < try.Deadline
+// endedWithoutAnswer tells whether a request that a node had read got no complete answer before its deadline.
+func (checker *checker) endedWithoutAnswer(attempt *Attempt) bool {
+	open := attempt.Status == 0 || attempt.Status/100 == 2 && !attempt.Complete
+	return open && attempt.ReadAt > 0 && !attempt.Abandoned && attempt.Ended < attempt.Deadline
 }
 
-// changing tells whether a change of the configuration is under way.
-func (judge *judge) changing(at time.Duration) bool {
-	return slices.ContainsFunc(judge.taken(), func(version *Version) bool {
-		return version.Took && version.Sent <= at && at <= version.Acked+judge.Bounds.Propagate+time.Second
+// configurationChanging tells whether an accepted version is being sent or may still be spreading; a second is added for slow
+// machines.
+func (checker *checker) configurationChanging(at time.Duration) bool {
+	return slices.ContainsFunc(checker.possibleVersions(), func(version *Version) bool {
+		return version.Acknowledged && version.Sent <= at && at <= version.AcknowledgedAt+checker.Bounds.Propagate+time.Second
 	})
 }
 
-// changingTime gives how long changes were under way while traffic ran, and how long none was.
-func (judge *judge) changingTime() (within, beyond time.Duration) {
+// configurationChangeTime splits the time of traffic into the part with a configuration change under way and the part without.
+func (checker *checker) configurationChangeTime() (within, beyond time.Duration) {
 	const step = 100 * time.Millisecond
-	for at := judge.Traffic.From; at < judge.Traffic.Until; at += step {
-		if judge.changing(at) {
+	for at := checker.Traffic.From; at < checker.Traffic.Until; at += step {
+		if checker.configurationChanging(at) {
 			within += step
 		} else {
 			beyond += step
@@ -220,20 +229,22 @@
 	return within, beyond
 }
 
-func (judge *judge) stopping(machine *Machine, try *Try) bool {
+// overlapsStop tells whether the attempt was under way during a planned stop of its machine.
+func (checker *checker) overlapsStop(machine *Machine, attempt *Attempt) bool {
 	return slices.ContainsFunc(machine.Stops, func(stop time.Duration) bool {
-		return try.Ended >= stop && try.Sent <= stop+judge.Bounds.Grace+time.Second
+		return attempt.Ended >= stop && attempt.Sent <= stop+checker.Bounds.Grace+time.Second
 	})
 }
 
-// serverBroke: not counted when the server broke off or was still at work in the second half of the grace.
-func (judge *judge) serverBroke(try *Try) bool {
-	for _, arrival := range judge.arrivals[try.Identity] {
-		if arrival.Broke || arrival.Failed {
+// serverAtFault excuses a lost answer if the server broke off or failed, or was still working in the second half of the grace period
+// of a stop.
+func (checker *checker) serverAtFault(attempt *Attempt) bool {
+	for _, arrival := range checker.arrivals[attempt.Identity] {
+		if arrival.Interrupted || arrival.Failed {
 			return true
 		}
-		for _, stop := range judge.machines[try.Machine].Stops {
-			if arrival.At <= stop+judge.Bounds.Grace && arrival.Ended >= stop+judge.Bounds.Grace/2 {
+		for _, stop := range checker.machines[attempt.Machine].Stops {
+			if arrival.ArrivedAt <= stop+checker.Bounds.Grace && arrival.Ended >= stop+checker.Bounds.Grace/2 {
 				return true
 			}
 		}
@@ -241,6 +252,7 @@
 	return false
 }
 
-func (judge *judge) disturbed(try *Try) bool {
-	return within(judge.Unplanned, try.Sent-judge.Bounds.Contact, try.Ended)
+// nearUnplannedTrouble tells whether an unplanned trouble touched the attempt or the contact time before it.
+func (checker *checker) nearUnplannedTrouble(attempt *Attempt) bool {
+	return overlapsAny(checker.Unplanned, attempt.Sent-checker.Bounds.Contact, attempt.Ended)
 }
--- a/emulator/rules/configuration.go
+++ b/emulator/rules/configuration.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// taken gives the versions that may be or have been in force, oldest first; one without a clear answer may be.
-func (judge *judge) taken() []*Version {
-	taken := []*Version{}
-	for _, version := range judge.Versions {
+// possibleVersions gives the versions that are or may have been in force, oldest first. It includes those that got no clear answer.
+func (checker *checker) possibleVersions() []*Version {
+	possible := []*Version{}
+	for _, version := range checker.Versions {
 		if !version.Invalid && !version.Refused {
-			taken = append(taken, version)
+			possible = append(possible, version)
 		}
 	}
-	slices.SortStableFunc(taken, func(left, right *Version) int { return int(left.Number - right.Number) })
-	return taken
+	slices.SortStableFunc(possible, func(left, right *Version) int { return int(left.Number - right.Number) })
+	return possible
 }
 
-// inForce gives the versions that may be in force at a machine in touch between two moments: those sent before its end, but for
-// those that a newer version had replaced for longer than the time to spread.
-func (judge *judge) inForce(from, until time.Duration) []*Version {
-	return judge.inForceOn(from, until, judge.Bounds.Propagate)
+// versionsInForce gives the versions that a machine in contact may use between two times: all sent before the end, except those that
+// an acknowledged newer version replaced longer ago than the propagation bound.
+func (checker *checker) versionsInForce(from, until time.Duration) []*Version {
+	return checker.versionsInForceWithin(from, until, checker.Bounds.Propagate)
 }
 
-func (judge *judge) inForceOn(from, until, slack time.Duration) []*Version {
+// versionsInForceWithin does the same with another propagation bound.
+func (checker *checker) versionsInForceWithin(from, until, slack time.Duration) []*Version {
 	newest, versions := int64(0), []*Version{}
-	for _, version := range judge.taken() {
-		if version.Took && version.Acked+slack < from {
+	for _, version := range checker.possibleVersions() {
+		if version.Acknowledged && version.AcknowledgedAt+slack < from {
 			newest = max(newest, version.Number)
 		}
 	}
-	for _, version := range judge.taken() {
+	for _, version := range checker.possibleVersions() {
 		if version.Number >= newest && version.Sent <= until {
 			versions = append(versions, version)
 		}
@@ -38,43 +39,45 @@
 	return versions
 }
 
-// handled: a machine in touch handles a request as only an older version, a refused or an invalid one allows.
-func (judge *judge) handled() {
-	for _, try := range judge.Tries {
-		if try.Read == 0 || !judge.touched(try.Machine, try.Sent, try.Ended) {
+// checkVersionInForce is part of CONFIG: a machine in contact handles requests as a version in force says, not as an outdated,
+// refused or invalid one.
+func (checker *checker) checkVersionInForce() {
+	for _, attempt := range checker.Attempts {
+		if attempt.ReadAt == 0 || !checker.inContact(attempt.Machine, attempt.Sent, attempt.Ended) {
 			continue
 		}
-		versions := judge.inForce(try.Sent, try.Ended)
+		versions := checker.versionsInForce(attempt.Sent, attempt.Ended)
 		if len(versions) == 0 {
 			continue
 		}
-		if try.Status == 404 && !try.Sealed && !slices.ContainsFunc(versions, func(version *Version) bool { return !knows(version, try.Route) }) {
-			judge.breach("CONFIG", try.Sent, "%s: %s answered 404, route %s has been there for longer than the time to spread", try.Identity, try.Machine, try.Route)
+		if attempt.Status == 404 && !attempt.Sealed && !slices.ContainsFunc(versions, func(version *Version) bool { return !hasRoute(version, attempt.Route) }) {
+			checker.report("CONFIG", attempt.Sent, "%s: %s answered 404, route %s has been there for longer than the time to spread", attempt.Identity, attempt.Machine, attempt.Route)
 		}
-		for _, run := range judge.runs[try.Identity] {
-			if run.Machine == try.Machine && !slices.ContainsFunc(versions, func(version *Version) bool {
-				return slices.Contains(version.Routes[try.Route].Services, run.Service)
+		for _, execution := range checker.executions[attempt.Identity] {
+			if execution.Machine == attempt.Machine && !slices.ContainsFunc(versions, func(version *Version) bool {
+				return slices.Contains(version.Routes[attempt.Route].Services, execution.Service)
 			}) {
-				judge.breach("CONFIG", run.RanAt, "%s: %s sent it to %s, which route %s does not allow any more", try.Identity, try.Machine, run.Service, try.Route)
+				checker.report("CONFIG", execution.ExecutedAt, "%s: %s sent it to %s, which route %s does not allow any more", attempt.Identity, attempt.Machine, execution.Service, attempt.Route)
 			}
 		}
 	}
 }
 
-func knows(version *Version, route string) bool {
-	_, there := version.Routes[route]
-	return there
+// hasRoute tells whether the version defines the route.
+func hasRoute(version *Version, route string) bool {
+	_, found := version.Routes[route]
+	return found
 }
 
-// reverted: in one life of a machine, a request is handled as only an older version allows, after a server saw a newer one there.
-func (judge *judge) reverted() {
+// checkReverted is part of CONFIG: within one life, a machine that has used a newer version does not return to an older one.
+func (checker *checker) checkReverted() {
 	shown := map[string][]struct {
 		at     time.Duration
 		number int64
 	}{}
-	taken := judge.taken()
+	possible := checker.possibleVersions()
 	oldest := func(route, service string) int64 {
-		for _, version := range taken {
+		for _, version := range possible {
 			if slices.Contains(version.Routes[route].Services, service) {
 				return version.Number
 			}
@@ -82,20 +85,20 @@
 		return 0
 	}
 	newest := func(route, service string) int64 {
-		for index := len(taken) - 1; index >= 0; index-- {
-			if slices.Contains(taken[index].Routes[route].Services, service) {
-				return taken[index].Number
+		for index := len(possible) - 1; index >= 0; index-- {
+			if slices.Contains(possible[index].Routes[route].Services, service) {
+				return possible[index].Number
 			}
 		}
 		return 0
 	}
-	for _, run := range judge.Arrivals {
-		if try := judge.tries[run.Identity]; run.Ran && try != nil {
-			if number := oldest(try.Route, run.Service); number > 0 {
-				shown[run.Machine] = append(shown[run.Machine], struct {
+	for _, execution := range checker.Arrivals {
+		if attempt := checker.attempts[execution.Identity]; execution.Executed && attempt != nil {
+			if number := oldest(attempt.Route, execution.Service); number > 0 {
+				shown[execution.Machine] = append(shown[execution.Machine], struct {
 					at     time.Duration
 					number int64
-				}{run.RanAt, number})
+				}{execution.ExecutedAt, number})
 			}
 		}
 	}
@@ -114,92 +117,95 @@
 		}
 		shown[machine] = highest
 	}
-	for _, run := range judge.Arrivals {
-		try := judge.tries[run.Identity]
-		if try == nil || !run.Ran || judge.machines[run.Machine] == nil {
+	for _, execution := range checker.Arrivals {
+		attempt := checker.attempts[execution.Identity]
+		if attempt == nil || !execution.Executed || checker.machines[execution.Machine] == nil {
 			continue
 		}
-		number := newest(try.Route, run.Service)
-		for _, mark := range shown[run.Machine] {
-			if number > 0 && number < mark.number && try.Sent > mark.at+judge.Bounds.Revert && !within(judge.machines[run.Machine].Troubles, mark.at, run.RanAt) {
-				judge.breach("CONFIG", run.RanAt, "%s went back to a version up to %d, it had shown %d at %v", run.Machine, number, mark.number, mark.at)
+		number := newest(attempt.Route, execution.Service)
+		for _, mark := range shown[execution.Machine] {
+			if number > 0 && number < mark.number && attempt.Sent > mark.at+checker.Bounds.Revert && !overlapsAny(checker.machines[execution.Machine].Troubles, mark.at, execution.ExecutedAt) {
+				checker.report("CONFIG", execution.ExecutedAt, "%s went back to a version up to %d, it had shown %d at %v", execution.Machine, number, mark.number, mark.at)
 				break
 			}
 		}
 	}
 }
 
-const fewestLate = 20
+// minAddedRouteRequests is the number of requests below which the comparison says nothing.
+const minAddedRouteRequests = 20
 
-// added: routes that were added later are served less than a quarter as often as the first ones.
-func (judge *judge) added() {
+// checkAddedRoutes is part of CONFIG: routes that were added later are served at least a quarter as often as the first ones.
+func (checker *checker) checkAddedRoutes() {
 	first, late := [2]int{}, [2]int{}
-	for _, try := range judge.Tries {
-		if !judge.touched(try.Machine, try.Sent, try.Ended) || !judge.allowed(try) || within(judge.Unplanned, try.Sent-judge.Bounds.Contact, try.Ended) {
+	for _, attempt := range checker.Attempts {
+		if !checker.inContact(attempt.Machine, attempt.Sent, attempt.Ended) || !checker.allowedByConfiguration(attempt) || overlapsAny(checker.Unplanned, attempt.Sent-checker.Bounds.Contact, attempt.Ended) {
 			continue
 		}
 		count := &first
-		if judge.late(try) {
+		if checker.onAddedRoute(attempt) {
 			count = &late
 		}
 		count[0]++
-		if try.Status/100 == 2 && try.Whole {
+		if attempt.Status/100 == 2 && attempt.Complete {
 			count[1]++
 		}
 	}
-	if late[0] >= fewestLate && first[0] > 0 && late[1]*4*first[0] < first[1]*late[0] {
-		judge.breach("CONFIG", judge.End, "%d of %d requests on routes that were added later were served, %d of %d on the first ones", late[1], late[0], first[1], first[0])
+	if late[0] >= minAddedRouteRequests && first[0] > 0 && late[1]*4*first[0] < first[1]*late[0] {
+		checker.report("CONFIG", checker.End, "%d of %d requests on routes that were added later were served, %d of %d on the first ones", late[1], late[0], first[1], first[0])
 	}
 }
 
-func (judge *judge) late(try *Try) bool {
-	return slices.ContainsFunc(judge.Versions, func(version *Version) bool { return version.Routes[try.Route].Late })
+// onAddedRoute tells whether the attempt uses a route that was added after the first version.
+func (checker *checker) onAddedRoute(attempt *Attempt) bool {
+	return slices.ContainsFunc(checker.Versions, func(version *Version) bool { return version.Routes[attempt.Route].AddedLater })
 }
 
-// accepted: an invalid version is acknowledged, or two are on top of the same one.
-func (judge *judge) accepted() {
+// checkAcknowledgedVersions is part of CONFIG: no invalid version is acknowledged, and no two versions on top of the same base.
+func (checker *checker) checkAcknowledgedVersions() {
 	bases := map[int64]int64{}
-	for _, version := range judge.Versions {
-		if !version.Took {
+	for _, version := range checker.Versions {
+		if !version.Acknowledged {
 			continue
 		}
 		if version.Invalid {
-			judge.breach("CONFIG", version.Acked, "the invalid version %d was acknowledged", version.Number)
+			checker.report("CONFIG", version.AcknowledgedAt, "the invalid version %d was acknowledged", version.Number)
 		}
-		if other, there := bases[version.Base]; there && other != version.Number {
-			judge.breach("CONFIG", version.Acked, "versions %d and %d were both acknowledged on top of %d", other, version.Number, version.Base)
+		if other, found := bases[version.Base]; found && other != version.Number {
+			checker.report("CONFIG", version.AcknowledgedAt, "versions %d and %d were both acknowledged on top of %d", other, version.Number, version.Base)
 		}
 		bases[version.Base] = version.Number
 	}
 }
 
-// readBack: at the end the configuration doesn't come, is older than the newest acknowledged one, or isn't what was sent.
-func (judge *judge) readBack() {
+// checkReadBack is part of CONFIG: at the end of the day the configuration can be read, is at least as new as the newest
+// acknowledged version, and equals what was sent. A version that the final fault erased counts as LOST.
+func (checker *checker) checkReadBack() {
 	newest := int64(0)
-	for _, version := range judge.Versions {
-		if version.Took && !version.Invalid {
+	for _, version := range checker.Versions {
+		if version.Acknowledged && !version.Invalid {
 			newest = max(newest, version.Number)
 		}
 	}
 	if newest == 0 {
 		return
 	}
-	if len(judge.ReadBacks) == 0 {
-		judge.breach("CONFIG", judge.End, "the configuration could not be read back")
+	if len(checker.ReadBacks) == 0 {
+		checker.report("CONFIG", checker.End, "the configuration could not be read back")
 	}
-	for _, read := range judge.ReadBacks {
-		known := slices.ContainsFunc(judge.taken(), func(version *Version) bool { return version.Number == read.Number })
+	for _, read := range checker.ReadBacks {
+		known := slices.ContainsFunc(checker.possibleVersions(), func(version *Version) bool { return version.Number == read.Number })
 		switch {
 		case read.Number < newest:
 			rule := "CONFIG"
-			if judge.Closing > 0 {
+			if checker.FinalFaultAt > 0 {
 				rule = "LOST"
 			}
-			judge.breach(rule, read.At, "version %d was read back, %d had been acknowledged", read.Number, newest)
+			checker.report(rule, read.At, "version %d was read back, %d had been acknowledged", read.Number, newest)
 		case !known:
-			judge.breach("CONFIG", read.At, "version %d was read back, which was refused or never sent", read.Number)
+			checker.report("CONFIG", read.At, "version %d was read back, which was refused or never sent", read.Number)
 		case !read.Same:
-			judge.breach("CONFIG", read.At, "version %d reads otherwise than it was sent", read.Number)
+			checker.report("CONFIG", read.At, "version %d reads otherwise than it was sent", read.Number)
 		}
 	}
 }
--- a/emulator/rules/limits.go
+++ b/emulator/rules/limits.go
@@ -7,99 +7,100 @@
 	"time"
 )
 
-// drain: a machine in touch sends a request to a server for too long after the list showed that it leaves, and after one in touch
-// could have told so. The time while the list could not be read isn't counted.
-func (judge *judge) drain() {
+// checkDrain implements DRAIN: a machine in contact sends no request to a server after the drain bound has passed since the list
+// showed that it leaves. Time in which the list could not be read extends the bound.
+func (checker *checker) checkDrain() {
 	shown := map[string]time.Duration{}
-	for _, leaving := range judge.Leavings {
-		if _, there := shown[leaving.Server]; !there {
-			shown[leaving.Server] = leaving.Shown
+	for _, leaving := range checker.Departures {
+		if _, found := shown[leaving.Server]; !found {
+			shown[leaving.Server] = leaving.ListedAt
 		}
 	}
-	for _, arrival := range judge.Arrivals {
-		moment, there := shown[arrival.Server]
-		if !there || arrival.Moved {
+	for _, arrival := range checker.Arrivals {
+		listedAt, found := shown[arrival.Server]
+		if !found || arrival.WrongServer {
 			continue
 		}
-		bound := moment + judge.Bounds.Drain
-		for _, span := range judge.ListTroubles {
-			if span.touches(moment, bound) {
-				bound += span.Until - max(span.From, moment)
+		bound := listedAt + checker.Bounds.Drain
+		for _, span := range checker.ListOutages {
+			if span.overlaps(listedAt, bound) {
+				bound += span.Until - max(span.From, listedAt)
 			}
 		}
-		if arrival.Sent > bound && judge.touched(arrival.Machine, arrival.Sent, arrival.Sent) {
-			judge.breach("DRAIN", arrival.At, "%s reached %s %v after the list showed that it leaves", arrival.Identity, arrival.Server, (arrival.At - moment).Round(time.Millisecond))
+		if arrival.Sent > bound && checker.inContact(arrival.Machine, arrival.Sent, arrival.Sent) {
+			checker.report("DRAIN", arrival.ArrivedAt, "%s reached %s %v after the list showed that it leaves", arrival.Identity, arrival.Server, (arrival.ArrivedAt - listedAt).Round(time.Millisecond))
 		}
 	}
 }
 
-// evacuated: a machine in touch sends a request to a server of a zone that has been emptied for longer than the bound.
-func (judge *judge) evacuated() {
-	for _, order := range judge.Evacuations {
-		if order.Off || !order.Took {
+// checkEvacuation implements EVAC: a machine in contact sends no request to a zone that has been drained for longer than the bound.
+func (checker *checker) checkEvacuation() {
+	for _, evacuation := range checker.Evacuations {
+		if evacuation.Cancel || !evacuation.Acknowledged {
 			continue
 		}
-		back := judge.End
-		for _, other := range judge.Evacuations {
-			if other.Off && other.Zone == order.Zone && (!other.Took || other.Acked > order.Sent) {
-				back = min(back, max(other.Sent, order.Acked))
+		returned := checker.End
+		for _, other := range checker.Evacuations {
+			if other.Cancel && other.Zone == evacuation.Zone && (!other.Acknowledged || other.AcknowledgedAt > evacuation.Sent) {
+				returned = min(returned, max(other.Sent, evacuation.AcknowledgedAt))
 			}
 		}
-		for _, arrival := range judge.Arrivals {
-			if arrival.Zone != order.Zone || arrival.Moved || arrival.Sent <= order.Acked+judge.Bounds.Evacuate || arrival.At >= back {
+		for _, arrival := range checker.Arrivals {
+			if arrival.Zone != evacuation.Zone || arrival.WrongServer || arrival.Sent <= evacuation.AcknowledgedAt+checker.Bounds.Evacuate || arrival.ArrivedAt >= returned {
 				continue
 			}
-			if judge.touched(arrival.Machine, arrival.Sent, arrival.Sent) {
-				judge.breach("EVAC", arrival.At, "%s reached %s %v after %s was to be empty", arrival.Identity, arrival.Server, arrival.At-order.Acked, order.Zone)
+			if checker.inContact(arrival.Machine, arrival.Sent, arrival.Sent) {
+				checker.report("EVAC", arrival.ArrivedAt, "%s reached %s %v after %s was to be empty", arrival.Identity, arrival.Server, arrival.ArrivedAt-evacuation.AcknowledgedAt, evacuation.Zone)
 			}
 		}
 	}
 }
 
-// failback: a cold server gets more requests in a second than it bears. Only those sent and arrived inside the second count.
-func (judge *judge) failback() {
+// checkFailback implements FAILBACK: a cold server gets no more requests in any second than it can take. Only requests that were
+// both sent and received within the second count, so that delayed messages don't add up.
+func (checker *checker) checkFailback() {
 	cold := map[string][]*Arrival{}
-	for _, arrival := range judge.Arrivals {
-		if arrival.Cold && !arrival.Moved {
+	for _, arrival := range checker.Arrivals {
+		if arrival.Cold && !arrival.WrongServer {
 			cold[arrival.Server] = append(cold[arrival.Server], arrival)
 		}
 	}
 	for _, server := range slices.Sorted(maps.Keys(cold)) {
 		arrivals := cold[server]
-		sort.SliceStable(arrivals, func(left, right int) bool { return arrivals[left].At < arrivals[right].At })
-		most := judge.Services[arrivals[0].Service].ColdPerS*judge.Bounds.WarmupOverage + judge.Bounds.WarmupAllowance
+		sort.SliceStable(arrivals, func(left, right int) bool { return arrivals[left].ArrivedAt < arrivals[right].ArrivedAt })
+		limit := checker.Services[arrivals[0].Service].ColdPerS*checker.Bounds.WarmupOverage + checker.Bounds.WarmupAllowance
 		first := 0
 		for last, arrival := range arrivals {
-			for arrivals[first].At < arrival.At-time.Second {
+			for arrivals[first].ArrivedAt < arrival.ArrivedAt-time.Second {
 				first++
 			}
 			count := 0
 			for _, one := range arrivals[first : last+1] {
-				if one.Sent >= arrival.At-time.Second {
+				if one.Sent >= arrival.ArrivedAt-time.Second {
 					count++
 				}
 			}
-			if float64(count) > most && most > judge.Bounds.WarmupAllowance {
-				judge.breach("FAILBACK", arrival.At, "the cold %s got %d requests in a second, it bears %.0f", server, count, most)
+			if float64(count) > limit && limit > checker.Bounds.WarmupAllowance {
+				checker.report("FAILBACK", arrival.ArrivedAt, "the cold %s got %d requests in a second, it bears %.0f", server, count, limit)
 				break
 			}
 		}
 	}
 }
 
-// budget: arrivals beyond the first of each request against the requests of the window, of the one before, or of the one half a
-// window before, whichever has most.
-func (judge *judge) budget() {
+// checkBudget implements BUDGET: repeated arrivals in a window stay below the retry ratio. They are compared with the requests of
+// the same window, the one before, or the one half a window earlier, whichever has most.
+func (checker *checker) checkBudget() {
 	requests, extras := map[string][]time.Duration{}, map[string][]time.Duration{}
-	for _, try := range judge.Tries {
-		requests[try.Service] = append(requests[try.Service], try.Sent)
+	for _, attempt := range checker.Attempts {
+		requests[attempt.Service] = append(requests[attempt.Service], attempt.Sent)
 	}
 	seen := map[string]bool{}
-	arrivals := slices.Clone(judge.Arrivals)
-	sort.SliceStable(arrivals, func(left, right int) bool { return arrivals[left].At < arrivals[right].At })
+	arrivals := slices.Clone(checker.Arrivals)
+	sort.SliceStable(arrivals, func(left, right int) bool { return arrivals[left].ArrivedAt < arrivals[right].ArrivedAt })
 	for _, arrival := range arrivals {
 		if seen[arrival.Identity] {
-			extras[arrival.Service] = append(extras[arrival.Service], arrival.At)
+			extras[arrival.Service] = append(extras[arrival.Service], arrival.ArrivedAt)
 		}
 		seen[arrival.Identity] = true
 	}
@@ -110,64 +111,67 @@
 			return sort.Search(len(sent), func(index int) bool { return sent[index] > until }) - sort.Search(len(sent), func(index int) bool { return sent[index] > from })
 		}
 		for last, until := range extras[service] {
-			for extras[service][first] <= until-judge.Bounds.RetryWindow {
+			for extras[service][first] <= until-checker.Bounds.RetryWindow {
 				first++
 			}
-			window := judge.Bounds.RetryWindow
-			most := max(between(until-window, until), between(until-2*window, until-window), between(until-window*3/2, until-window/2))
-			if allowed := judge.Bounds.RetryRatio*float64(most) + judge.Bounds.RetryAllowance; float64(last-first+1) > allowed {
-				judge.breach("BUDGET", until, "%s got %d further arrivals in a window, %.0f are allowed", service, last-first+1, allowed)
+			window := checker.Bounds.RetryWindow
+			limit := max(between(until-window, until), between(until-2*window, until-window), between(until-window*3/2, until-window/2))
+			if allowed := checker.Bounds.RetryRatio*float64(limit) + checker.Bounds.RetryAllowance; float64(last-first+1) > allowed {
+				checker.report("BUDGET", until, "%s got %d further arrivals in a window, %.0f are allowed", service, last-first+1, allowed)
 				break
 			}
 		}
 	}
 }
 
-const quarter = 4
+// servedShareDivisor makes a quarter the share of requests that counts as serving.
+const servedShareDivisor = 4
 
-// recovered: a quarter or more was served before the closing fault, and fewer than a quarter after the bound on recovery.
-func (judge *judge) recovered() {
-	if judge.Closing == 0 {
+// checkRecovery implements RECOVER: if at least a quarter of requests was served before the final fault, at least a quarter is
+// served again once the recovery bound has passed.
+func (checker *checker) checkRecovery() {
+	if checker.FinalFaultAt == 0 {
 		return
 	}
 	before, after := [2]int{}, [2]int{}
-	for _, try := range judge.Tries {
+	for _, attempt := range checker.Attempts {
 		var count *[2]int
 		switch {
-		case try.Probe:
+		case attempt.Probe:
 			continue
-		case try.Ended < judge.Closing:
+		case attempt.Ended < checker.FinalFaultAt:
 			count = &before
-		case try.Sent > judge.Returned+judge.Bounds.Recover:
+		case attempt.Sent > checker.RestartedAt+checker.Bounds.Recover:
 			count = &after
 		default:
 			continue
 		}
 		count[0]++
-		if try.Status/100 == 2 && try.Whole {
+		if attempt.Status/100 == 2 && attempt.Complete {
 			count[1]++
 		}
 	}
-	if before[1]*quarter >= before[0] && after[0] > 0 && after[1]*quarter < after[0] {
-		judge.breach("RECOVER", judge.End, "%d of %d requests were served after the return, %d of %d before the fault", after[1], after[0], before[1], before[0])
+	if before[1]*servedShareDivisor >= before[0] && after[0] > 0 && after[1]*servedShareDivisor < after[0] {
+		checker.report("RECOVER", checker.End, "%d of %d requests were served after the return, %d of %d before the fault", after[1], after[0], before[1], before[0])
 	}
 }
 
-// acknowledged: a proper order waits for longer than its bound while the core was settled all the time.
-func (judge *judge) acknowledged() {
+// checkAcknowledgement implements ACKS: a valid order is acknowledged within its bound while the core is stable. Large
+// configurations get 3 ms more for each route.
+func (checker *checker) checkAcknowledgement() {
 	wait := func(what string, sent, ended time.Duration, took bool, routes int) {
-		bound := judge.Bounds.Ack + time.Duration(routes)*3*time.Millisecond
+		bound := checker.Bounds.Ack + time.Duration(routes)*3*time.Millisecond
 		end := sent + bound
-		if (!took || ended > end) && end < judge.End && judge.settled(sent, end) && !within(judge.Unplanned, sent-judge.Bounds.Contact, end) {
-			judge.breach("ACKS", end, "%s sent at %v had no acknowledgement", what, sent)
+		if (!took || ended > end) && end < checker.End && checker.coreStable(sent, end) && !overlapsAny(checker.Unplanned, sent-checker.Bounds.Contact, end) {
+			checker.report("ACKS", end, "%s sent at %v had no acknowledgement", what, sent)
 		}
 	}
-	for _, version := range judge.Versions {
+	for _, version := range checker.Versions {
 		if !version.Invalid && !version.Refused {
-			wait("a configuration", version.Sent, version.Acked, version.Took, len(version.Routes))
+			wait("a configuration", version.Sent, version.AcknowledgedAt, version.Acknowledged, len(version.Routes))
 		}
 	}
-	for _, order := range judge.Evacuations {
-		wait("an evacuation of "+order.Zone, order.Sent, order.Acked, order.Took, 0)
+	for _, evacuation := range checker.Evacuations {
+		wait("an evacuation of "+evacuation.Zone, evacuation.Sent, evacuation.AcknowledgedAt, evacuation.Acknowledged, 0)
 	}
 }
--- a/emulator/rules/tenants.go
+++ b/emulator/rules/tenants.go
@@ -2,48 +2,51 @@
 
 import "slices"
 
-// holds tells whether a version lets a request with a key run: one of its tenants holds it, or it has no tenants.
-func holds(version *Version, key string) bool {
-	_, held := version.Holders[key]
-	return held || len(version.Holders) == 0
+// acceptsKey tells whether the version allows a request with this key: a tenant holds the key, or there are no tenants.
+func acceptsKey(version *Version, key string) bool {
+	_, held := version.TenantsByKey[key]
+	return held || len(version.TenantsByKey) == 0
 }
 
-// tenants: a server is told another tenant than the one that holds the caller's key, a request runs with a key that no version ever held or
-// none holds any more, or one is refused though every version that may be in force holds its key.
-func (judge *judge) tenants() {
-	for _, try := range judge.Tries {
-		for _, run := range judge.runs[try.Identity] {
-			judge.tenantOf(try, run)
+// checkTenants checks keys and tenants under the rules UNASKED, ROUTE and CONFIG: servers are told the tenant that holds the key,
+// requests with a key that was never held or was withdrawn are not executed, and keys that every version in force holds are not
+// refused.
+func (checker *checker) checkTenants() {
+	for _, attempt := range checker.Attempts {
+		for _, execution := range checker.executions[attempt.Identity] {
+			checker.checkTenantOf(attempt, execution)
 		}
-		if try.Status != statusNoKey || try.Sealed || try.Read == 0 || !judge.touched(try.Machine, try.Sent, try.Ended) {
+		if attempt.Status != statusUnauthorized || attempt.Sealed || attempt.ReadAt == 0 || !checker.inContact(attempt.Machine, attempt.Sent, attempt.Ended) {
 			continue
 		}
-		versions := judge.inForce(try.Sent, try.Ended)
-		if len(versions) > 0 && !slices.ContainsFunc(versions, func(version *Version) bool { return !holds(version, try.Key) }) {
-			judge.breach("CONFIG", try.Sent, "%s: %s answered 401, its key has been there for longer than the time to spread", try.Identity, try.Machine)
+		versions := checker.versionsInForce(attempt.Sent, attempt.Ended)
+		if len(versions) > 0 && !slices.ContainsFunc(versions, func(version *Version) bool { return !acceptsKey(version, attempt.Key) }) {
+			checker.report("CONFIG", attempt.Sent, "%s: %s answered 401, its key has been there for longer than the time to spread", attempt.Identity, attempt.Machine)
 		}
 	}
 }
 
-const statusNoKey = 401
+// statusUnauthorized is the answer to a key that no tenant holds.
+const statusUnauthorized = 401
 
-func (judge *judge) tenantOf(try *Try, run *Arrival) {
+// checkTenantOf checks one execution against the tenants of all versions and of those in force.
+func (checker *checker) checkTenantOf(attempt *Attempt, execution *Arrival) {
 	told := func(version *Version) bool {
-		return !version.Invalid && holds(version, try.Key) && version.Holders[try.Key] == run.Tenant
+		return !version.Invalid && acceptsKey(version, attempt.Key) && version.TenantsByKey[attempt.Key] == execution.Tenant
 	}
-	held := func(version *Version) bool { return !version.Invalid && holds(version, try.Key) }
-	if !slices.ContainsFunc(judge.Versions, held) {
-		judge.breach("ROUTE", run.RanAt, "%s ran at %s with a key that no version ever held", try.Identity, run.Server)
+	held := func(version *Version) bool { return !version.Invalid && acceptsKey(version, attempt.Key) }
+	if !slices.ContainsFunc(checker.Versions, held) {
+		checker.report("ROUTE", execution.ExecutedAt, "%s ran at %s with a key that no version ever held", attempt.Identity, execution.Server)
 		return
 	}
-	if !slices.ContainsFunc(judge.Versions, told) {
-		judge.breach("UNASKED", run.RanAt, "%s ran at %s as a call of tenant %q, whose key it did not show", try.Identity, run.Server, run.Tenant)
+	if !slices.ContainsFunc(checker.Versions, told) {
+		checker.report("UNASKED", execution.ExecutedAt, "%s ran at %s as a call of tenant %q, whose key it did not show", attempt.Identity, execution.Server, execution.Tenant)
 	}
-	if run.Machine != try.Machine || !judge.touched(try.Machine, try.Sent, try.Ended) {
+	if execution.Machine != attempt.Machine || !checker.inContact(attempt.Machine, attempt.Sent, attempt.Ended) {
 		return
 	}
-	versions := judge.inForce(try.Sent, try.Ended)
-	if len(versions) > 0 && !slices.ContainsFunc(versions, func(version *Version) bool { return holds(version, try.Key) }) {
-		judge.breach("CONFIG", run.RanAt, "%s: %s ran it with a key that was taken away", try.Identity, try.Machine)
+	versions := checker.versionsInForce(attempt.Sent, attempt.Ended)
+	if len(versions) > 0 && !slices.ContainsFunc(versions, func(version *Version) bool { return acceptsKey(version, attempt.Key) }) {
+		checker.report("CONFIG", execution.ExecutedAt, "%s: %s ran it with a key that was taken away", attempt.Identity, attempt.Machine)
 	}
 }
--- a/emulator/server.go
+++ b/emulator/server.go
@@ -131,14 +131,14 @@
 	}
 	now, world := server.day.world.Now, server.day.world
 	arrival := &rules.Arrival{Identity: asked.request.try.Identity, Server: server.name, Service: server.service.Name, Zone: server.zone, Region: server.region,
-		Machine: asked.machine.name, Sent: asked.sent, At: now, Target: asked.target, Tenant: asked.tenant, Cold: server.cold() && server.service.ColdPerS > 0, After: asked.after}
+		Machine: asked.machine.name, Sent: asked.sent, ArrivedAt: now, Target: asked.target, Tenant: asked.tenant, Cold: server.cold() && server.service.ColdPerS > 0, ResumeAfter: asked.after}
 	server.day.record.Arrivals = append(server.day.record.Arrivals, arrival)
 	server.conns[conn] = now
 	server.runs += runUnit
 	job := &task{query: asked, server: server, conn: conn, arrival: arrival, number: server.runs, deadline: now + asked.left}
 	server.jobs[conn] = job
 	if asked.target != server.name {
-		arrival.Moved = true
+		arrival.WrongServer = true
 		server.turnAway(job, head{status: 421, moved: true})
 		return
 	}
@@ -147,7 +147,7 @@
 		return
 	}
 	if server.lossy > 0 && world.random.Float64() < server.lossy {
-		arrival.Ran, arrival.RanAt, arrival.Broke, arrival.Ended = true, now, true, now
+		arrival.Executed, arrival.ExecutedAt, arrival.Interrupted, arrival.Ended = true, now, true, now
 		server.hangUp(conn)
 		return
 	}
@@ -157,7 +157,7 @@
 	}
 	server.queue = append(server.queue, job)
 	world.After(asked.left, func() {
-		if !job.over && !arrival.Ran {
+		if !job.over && !arrival.Executed {
 			server.queue = slices.DeleteFunc(server.queue, func(other *task) bool { return other == job })
 			server.remove(job)
 			server.turnAway(job, head{status: 503, notRun: true})
@@ -242,9 +242,9 @@
 }
 
 func (server *server) began(job *task) {
-	if !job.arrival.Ran {
+	if !job.arrival.Executed {
 		server.day.runs++
-		job.arrival.Ran, job.arrival.RanAt, job.arrival.Run = true, server.day.world.Now, server.day.runs
+		job.arrival.Executed, job.arrival.ExecutedAt, job.arrival.ExecutionID = true, server.day.world.Now, server.day.runs
 	}
 }
 
@@ -267,7 +267,7 @@
 	for _, job := range server.jobs {
 		if !job.over {
 			job.over = true
-			job.arrival.Broke, job.arrival.Ended = true, server.day.world.Now
+			job.arrival.Interrupted, job.arrival.Ended = true, server.day.world.Now
 		}
 	}
 }
--- a/emulator/server_test.go
+++ b/emulator/server_test.go
@@ -18,7 +18,7 @@
 	whole  bool
 	closed bool
 	conn   *conn
-	try    *rules.Try
+	try    *rules.Attempt
 }
 
 type bench struct {
@@ -41,7 +41,7 @@
 
 func (bench *bench) ask(target string, pieces, urgency int, parts ...engine.Part) *asked {
 	bench.count++
-	one := &asked{try: &rules.Try{Identity: fmt.Sprint("t", bench.count), Total: pieces, Stream: true}}
+	one := &asked{try: &rules.Attempt{Identity: fmt.Sprint("t", bench.count), TotalPieces: pieces, Stream: true}}
 	prompt := engine.Prompt{Model: "m", Parts: parts, Output: int64(pieces * bench.server.service.Engine.Stride)}
 	for _, part := range parts {
 		prompt.Input += part.Tokens
@@ -97,7 +97,7 @@
 		bench.ask(bench.server.name, 1, -1, part("long", 40000))
 		bench.run(3 * time.Second)
 		last := len(alone.pieces) - 1
-		Expect(beside.pieces[last].Made - began).To(BeNumerically(">", alone.pieces[last].Made+300*time.Millisecond))
+		Expect(beside.pieces[last].MadeAt - began).To(BeNumerically(">", alone.pieces[last].MadeAt+300*time.Millisecond))
 	})
 
 	It("lets the part go that was unused for the longest", func() {
@@ -123,7 +123,7 @@
 		bench.run(5 * time.Second)
 		Expect(bench.day.putBacks).To(BeNumerically(">", 0))
 		Expect(urgent.whole && patient.whole).To(BeTrue())
-		Expect(urgent.pieces[24].Made).To(BeNumerically("<", patient.pieces[24].Made))
+		Expect(urgent.pieces[24].MadeAt).To(BeNumerically("<", patient.pieces[24].MadeAt))
 		Expect(patient.pieces).To(HaveLen(25))
 	})
 
@@ -151,7 +151,7 @@
 		one := bench.ask("model-99", 1, -1, part("own", 10))
 		bench.run(time.Second)
 		Expect(one.head.moved).To(BeTrue())
-		Expect(bench.day.record.Arrivals[0].Ran).To(BeFalse())
+		Expect(bench.day.record.Arrivals[0].Executed).To(BeFalse())
 	})
 
 	It("resets more connections than it takes", func() {
--- a/emulator/tenants_test.go
+++ b/emulator/tenants_test.go
@@ -21,7 +21,7 @@
 				for _, run := range played.Record.Arrivals {
 					named[run.Tenant] = true
 				}
-				for _, try := range played.Record.Tries {
+				for _, try := range played.Record.Attempts {
 					if try.Status == 401 {
 						refused++
 					}
--- a/emulator/troubles_test.go
+++ b/emulator/troubles_test.go
@@ -87,7 +87,7 @@
 		It("wipes out nothing that was acknowledged: "+how, func() {
 			name := sites[index%len(sites)]
 			played := Play(small(name), uint64(index+1), Plan{Troubles: []Trouble{{Kind: "config_change", AtS: 2}}, Closing: how})
-			Expect(played.Record.Returned).To(BeNumerically(">", 0))
+			Expect(played.Record.RestartedAt).To(BeNumerically(">", 0))
 			Expect(played.Breaches).To(BeEmpty())
 		})
 	}
--- a/emulator/try.go
+++ b/emulator/try.go
@@ -9,7 +9,7 @@
 // attempt is one try of a call under way.
 type attempt struct {
 	*call
-	try     *rules.Try
+	try     *rules.Attempt
 	conn    *conn
 	address string
 	over    bool
@@ -36,7 +36,7 @@
 		one.try = call.try()
 		one.try.Sent = call.day.world.Now
 		one.touched = one.try.Sent
-		call.day.record.Tries = append(call.day.record.Tries, one.try)
+		call.day.record.Attempts = append(call.day.record.Attempts, one.try)
 		write := func(opened *conn, address string) { one.write(opened, address) }
 		if call.straight != nil {
 			call.day.connect(call.visitor.place(), call.straight.address+":"+trafficPort, write)
@@ -76,7 +76,7 @@
 	day.world.After(left, one.giveUp)
 	if one.try.Repeatable {
 		day.world.After(min(time.Second, left/3), func() {
-			if one.try.Read == 0 {
+			if one.try.ReadAt == 0 {
 				one.visitor.fail(address)
 				one.giveUp()
 			}
@@ -106,7 +106,7 @@
 	if one.over {
 		return
 	}
-	one.try.GivenUp = true
+	one.try.Abandoned = true
 	if one.conn != nil {
 		one.conn.closed[near] = nil
 		one.conn.close(near)
@@ -120,12 +120,12 @@
 	}
 	one.touched = one.day.world.Now
 	if one.try.Status == 0 {
-		one.try.Status, one.try.Sealed, one.try.AnswerOf = answer.status, answer.sealed, answer.of
+		one.try.Status, one.try.Sealed, one.try.AnswerIdentity = answer.status, answer.sealed, answer.of
 	}
 	if !answer.whole {
 		return
 	}
-	one.try.Whole, one.after = true, answer.after
+	one.try.Complete, one.after = true, answer.after
 	if !one.try.Stream && answer.status/100 == 2 {
 		one.first(one.day.world.Now)
 	}
@@ -143,7 +143,7 @@
 		return
 	}
 	now := one.day.world.Now
-	one.touched, piece.Came = now, now
+	one.touched, piece.ReceivedAt = now, now
 	one.try.Pieces = append(one.try.Pieces, piece)
 	one.first(now)
 	if gap := seconds(one.class.GapMs / 1000); gap > 0 && one.call.last > 0 && now-one.call.last > gap {
@@ -163,13 +163,13 @@
 	one.over = true
 	one.try.Ended = one.day.world.Now
 	status, left := one.try.Status, one.ends-one.day.world.Now
-	if status/100 == 2 && one.try.Whole {
+	if status/100 == 2 && one.try.Complete {
 		one.settle("served")
 		return
 	}
 	promise := status == 429 || status == 503 || status == 408 || status == 421
 	final := status == 400 || status == 401 || status == 404 || status == 413 || status == 431
-	may := one.try.Repeatable || promise || one.try.Read == 0 && !one.try.GivenUp
+	may := one.try.Repeatable || promise || one.try.ReadAt == 0 && !one.try.Abandoned
 	if one.call.tries <= 0 || final || !may || left <= 0 || one.try.Probe {
 		if promise {
 			one.settle("refused")
--- a/stories/soak/soak_test.go
+++ b/stories/soak/soak_test.go
@@ -44,8 +44,8 @@
 		for _, seed := range []uint64{1, 5, 6} {
 			It("breaks no rule on "+name, func() {
 				played := play(name, seed, 0)
-				Expect(len(played.Record.Tries)).To(BeNumerically(">", fewest))
-				Expect(len(played.Record.Leavings)).To(BeNumerically(">", 50), "servers that left")
+				Expect(len(played.Record.Attempts)).To(BeNumerically(">", fewest))
+				Expect(len(played.Record.Departures)).To(BeNumerically(">", 50), "servers that left")
 				Expect(len(played.Record.Versions)).To(BeNumerically(">", 100), "changes of the configuration")
 				Expect(played.Breaches).To(BeEmpty(), "seed %d", seed)
 			})
