--- a/control/control.go
+++ b/control/control.go
@@ -130,7 +130,7 @@
 	}
 	commands = append(commands, owner.askRefill(now, members)...)
 	if owner.Feed.Known() {
-		commands = append(commands, owner.tickShards(now, shard.Seen{Members: members, Manifest: owner.Feed.Manifest(), Revision: owner.Feed.Version().Position.Revision})...)
+		commands = append(commands, owner.tickShards(now, shard.ClusterState{Members: members, Manifest: owner.Feed.Manifest(), Revision: owner.Feed.Version().Position.Revision})...)
 	}
 	commands = append(commands, owner.index.Tick(now, owner.peers(members))...)
 	commands = append(commands, owner.tickWrites(now)...)
--- a/control/regions.go
+++ b/control/regions.go
@@ -24,7 +24,7 @@
 }
 
 // tickShards follows the regions of the configuration; every shard owner of this node reads the same listing.
-func (owner *Owner) tickShards(now time.Duration, seen shard.Seen) []contract.Command {
+func (owner *Owner) tickShards(now time.Duration, seen shard.ClusterState) []contract.Command {
 	if owner.wide {
 		self := owner.Self()
 		for _, region := range manifest.SortedKeys(seen.Manifest.Regions) {
@@ -89,7 +89,7 @@
 	if index > 0 {
 		region = manifest.SortedKeys(owner.others)[index-1]
 	}
-	part := shard.ListingResult{Region: region, Began: read.Began, Error: read.Error, Listing: contract.Listing{Region: region}}
+	part := shard.ListingResult{Region: region, StartedAt: read.StartedAt, Error: read.Error, Listing: contract.Listing{Region: region}}
 	for _, row := range read.Listing.Servers {
 		if row.Region == region {
 			part.Listing.Servers = append(part.Listing.Servers, row)
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -105,7 +105,7 @@
 			world.messages[command.To] = append(world.messages[command.To], contract.Message{Kind: command.Kind, From: from.name, Body: content})
 		case shard.ReadPlatform:
 			world.asked++
-			world.messages[from.name] = append(world.messages[from.name], shard.ListingResult{Region: command.Region, Began: world.now, Listing: world.listing})
+			world.messages[from.name] = append(world.messages[from.name], shard.ListingResult{Region: command.Region, StartedAt: world.now, Listing: world.listing})
 		case gateway.Update:
 			listed, fine := command.Event.(gateway.Listed)
 			if !fine {
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -123,7 +123,7 @@
 
 // readList reads the list page by page, each within the time for it.
 func (shell *controlShell) readList() {
-	read, limit := shard.ListingResult{Began: shell.now()}, shell.settings.Bounds.PlatformPoll()
+	read, limit := shard.ListingResult{StartedAt: shell.now()}, shell.settings.Bounds.PlatformPoll()
 	var page func(number int)
 	page = func(number int) {
 		question(shell.process, shell.day.list.place(), limit, func() (any, time.Duration) {
--- a/fleet/platform.go
+++ b/fleet/platform.go
@@ -76,7 +76,7 @@
 			}
 			return fleet.Platform.listing(command.Region)
 		}, func(content []byte) {
-			read := shard.ListingResult{Began: began}
+			read := shard.ListingResult{StartedAt: began}
 			var err error
 			if read.Listing, err = listing.ReadListing(content, command.Region); err != nil {
 				read.Error = err.Error()
--- a/link/disk.go
+++ b/link/disk.go
@@ -21,6 +21,7 @@
 	return faultyDisk{files, faults}
 }
 
+// WriteTemp blocks, delays or fails as the disk fault says, and otherwise writes the file.
 func (disk faultyDisk) WriteTemp(name string, content []byte) error {
 	for disk.faults.Disk() == "stalled" {
 		time.Sleep(faultPollInterval)
--- a/nodecheck/node.go
+++ b/nodecheck/node.go
@@ -136,7 +136,7 @@
 	case index.Persist:
 		world.after(time.Millisecond, func() { node.handle(life, index.Persisted{}) })
 	case shard.ReadPlatform:
-		read := shard.ListingResult{Began: world.now - node.started}
+		read := shard.ListingResult{StartedAt: world.now - node.started}
 		world.after(time.Millisecond, func() { node.handle(life, read) })
 	case contract.Response:
 		take := node.asks[command.Token]
--- a/serve/control.go
+++ b/serve/control.go
@@ -179,7 +179,7 @@
 
 // readPlatform reads the platform's list of servers.
 func (process *controlProcess) readPlatform(command shard.ReadPlatform) {
-	result := shard.ListingResult{Began: process.Loop.Now()}
+	result := shard.ListingResult{StartedAt: process.Loop.Now()}
 	var content []byte
 	var err error
 	if process.adapter != nil {
--- a/shard/condition_test.go
+++ b/shard/condition_test.go
@@ -53,11 +53,11 @@
 	ginkgo.GinkgoHelper()
 	currentManifest := manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}}, Gateway: manifest.Gateway{Services: map[string]manifest.Service{"s": {}}}}
 	for until := fixture.now + span; fixture.now < until; fixture.now += 50 * time.Millisecond {
-		fixture.Handle(fixture.now, Seen{Members: fixture.nodes, Manifest: currentManifest})
+		fixture.Handle(fixture.now, ClusterState{Members: fixture.nodes, Manifest: currentManifest})
 		if fixture.now%(500*time.Millisecond) > 0 {
 			continue
 		}
-		fixture.Handle(fixture.now, ListingResult{Began: fixture.now, Listing: fixture.listing})
+		fixture.Handle(fixture.now, ListingResult{StartedAt: fixture.now, Listing: fixture.listing})
 		if beforeReport != nil {
 			beforeReport()
 		}
--- a/shard/idle_test.go
+++ b/shard/idle_test.go
@@ -34,11 +34,11 @@
 	currentManifest := manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}}}
 	former := len(poller.pollTimes)
 	for until := poller.now + span; poller.now < until; poller.now += 10 * time.Millisecond {
-		for _, command := range poller.Handle(poller.now, Seen{Members: poller.members, Manifest: currentManifest}) {
+		for _, command := range poller.Handle(poller.now, ClusterState{Members: poller.members, Manifest: currentManifest}) {
 			if _, reads := command.(ReadPlatform); reads {
 				poller.pollTimes = append(poller.pollTimes, poller.now)
 				if answers {
-					poller.Handle(poller.now, ListingResult{Began: poller.now, Error: poller.listingError})
+					poller.Handle(poller.now, ListingResult{StartedAt: poller.now, Error: poller.listingError})
 				}
 			}
 		}
--- a/shard/interim_test.go
+++ b/shard/interim_test.go
@@ -13,7 +13,7 @@
 
 var _ = ginkgo.Describe("a lease request at a control node that is not the owner", func() {
 	now := 5 * time.Second
-	seen := Seen{Manifest: manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}}, Zones: map[string]manifest.Zone{"closed": {Region: "east", Drained: true}},
+	seen := ClusterState{Manifest: manifest.Manifest{Regions: map[string]manifest.Region{"east": {Shards: 1}}, Zones: map[string]manifest.Zone{"closed": {Region: "east", Drained: true}},
 		Gateway: manifest.Gateway{Services: map[string]manifest.Service{"service": {}}}}}
 	row := func(name, zone string) contract.ListedServer {
 		return contract.ListedServer{Name: name, Address: name + ":80", Zone: zone, Region: "east", Pool: "service", Incarnation: name, AssumedReady: true}
@@ -26,7 +26,7 @@
 		leaving.Leaving, other.Pool = true, "nobody"
 		cold := row("cold", "zone")
 		cold.WarmupMs = 2000
-		fixture.Handle(now, ListingResult{Began: now, Listing: contract.Listing{Servers: []contract.ListedServer{row("good", "zone"), cold, leaving, row("drained", "closed"), other}}})
+		fixture.Handle(now, ListingResult{StartedAt: now, Listing: contract.Listing{Servers: []contract.ListedServer{row("good", "zone"), cold, leaving, row("drained", "closed"), other}}})
 		return fixture
 	}
 	send := func(node *poller, at time.Duration, request contract.LeaseRequest) []contract.Send {
--- a/shard/observed_test.go
+++ b/shard/observed_test.go
@@ -16,10 +16,10 @@
 			ginkgo.GinkgoHelper()
 			fixture.now += fixture.bounds.Withdraw() / 8
 			request := contract.LeaseRequest{Node: node, Address: node + ":1", Region: "east", SentAt: fixture.now, ShardCount: 1, CallObservations: contract.CallObservations{ShortPromptGapMs: short}}
-			fixture.Handle(fixture.now, ListingResult{Began: fixture.now, Listing: fixture.listing})
+			fixture.Handle(fixture.now, ListingResult{StartedAt: fixture.now, Listing: fixture.listing})
 			body, err := json.Marshal(request)
 			Expect(err).NotTo(HaveOccurred())
-			fixture.Handle(fixture.now, Seen{Members: fixture.nodes, Manifest: fixture.seen.Manifest})
+			fixture.Handle(fixture.now, ClusterState{Members: fixture.nodes, Manifest: fixture.seen.Manifest})
 			for _, command := range fixture.Handle(fixture.now, contract.Message{Kind: MessageLeaseRequest, Body: body}) {
 				if lease, found := fixture.lease(command); found {
 					return lease.ShortPromptGapMs
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -28,10 +28,10 @@
 
 // ListingResult is the outcome of a ReadPlatform. Only owners of its Region use it; an empty Region is for any owner.
 type ListingResult struct {
-	Region  string
-	Began   time.Duration
-	Listing contract.Listing
-	Error   string
+	Region    string
+	StartedAt time.Duration
+	Listing   contract.Listing
+	Error     string
 }
 
 // ReadReport is a command to read a server's report. If ReplyTo is set, the report is read for the owner at that address.
@@ -42,7 +42,7 @@
 	RequestedAt time.Duration `json:"asked"` // time of the request on the asking peer's clock
 }
 
-// ReportResult is the outcome of a ReadReport; its embedded Outcome has the report or the error.
+// ReportResult is the outcome of a ReadReport; its embedded ReadResult has the report or the error.
 type ReportResult struct {
 	Server  string
 	Request ReadReport // the command that it answers
@@ -65,8 +65,8 @@
 	Error  string
 }
 
-// Seen is the control node's current view of live members and of the manifest in force at Revision.
-type Seen struct {
+// ClusterState is the control node's current view of live members and of the manifest in force at Revision.
+type ClusterState struct {
 	Members  []contract.Member
 	Manifest manifest.Manifest
 	Revision int64
@@ -132,7 +132,7 @@
 type Owner struct {
 	self            contract.Member
 	bounds          env.Bounds
-	seen            Seen
+	seen            ClusterState
 	shardStates     map[int]*shardState
 	listing         contract.Listing
 	hasListing      bool
@@ -172,7 +172,7 @@
 		owner.stateVersion++
 	}
 	switch event := event.(type) {
-	case Seen:
+	case ClusterState:
 		owner.seen = event
 		owner.tick(now)
 	case ListingResult:
@@ -278,14 +278,14 @@
 		owner.emit(contract.AddCounter{Name: "listings_broken", Delta: 1})
 		return
 	}
-	if owner.hasListing && event.Began < owner.listedAt {
+	if owner.hasListing && event.StartedAt < owner.listedAt {
 		return
 	}
 	hadListing := owner.hasListing
-	if !owner.listingFresh(event.Began) {
-		owner.visibleSince = event.Began
+	if !owner.listingFresh(event.StartedAt) {
+		owner.visibleSince = event.StartedAt
 	}
-	owner.listing, owner.listedAt = event.Listing, event.Began
+	owner.listing, owner.listedAt = event.Listing, event.StartedAt
 	owner.hasListing = true
 	present := map[string]bool{}
 	for _, row := range event.Listing.Servers {
@@ -302,7 +302,7 @@
 			server.incarnation, server.reported, server.ramping, server.failures = row.Incarnation, false, false, 0
 			server.listedSince = now
 		}
-		server.warmUntil = event.Began + time.Duration(row.WarmupMs)*time.Millisecond
+		server.warmUntil = event.StartedAt + time.Duration(row.WarmupMs)*time.Millisecond
 		owner.applyPeerRampStart(now, row.Name)
 	}
 	for name := range owner.servers {
