--- a/data/data.go
+++ b/data/data.go
@@ -249,10 +249,10 @@
 		decodeMessage(router, message, func(ask Export) { router.export(now, ask) })
 	case MessageExportReply:
 		decodeMessage(router, message, func(exported ExportReply) { router.importRecords(now, message, exported) })
-	case control.MessageWhyAsk:
-		decodeMessage(router, message, func(ask control.StatusAsk) {
+	case control.MessageTraceRequest:
+		decodeMessage(router, message, func(ask control.StatusRequest) {
 			body, _ := json.Marshal(router.traces.find(ask.Call))
-			router.emit(contract.Send{To: ask.Address, Kind: control.MessageWhy, Body: control.Status{Token: ask.Token, Node: router.Self().Name, Body: body}})
+			router.emit(contract.Send{To: ask.Address, Kind: control.MessageTraceReply, Body: control.StatusReply{Token: ask.Token, Node: router.Self().Name, Body: body}})
 		})
 	}
 }
