--- a/cmd/cedarctl/main.go
+++ b/cmd/cedarctl/main.go
@@ -75,6 +75,7 @@
 	os.Exit(exitCode)
 }
 
+// fail prints an error and ends the program.
 func fail(exitCode int, err error) {
 	fmt.Fprintln(os.Stderr, "cedarctl:", err)
 	os.Exit(exitCode)
--- a/compression/compression.go
+++ b/compression/compression.go
@@ -11,6 +11,7 @@
 // Encoding is the value of the HTTP header Content-Encoding.
 const Encoding = "gzip"
 
+// writers and readers are pooled because each of them allocates large buffers.
 var writers = sync.Pool{New: func() any {
 	writer, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
--- a/document/document.go
+++ b/document/document.go
@@ -30,6 +30,7 @@
 	size   int
 }
 
+// emptyDocument is shared by all callers of Empty.
 var emptyDocument = &Document{parts: immutable.NewSortedMap[string, string](nil)}
 
 // Empty returns the document without parts.
@@ -160,6 +161,7 @@
 	edit.size -= len(pointer) + len(value)
 }
 
+// build returns the document. The editor must not be used afterwards.
 func (edit *editor) build() *Document {
 	if edit.builder != nil {
 		edit.parts = edit.builder.Map()
--- a/document/sum.go
+++ b/document/sum.go
@@ -9,6 +9,7 @@
 // on their order and can be updated part by part (AdHash, Bellare and Micciancio, 1997).
 type hashSum [4]uint64
 
+// newHashSum returns the sum of a single hash.
 func newHashSum(hash [32]byte) hashSum {
 	made := hashSum{}
 	for word := range made {
--- a/document/tree.go
+++ b/document/tree.go
@@ -38,6 +38,7 @@
 	depth int
 }
 
+// under returns the step to a member, with an index of -1, or to an item of a list.
 func (position *pathStep) under(key string, index int) *pathStep {
 	depth := 1
 	if position != nil {
--- a/env/env.go
+++ b/env/env.go
@@ -118,6 +118,7 @@
 	}
 }
 
+// setText sets a setting unless the value is empty.
 func setText(target *string, value string) {
 	if value != "" {
 		*target = value
--- a/manifest/document.go
+++ b/manifest/document.go
@@ -81,6 +81,7 @@
 	routes, tenants          []string
 }
 
+// scopeOf sorts the pointers of a change into a changeScope.
 func scopeOf(change document.Change) changeScope {
 	found := changeScope{}
 	for _, pointer := range change.Pointers() {
--- a/manifest/gateway.go
+++ b/manifest/gateway.go
@@ -118,6 +118,7 @@
 	return parsed
 }
 
+// gatewayRoute reads one route; services are those that it may name.
 func (reader *Reader) gatewayRoute(name string, services map[string]Service) GatewayRoute {
 	route := GatewayRoute{Name: name, Host: strings.ToLower(reader.Text("host", "")), Prefix: reader.Text("prefix", ""), Kind: reader.Text("kind", KindMutating),
 		Timeout: reader.duration("timeoutMs", 0, 0, maxInteger), LatencyTarget: reader.duration("aimMs", 0, 0, maxInteger), TokenGap: reader.duration("gapMs", 0, 0, maxInteger),
--- a/manifest/routes.go
+++ b/manifest/routes.go
@@ -16,6 +16,7 @@
 // hostSeparator separates host and prefix in a match key.
 const hostSeparator = "\x00"
 
+// emptyRoutes is the index of the zero value.
 var emptyRoutes = immutable.NewSortedMap[string, *GatewayRoute](nil)
 
 // trees returns both indexes, which the zero value lacks.
@@ -90,8 +91,8 @@
 	_, byMatchKey := routes.trees()
 	host = strings.ToLower(host)
 	route, found := longestPrefix(byMatchKey, host, path)
-	if bare, _ := SplitAddress(host); !found && bare != host && !hasHost(byMatchKey, host) {
-		route, found = longestPrefix(byMatchKey, bare, path)
+	if bareHost, _ := SplitAddress(host); !found && bareHost != host && !hasHost(byMatchKey, host) {
+		route, found = longestPrefix(byMatchKey, bareHost, path)
 	}
 	if !found {
 		return GatewayRoute{}, false
--- a/manifest/tenants.go
+++ b/manifest/tenants.go
@@ -34,6 +34,7 @@
 func (digestHasher) Hash(digest KeyDigest) uint32       { return binary.BigEndian.Uint32(digest[:]) }
 func (digestHasher) Equal(digest, other KeyDigest) bool { return digest == other }
 
+// Indexes of the zero value.
 var (
 	emptyTenants = immutable.NewSortedMap[string, *Tenant](nil)
 	emptyKeys    = immutable.NewMap[KeyDigest, *Tenant](digestHasher{})
@@ -86,7 +87,7 @@
 	tenants = tenants.Without(tenant.Name)
 	byName, byKey := tenants.maps()
 	for _, key := range tenant.Keys {
-		if _, held := byKey.Get(key); !held {
+		if _, found := byKey.Get(key); !found {
 			byKey = byKey.Set(key, &tenant)
 		}
 	}
@@ -111,7 +112,7 @@
 // keyConflict returns the name of another tenant that has a key of this one.
 func (tenants Tenants) keyConflict(tenant Tenant) (string, bool) {
 	for _, key := range tenant.Keys {
-		if holder, held := tenants.ByKey(key); held && holder.Name != tenant.Name {
+		if holder, found := tenants.ByKey(key); found && holder.Name != tenant.Name {
 			return holder.Name, true
 		}
 	}
--- a/manifest/tree.go
+++ b/manifest/tree.go
@@ -90,6 +90,7 @@
 	return value, true
 }
 
+// maxNameLength is the most bytes of a name, invalidName the error for a name that is not valid.
 const (
 	maxNameLength = 64
 	invalidName   = "a name has 1 to 64 characters without dots, blanks, slashes or quotes"
@@ -122,6 +123,7 @@
 // renamedFields maps field names of former versions to the current ones.
 var renamedFields = map[string]string{"hall": "zone", "halls": "zones"}
 
+// unknownField returns the error for a key that is not known.
 func unknownField(name string) string {
 	if renamed, found := renamedFields[name]; found {
 		return "renamed, write " + renamed
--- a/virtual/disk.go
+++ b/virtual/disk.go
@@ -181,7 +181,7 @@
 	return clone
 }
 
-// WriteAside writes a temporary file; see Settle.
+// WriteTemp writes a temporary file; see Rename.
 func (disk *Disk) WriteTemp(name string, content []byte) error {
 	if disk.Full {
 		return eris.New("no space left")
@@ -190,14 +190,14 @@
 	return nil
 }
 
-// Settle renames a temporary file, in place of a file with the new name.
-func (disk *Disk) Rename(aside, name string) error {
-	content, found := disk.files[aside]
+// Rename gives a temporary file its final name, in place of a file with that name.
+func (disk *Disk) Rename(temporary, name string) error {
+	content, found := disk.files[temporary]
 	if !found {
 		return os.ErrNotExist
 	}
 	disk.files[name] = content
-	delete(disk.files, aside)
+	delete(disk.files, temporary)
 	return nil
 }
 
