--- a/data/data.go
+++ b/data/data.go
@@ -25,7 +25,7 @@
 	maxKeptReplies = 32
 )
 
-// Arrive is the event of a new call from a caller. Unless the caller leaves, each gets exactly one contract.Answer with the same
+// Arrive is the event of a new call from a caller. Unless the caller leaves, each gets exactly one contract.Response with the same
 // token; chunks of a streamed reply go to the caller before it.
 type Arrive struct {
 	Token int64
@@ -96,7 +96,7 @@
 	Server    contract.Candidate
 }
 
-// Reply is the body of a successful contract.Answer. Server is empty if the reply comes from an idempotency record.
+// Reply is the body of a successful contract.Response. Server is empty if the reply comes from an idempotency record.
 type Reply struct {
 	Chunks []string
 	Server string
@@ -249,10 +249,10 @@
 		decodeMessage(router, message, func(ask Export) { router.export(now, ask) })
 	case MessageExportReply:
 		decodeMessage(router, message, func(exported ExportReply) { router.importRecords(now, message, exported) })
-	case control.MessageWhyAsk:
-		decodeMessage(router, message, func(ask control.StatusAsk) {
+	case control.MessageTraceRequest:
+		decodeMessage(router, message, func(ask control.StatusRequest) {
 			body, _ := json.Marshal(router.traces.find(ask.Call))
-			router.emit(contract.Send{To: ask.Address, Kind: control.MessageWhy, Body: control.Status{Token: ask.Token, Node: router.Self().Name, Body: body}})
+			router.emit(contract.Send{To: ask.Address, Kind: control.MessageTraceReply, Body: control.StatusReply{Token: ask.Token, Node: router.Self().Name, Body: body}})
 		})
 	}
 }
--- a/serve/exchange.go
+++ b/serve/exchange.go
@@ -35,36 +35,36 @@
 // attempt sends the call to one server and returns the state machine's next command for the call.
 func (call *proxyCall) attempt(dispatch gateway.Dispatch) contract.Command {
 	ctx, process := call.request.Context(), call.process
-	serveErr := gateway.Ended{Token: dispatch.Token, Attempt: dispatch.Attempt}
+	ended := gateway.DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt}
 	var watchdog *watchdog
 	finish := func(outcome gateway.Outcome, reason string) contract.Command {
 		if command := watchdog.decision(); command != nil {
 			return command
 		}
-		serveErr.Outcome, serveErr.Begun, serveErr.Reason = outcome, call.started, reason
-		if ctx.Err() != nil && outcome != gateway.Whole {
-			serveErr.Outcome = gateway.Left
+		ended.Outcome, ended.AnswerStarted, ended.Reason = outcome, call.started, reason
+		if ctx.Err() != nil && outcome != gateway.OutcomeComplete {
+			ended.Outcome = gateway.OutcomeCallerLeft
 		}
-		return process.decide(serveErr)
+		return process.decide(ended)
 	}
-	deadline := time.Now().Add(dispatch.Left)
+	deadline := time.Now().Add(dispatch.Timeout)
 	conn, err := process.dial(ctx, dispatch)
 	if err != nil {
-		return finish(gateway.Unsent, "no connection")
+		return finish(gateway.OutcomeNotSent, "no connection")
 	}
 	watchdog = newWatchdog(call, conn, dispatch, deadline)
 	defer watchdog.stop()
 	lost := func(err error, reason string) contract.Command {
 		_ = conn.Close()
 		if !time.Now().Before(deadline) {
-			return finish(gateway.Late, reason)
+			return finish(gateway.OutcomeDeadlineExceeded, reason)
 		}
-		return finish(gateway.Broken, reason+": "+err.Error())
+		return finish(gateway.OutcomeBroken, reason+": "+err.Error())
 	}
 	written, err := conn.Write(call.requestBytes(dispatch))
 	if err != nil && written == 0 {
 		_ = conn.Close()
-		return finish(gateway.Unsent, "nothing could be written")
+		return finish(gateway.OutcomeNotSent, "nothing could be written")
 	}
 	if err != nil {
 		return lost(err, "not written")
@@ -74,7 +74,7 @@
 		return lost(err, "no answer")
 	}
 	head := process.adapter.Head(response)
-	serveErr.Load = head.Load
+	ended.Load = head.Load
 	if head.AttemptID != "" && head.AttemptID != call.attemptID {
 		return lost(errors.New("another identity"), "the answer is another call's")
 	}
@@ -83,9 +83,9 @@
 		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, 1<<16))
 		call.returnConn(conn, response, err, dispatch)
 		if head.Moved {
-			return finish(gateway.Moved, "another server has the address")
+			return finish(gateway.OutcomeWrongServer, "another server has the address")
 		}
-		return finish(gateway.NotRun, "the server did not run it")
+		return finish(gateway.OutcomeNotRun, "the server did not run it")
 	}
 	if response.StatusCode < 200 {
 		return lost(errors.New(response.Status), "not a final answer")
@@ -97,8 +97,8 @@
 	if success && response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return lost(errors.New("no length"), "nothing tells where the answer ends")
 	}
-	process.handle(gateway.Head{Token: dispatch.Token, Attempt: dispatch.Attempt, Load: head.Load})
-	serveErr.Failed = response.StatusCode >= 500
+	process.handle(gateway.HeadReceived{Token: dispatch.Token, Attempt: dispatch.Attempt, Load: head.Load})
+	ended.ServerError = response.StatusCode >= 500
 	if success && dispatch.Stream {
 		err = call.relayEvents(response, dispatch, watchdog)
 	} else if call.started {
@@ -111,7 +111,7 @@
 		return lost(err, "the answer broke off")
 	}
 	call.returnConn(conn, response, nil, dispatch)
-	return finish(gateway.Whole, "")
+	return finish(gateway.OutcomeComplete, "")
 }
 
 // returnConn gives a connection back to the pool, or closes it if it can't be used again.
@@ -218,11 +218,11 @@
 	detach       func() bool
 }
 
-func newWatchdog(call *proxyCall, conn *upstream.Conn, dispatch gateway.Dispatch, limit time.Time) *watchdog {
-	created := &watchdog{call: call, conn: conn, dispatch: dispatch, lastActivity: time.Now(), timeout: dispatch.Patience}
-	_ = conn.SetDeadline(limit)
+func newWatchdog(call *proxyCall, conn *upstream.Conn, dispatch gateway.Dispatch, deadline time.Time) *watchdog {
+	created := &watchdog{call: call, conn: conn, dispatch: dispatch, lastActivity: time.Now(), timeout: dispatch.SilenceTimeout}
+	_ = conn.SetDeadline(deadline)
 	created.lock.Lock()
-	created.timer = time.AfterFunc(dispatch.Patience, created.expire)
+	created.timer = time.AfterFunc(dispatch.SilenceTimeout, created.expire)
 	created.lock.Unlock()
 	created.detach = context.AfterFunc(call.request.Context(), created.interrupt)
 	return created
@@ -249,11 +249,11 @@
 		watchdog.timer.Reset(remaining)
 		return
 	}
-	command := watchdog.call.process.decide(gateway.Silent{Token: watchdog.dispatch.Token, Attempt: watchdog.dispatch.Attempt})
+	command := watchdog.call.process.decide(gateway.ServerSilent{Token: watchdog.dispatch.Token, Attempt: watchdog.dispatch.Attempt})
 	if wait, ok := command.(gateway.Wait); ok {
-		if watchdog.timeout = wait.Patience; wait.Patience > 0 {
+		if watchdog.timeout = wait.SilenceTimeout; wait.SilenceTimeout > 0 {
 			watchdog.lastActivity = time.Now()
-			watchdog.timer.Reset(wait.Patience)
+			watchdog.timer.Reset(wait.SilenceTimeout)
 		}
 		return
 	}
--- a/serve/standin_test.go
+++ b/serve/standin_test.go
@@ -94,7 +94,7 @@
 
 const latencyTarget = 5 * time.Second
 
-func routes(attempts int64) gateway.Configured {
+func routes(attempts int64) gateway.ConfigurationChanged {
 	read := manifest.Manifest{Regions: map[string]manifest.Region{"north": {Shards: 1}}, Zones: map[string]manifest.Zone{"north-1": {Region: "north"}},
 		Gateway: manifest.Gateway{Revision: 1, Services: map[string]manifest.Service{"s": {}},
 			Limits: manifest.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20}}}
@@ -104,7 +104,7 @@
 		route.Split = []manifest.WeightedService{{Service: "s", Weight: 1}}
 		read.Gateway.Routes = read.Gateway.Routes.With(route)
 	}
-	return gateway.Configured{Manifest: read}
+	return gateway.ConfigurationChanged{Manifest: read}
 }
 
 func setUp(servers int, script ...responder) *fixture {
@@ -123,7 +123,7 @@
 	settings := env.New(env.WithName("node"), env.WithZone("north-1"), env.WithRegion("north"))
 	settings.Gateway = env.Gateway{RepeatRatio: 0.2, RepeatWindow: 10 * time.Second, RepeatAllowance: 100, Contact: contact}
 	created := &fixture{responders: responders, proxy: serve.NewTestGateway(settings, platform.Adapter{})}
-	listed := gateway.Listed{Region: "north"}
+	listed := gateway.ServersListed{Region: "north"}
 	for position := range servers {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
--- a/serve/tenants_test.go
+++ b/serve/tenants_test.go
@@ -24,14 +24,14 @@
 )
 
 // configured returns a configuration with the given tenants, as the platform sends it.
-func configured(revision string, tenants ...string) gateway.Configured {
+func configured(revision string, tenants ...string) gateway.ConfigurationChanged {
 	GinkgoHelper()
 	whole := strings.NewReplacer("REVISION", revision, "TENANTS", strings.Join(tenants, ",")).Replace(withTenants)
 	content, err := platform.ImportReplacement([]byte(whole), map[string]string{"north-1": "north", "south-1": "south"})
 	Expect(err).NotTo(HaveOccurred())
 	read, err := manifest.Parse(content)
 	Expect(err).NotTo(HaveOccurred())
-	return gateway.Configured{Manifest: read}
+	return gateway.ConfigurationChanged{Manifest: read}
 }
 
 var _ = Describe("a caller's key", func() {
@@ -39,7 +39,7 @@
 		GinkgoHelper()
 		created := setUp(1, completeAnswer)
 		created.proxy.Apply(configured("2", tenants...))
-		created.proxy.Apply(gateway.Listed{Region: "south"})
+		created.proxy.Apply(gateway.ServersListed{Region: "south"})
 		return created
 	}
 
