--- a/data/end.go
+++ b/data/end.go
@@ -18,8 +18,8 @@
 	}
 	delete(job.attempts, attemptNumber)
 	usage := router.usages[attempt.server.Name]
-	usage.Own = max(0, usage.Own-1)
-	usage.AtReport = min(usage.AtReport, usage.Own)
+	usage.InFlight = max(0, usage.InFlight-1)
+	usage.InFlightAtReport = min(usage.InFlightAtReport, usage.InFlight)
 	if !finished {
 		usage.Lingering++
 		router.abandoned = append(router.abandoned, abandonedAttempt{attempt.server.Name, now + router.Bounds.Lease()})
@@ -28,7 +28,7 @@
 }
 
 func (router *Router) setUsage(server string, usage pick.Usage) {
-	if usage.Own == 0 && usage.Lingering == 0 {
+	if usage.InFlight == 0 && usage.Lingering == 0 {
 		delete(router.usages, server)
 		return
 	}
--- a/data/job.go
+++ b/data/job.go
@@ -231,7 +231,7 @@
 	if now >= job.deadline {
 		return false
 	}
-	want := pick.Want{Pool: job.route.Pools[job.call.Home], Class: job.route.Class, Zone: router.Self().Zone, Prefix: job.call.Prefix, Avoid: job.triedServers, Resting: router.inBackoff(now)}
+	want := pick.Request{Pool: job.route.Pools[job.call.Home], Class: job.route.Class, Zone: router.Self().Zone, Prefix: job.call.Prefix, Tried: job.triedServers, Resting: router.inBackoff(now)}
 	if job.call.Session != "" {
 		want.Session = job.call.Caller + "\x1f" + job.call.Session
 	}
@@ -247,7 +247,7 @@
 	job.triedServers[chosen.Name] = true
 	job.attempts[job.attemptCount] = &attempt{server: chosen, startedAt: now}
 	usage := router.usages[chosen.Name]
-	usage.Own++
+	usage.InFlight++
 	router.usages[chosen.Name] = usage
 	if want.Session != "" {
 		router.affinities.set(want.Session, chosen.Name)
--- a/data/leases.go
+++ b/data/leases.go
@@ -78,8 +78,8 @@
 		if contract.ShardOf(name, shards) != index {
 			continue
 		}
-		if usage.Own > 0 {
-			calls[name] = usage.Own
+		if usage.InFlight > 0 {
+			calls[name] = usage.InFlight
 		}
 		if usage.Lingering > 0 {
 			lingering[name] = usage.Lingering
@@ -114,7 +114,7 @@
 	for _, candidate := range lease.Servers {
 		usage := router.usages[candidate.Name]
 		if usage.Report != candidate.ReportNumber {
-			usage.Report, usage.AtReport = candidate.ReportNumber, usage.Own
+			usage.Report, usage.InFlightAtReport = candidate.ReportNumber, usage.InFlight
 			router.usages[candidate.Name] = usage
 		}
 	}
--- a/pick/pick.go
+++ b/pick/pick.go
@@ -1,4 +1,4 @@
-// Package pick chooses a server for a call among those that the shards' owners granted a lease for.
+// Package pick chooses the server for a call among those that the owners of the shards list, with a lease for this node.
 package pick
 
 import (
@@ -8,48 +8,59 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
+// Shares of a server's slots, in parts of slotParts: calls with long prompts may use longPromptSlots, and servers of the own zone are preferred while
+// less than spillSlots are taken.
 const (
-	longShare  = 3
-	spillShare = 3
-	ofShares   = 4
+	longPromptSlots = 3
+	spillSlots      = 3
+	slotParts       = 4
 )
 
-// Usage is what this node adds to what a server's last report could show. Calls that were given up linger: the server may be at
-// them for a while.
+// Usage is what this node knows of its own calls at a server, beyond the server's last report.
 type Usage struct {
-	Own       int64
-	AtReport  int64
-	Report    int64
+	// InFlight is the number of this node's calls at the server, InFlightAtReport what it was when the server last reported, and Report that report's
+	// number.
+	InFlight         int64
+	InFlightAtReport int64
+	Report           int64
+	// Lingering is the number of calls that this node gave up: the server may still work on them for a while.
 	Lingering int64
 }
 
-type Want struct {
-	Pool    string
-	Class   string
-	Zone    string
+// Request is what a call asks for.
+type Request struct {
+	// Pool is the name of the servers' pool, and Class that of the prompt length (manifest.ClassShort or manifest.ClassLong).
+	Pool  string
+	Class string
+	// Zone is this node's zone, whose servers are preferred.
+	Zone string
+	// Session identifies the conversation that the call belongs to, and Prefix the shared start of its prompt; each is empty without one.
 	Session string
 	Prefix  string
-	Avoid   map[string]bool
+	// Tried are the servers that the call was sent to before; Resting are those that rejected a call a moment ago. Neither gets the call.
+	Tried   map[string]bool
 	Resting map[string]bool
 }
 
-// Verdict tells of one candidate why it was chosen or passed over.
+// Verdict tells for one candidate why it was chosen or passed over; it is part of the trace of a call. The field "why" holds the reason.
 type Verdict struct {
 	Server string `json:"server"`
-	Why    string `json:"why"`
+	Reason string `json:"why"`
 	Load   int64  `json:"load"`
 }
 
+// Load estimates the number of calls at a server: those that it reported, and those that this node has sent since.
 func (usage Usage) Load(candidate contract.Candidate) int64 {
-	return candidate.Running + candidate.Waiting + max(0, usage.Own-usage.AtReport)
+	return candidate.Running + candidate.Waiting + max(0, usage.InFlight-usage.InFlightAtReport)
 }
 
-func room(candidate contract.Candidate, usage Usage, class string) (bool, string) {
+// hasRoom reports whether a server may take one more call of a class, and otherwise the reason why not.
+func hasRoom(candidate contract.Candidate, usage Usage, class string) (bool, string) {
 	limit := candidate.Slots
 	if class == manifest.ClassLong {
-		limit = max(1, limit*longShare/ofShares)
+		limit = max(1, limit*longPromptSlots/slotParts)
 	}
-	if candidate.Share >= 0 && usage.Own+usage.Lingering >= candidate.Share {
+	if candidate.Share >= 0 && usage.InFlight+usage.Lingering >= candidate.Share {
 		return false, "ramping, this node's share is used"
 	}
 	if usage.Load(candidate) >= limit {
@@ -58,81 +69,84 @@
 	return true, ""
 }
 
-// Choose gives the server for a call: session first, then prefix, then the better of two at random, in the own zone before others.
-func Choose(want Want, candidates []contract.Candidate, usages map[string]Usage, sessions map[string]string, random *rand.Rand) (contract.Candidate, []Verdict, bool) {
-	verdicts, open := []Verdict{}, []contract.Candidate{}
+// Choose returns the server for a call, with a verdict for each candidate of the pool; it is false if none may take the call. The server of the
+// session comes first, then a server that holds the prefix or was sent it last; otherwise the less loaded of two random servers, in the own zone
+// unless its servers are nearly full. Sessions maps a session, or "prefix/" and a prefix, to the server that its last call went to.
+func Choose(request Request, candidates []contract.Candidate, usages map[string]Usage, sessions map[string]string, random *rand.Rand) (contract.Candidate, []Verdict, bool) {
+	verdicts, eligible := []Verdict{}, []contract.Candidate{}
 	for _, candidate := range candidates {
 		usage := usages[candidate.Name]
 		verdict := Verdict{Server: candidate.Name, Load: usage.Load(candidate)}
-		fine, why := room(candidate, usage, want.Class)
+		ok, reason := hasRoom(candidate, usage, request.Class)
 		switch {
-		case candidate.Pool != want.Pool:
+		case candidate.Pool != request.Pool:
 			continue
-		case want.Avoid[candidate.Name]:
-			verdict.Why = "tried before"
-		case want.Resting[candidate.Name]:
-			verdict.Why = "turned a call away a moment ago"
-		case !fine:
-			verdict.Why = why
+		case request.Tried[candidate.Name]:
+			verdict.Reason = "tried before"
+		case request.Resting[candidate.Name]:
+			verdict.Reason = "turned a call away a moment ago"
+		case !ok:
+			verdict.Reason = reason
 		default:
-			open = append(open, candidate)
+			eligible = append(eligible, candidate)
 			continue
 		}
 		verdicts = append(verdicts, verdict)
 	}
-	if len(open) == 0 {
+	if len(eligible) == 0 {
 		return contract.Candidate{}, verdicts, false
 	}
-	chosen, why := prefer(want, open, usages, sessions, random)
-	for _, candidate := range open {
-		verdict := Verdict{Server: candidate.Name, Load: usages[candidate.Name].Load(candidate), Why: "others were better placed"}
+	chosen, reason := prefer(request, eligible, usages, sessions, random)
+	for _, candidate := range eligible {
+		verdict := Verdict{Server: candidate.Name, Load: usages[candidate.Name].Load(candidate), Reason: "others were better placed"}
 		if candidate.Name == chosen.Name {
-			verdict.Why = "chosen: " + why
+			verdict.Reason = "chosen: " + reason
 		}
 		verdicts = append(verdicts, verdict)
 	}
 	return chosen, verdicts, true
 }
 
-func prefer(want Want, open []contract.Candidate, usages map[string]Usage, sessions map[string]string, random *rand.Rand) (contract.Candidate, string) {
-	for _, candidate := range open {
-		if want.Session != "" && sessions[want.Session] == candidate.Name {
+// prefer returns the best of the eligible servers, and the reason.
+func prefer(request Request, eligible []contract.Candidate, usages map[string]Usage, sessions map[string]string, random *rand.Rand) (contract.Candidate, string) {
+	for _, candidate := range eligible {
+		if request.Session != "" && sessions[request.Session] == candidate.Name {
 			return candidate, "holds the session"
 		}
 	}
-	if want.Session != "" && want.Prefix == "" {
-		return first(want.Session, open), "is the session's in the agreed order"
+	if request.Session != "" && request.Prefix == "" {
+		return sessionHome(request.Session, eligible), "is the session's in the agreed order"
 	}
-	near, holding := []contract.Candidate{}, []contract.Candidate{}
-	for _, candidate := range open {
-		if candidate.Zone == want.Zone && usages[candidate.Name].Load(candidate)*ofShares < candidate.Slots*spillShare {
-			near = append(near, candidate)
+	inZone, holding := []contract.Candidate{}, []contract.Candidate{}
+	for _, candidate := range eligible {
+		if candidate.Zone == request.Zone && usages[candidate.Name].Load(candidate)*slotParts < candidate.Slots*spillSlots {
+			inZone = append(inZone, candidate)
 		}
-		if want.Prefix != "" && Holds(candidate, want.Prefix) {
+		if request.Prefix != "" && HoldsPrefix(candidate, request.Prefix) {
 			holding = append(holding, candidate)
 		}
 	}
 	if len(holding) > 0 {
-		return better(holding, usages, random), "holds the prefix"
+		return lessLoaded(holding, usages, random), "holds the prefix"
 	}
-	if want.Prefix != "" {
-		if kept, there := byName(open, sessions["prefix/"+want.Prefix]); there {
+	if request.Prefix != "" {
+		if kept, found := byName(eligible, sessions["prefix/"+request.Prefix]); found {
 			return kept, "was sent the prefix last"
 		}
 	}
-	if len(near) > 0 {
-		return better(near, usages, random), "in the own zone"
+	if len(inZone) > 0 {
+		return lessLoaded(inZone, usages, random), "in the own zone"
 	}
-	return better(open, usages, random), "spilled to another zone"
+	return lessLoaded(eligible, usages, random), "spilled to another zone"
 }
 
-// first gives the server that every node would give to a new session, so that its turns meet wherever they arrive.
-func first(session string, open []contract.Candidate) contract.Candidate {
+// sessionHome returns the server that every node chooses for a new session, so that its calls meet wherever they arrive.
+func sessionHome(session string, eligible []contract.Candidate) contract.Candidate {
 	names := []string{}
-	for _, candidate := range open {
+	for _, candidate := range eligible {
 		names = append(names, candidate.Name)
 	}
-	chosen, _ := byName(open, contract.RendezvousOrder("session/"+session, names)[0])
+	chosen, _ := byName(eligible, contract.RendezvousOrder("session/"+session, names)[0])
 	return chosen
 }
 
@@ -145,7 +159,8 @@
 	return contract.Candidate{}, false
 }
 
-func better(candidates []contract.Candidate, usages map[string]Usage, random *rand.Rand) contract.Candidate {
+// lessLoaded returns the less loaded of two random servers, relative to their slots.
+func lessLoaded(candidates []contract.Candidate, usages map[string]Usage, random *rand.Rand) contract.Candidate {
 	first := candidates[random.IntN(len(candidates))]
 	second := candidates[random.IntN(len(candidates))]
 	if usages[second.Name].Load(second)*first.Slots < usages[first.Name].Load(first)*second.Slots {
@@ -154,7 +169,8 @@
 	return first
 }
 
-func Holds(candidate contract.Candidate, prefix string) bool {
+// HoldsPrefix reports whether a server reports that it has a prefix in its cache.
+func HoldsPrefix(candidate contract.Candidate, prefix string) bool {
 	for _, held := range candidate.Prefixes {
 		if held == prefix {
 			return true
