--- a/engine/cost_test.go
+++ b/engine/cost_test.go
@@ -15,25 +15,25 @@
 	return prompt
 }
 
-// BenchmarkMemory asks what a server holds of a prompt, and notes that it reads one.
+// BenchmarkMemory measures asking what a server has cached of a prompt, and recording that it reads one.
 func BenchmarkMemory(b *testing.B) {
 	for _, parts := range []int{1, 4, 16} {
 		b.Run(fmt.Sprintf("held/parts=%d", parts), func(b *testing.B) {
-			memory, asked := engine.NewMemory(2000000), prompt(parts, 1)
-			memory.Take(asked)
+			estimate, asked := engine.NewCacheEstimate(2000000), prompt(parts, 1)
+			estimate.Add(asked)
 			b.ReportAllocs()
 			for range b.N {
-				memory.Held(asked)
+				estimate.CachedTokens(asked)
 			}
 		})
 		b.Run(fmt.Sprintf("take/parts=%d", parts), func(b *testing.B) {
-			memory, prompts := engine.NewMemory(2000000), []engine.Prompt{}
+			estimate, prompts := engine.NewCacheEstimate(2000000), []engine.Prompt{}
 			for index := range 4096 {
 				prompts = append(prompts, prompt(parts, index))
 			}
 			b.ReportAllocs()
 			for index := range b.N {
-				memory.Take(prompts[index%len(prompts)])
+				estimate.Add(prompts[index%len(prompts)])
 			}
 		})
 	}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine estimates what a batching model server keeps and still has to read, from what one node sent there.
+// Package engine estimates what a batching model server has in its prompt cache and still has to read, from the prompts that one node sent there.
 package engine
 
 import (
@@ -7,31 +7,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is a piece of a prompt: calls whose leading parts are the same share what a server has read of them.
+// Part is a section of a prompt. Calls whose leading parts are the same share what a server has read of them.
 type Part struct {
-	ID     string
+	// ID identifies the content of the part.
+	ID string
+	// Tokens is the length of the part.
 	Tokens int64
 }
 
-// Prompt is what a call tells of its work, in tokens; the last part is its own or its session's.
+// Prompt describes the work of a call, in tokens. The last part belongs to the call or its session alone; other calls may share the ones before.
 type Prompt struct {
-	Model  string
+	// Model is the name of the model; prompts of different models share nothing.
+	Model string
+	// Input is the length of the prompt, Output the expected length of the answer.
 	Input  int64
 	Output int64
 	Parts  []Part
-	// hashes are the keys of the parts, if they are known already.
-	hashes []uint64
+	// keyCache holds the keys of the parts if they are already computed.
+	keyCache []uint64
 }
 
-// Hashed gives the prompt with the keys of its parts, so that they are not worked out at every look.
-func (prompt Prompt) Hashed() Prompt {
+// WithKeys returns the prompt with the keys of its parts, so that they are not computed again at each use.
+func (prompt Prompt) WithKeys() Prompt {
 	if len(prompt.Parts) > 0 {
-		prompt.hashes = prompt.keys()
+		prompt.keyCache = prompt.keys()
 	}
 	return prompt
 }
 
-// Shared gives the tokens of all parts but the last.
+// Shared returns the tokens of all parts but the last.
 func (prompt Prompt) Shared() int64 {
 	sum := int64(0)
 	for index := 0; index+1 < len(prompt.Parts); index++ {
@@ -41,38 +45,39 @@
 }
 
 const (
-	// anchorPart is the part of the shared tokens that ends with the anchor: reading the rest again costs less than a place of its own.
-	anchorPart = 0.9
-	// rootPart is the part of the shared tokens that ends with the root.
-	rootPart = 0.5
+	// anchorFraction is the part of the shared tokens that ends with the anchor: reading the rest again costs less than a place of its own.
+	anchorFraction = 0.9
+	// rootFraction is the part of the shared tokens that ends with the root.
+	rootFraction = 0.5
 )
 
-// Anchor names the part that decides where a prompt belongs: the first one with nearly all that is shared before its end.
+// Anchor returns the key of the part that decides which server a prompt belongs to: the first part with at least anchorFraction of the shared tokens
+// up to its end; 0 if nothing is shared.
 func (prompt Prompt) Anchor() uint64 {
-	key, _ := prompt.keyAt(anchorPart)
+	key, _ := prompt.keyAt(anchorFraction)
 	return key
 }
 
-// Root names the part that prompts with other anchors have in common, and the tokens up to its end: the first one with half of what is
-// shared before its end. Where prompts share one part only, it is the anchor.
-func (prompt Prompt) Root() (key uint64, tokens int64) { return prompt.keyAt(rootPart) }
+// Root returns the key of the part that prompts with different anchors have in common, and the tokens up to its end: the first part with at least
+// half of the shared tokens up to its end. For prompts that share only one part, it is the anchor.
+func (prompt Prompt) Root() (key uint64, tokens int64) { return prompt.keyAt(rootFraction) }
 
-// keyAt gives the key of the first part that ends at a share of the shared tokens or later, and the tokens up to its end, or 0 where
-// nothing is shared.
-func (prompt Prompt) keyAt(share float64) (key uint64, tokens int64) {
-	least, keys := share*float64(prompt.Shared()), prompt.keys()
+// keyAt returns the key of the first part that ends at a fraction of the shared tokens or later, and the tokens up to its end, or 0 if nothing is
+// shared.
+func (prompt Prompt) keyAt(fraction float64) (key uint64, tokens int64) {
+	minTokens, keys := fraction*float64(prompt.Shared()), prompt.keys()
 	for index := 0; index+1 < len(prompt.Parts); index++ {
-		if tokens += prompt.Parts[index].Tokens; float64(tokens) >= least {
+		if tokens += prompt.Parts[index].Tokens; float64(tokens) >= minTokens {
 			return keys[index], tokens
 		}
 	}
 	return 0, 0
 }
 
-// keys gives one key a part, each of them standing for all parts up to it.
+// keys returns one key for each part, which stands for all parts up to it.
 func (prompt Prompt) keys() []uint64 {
-	if prompt.hashes != nil {
-		return prompt.hashes
+	if prompt.keyCache != nil {
+		return prompt.keyCache
 	}
 	keys, digest := make([]uint64, 0, len(prompt.Parts)), xxhash.New()
 	_, _ = digest.WriteString(prompt.Model)
@@ -83,64 +88,68 @@
 	return keys
 }
 
-type kept struct {
+// cachedPart is an entry of the estimate.
+type cachedPart struct {
 	key    uint64
 	tokens int64
 }
 
-// Memory is the estimate of the parts that a server keeps: those unused for the longest give way.
-type Memory struct {
-	most  int64
+// CacheEstimate is the estimate of the parts in a server's prompt cache, up to a limit of tokens. The least recently used parts are evicted first. It
+// is not safe for concurrent use.
+type CacheEstimate struct {
+	limit int64
 	used  int64
 	parts map[uint64]*list.Element
 	order *list.List
 }
 
-const mostParts = 4096
+// maxParts limits the number of parts, since parts may have no tokens.
+const maxParts = 4096
 
-func NewMemory(tokens int64) *Memory {
-	return &Memory{most: tokens, parts: map[uint64]*list.Element{}, order: list.New()}
+// NewCacheEstimate returns an empty estimate of a cache that holds a number of tokens.
+func NewCacheEstimate(tokens int64) *CacheEstimate {
+	return &CacheEstimate{limit: tokens, parts: map[uint64]*list.Element{}, order: list.New()}
 }
 
-// Held gives the tokens at the start of a prompt that need not be read again.
-func (memory *Memory) Held(prompt Prompt) int64 {
-	held := int64(0)
+// CachedTokens returns the number of tokens at the start of a prompt that need not be read again.
+func (estimate *CacheEstimate) CachedTokens(prompt Prompt) int64 {
+	cached := int64(0)
 	for index, key := range prompt.keys() {
-		if _, there := memory.parts[key]; !there {
+		if _, found := estimate.parts[key]; !found {
 			break
 		}
-		held += prompt.Parts[index].Tokens
+		cached += prompt.Parts[index].Tokens
 	}
-	return held
+	return cached
 }
 
-// Take notes that a server reads a prompt.
-func (memory *Memory) Take(prompt Prompt) {
+// Add records that a server reads a prompt.
+func (estimate *CacheEstimate) Add(prompt Prompt) {
 	for index, key := range prompt.keys() {
-		if element, there := memory.parts[key]; there {
-			memory.order.MoveToFront(element)
+		if element, found := estimate.parts[key]; found {
+			estimate.order.MoveToFront(element)
 			continue
 		}
-		memory.parts[key] = memory.order.PushFront(kept{key, prompt.Parts[index].Tokens})
-		memory.used += prompt.Parts[index].Tokens
+		estimate.parts[key] = estimate.order.PushFront(cachedPart{key, prompt.Parts[index].Tokens})
+		estimate.used += prompt.Parts[index].Tokens
 	}
-	for memory.order.Len() > 1 && (memory.used > memory.most || memory.order.Len() > mostParts) {
-		last := memory.order.Back()
-		gone := memory.order.Remove(last).(kept)
-		delete(memory.parts, gone.key)
-		memory.used -= gone.tokens
+	for estimate.order.Len() > 1 && (estimate.used > estimate.limit || estimate.order.Len() > maxParts) {
+		last := estimate.order.Back()
+		evicted := estimate.order.Remove(last).(cachedPart)
+		delete(estimate.parts, evicted.key)
+		estimate.used -= evicted.tokens
 	}
 }
 
-// Lose drops the part with a key, as Prompt.Anchor gives it, so that it and what follows it are not held.
-func (memory *Memory) Lose(key uint64) {
-	if element, there := memory.parts[key]; there {
-		memory.used -= memory.order.Remove(element).(kept).tokens
-		delete(memory.parts, key)
+// Remove removes the part with a key, as returned by Prompt.Anchor, so that it and the parts after it no longer count as cached.
+func (estimate *CacheEstimate) Remove(key uint64) {
+	if element, found := estimate.parts[key]; found {
+		estimate.used -= estimate.order.Remove(element).(cachedPart).tokens
+		delete(estimate.parts, key)
 	}
 }
 
-// Forget drops everything: the server began anew.
-func (memory *Memory) Forget() {
-	memory.parts, memory.order, memory.used = map[uint64]*list.Element{}, list.New(), 0
+// Clear removes everything, for a server that lost its cache or restarted.
+func (estimate *CacheEstimate) Clear() {
+	estimate.parts, estimate.order, estimate.used = map[uint64]*list.Element{}, list.New(), 0
 }
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -13,122 +13,122 @@
 	RunSpecs(t, "engine")
 }
 
-// prompt is made of parts of 100 tokens each.
+// prompt returns a prompt of parts of 100 tokens each.
 func prompt(model string, names ...string) Prompt {
-	made := Prompt{Model: model, Input: int64(100 * len(names))}
+	result := Prompt{Model: model, Input: int64(100 * len(names))}
 	for _, name := range names {
-		made.Parts = append(made.Parts, Part{ID: name, Tokens: 100})
+		result.Parts = append(result.Parts, Part{ID: name, Tokens: 100})
 	}
-	return made
+	return result
 }
 
-var _ = Describe("the estimate of what a server keeps", func() {
-	It("given nothing was read, when a prompt is asked for, then nothing is held", func() {
-		Expect(NewMemory(1000).Held(prompt("m", "a", "b"))).To(BeZero())
+var _ = Describe("the estimate of a server's prompt cache", func() {
+	It("given nothing was read, when a prompt is looked up, then nothing is cached", func() {
+		Expect(NewCacheEstimate(1000).CachedTokens(prompt("m", "a", "b"))).To(BeZero())
 	})
 
-	It("given a prompt was read, when another begins with the same parts, then only those are held", func() {
-		memory := NewMemory(1000)
-		memory.Take(prompt("m", "a", "b", "c"))
-		Expect(memory.Held(prompt("m", "a", "b", "c"))).To(Equal(int64(300)))
-		Expect(memory.Held(prompt("m", "a", "b", "d"))).To(Equal(int64(200)))
-		Expect(memory.Held(prompt("m", "a", "b", "c", "d"))).To(Equal(int64(300)))
+	It("given a prompt was read, when another begins with the same parts, then only those are cached", func() {
+		estimate := NewCacheEstimate(1000)
+		estimate.Add(prompt("m", "a", "b", "c"))
+		Expect(estimate.CachedTokens(prompt("m", "a", "b", "c"))).To(Equal(int64(300)))
+		Expect(estimate.CachedTokens(prompt("m", "a", "b", "d"))).To(Equal(int64(200)))
+		Expect(estimate.CachedTokens(prompt("m", "a", "b", "c", "d"))).To(Equal(int64(300)))
 	})
 
-	It("given a prompt was read, when a part stands behind another one or under another model, then it is not held", func() {
-		memory := NewMemory(1000)
-		memory.Take(prompt("m", "a", "b"))
-		Expect(memory.Held(prompt("m", "b"))).To(BeZero())
-		Expect(memory.Held(prompt("m", "c", "b"))).To(BeZero())
-		Expect(memory.Held(prompt("n", "a", "b"))).To(BeZero())
+	It("given a prompt was read, when a part follows other parts or belongs to another model, then it is not cached", func() {
+		estimate := NewCacheEstimate(1000)
+		estimate.Add(prompt("m", "a", "b"))
+		Expect(estimate.CachedTokens(prompt("m", "b"))).To(BeZero())
+		Expect(estimate.CachedTokens(prompt("m", "c", "b"))).To(BeZero())
+		Expect(estimate.CachedTokens(prompt("n", "a", "b"))).To(BeZero())
 	})
 
-	It("given a prompt whose keys are worked out beforehand, when it is taken and asked for, then it is the same as without", func() {
-		memory, plain := NewMemory(1000), prompt("m", "a", "b", "c")
-		Expect(plain.Hashed().Anchor()).To(Equal(plain.Anchor()))
-		memory.Take(plain.Hashed())
-		Expect(memory.Held(plain)).To(Equal(int64(300)))
-		Expect(memory.Held(plain.Hashed())).To(Equal(int64(300)))
-		Expect(memory.Held(prompt("m", "a", "b", "d").Hashed())).To(Equal(int64(200)))
-		Expect(Prompt{Model: "m"}.Hashed()).To(Equal(Prompt{Model: "m"}))
+	It("given a prompt with computed keys, when it is added and looked up, then the result is the same as without", func() {
+		estimate, plain := NewCacheEstimate(1000), prompt("m", "a", "b", "c")
+		Expect(plain.WithKeys().Anchor()).To(Equal(plain.Anchor()))
+		estimate.Add(plain.WithKeys())
+		Expect(estimate.CachedTokens(plain)).To(Equal(int64(300)))
+		Expect(estimate.CachedTokens(plain.WithKeys())).To(Equal(int64(300)))
+		Expect(estimate.CachedTokens(prompt("m", "a", "b", "d").WithKeys())).To(Equal(int64(200)))
+		Expect(Prompt{Model: "m"}.WithKeys()).To(Equal(Prompt{Model: "m"}))
 	})
 
-	It("given two parts, when their names are cut elsewhere, then they are other parts", func() {
-		memory := NewMemory(1000)
-		memory.Take(prompt("m", "ab", "c"))
-		Expect(memory.Held(prompt("m", "a", "bc"))).To(BeZero())
+	It("given two parts, when the same characters are divided differently, then they are different parts", func() {
+		estimate := NewCacheEstimate(1000)
+		estimate.Add(prompt("m", "ab", "c"))
+		Expect(estimate.CachedTokens(prompt("m", "a", "bc"))).To(BeZero())
 	})
 
-	It("given the same prompt twice, when it is taken again, then nothing is counted twice", func() {
-		memory := NewMemory(300)
-		memory.Take(prompt("m", "a", "b", "c"))
-		memory.Take(prompt("m", "a", "b", "c"))
-		Expect(memory.used).To(Equal(int64(300)))
-		Expect(memory.Held(prompt("m", "a", "b", "c"))).To(Equal(int64(300)))
+	It("given the same prompt twice, when it is added again, then nothing is counted twice", func() {
+		estimate := NewCacheEstimate(300)
+		estimate.Add(prompt("m", "a", "b", "c"))
+		estimate.Add(prompt("m", "a", "b", "c"))
+		Expect(estimate.used).To(Equal(int64(300)))
+		Expect(estimate.CachedTokens(prompt("m", "a", "b", "c"))).To(Equal(int64(300)))
 	})
 
-	It("given a full memory, when a new prompt comes, then what was unused for the longest gives way", func() {
-		memory := NewMemory(300)
+	It("given a full cache, when a new prompt is added, then the least recently used part is evicted", func() {
+		estimate := NewCacheEstimate(300)
 		for _, name := range []string{"a", "b", "c"} {
-			memory.Take(prompt("m", name))
+			estimate.Add(prompt("m", name))
 		}
-		memory.Take(prompt("m", "a"))
-		memory.Take(prompt("m", "d"))
-		Expect(memory.Held(prompt("m", "a"))).To(Equal(int64(100)), "it was used again")
-		Expect(memory.Held(prompt("m", "b"))).To(BeZero(), "it was unused for the longest")
-		Expect(memory.Held(prompt("m", "c"))).To(Equal(int64(100)))
-		Expect(memory.Held(prompt("m", "d"))).To(Equal(int64(100)))
+		estimate.Add(prompt("m", "a"))
+		estimate.Add(prompt("m", "d"))
+		Expect(estimate.CachedTokens(prompt("m", "a"))).To(Equal(int64(100)), "it was used again")
+		Expect(estimate.CachedTokens(prompt("m", "b"))).To(BeZero(), "it was the least recently used")
+		Expect(estimate.CachedTokens(prompt("m", "c"))).To(Equal(int64(100)))
+		Expect(estimate.CachedTokens(prompt("m", "d"))).To(Equal(int64(100)))
 	})
 
-	It("given a full memory, when a new session shares the first parts, then the shared parts stay and a whole start is held", func() {
-		memory := NewMemory(400)
+	It("given a full cache, when a new session shares the first parts, then the shared parts stay cached", func() {
+		estimate := NewCacheEstimate(400)
 		for session := range 20 {
-			memory.Take(prompt("m", "shared", "tools", fmt.Sprint("session", session)))
-			Expect(memory.Held(prompt("m", "shared", "tools", "new"))).To(Equal(int64(200)))
+			estimate.Add(prompt("m", "shared", "tools", fmt.Sprint("session", session)))
+			Expect(estimate.CachedTokens(prompt("m", "shared", "tools", "new"))).To(Equal(int64(200)))
 		}
 	})
 
-	It("given a part that is lost, when it is dropped, then it and what follows are not held, what is before it and other prompts are, and its room is free", func() {
-		memory := NewMemory(600)
-		memory.Take(prompt("m", "a", "b", "c"))
-		memory.Take(prompt("m", "d"))
+	It("given a cached part, when it is removed, then it and what follows are not cached, what precedes it and other prompts are, and its tokens are free", func() {
+		estimate := NewCacheEstimate(600)
+		estimate.Add(prompt("m", "a", "b", "c"))
+		estimate.Add(prompt("m", "d"))
 		anchor := prompt("m", "a", "b", "other").Anchor()
-		memory.Lose(anchor)
-		memory.Lose(anchor)
-		Expect(memory.Held(prompt("m", "a", "b", "c"))).To(Equal(int64(100)))
-		Expect(memory.Held(prompt("m", "d"))).To(Equal(int64(100)))
-		Expect(memory.used).To(Equal(int64(300)))
-		memory.Take(prompt("m", "a", "b", "c"))
-		Expect(memory.Held(prompt("m", "a", "b", "c"))).To(Equal(int64(300)))
-	})
-
-	It("given a server that began anew, when it is forgotten, then nothing is held and the room is free", func() {
-		memory := NewMemory(300)
-		memory.Take(prompt("m", "a", "b", "c"))
-		memory.Forget()
-		Expect(memory.Held(prompt("m", "a"))).To(BeZero())
-		memory.Take(prompt("m", "d", "e", "f"))
-		Expect(memory.Held(prompt("m", "d", "e", "f"))).To(Equal(int64(300)))
-	})
-
-	It("given endless prompts without tokens, when they are taken, then the count of parts is bounded", func() {
-		memory := NewMemory(10)
-		for number := range mostParts + 100 {
-			memory.Take(Prompt{Model: "m", Parts: []Part{{ID: fmt.Sprint(number)}}})
+		estimate.Remove(anchor)
+		estimate.Remove(anchor)
+		Expect(estimate.CachedTokens(prompt("m", "a", "b", "c"))).To(Equal(int64(100)))
+		Expect(estimate.CachedTokens(prompt("m", "d"))).To(Equal(int64(100)))
+		Expect(estimate.used).To(Equal(int64(300)))
+		estimate.Add(prompt("m", "a", "b", "c"))
+		Expect(estimate.CachedTokens(prompt("m", "a", "b", "c"))).To(Equal(int64(300)))
+	})
+
+	It("given a server that restarted, when its estimate is cleared, then nothing is cached and all tokens are free", func() {
+		estimate := NewCacheEstimate(300)
+		estimate.Add(prompt("m", "a", "b", "c"))
+		estimate.Clear()
+		Expect(estimate.CachedTokens(prompt("m", "a"))).To(BeZero())
+		estimate.Add(prompt("m", "d", "e", "f"))
+		Expect(estimate.CachedTokens(prompt("m", "d", "e", "f"))).To(Equal(int64(300)))
+	})
+
+	It("given very many prompts without tokens, when they are added, then the number of parts is limited", func() {
+		estimate := NewCacheEstimate(10)
+		for number := range maxParts + 100 {
+			estimate.Add(Prompt{Model: "m", Parts: []Part{{ID: fmt.Sprint(number)}}})
 		}
-		Expect(memory.order.Len()).To(Equal(mostParts))
-		Expect(memory.parts).To(HaveLen(mostParts))
+		Expect(estimate.order.Len()).To(Equal(maxParts))
+		Expect(estimate.parts).To(HaveLen(maxParts))
 	})
 })
 
 var _ = Describe("the anchor of a prompt", func() {
-	It("given prompts that share all but their last part, when they are anchored, then they belong to the same place", func() {
+	It("given prompts that share all but their last part, when their anchors are computed, then they are the same", func() {
 		Expect(prompt("m", "a", "b", "one").Anchor()).To(Equal(prompt("m", "a", "b", "two").Anchor()))
 		Expect(prompt("m", "a", "b", "one").Anchor()).NotTo(Equal(prompt("m", "c", "b", "one").Anchor()))
 		Expect(prompt("m", "a", "b", "one").Anchor()).NotTo(Equal(prompt("n", "a", "b", "one").Anchor()))
 	})
 
-	It("given a large first part, when a small second one differs, then the first decides", func() {
+	It("given a large first part, when a small second one differs, then the first is the anchor", func() {
 		large := func(second string) Prompt {
 			return Prompt{Model: "m", Parts: []Part{{ID: "large", Tokens: 900}, {ID: second, Tokens: 100}, {ID: "own", Tokens: 50}}}
 		}
@@ -136,7 +136,7 @@
 		Expect(large("x").Shared()).To(Equal(int64(1000)))
 	})
 
-	It("given two shared parts, when the second is more than a tenth, then it decides, and the first is the root of both", func() {
+	It("given two shared parts, when the second is more than a tenth, then it is the anchor, and the first is the root of both", func() {
 		halves := func(second string) Prompt {
 			return Prompt{Model: "m", Parts: []Part{{ID: "first", Tokens: 600}, {ID: second, Tokens: 400}, {ID: "own", Tokens: 50}}}
 		}
@@ -150,7 +150,7 @@
 		Expect(root).To(Equal(single.Anchor()))
 	})
 
-	It("given a prompt that shares nothing, when it is anchored, then there is no anchor", func() {
+	It("given a prompt that shares nothing, when its anchor is computed, then there is none", func() {
 		Expect(prompt("m", "own").Anchor()).To(BeZero())
 		Expect(prompt("m").Anchor()).To(BeZero())
 		Expect(prompt("m", "own").Shared()).To(BeZero())
@@ -161,36 +161,36 @@
 	f.Add([]byte{1, 2, 3, 0, 1, 2, 4, 0, 9}, int64(250))
 	f.Add([]byte{1, 1, 1, 1}, int64(0))
 	f.Add([]byte{7, 0, 7, 0, 8, 0, 7}, int64(100))
-	f.Fuzz(func(t *testing.T, script []byte, most int64) {
-		most = max(0, min(most, 1<<20))
-		memory, current := NewMemory(most), Prompt{Model: "m"}
-		take := func() {
-			memory.Take(current)
+	f.Fuzz(func(t *testing.T, script []byte, limit int64) {
+		limit = max(0, min(limit, 1<<20))
+		estimate, current := NewCacheEstimate(limit), Prompt{Model: "m"}
+		add := func() {
+			estimate.Add(current)
 			sum := int64(0)
-			for element := memory.order.Front(); element != nil; element = element.Next() {
-				sum += element.Value.(kept).tokens
-				if memory.parts[element.Value.(kept).key] != element {
+			for element := estimate.order.Front(); element != nil; element = element.Next() {
+				sum += element.Value.(cachedPart).tokens
+				if estimate.parts[element.Value.(cachedPart).key] != element {
 					t.Fatal("a part cannot be found")
 				}
 			}
-			if sum != memory.used || len(memory.parts) != memory.order.Len() {
-				t.Fatal("the sum is wrong", sum, memory.used, len(memory.parts), memory.order.Len())
+			if sum != estimate.used || len(estimate.parts) != estimate.order.Len() {
+				t.Fatal("the sum is wrong", sum, estimate.used, len(estimate.parts), estimate.order.Len())
 			}
-			if memory.used > most && memory.order.Len() > 1 {
-				t.Fatal("more is kept than there is room for", memory.used, most)
+			if estimate.used > limit && estimate.order.Len() > 1 {
+				t.Fatal("more is cached than the limit", estimate.used, limit)
 			}
-			if held := memory.Held(current); held > memory.used {
-				t.Fatal("more is held than is kept", held, memory.used)
+			if cached := estimate.CachedTokens(current); cached > estimate.used {
+				t.Fatal("more of a prompt is cached than of all prompts", cached, estimate.used)
 			}
 			current = Prompt{Model: "m"}
 		}
 		for _, step := range script {
 			if step == 0 {
-				take()
+				add()
 				continue
 			}
 			current.Parts = append(current.Parts, Part{ID: string(rune('a' + step%16)), Tokens: int64(step%16) * 31})
 		}
-		take()
+		add()
 	})
 }
--- a/gateway/cache.go
+++ b/gateway/cache.go
@@ -43,7 +43,7 @@
 func (router *Router) presumedCached(now time.Duration, server *serverState, prompt engine.Prompt, placeServer string) int64 {
 	cached := int64(0)
 	if server.cacheEstimate != nil {
-		cached = server.cacheEstimate.Held(prompt)
+		cached = server.cacheEstimate.CachedTokens(prompt)
 	}
 	if server.Name == placeServer && !server.cacheCheck.isDistrusted(now) {
 		cached = max(cached, prompt.Shared())
@@ -65,7 +65,7 @@
 	if server.cacheCheck.misses++; server.cacheCheck.misses >= missesToDistrust {
 		server.cacheCheck.stale = true
 		router.distrustCache(now, server)
-		server.cacheEstimate.Take(call.Prompt)
+		server.cacheEstimate.Add(call.Prompt)
 	}
 }
 
@@ -110,7 +110,7 @@
 func (router *Router) distrustCache(now time.Duration, server *serverState) {
 	server.cacheCheck.misses, server.cacheCheck.distrustedUntil = 0, now+router.policy.RepeatWindow
 	if server.cacheEstimate != nil {
-		server.cacheEstimate.Forget()
+		server.cacheEstimate.Clear()
 	}
 }
 
--- a/gateway/cache_test.go
+++ b/gateway/cache_test.go
@@ -53,7 +53,7 @@
 		router.completeAfter(router.dispatchPrompt("/stream/x", longPrompt("three")), slow)
 		Expect(router.StaleCaches("east")).To(Equal(map[string]int64{holder: 0}))
 		Expect(router.servers[holder].cacheCheck.isDistrusted(router.now)).To(BeTrue())
-		Expect(router.servers[holder].cacheEstimate.Held(longPrompt("four"))).To(Equal(int64(13000)), "the last call was read there")
+		Expect(router.servers[holder].cacheEstimate.CachedTokens(longPrompt("four"))).To(Equal(int64(13000)), "the last call was read there")
 	})
 
 	It("given a server that other nodes keep busy, when first chunks are late, then the index is not blamed", func() {
@@ -71,8 +71,8 @@
 	It("given another server that certainly caches the prompt, when the holder's index is discarded, then calls go to that server", func() {
 		router, holder := withCachedPrompt()
 		other := router.serverOtherThan(holder)
-		other.cacheEstimate = engine.NewMemory(300000)
-		other.cacheEstimate.Take(longPrompt("kept"))
+		other.cacheEstimate = engine.NewCacheEstimate(300000)
+		other.cacheEstimate.Add(longPrompt("kept"))
 		router.Handle(router.now, listWithCacheGeneration(holder, 1))
 		Expect(router.dispatchPrompt("/stream/x", longPrompt("two")).Server.Name).To(Equal(other.Name))
 	})
@@ -100,7 +100,7 @@
 		}
 		router.Handle(router.now, listWithCacheGeneration(holder, 1))
 		Expect(router.StaleCaches("east")).To(BeEmpty())
-		Expect(router.servers[holder].cacheEstimate.Held(longPrompt("four"))).To(Equal(int64(13000)))
+		Expect(router.servers[holder].cacheEstimate.CachedTokens(longPrompt("four"))).To(Equal(int64(13000)))
 	})
 
 	It("given a call that may run only once, when its server's cache was wrong, then it is not sent a second time because of that", func() {
--- a/gateway/flow.go
+++ b/gateway/flow.go
@@ -95,8 +95,8 @@
 			target.cacheEstimate = newCacheEstimate(service)
 		}
 		call.unreadTokens, call.soleReader = max(1, call.Prompt.Input-call.cachedTokens), target.unreadTokens == 0
-		call.sentBeforeTokens = min(call.Prompt.Input, target.cacheEstimate.Held(call.Prompt))
-		target.cacheEstimate.Take(call.Prompt)
+		call.sentBeforeTokens = min(call.Prompt.Input, target.cacheEstimate.CachedTokens(call.Prompt))
+		target.cacheEstimate.Add(call.Prompt)
 		target.unreadTokens += call.unreadTokens
 		target.unreadPrompts++
 	}
@@ -273,7 +273,7 @@
 		server.wrongServer = true
 	case OutcomeNotRun:
 		if wasUnread && server.cacheEstimate != nil {
-			server.cacheEstimate.Forget()
+			server.cacheEstimate.Clear()
 		}
 	case OutcomeBroken:
 		router.recordFault(now, server)
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -26,8 +26,8 @@
 )
 
 // newCacheEstimate returns an empty estimate of the prompt cache of one of the service's servers.
-func newCacheEstimate(service manifest.Service) *engine.Memory {
-	return engine.NewMemory(service.Engine.Tokens)
+func newCacheEstimate(service manifest.Service) *engine.CacheEstimate {
+	return engine.NewCacheEstimate(service.Engine.Tokens)
 }
 
 // presumedReadTime returns how long an engine reads a number of tokens, where its cache is checked.
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -178,7 +178,7 @@
 		if previous, found := router.places.known.Get(place.Key); found {
 			router.places.known.Remove(place.Key)
 			if server := router.servers[previous]; server != nil && server.cacheEstimate != nil {
-				server.cacheEstimate.Lose(place.Anchor)
+				server.cacheEstimate.Remove(place.Anchor)
 			}
 		}
 	}
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -161,7 +161,7 @@
 			again := expectDispatch(router.endDispatch(expectDispatch(router.sendLongPrompt("moved")), OutcomeWrongServer))
 			Expect(again.Server.Name).NotTo(Equal(name))
 			router.endDispatch(again, OutcomeComplete)
-			router.servers[again.Server.Name].cacheEstimate.Forget()
+			router.servers[again.Server.Name].cacheEstimate.Clear()
 		}),
 		Entry("failing", func(router *testRouter, name string) {
 			for range 4 {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -13,7 +13,7 @@
 	contract.Candidate
 	region string
 	// cacheEstimate models the server's prompt cache from what this node sent there; nil for a service without engines.
-	cacheEstimate *engine.Memory
+	cacheEstimate *engine.CacheEstimate
 	// listed says that the server is in the current list. One that is not is removed once its calls have ended.
 	listed bool
 	// wrongServer says that another server answered at this one's address: it is not used again.
--- a/gateway/shown_test.go
+++ b/gateway/shown_test.go
@@ -36,7 +36,7 @@
 		router := routerWithIndex(withEngines)
 		dispatch := expectDispatch(router.answerPlace(expectPlaceQuery(router.sendLongPrompt("one")), "b"))
 		router.Handle(router.now, DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: OutcomeCallerLeft})
-		router.servers["b"].cacheEstimate = engine.NewMemory(300000)
+		router.servers["b"].cacheEstimate = engine.NewCacheEstimate(300000)
 		return router
 	}
 
@@ -84,11 +84,11 @@
 	It("given the owner's message, when the next call arrives, then it queries again once, reports no lost server, and goes where it is told", func() {
 		router := routerWithIndex(withEngines)
 		key := router.learnPlace("b")
-		Expect(router.servers["b"].cacheEstimate.Held(longPrompt("x"))).To(Equal(int64(13000)))
+		Expect(router.servers["b"].cacheEstimate.CachedTokens(longPrompt("x"))).To(Equal(int64(13000)))
 		router.Handle(router.now, PlacesMoved{Places: []index.Place{{Key: key}}})
 		ask := expectPlaceQuery(router.sendLongPrompt("two"))
 		Expect(ask.Ask.Lost).To(BeEmpty())
-		Expect(router.servers["b"].cacheEstimate.Held(longPrompt("x"))).To(BeZero(), "its cache does not contain the prompt")
+		Expect(router.servers["b"].cacheEstimate.CachedTokens(longPrompt("x"))).To(BeZero(), "its cache does not contain the prompt")
 		Expect(expectDispatch(router.answerPlace(ask, "e")).Server.Name).To(Equal("e"))
 		Expect(expectDispatch(router.sendLongPrompt("three")).Server.Name).To(Equal("e"))
 	})
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -55,6 +55,6 @@
 		timeout = route.Timeout
 	}
 	call := &callState{CallArrived: event, route: route, tenant: tenant.Name, deadline: now + timeout, service: router.drawService(route), triedServers: map[string]bool{}}
-	call.Prompt = event.Prompt.Hashed()
+	call.Prompt = event.Prompt.WithKeys()
 	return call, nil
 }
