--- a/serve/control.go
+++ b/serve/control.go
@@ -72,7 +72,7 @@
 	process.Process = newProcess(settings, owner.Self(), owner, faultsPath)
 	if recovered != nil {
 		snapshot, damaged := image.LoadIndex(process.files)
-		owner.Restore(snapshot)
+		owner.RestoreIndex(snapshot)
 		process.Loop.Count("index_snapshots_damaged", int64(damaged))
 		process.Loop.Count("index_places_restored", int64(len(snapshot.Places)))
 		process.files = link.FaultyDisk(process.files, process.Faults)
