--- a/gateway/condition_test.go
+++ b/gateway/condition_test.go
@@ -53,7 +53,7 @@
 		outcome Outcome
 		want    contract.CallTally
 	}{{OutcomeNotSent, contract.CallTally{Unconnected: 1}}, {OutcomeBroken, contract.CallTally{Failed: 1}}} {
-		It("given a call that ended as "+string(test.outcome)+", when the list is asked for, then its server's tally is told", func() {
+		It("given a call that ended as "+string(test.outcome)+", when the list is requested, then the tally of its server is reported", func() {
 			router := startedRouter(nil, eastList("a"))
 			router.endDispatch(router.dispatchCall("/write/x"), test.outcome)
 			Expect(router.Tallies(router.now, "east")).To(Equal(map[string]contract.CallTally{"a": test.want}))
--- a/gateway/suite_test.go
+++ b/gateway/suite_test.go
@@ -145,7 +145,7 @@
 
 func (router *testRouter) endDispatch(dispatch Dispatch, outcome Outcome) contract.Command {
 	GinkgoHelper()
-	return router.handleOne(DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: outcome, Reason: "told by the test"})
+	return router.handleOne(DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt, Outcome: outcome, Reason: "reason of the test"})
 }
 
 func (router *testRouter) dispatchPrompt(path string, prompt engine.Prompt) Dispatch {
