--- a/cmd/cedarrig/explore.go
+++ b/cmd/cedarrig/explore.go
@@ -20,7 +20,7 @@
 		return true, nil
 	}
 	summary := modelcheck.Explore(modelcheck.Plan{Seed: given.Seed, Steps: walkSteps, Sizes: given.Members, Fault: modelcheck.Fault(given.Plant),
-		States: given.Explore, Within: time.Duration(given.Minutes) * time.Minute})
+		MaxStates: given.Explore, TimeLimit: time.Duration(given.Minutes) * time.Minute})
 	fmt.Println(summary)
 	return summary.Broken == nil, nil
 }
@@ -30,8 +30,8 @@
 
 // enumerate checks the core in all traces of moves up to a depth, each state visited once.
 func enumerate(given arguments) (bool, error) {
-	found := modelcheck.Enumerate(modelcheck.Search{Members: coreMembers, Bounds: modelcheck.DefaultBounds(), Depth: given.Depth, States: enumeratedStates,
-		Within: time.Duration(given.Minutes) * time.Minute, Fault: modelcheck.Fault(given.Plant)})
+	found := modelcheck.Enumerate(modelcheck.Search{Members: coreMembers, Bounds: modelcheck.DefaultBounds(), MaxDepth: given.Depth, MaxStates: enumeratedStates,
+		TimeLimit: time.Duration(given.Minutes) * time.Minute, Fault: modelcheck.Fault(given.Plant)})
 	fmt.Println(found)
 	return found.Violation == "", nil
 }
--- a/modelcheck/action.go
+++ b/modelcheck/action.go
@@ -9,72 +9,75 @@
 	"github.com/cedarreel/cedarreel/image"
 )
 
-// Kind names what an action does.
+// Kind is the kind of an Action. Replays print it by its String name.
 type Kind int
 
 const (
-	// Deliver hands over the message at a place among those under way; Duplicate hands it over and keeps it; Drop loses it.
+	// Deliver delivers the message at an index among those in flight; Duplicate delivers it and keeps a copy; Drop loses it.
 	Deliver Kind = iota
 	Duplicate
 	Drop
-	// Tick moves one member's clock by a tick, Jump by a freeze. Err makes one
-	// member's failure detector wrong about another, until the next one.
+	// Tick advances one member's clock by up to maxTicks ticks, ClockJump by jumpDuration. MisjudgePeer (printed as "err") toggles whether
+	// one member's failure detector is wrong about another.
 	Tick
-	Jump
-	Err
-	// Write finishes the write that a disk has under way; Refuse lets the disk be full for some writes.
-	Write
-	Refuse
-	// Kill ends a process, TearWrite in the middle of a write; PowerOff takes what was not synced too; Wipe takes the whole disk.
+	ClockJump
+	MisjudgePeer
+	// FinishWrite ("write") completes a disk's pending write; FillDisk ("refuse") makes up to three writes fail.
+	FinishWrite
+	FillDisk
+	// Kill ends a process, TearWrite ends it during a write; PowerOff also loses unsynced data; Wipe also loses the whole disk.
 	Kill
 	TearWrite
 	PowerOff
 	Wipe
+	// Start starts a process on a member that is down.
 	Start
-	// Replace removes a member for good and starts an empty one under another name.
+	// Replace removes a member permanently and starts an empty one under another name.
 	Replace
-	// Block cuts one link one way, Isolate cuts a member off, Heal joins everything.
+	// Block blocks one link in one direction, Isolate all links of a member; Heal unblocks all links and corrects the failure detectors.
 	Block
 	Isolate
 	Heal
-	// Submit orders a write at a member that takes writes, Read reads the newest version at one that believes itself to be the tail.
+	// Submit submits a write to a member that accepts writes; Read reads from a member that believes that it is the tail.
 	Submit
 	Read
-	kinds
+	kindCount
 )
 
 var kindNames = [...]string{"deliver", "duplicate", "drop", "tick", "jump", "err", "write", "refuse", "kill", "tear-write", "power-off", "wipe", "start", "replace", "block", "isolate", "heal", "submit", "read"}
 
+// String returns the name that replays print.
 func (kind Kind) String() string { return kindNames[kind] }
 
-// Action is one thing that happens. Its numbers pick a member, a message or a link by their places, modulo how many there are, so that
-// an action still means something when others before it are left out.
+// Action is a single event. First and Second select members, a message or an amount, modulo the number of choices, so that an action stays
+// meaningful when Shrink removes others before it.
 type Action struct {
 	Kind          Kind
 	First, Second int
 }
 
+// String returns the line of the action in a replay.
 func (action Action) String() string {
 	return fmt.Sprintf("%s %d %d", action.Kind, action.First, action.Second)
 }
 
-// freeze is how long a Jump lasts, and ticksMost how many ticks may come at once.
+// jumpDuration is how far a ClockJump moves a clock; maxTicks is the most ticks that one Tick advances.
 const (
-	freeze    = 3 * time.Second
-	ticksMost = 8
+	jumpDuration = 3 * time.Second
+	maxTicks     = 8
 )
 
-// Apply carries an action out; one that means nothing now does nothing.
+// Apply executes an action. An action that is not applicable in the current state does nothing.
 func (cluster *Cluster) Apply(action Action) {
 	cluster.steps++
 	if action.Kind <= Drop {
-		cluster.message(action)
+		cluster.applyToMessage(action)
 		return
 	}
 	member := cluster.members[action.First%len(cluster.members)]
 	other := cluster.members[action.Second%len(cluster.members)]
-	if member.up() {
-		cluster.running(member, other, action)
+	if member.isUp() {
+		cluster.applyToRunning(member, other, action)
 		return
 	}
 	if member.removed {
@@ -90,37 +93,37 @@
 	}
 }
 
-func (cluster *Cluster) message(action Action) {
+func (cluster *Cluster) applyToMessage(action Action) {
 	if len(cluster.messages) == 0 {
 		return
 	}
-	place := action.First % len(cluster.messages)
-	taken := cluster.messages[place]
+	index := action.First % len(cluster.messages)
+	taken := cluster.messages[index]
 	if action.Kind != Duplicate {
-		cluster.messages = append(cluster.messages[:place:place], cluster.messages[place+1:]...)
+		cluster.messages = append(cluster.messages[:index:index], cluster.messages[index+1:]...)
 	}
 	target := cluster.member(taken.to)
-	if action.Kind != Drop && target != nil && target.up() {
+	if action.Kind != Drop && target != nil && target.isUp() {
 		cluster.handle(target, contract.Message{Kind: taken.kind, From: taken.from, Body: taken.body})
 	}
 }
 
-func (cluster *Cluster) running(member, other *member, action Action) {
+func (cluster *Cluster) applyToRunning(member, other *member, action Action) {
 	switch action.Kind {
 	case Tick:
-		cluster.tick(member, cluster.bounds.Tick()*time.Duration(1+action.Second%ticksMost))
-	case Jump:
-		cluster.tick(member, freeze)
-	case Err:
-		member.wrong[other.name] = !member.wrong[other.name]
-	case Write:
-		if member.pending != nil {
+		cluster.tick(member, cluster.bounds.Tick()*time.Duration(1+action.Second%maxTicks))
+	case ClockJump:
+		cluster.tick(member, jumpDuration)
+	case MisjudgePeer:
+		member.misjudged[other.name] = !member.misjudged[other.name]
+	case FinishWrite:
+		if member.pendingWrite != nil {
 			cluster.finishWrite(member)
 		}
-	case Refuse:
-		member.fullFor = action.Second % 4
+	case FillDisk:
+		member.refusedWrites = action.Second % 4
 	case Kill:
-		member.owner, member.pending = nil, nil
+		member.replica, member.pendingWrite = nil, nil
 	case TearWrite:
 		cluster.tearWrite(member, action.Second)
 	case PowerOff:
@@ -130,113 +133,115 @@
 	case Replace:
 		cluster.replace(member)
 	case Block:
-		cluster.blocked[[2]string{member.name, other.name}] = member != other
+		cluster.blockedLinks[[2]string{member.name, other.name}] = member != other
 	case Isolate:
 		cluster.isolate(member)
 	case Heal:
 		cluster.heal()
 	case Submit:
-		if head := cluster.first(action.First, headOf); head != nil {
+		if head := cluster.firstMember(action.First, acceptsWrites); head != nil {
 			cluster.submit(head)
 		}
 	case Read:
-		if tail := cluster.first(action.First, tailOf); tail != nil {
+		if tail := cluster.firstMember(action.First, believesTail); tail != nil {
 			cluster.read(tail)
 		}
 	}
 }
 
-// headOf and tailOf find the members that take writes, and that believe themselves to be the tail.
-var headOf, tailOf = (*chain.Replica).AcceptsWrites, (*chain.Replica).IsTail
+// acceptsWrites and believesTail select the members that accept writes and those that believe that they are the tail.
+var acceptsWrites, believesTail = (*chain.Replica).AcceptsWrites, (*chain.Replica).IsTail
 
-// first gives the first member that fits, from a place on.
-func (cluster *Cluster) first(place int, fits func(*chain.Replica) bool) *member {
+// firstMember returns the first running member that matches, searching from index and wrapping around, or nil.
+func (cluster *Cluster) firstMember(index int, matches func(*chain.Replica) bool) *member {
 	for offset := range cluster.members {
-		if member := cluster.members[(place+offset)%len(cluster.members)]; member.up() && fits(member.owner) {
+		if member := cluster.members[(index+offset)%len(cluster.members)]; member.isUp() && matches(member.replica) {
 			return member
 		}
 	}
 	return nil
 }
 
-func (cluster *Cluster) tick(observer *member, span time.Duration) {
-	observer.clock += span
-	cluster.handle(observer, cluster.seen(observer))
+func (cluster *Cluster) tick(observer *member, duration time.Duration) {
+	observer.clock += duration
+	cluster.handle(observer, cluster.detectorReport(observer))
 }
 
-// coin falls one way or the other.
-func (cluster *Cluster) coin() bool { return cluster.random.IntN(2) == 0 }
+// randomBool returns true or false with equal probability.
+func (cluster *Cluster) randomBool() bool { return cluster.random.IntN(2) == 0 }
 
 func (cluster *Cluster) powerOff(member *member) {
-	member.owner, member.pending = nil, nil
-	member.disk.LosePowerPartially(cluster.coin)
+	member.replica, member.pendingWrite = nil, nil
+	member.disk.LosePowerPartially(cluster.randomBool)
 }
 
-// tearWrite ends a process after so many operations of the write that its disk has under way, and takes the power too at odd places.
-func (cluster *Cluster) tearWrite(member *member, place int) {
-	if member.pending == nil {
+// tearWrite crashes a member after index modulo 8 operations of its pending write; at odd values, power loss also drops unsynced data.
+func (cluster *Cluster) tearWrite(member *member, index int) {
+	if member.pendingWrite == nil {
 		return
 	}
-	member.disk.budget = place % 8
-	work := *member.pending
-	member.owner, member.pending = nil, nil
+	member.disk.remainingOperations = index % 8
+	work := *member.pendingWrite
+	member.replica, member.pendingWrite = nil, nil
 	_ = image.Save(member.disk, work)
-	member.disk.budget = -1
-	if place%2 == 1 {
-		member.disk.LosePowerPartially(cluster.coin)
+	member.disk.remainingOperations = -1
+	if index%2 == 1 {
+		member.disk.LosePowerPartially(cluster.randomBool)
 	}
 }
 
-// whole tells whether every member of the newest view runs with its disk and holds everything, so that one disk may be lost.
-func (cluster *Cluster) whole() bool {
-	if cluster.view.Number == 0 || len(cluster.view.Chain) < cluster.size {
+// fullyReplicated reports whether every core member of the newest view runs with its original disk and has installed that view with a full
+// chain, so that one disk may be lost without losing data.
+func (cluster *Cluster) fullyReplicated() bool {
+	if cluster.newestView.Number == 0 || len(cluster.newestView.Chain) < cluster.size {
 		return false
 	}
-	for _, node := range cluster.view.Core {
+	for _, node := range cluster.newestView.Core {
 		member := cluster.member(node.Name)
-		if member == nil || !member.up() || member.removed || member.owner.Self().Identity() != node.Identity() || member.owner.View().Number != cluster.view.Number {
+		if member == nil || !member.isUp() || member.removed || member.replica.Self().Identity() != node.Identity() || member.replica.View().Number != cluster.newestView.Number {
 			return false
 		}
 	}
 	return true
 }
 
-// wipe takes a member's disk, no more often than the promises of the deployment allow: after a loss the core is whole again first.
+// wipe loses a member's disk. It does nothing unless the core is fully replicated: the system tolerates the loss of one disk at a time only.
 func (cluster *Cluster) wipe(member *member) {
-	if !cluster.whole() {
+	if !cluster.fullyReplicated() {
 		return
 	}
-	kept := identityOf(member.disk)
-	member.owner, member.pending = nil, nil
+	record := retainedIdentity(member.disk)
+	member.replica, member.pendingWrite = nil, nil
 	member.disk.Wipe()
-	if kept != nil && cluster.fault == FaultIdentityKept {
-		_ = image.Save(member.disk, chain.Persist{Member: kept})
+	if record != nil && cluster.fault == FaultIdentityKeptAfterWipe {
+		_ = image.Save(member.disk, chain.Persist{Member: record})
 	}
 }
 
+// replace removes a member permanently and starts a new one with an empty disk, under the same condition as wipe.
 func (cluster *Cluster) replace(old *member) {
-	if !cluster.whole() {
+	if !cluster.fullyReplicated() {
 		return
 	}
-	old.owner, old.pending, old.removed = nil, nil, true
-	fresh := &member{name: fmt.Sprintf("m%d", len(cluster.members)), disk: newDisk()}
-	fresh.disk.keepsRemoved = cluster.fault == FaultRemovalLost
-	cluster.members = append(cluster.members, fresh)
-	cluster.start(fresh, false)
+	old.replica, old.pendingWrite, old.removed = nil, nil, true
+	replacement := &member{name: fmt.Sprintf("m%d", len(cluster.members)), disk: newDisk()}
+	replacement.disk.ignoresRemove = cluster.fault == FaultStaleVersionKept
+	cluster.members = append(cluster.members, replacement)
+	cluster.start(replacement, false)
 }
 
 func (cluster *Cluster) heal() {
-	cluster.blocked = map[[2]string]bool{}
+	cluster.blockedLinks = map[[2]string]bool{}
 	for _, member := range cluster.members {
-		member.wrong = map[string]bool{}
+		member.misjudged = map[string]bool{}
 	}
 }
 
 func (cluster *Cluster) isolate(member *member) {
 	for _, other := range cluster.members {
 		if other != member {
-			cluster.blocked[[2]string{member.name, other.name}] = true
-			cluster.blocked[[2]string{other.name, member.name}] = true
+			cluster.blockedLinks[[2]string{member.name, other.name}] = true
+			cluster.blockedLinks[[2]string{other.name, member.name}] = true
 		}
 	}
 }
--- a/modelcheck/checker.go
+++ b/modelcheck/checker.go
@@ -7,84 +7,88 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// checker judges what members did and what clients saw.
+// checker checks safety: what members commit and install, and what clients see.
 type checker struct {
-	// versions are the committed ones, by revision; views the ones that were taken up, by number.
-	versions map[int64]contract.Version
-	views    map[int64]string
-	// acked are the acknowledged operations with their revisions, newest the highest of these.
-	acked     map[string]int64
-	newest    int64
-	began     map[string]int64
-	history   []porcupine.Operation
-	violation string
-	stuck     bool
+	// committedVersions is keyed by revision, installedViews by view number (values are the views as text).
+	committedVersions map[int64]contract.Version
+	installedViews    map[int64]string
+	// acked maps acknowledged operations to their revisions; newestAcked is the highest of these.
+	acked       map[string]int64
+	newestAcked int64
+	submittedAt map[string]int64
+	history     []porcupine.Operation
+	violation   string
+	stuck       bool
 }
 
 func newChecker() *checker {
-	return &checker{versions: map[int64]contract.Version{}, views: map[int64]string{}, acked: map[string]int64{}, began: map[string]int64{}}
+	return &checker{committedVersions: map[int64]contract.Version{}, installedViews: map[int64]string{}, acked: map[string]int64{}, submittedAt: map[string]int64{}}
 }
 
-func (checker *checker) fail(format string, details ...any) {
+func (checker *checker) fail(format string, args ...any) {
 	if checker.violation == "" {
-		checker.violation = fmt.Sprintf(format, details...)
+		checker.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// committed checks that a revision is one version for ever.
-func (checker *checker) committed(name string, version contract.Version) {
-	former, there := checker.versions[version.Position.Revision]
-	if there && former.Position != version.Position {
-		checker.fail("%s committed revision %d as %v (%s), which was committed as %v (%s)", name, version.Position.Revision, version.Position, version.Operation, former.Position, former.Operation)
+// checkCommitted checks that a revision is never committed as two different versions, and that view numbers never decrease as revisions
+// grow.
+func (checker *checker) checkCommitted(name string, version contract.Version) {
+	previous, found := checker.committedVersions[version.Position.Revision]
+	if found && previous.Position != version.Position {
+		checker.fail("%s committed revision %d as %v (%s), which was committed as %v (%s)", name, version.Position.Revision, version.Position, version.Operation, previous.Position, previous.Operation)
 		return
 	}
-	checker.versions[version.Position.Revision] = version
-	for revision, other := range checker.versions {
+	checker.committedVersions[version.Position.Revision] = version
+	for revision, other := range checker.committedVersions {
 		earlier, later := other.Position, version.Position
 		if revision > version.Position.Revision {
 			earlier, later = later, earlier
 		}
 		if earlier.View > later.View {
-			checker.fail("%s committed %v, which was numbered in an older view than %v before it", name, later, earlier)
+			checker.fail("%s committed %v, which has an older view than the preceding %v", name, later, earlier)
 		}
 	}
 }
 
-// viewed checks that a number is one view for ever.
-func (checker *checker) viewed(name string, view contract.View) {
+// checkView checks that a view number is never decided as two different views.
+func (checker *checker) checkView(name string, view contract.View) {
 	text := fmt.Sprintf("%+v", view)
-	if former, there := checker.views[view.Number]; there && former != text {
-		checker.fail("%s took up view %d as %s, which was decided as %s", name, view.Number, text, former)
+	if previous, found := checker.installedViews[view.Number]; found && previous != text {
+		checker.fail("%s installed view %d as %s, which was decided as %s", name, view.Number, text, previous)
 		return
 	}
-	checker.views[view.Number] = text
+	checker.installedViews[view.Number] = text
 }
 
-func (checker *checker) submitted(operation string, now int64) { checker.began[operation] = now }
+func (checker *checker) recordSubmitted(operation string, now int64) {
+	checker.submittedAt[operation] = now
+}
 
-func (checker *checker) acknowledged(version contract.Version, now int64) {
+func (checker *checker) recordAcknowledged(version contract.Version, now int64) {
 	checker.acked[version.Operation] = version.Position.Revision
-	checker.newest = max(checker.newest, version.Position.Revision)
-	checker.history = append(checker.history, porcupine.Operation{ClientId: 0, Input: input{write: true}, Output: version.Position.Revision, Call: checker.began[version.Operation], Return: now})
+	checker.newestAcked = max(checker.newestAcked, version.Position.Revision)
+	checker.history = append(checker.history, porcupine.Operation{ClientId: 0, Input: input{write: true}, Output: version.Position.Revision, Call: checker.submittedAt[version.Operation], Return: now})
 }
 
-// answered checks that a read shows nothing older than what had been acknowledged when it began, and nothing that differs.
-func (checker *checker) answered(name string, read read, revision int64, version contract.Version, now int64) {
-	if revision < read.floor {
-		checker.fail("%s answered a read with revision %d though %d had been acknowledged before", name, revision, read.floor)
+// checkRead checks that a read returns nothing older than what was acknowledged before it began, and that its version is the one
+// committed under that revision.
+func (checker *checker) checkRead(name string, read pendingRead, revision int64, version contract.Version, now int64) {
+	if revision < read.minRevision {
+		checker.fail("%s answered a read with revision %d though %d had been acknowledged before", name, revision, read.minRevision)
 	}
-	if former, there := checker.versions[revision]; there && version.Position.Revision == revision && former.Position != version.Position {
-		checker.fail("%s answered a read with %v instead of %v", name, version.Position, former.Position)
+	if previous, found := checker.committedVersions[revision]; found && version.Position.Revision == revision && previous.Position != version.Position {
+		checker.fail("%s answered a read with %v instead of %v", name, version.Position, previous.Position)
 	}
-	checker.history = append(checker.history, porcupine.Operation{ClientId: 1, Input: input{}, Output: revision, Call: read.began, Return: now})
+	checker.history = append(checker.history, porcupine.Operation{ClientId: 1, Input: input{}, Output: revision, Call: read.startedAt, Return: now})
 }
 
-// input of an operation in a history: a write or a read; its output is a revision.
+// input describes an operation of the history: a write or a read. The output of both is a revision.
 type input struct{ write bool }
 
-// register is a register whose writes number themselves: a write must come after all lower ones, a read gives the newest or, where a
-// write that got no answer took effect, something higher than the newest that was acknowledged.
-var register = porcupine.Model{
+// registerModel is the linearizability model: a register whose writes return their revision. A write must have a higher revision than all
+// writes before it. A read returns the newest revision, or a higher one if an unacknowledged write took effect.
+var registerModel = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(state, in, out any) (bool, any) {
 		newest, revision := state.(int64), out.(int64)
@@ -96,20 +100,20 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprint(in.(input).write, " ", out) },
 }
 
-// linearizable checks the whole history of a walk.
-func (checker *checker) linearizable() {
-	if checker.violation == "" && !porcupine.CheckOperations(register, checker.history) {
+// checkLinearizable checks the whole history of a walk.
+func (checker *checker) checkLinearizable() {
+	if checker.violation == "" && !porcupine.CheckOperations(registerModel, checker.history) {
 		checker.fail("the history of %d reads and writes is not linearizable", len(checker.history))
 	}
 }
 
-// explainedMost is how many operations a history of the systematic search may have to be checked as a whole: a planted fault can leave
-// many that overlap, which have too many orders to try.
-const explainedMost = 16
+// maxCheckedHistory is the longest history, in operations, that the systematic search checks for linearizability. A planted fault can leave
+// many overlapping operations, which have too many orders to try.
+const maxCheckedHistory = 16
 
-// explained checks the whole history of a trace, if it is short.
-func (checker *checker) explained() {
-	if len(checker.history) <= explainedMost {
-		checker.linearizable()
+// checkShortHistory checks the history of a trace for linearizability unless it exceeds maxCheckedHistory.
+func (checker *checker) checkShortHistory() {
+	if len(checker.history) <= maxCheckedHistory {
+		checker.checkLinearizable()
 	}
 }
--- a/modelcheck/cluster.go
+++ b/modelcheck/cluster.go
@@ -1,8 +1,8 @@
-// Package modelcheck explores the core of the control plane: it drives the shipped owners of the chain through orders of messages,
-// losses, crashes, partitions and replacements that no single test would think of, and checks what must hold in every state.
+// Package modelcheck tests the replicated core of the control plane: it drives the production chain.Replica through message reorderings and
+// losses, crashes, partitions and replacements of members, and checks safety after each step and liveness at the end.
 //
-// A Cluster holds the members with their disks and the messages under way. An Action is one thing that may happen next. Walks choose
-// actions at random; the systematic search tries all of them, to a depth.
+// A Cluster holds the members with their disks and the messages in flight. An Action is a single event. Random walks (Walk, Explore) draw
+// actions; the systematic search (Enumerate) tries all sequences of the coarser Moves up to a depth.
 package modelcheck
 
 import (
@@ -18,43 +18,45 @@
 	"github.com/cedarreel/cedarreel/image"
 )
 
-// member is a machine of the core: at most one process at a time, and a disk that outlives it.
+// member is a machine of the core: at most one running process, and a disk that survives it.
 type member struct {
-	name    string
-	disk    *disk
-	owner   *chain.Replica
-	starts  int
-	removed bool
-	// clock is the member's own steady clock; it stands still while the member is frozen or down.
+	name        string
+	disk        *disk
+	replica     *chain.Replica
+	incarnation int
+	removed     bool
+	// clock is the member's own monotonic clock; it stops while the member is frozen or down.
 	clock time.Duration
-	// pending is the write that the disk has not finished.
-	pending *chain.Persist
-	// orders are the writes that this start submitted and has not acknowledged, by operation.
-	orders map[string]bool
-	// reads are the reads under way, by token, with the newest revision that was acknowledged when they began.
-	reads map[int64]*read
-	token int64
-	// fullFor counts the writes that the disk still refuses.
-	fullFor int
-	// wrong names the members about which this one's failure detector errs.
-	wrong map[string]bool
+	// pendingWrite is the write that the disk has not finished, or nil.
+	pendingWrite *chain.Persist
+	// unacknowledged holds the operations submitted to this incarnation and not yet acknowledged.
+	unacknowledged map[string]bool
+	// reads holds the pending reads by token.
+	reads     map[int64]*pendingRead
+	lastToken int64
+	// refusedWrites is how many further writes fail because the disk is full.
+	refusedWrites int
+	// misjudged holds the names of members whose liveness this member's failure detector reports wrongly.
+	misjudged map[string]bool
 }
 
-type read struct {
-	floor int64
-	began int64
+// pendingRead is a read that waits for a quorum to confirm the tail. minRevision is the newest revision acknowledged when it began, and
+// startedAt the step at which it began.
+type pendingRead struct {
+	minRevision int64
+	startedAt   int64
 }
 
-func (member *member) up() bool { return member.owner != nil }
+func (member *member) isUp() bool { return member.replica != nil }
 
-// message is under way between members.
+// message is in flight between two members.
 type message struct {
 	from, to string
 	kind     string
 	body     json.RawMessage
 }
 
-// Cluster is the state of the model.
+// Cluster is the state of the model: members, messages in flight and blocked links.
 type Cluster struct {
 	seed     uint64
 	size     int
@@ -62,24 +64,24 @@
 	bounds   env.Bounds
 	members  []*member
 	messages []message
-	// blocked links drop what is sent over them, from the first to the second.
-	blocked map[[2]string]bool
-	checker *checker
-	fault   Fault
-	orders  int
-	steps   int
-	held    contract.Version
-	view    contract.View
-	// newsAlways has members hear of views and versions with every tick, for a search that draws nothing.
-	newsAlways bool
+	// blockedLinks drop all messages from the first named member to the second.
+	blockedLinks  map[[2]string]bool
+	checker       *checker
+	fault         Fault
+	submitted     int
+	steps         int
+	newestVersion contract.Version
+	newestView    contract.View
+	// deterministicGossip makes members learn the newest view and version at every tick instead of at random, for the systematic search.
+	deterministicGossip bool
 }
 
-// New makes a cluster of members that start with empty disks.
+// New returns a cluster of size members that start with empty disks. The seed determines all random draws.
 func New(seed uint64, size int, fault Fault) *Cluster {
-	cluster := &Cluster{seed: seed, size: size, random: rand.New(rand.NewPCG(seed, 7)), bounds: env.DefaultBounds(), blocked: map[[2]string]bool{}, checker: newChecker(), fault: fault}
+	cluster := &Cluster{seed: seed, size: size, random: rand.New(rand.NewPCG(seed, 7)), bounds: env.DefaultBounds(), blockedLinks: map[[2]string]bool{}, checker: newChecker(), fault: fault}
 	for number := range size {
 		cluster.members = append(cluster.members, &member{name: fmt.Sprintf("m%d", number), disk: newDisk()})
-		cluster.members[number].disk.keepsRemoved = fault == FaultRemovalLost
+		cluster.members[number].disk.ignoresRemove = fault == FaultStaleVersionKept
 	}
 	for _, member := range cluster.members {
 		cluster.start(member, true)
@@ -88,27 +90,27 @@
 }
 
 func (cluster *Cluster) start(member *member, bootstrap bool) {
-	recovered, failure := image.Load(member.disk)
-	if failure != nil {
-		panic(failure)
+	recovered, err := image.Load(member.disk)
+	if err != nil {
+		panic(err)
 	}
 	if cluster.fault == FaultPromiseForgotten {
 		recovered.Member.Promised, recovered.Member.Accepted = chain.Ballot{}, nil
 	}
-	member.starts++
-	start := fmt.Sprintf("s%d", member.starts)
-	if cluster.fault == FaultStartsAlike {
+	member.incarnation++
+	start := fmt.Sprintf("s%d", member.incarnation)
+	if cluster.fault == FaultSameIncarnation {
 		start = "s1"
 	}
-	random := rand.New(rand.NewPCG(cluster.seed, uint64(member.starts)<<8|uint64(len(member.name))))
+	random := rand.New(rand.NewPCG(cluster.seed, uint64(member.incarnation)<<8|uint64(len(member.name))))
 	self := contract.CoreNode{Name: member.name, ID: start, Address: member.name}
-	member.owner = chain.New(self, start, cluster.size, cluster.bounds, recovered, random)
-	member.owner.AllowBootstrap(bootstrap)
-	member.pending, member.orders, member.reads, member.wrong = nil, map[string]bool{}, map[int64]*read{}, map[string]bool{}
-	if cluster.fault != FaultStartsAlike {
-		member.token = int64(member.starts) * 1000
+	member.replica = chain.New(self, start, cluster.size, cluster.bounds, recovered, random)
+	member.replica.AllowBootstrap(bootstrap)
+	member.pendingWrite, member.unacknowledged, member.reads, member.misjudged = nil, map[string]bool{}, map[int64]*pendingRead{}, map[string]bool{}
+	if cluster.fault != FaultSameIncarnation {
+		member.lastToken = int64(member.incarnation) * 1000
 	}
-	member.disk.budget, member.fullFor, member.clock = -1, 0, 0
+	member.disk.remainingOperations, member.refusedWrites, member.clock = -1, 0, 0
 }
 
 func (cluster *Cluster) member(name string) *member {
@@ -120,12 +122,12 @@
 	return nil
 }
 
-// handle gives an event to a member and carries out what it answers.
+// handle passes an event to a member and executes the resulting commands.
 func (cluster *Cluster) handle(member *member, event contract.Event) {
-	cluster.carryOut(member, member.owner.Handle(member.clock, event))
+	cluster.execute(member, member.replica.Handle(member.clock, event))
 }
 
-func (cluster *Cluster) carryOut(member *member, commands []contract.Command) {
+func (cluster *Cluster) execute(member *member, commands []contract.Command) {
 	for _, command := range commands {
 		switch command := command.(type) {
 		case contract.Send:
@@ -133,154 +135,154 @@
 		case chain.Persist:
 			cluster.persist(member, command)
 		case chain.Committed:
-			cluster.committed(member, command.Version)
+			cluster.recordCommitted(member, command.Version)
 		case chain.ViewInstalled:
-			cluster.checker.viewed(member.name, command.View)
-			if command.View.Number > cluster.view.Number {
-				cluster.view = command.View
+			cluster.checker.checkView(member.name, command.View)
+			if command.View.Number > cluster.newestView.Number {
+				cluster.newestView = command.View
 			}
 		case chain.Confirmed:
-			cluster.vouched(member, command)
+			cluster.readConfirmed(member, command)
 		case contract.AddCounter:
 			if command.Name == "committed_conflicts" {
-				cluster.checker.fail("%s: a committed version was contradicted", member.name)
+				cluster.checker.fail("%s: reported a conflict with a committed version", member.name)
 			}
 		}
 	}
 }
 
-const messagesMost = 200
+const maxMessages = 200
 
 func (cluster *Cluster) send(member *member, command contract.Send) {
-	if cluster.blocked[[2]string{member.name, command.To}] || len(cluster.messages) >= messagesMost {
+	if cluster.blockedLinks[[2]string{member.name, command.To}] || len(cluster.messages) >= maxMessages {
 		return
 	}
-	body, failure := json.Marshal(cluster.fault.rewrite(cluster, member, command.Body))
-	if failure != nil {
-		panic(failure)
+	body, err := json.Marshal(cluster.fault.rewrite(cluster, member, command.Body))
+	if err != nil {
+		panic(err)
 	}
 	cluster.messages = append(cluster.messages, message{from: member.name, to: command.To, kind: command.Kind, body: body})
 }
 
 func (cluster *Cluster) persist(member *member, work chain.Persist) {
-	member.pending = &work
+	member.pendingWrite = &work
 	if cluster.fault == FaultVersionNotSynced && work.Member == nil || cluster.fault == FaultVoteNotSynced && work.Member != nil && work.Member.Promised.Round > 0 {
-		member.pending = nil
+		member.pendingWrite = nil
 		cluster.handle(member, chain.Persisted{Token: work.Token})
 	}
-	if cluster.fault == FaultAckedAtHead && member.up() && member.owner.IsHead() {
+	if cluster.fault == FaultAcknowledgedByHead && member.isUp() && member.replica.IsHead() {
 		for _, write := range work.Writes {
-			cluster.committed(member, write.Version)
+			cluster.recordCommitted(member, write.Version)
 		}
 	}
 }
 
-// finishWrite lets a member's disk carry out the write that waits.
+// finishWrite completes the pending write of a member's disk, or fails it if the disk is full.
 func (cluster *Cluster) finishWrite(member *member) {
-	work := *member.pending
-	member.pending = nil
-	if member.fullFor > 0 {
-		member.fullFor--
+	work := *member.pendingWrite
+	member.pendingWrite = nil
+	if member.refusedWrites > 0 {
+		member.refusedWrites--
 		cluster.handle(member, chain.Persisted{Token: work.Token, Error: "no space left"})
 		return
 	}
-	if failure := image.Save(member.disk, work); failure != nil {
-		panic(failure)
+	if err := image.Save(member.disk, work); err != nil {
+		panic(err)
 	}
 	cluster.handle(member, chain.Persisted{Token: work.Token})
 }
 
-func (cluster *Cluster) committed(member *member, version contract.Version) {
-	cluster.checker.committed(member.name, version)
-	if cluster.held.Position.Revision < version.Position.Revision {
-		cluster.held = version
+func (cluster *Cluster) recordCommitted(member *member, version contract.Version) {
+	cluster.checker.checkCommitted(member.name, version)
+	if cluster.newestVersion.Position.Revision < version.Position.Revision {
+		cluster.newestVersion = version
 	}
-	if member.orders[version.Operation] {
-		delete(member.orders, version.Operation)
-		cluster.checker.acknowledged(version, int64(cluster.steps))
+	if member.unacknowledged[version.Operation] {
+		delete(member.unacknowledged, version.Operation)
+		cluster.checker.recordAcknowledged(version, int64(cluster.steps))
 	}
 }
 
-// submit lets a client order a write at a member that takes writes.
+// submit has a client submit a write to a member, if the member accepts writes.
 func (cluster *Cluster) submit(member *member) {
-	if !member.owner.AcceptsWrites() {
+	if !member.replica.AcceptsWrites() {
 		return
 	}
-	cluster.orders++
-	operation := fmt.Sprintf("o%d", cluster.orders)
-	member.orders[operation] = true
-	cluster.checker.submitted(operation, int64(cluster.steps))
+	cluster.submitted++
+	operation := fmt.Sprintf("o%d", cluster.submitted)
+	member.unacknowledged[operation] = true
+	cluster.checker.recordSubmitted(operation, int64(cluster.steps))
 	change := document.Change{}
-	change.SetPart("/order", fmt.Sprint(cluster.orders))
-	_, commands := member.owner.Submit(member.clock, operation, change)
-	cluster.carryOut(member, commands)
+	change.SetPart("/order", fmt.Sprint(cluster.submitted))
+	_, commands := member.replica.Submit(member.clock, operation, change)
+	cluster.execute(member, commands)
 }
 
-// read lets a client read the newest version at a member that believes itself to be the tail.
+// read has a client read the newest version from a member, if the member believes that it is the tail.
 func (cluster *Cluster) read(member *member) {
-	if !member.owner.IsTail() {
+	if !member.replica.IsTail() {
 		return
 	}
-	member.token++
-	member.reads[member.token] = &read{floor: cluster.checker.newest, began: int64(cluster.steps)}
-	if cluster.fault == FaultReadAlone {
-		cluster.vouched(member, chain.Confirmed{Token: member.token, Granted: true})
+	member.lastToken++
+	member.reads[member.lastToken] = &pendingRead{minRevision: cluster.checker.newestAcked, startedAt: int64(cluster.steps)}
+	if cluster.fault == FaultReadWithoutQuorum {
+		cluster.readConfirmed(member, chain.Confirmed{Token: member.lastToken, Granted: true})
 		return
 	}
-	cluster.carryOut(member, member.owner.ConfirmTail(member.clock, member.token))
+	cluster.execute(member, member.replica.ConfirmTail(member.clock, member.lastToken))
 }
 
-func (cluster *Cluster) vouched(member *member, vouched chain.Confirmed) {
-	read, there := member.reads[vouched.Token]
-	delete(member.reads, vouched.Token)
-	if there && vouched.Granted {
-		version, _ := member.owner.CommittedVersion(member.owner.Committed())
-		cluster.checker.answered(member.name, *read, member.owner.Committed(), version, int64(cluster.steps))
+func (cluster *Cluster) readConfirmed(member *member, confirmed chain.Confirmed) {
+	read, found := member.reads[confirmed.Token]
+	delete(member.reads, confirmed.Token)
+	if found && confirmed.Granted {
+		version, _ := member.replica.CommittedVersion(member.replica.Committed())
+		cluster.checker.checkRead(member.name, *read, member.replica.Committed(), version, int64(cluster.steps))
 	}
 }
 
-// newsOdds is how seldom, one tick in so many, the other nodes bring a member news of views and versions.
-const newsOdds = 16
+// gossipOneIn is the average number of ticks between gossip of views and versions from other members.
+const gossipOneIn = 16
 
-// seen is what a member's failure detector says; it errs as the walk wants it to.
-func (cluster *Cluster) seen(observer *member) chain.Membership {
-	seen := chain.Membership{}
-	if cluster.newsAlways {
-		seen.View, seen.NewestVersion = cluster.newsFor(observer)
-	} else if teller := cluster.members[cluster.random.IntN(len(cluster.members))]; teller.up() && !cluster.blocked[[2]string{teller.name, observer.name}] && cluster.random.IntN(newsOdds) == 0 {
-		seen.View = teller.owner.View()
-		seen.NewestVersion = cluster.held
+// detectorReport returns the membership that a member's failure detector reports, with the errors that the walk injected.
+func (cluster *Cluster) detectorReport(observer *member) chain.Membership {
+	membership := chain.Membership{}
+	if cluster.deterministicGossip {
+		membership.View, membership.NewestVersion = cluster.newestKnownTo(observer)
+	} else if source := cluster.members[cluster.random.IntN(len(cluster.members))]; source.isUp() && !cluster.blockedLinks[[2]string{source.name, observer.name}] && cluster.random.IntN(gossipOneIn) == 0 {
+		membership.View = source.replica.View()
+		membership.NewestVersion = cluster.newestVersion
 	}
 	for _, other := range cluster.members {
-		alive := other.up() && !cluster.blocked[[2]string{other.name, observer.name}]
-		if observer.wrong[other.name] {
-			alive = !alive && other.owner != nil
+		alive := other.isUp() && !cluster.blockedLinks[[2]string{other.name, observer.name}]
+		if observer.misjudged[other.name] {
+			alive = !alive && other.replica != nil
 		}
 		if alive || other == observer {
-			seen.Members = append(seen.Members, cluster.row(other))
+			membership.Members = append(membership.Members, cluster.memberEntry(other))
 		}
 	}
-	return seen
+	return membership
 }
 
-// newsFor gives the newest view and version that a member in reach of another one has.
-func (cluster *Cluster) newsFor(observer *member) (contract.View, contract.Version) {
-	view, held := contract.View{}, contract.Version{}
-	for _, teller := range cluster.members {
-		if !teller.up() || cluster.blocked[[2]string{teller.name, observer.name}] {
+// newestKnownTo returns the newest view and committed version among the members that the observer can hear.
+func (cluster *Cluster) newestKnownTo(observer *member) (contract.View, contract.Version) {
+	view, newest := contract.View{}, contract.Version{}
+	for _, source := range cluster.members {
+		if !source.isUp() || cluster.blockedLinks[[2]string{source.name, observer.name}] {
 			continue
 		}
-		if teller.owner.View().Number > view.Number {
-			view = teller.owner.View()
+		if source.replica.View().Number > view.Number {
+			view = source.replica.View()
 		}
-		if version, there := teller.owner.CommittedVersion(teller.owner.Committed()); there && version.Position.Revision > held.Position.Revision {
-			held = version
+		if version, found := source.replica.CommittedVersion(source.replica.Committed()); found && version.Position.Revision > newest.Position.Revision {
+			newest = version
 		}
 	}
-	return view, held
+	return view, newest
 }
 
-func (cluster *Cluster) row(member *member) contract.Member {
-	self := member.owner.Self()
-	return contract.Member{Name: member.name, CoreID: self.ID, Kind: contract.KindControl, Core: member.owner.DiskHealthy(), Address: member.name, View: member.owner.View().Number}
+func (cluster *Cluster) memberEntry(member *member) contract.Member {
+	self := member.replica.Self()
+	return contract.Member{Name: member.name, CoreID: self.ID, Kind: contract.KindControl, Core: member.replica.DiskHealthy(), Address: member.name, View: member.replica.View().Number}
 }
--- a/modelcheck/disk.go
+++ b/modelcheck/disk.go
@@ -8,24 +8,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// errCrashed ends a write half way.
-var errCrashed = errors.New("the process ended in the middle of a write")
+// errCrashed is returned by disk operations once the simulated process has crashed.
+var errCrashed = errors.New("the process crashed during a write")
 
-// disk is a simulated folder whose process may end at each of its operations. It implements image.Files.
+// disk is a simulated data folder whose process can crash at any operation. It implements image.Files.
 type disk struct {
 	*virtual.Disk
-	// budget is how many operations may still be carried out before a crash; a negative one is no limit.
-	budget int
-	// keepsRemoved plants a fault.
-	keepsRemoved bool
+	// remainingOperations is the number of operations before the crash; negative means no crash.
+	remainingOperations int
+	// ignoresRemove makes Remove do nothing (FaultStaleVersionKept).
+	ignoresRemove bool
 }
 
 func newDisk() *disk {
-	return &disk{Disk: virtual.NewDisk(nil, virtual.DiskOptions{LosesUnsynced: true}), budget: -1}
+	return &disk{Disk: virtual.NewDisk(nil, virtual.DiskOptions{LosesUnsynced: true}), remainingOperations: -1}
 }
 
-// listing gives the names of the files and what is in them.
-func (disk *disk) listing() string {
+// contentSummary lists the files with hashes of their contents.
+func (disk *disk) contentSummary() string {
 	names, _ := disk.List()
 	text := ""
 	for _, name := range names {
@@ -35,45 +35,45 @@
 	return text
 }
 
-func (disk *disk) spend() error {
-	if disk.budget == 0 {
+func (disk *disk) consumeOperation() error {
+	if disk.remainingOperations == 0 {
 		return errCrashed
 	}
-	if disk.budget > 0 {
-		disk.budget--
+	if disk.remainingOperations > 0 {
+		disk.remainingOperations--
 	}
 	return nil
 }
 
-// WriteAside leaves half of the file where the process ends in it.
+// WriteTemp writes a temporary file; a crash leaves half of it.
 func (disk *disk) WriteTemp(name string, content []byte) error {
-	if failure := disk.spend(); failure != nil {
+	if err := disk.consumeOperation(); err != nil {
 		_ = disk.Disk.WriteTemp(name, content[:len(content)/2])
-		return failure
+		return err
 	}
 	return disk.Disk.WriteTemp(name, content)
 }
 
-// Settle renames a file, unless the process has ended.
-func (disk *disk) Rename(aside, name string) error {
-	if failure := disk.spend(); failure != nil {
-		return failure
+// Rename moves a temporary file to its final name, unless the process has crashed.
+func (disk *disk) Rename(tempName, name string) error {
+	if err := disk.consumeOperation(); err != nil {
+		return err
 	}
-	return disk.Disk.Rename(aside, name)
+	return disk.Disk.Rename(tempName, name)
 }
 
-// SyncFolder makes the names last, unless the process has ended.
+// SyncFolder makes renames and removals durable, unless the process has crashed.
 func (disk *disk) SyncFolder() error {
-	if failure := disk.spend(); failure != nil {
-		return failure
+	if err := disk.consumeOperation(); err != nil {
+		return err
 	}
 	return disk.Disk.SyncFolder()
 }
 
-// Remove takes a name away, unless the process has ended.
+// Remove deletes a file, unless the process has crashed or the planted fault ignores removals.
 func (disk *disk) Remove(name string) error {
-	if failure := disk.spend(); failure != nil || disk.keepsRemoved {
-		return failure
+	if err := disk.consumeOperation(); err != nil || disk.ignoresRemove {
+		return err
 	}
 	return disk.Disk.Remove(name)
 }
--- a/modelcheck/enumerate.go
+++ b/modelcheck/enumerate.go
@@ -12,18 +12,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Search is a systematic search: every trace of moves within the bounds, shortest first, each state visited once.
+// Search configures a systematic search: every trace of moves within Bounds, shortest first, each distinct state visited once. It ends at
+// MaxDepth moves, MaxStates distinct states or TimeLimit.
 type Search struct {
-	Members int
-	Bounds  Bounds
-	Depth   int
-	States  int
-	Within  time.Duration
-	Fault   Fault
+	Members   int
+	Bounds    Bounds
+	MaxDepth  int
+	MaxStates int
+	TimeLimit time.Duration
+	Fault     Fault
 }
 
-// Found is what a search came to. Depth is the longest trace of which all were tried.
-type Found struct {
+// SearchResult is the outcome of a search. All traces of up to Depth moves were tried. Complete is set if no trace was left to extend. Trace
+// holds the moves that led to Violation.
+type SearchResult struct {
 	Search    Search
 	States    int
 	Traces    int
@@ -34,7 +36,8 @@
 	Trace     []Move
 }
 
-func (found Found) String() string {
+// String formats the totals, and the failing trace if there is one.
+func (found SearchResult) String() string {
 	outcome := "nothing broken"
 	if found.Violation != "" {
 		steps := []string{}
@@ -47,30 +50,30 @@
 		found.Depth, found.Took.Round(time.Millisecond), outcome)
 }
 
-// enumerationSeed is that of the random draws of owners, which the search does not vary.
+// enumerationSeed seeds the random draws of the replicas, which the search does not vary.
 const enumerationSeed = 1
 
-// reached is what the play of a trace came to.
-type reached struct {
+// traceOutcome is the outcome of playing a trace. effective reports whether the last move was applicable; hash identifies the state.
+type traceOutcome struct {
 	trace     []Move
-	means     bool
+	effective bool
 	hash      uint64
 	violation string
 }
 
-// Enumerate searches breadth first, on all processors.
-func Enumerate(search Search) Found {
-	found, began := Found{Search: search}, time.Now()
+// Enumerate runs a breadth-first search in parallel on all processors.
+func Enumerate(search Search) SearchResult {
+	found, startedAt := SearchResult{Search: search}, time.Now()
 	visited, frontier := map[uint64]bool{}, [][]Move{{}}
-	for depth := 1; depth <= search.Depth && len(frontier) > 0; depth++ {
-		results, finished := search.expand(frontier, began)
+	for depth := 1; depth <= search.MaxDepth && len(frontier) > 0; depth++ {
+		results, finished := search.expand(frontier, startedAt)
 		frontier = nil
 		for _, result := range results {
 			found.Traces++
 			if result.violation != "" && found.Violation == "" {
 				found.Violation, found.Trace = result.violation, result.trace
 			}
-			if result.means && !visited[result.hash] {
+			if result.effective && !visited[result.hash] {
 				visited[result.hash] = true
 				frontier = append(frontier, result.trace)
 			}
@@ -79,107 +82,106 @@
 		if finished {
 			found.Depth = depth
 		}
-		if found.Violation != "" || !finished || found.States >= search.States {
+		if found.Violation != "" || !finished || found.States >= search.MaxStates {
 			break
 		}
 	}
-	found.Complete, found.Took = len(frontier) == 0, time.Since(began)
+	found.Complete, found.Took = len(frontier) == 0, time.Since(startedAt)
 	return found
 }
 
-// expand plays every trace that is one move longer than those of a frontier.
-func (search Search) expand(frontier [][]Move, began time.Time) ([]reached, bool) {
+// expand plays every allowed trace that extends one of the frontier by one move. It returns false if the time limit cut it short.
+func (search Search) expand(frontier [][]Move, startedAt time.Time) ([]traceOutcome, bool) {
 	traces := [][]Move{}
 	for _, trace := range frontier {
-		for move := range moves {
+		for move := range moveCount {
 			if search.allows(trace, move) {
 				traces = append(traces, append(slices.Clone(trace), move))
 			}
 		}
 	}
-	results, next, group := make([]reached, len(traces)), atomic.Int64{}, sync.WaitGroup{}
+	results, next, group := make([]traceOutcome, len(traces)), atomic.Int64{}, sync.WaitGroup{}
 	for range runtime.GOMAXPROCS(0) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for time.Since(began) < search.Within {
-				place := int(next.Add(1)) - 1
-				if place >= len(traces) {
+			for time.Since(startedAt) < search.TimeLimit {
+				index := int(next.Add(1)) - 1
+				if index >= len(traces) {
 					return
 				}
-				results[place] = search.play(traces[place])
+				results[index] = search.playTrace(traces[index])
 			}
 		}()
 	}
 	group.Wait()
 	played := min(int(next.Load()), len(traces))
-	return results[:played], played == len(traces) && time.Since(began) < search.Within
+	return results[:played], played == len(traces) && time.Since(startedAt) < search.TimeLimit
 }
 
-// allows tells whether a trace may go on with a move: its kind is within its bound, and two moves that only let time pass don't follow
-// each other.
+// allows reports whether the bounds allow another move of this category after the trace.
 func (search Search) allows(trace []Move, move Move) bool {
 	used := 0
-	for _, former := range trace {
-		if budgetOf[former] == budgetOf[move] {
+	for _, previous := range trace {
+		if categoryOf[previous] == categoryOf[move] {
 			used++
 		}
 	}
-	return used < search.Bounds[budgetOf[move]]
+	return used < search.Bounds[categoryOf[move]]
 }
 
-// play carries a trace out, hashes the state that it leads to and lets what is under way end, to judge it.
-func (search Search) play(trace []Move) reached {
+// playTrace plays a trace, hashes the resulting state, then delivers what is in flight and checks the result.
+func (search Search) playTrace(trace []Move) traceOutcome {
 	cluster := New(enumerationSeed, search.Members, search.Fault)
-	cluster.newsAlways = true
-	cluster.settle()
-	cluster.pass()
-	result := reached{trace: trace, means: true}
+	cluster.deterministicGossip = true
+	cluster.bringUp()
+	cluster.passTime()
+	result := traceOutcome{trace: trace, effective: true}
 	for _, move := range trace {
-		result.means = cluster.Play(move)
+		result.effective = cluster.Play(move)
 	}
 	result.hash = xxhash.Sum64String(cluster.canonical())
-	if !result.means {
+	if !result.effective {
 		return result
 	}
 	cluster.exchangeAll(false)
-	if lacks := cluster.lacksAcknowledged(); lacks != "" {
-		cluster.checker.fail("%s", lacks)
+	if missing := cluster.findMissingWrite(); missing != "" {
+		cluster.checker.fail("%s", missing)
 	}
-	cluster.checker.explained()
+	cluster.checker.checkShortHistory()
 	result.violation = cluster.checker.violation
 	return result
 }
 
-// canonical is the whole state as text. Members are named by their places in the newest chain, so that states which differ in the names
-// of members alone are one; orders are named as they were submitted.
+// canonical returns the whole state as text. Members are named by their index in the newest view's chain, so that states that differ only in
+// member names are equal. Operations keep the names under which they were submitted.
 func (cluster *Cluster) canonical() string {
 	text := &strings.Builder{}
 	for _, member := range cluster.members {
-		fmt.Fprintln(text, "member", member.name, member.removed, member.up(), member.pending != nil, member.fullFor)
-		if member.up() {
-			fmt.Fprint(text, member.owner.State(member.clock, passTicks*cluster.bounds.Tick()))
+		fmt.Fprintln(text, "member", member.name, member.removed, member.isUp(), member.pendingWrite != nil, member.refusedWrites)
+		if member.isUp() {
+			fmt.Fprint(text, member.replica.State(member.clock, passTicks*cluster.bounds.Tick()))
 		}
-		if recovered := member.disk.listing(); recovered != "" {
+		if recovered := member.disk.contentSummary(); recovered != "" {
 			fmt.Fprintln(text, recovered)
 		}
 		for token, read := range member.reads {
-			fmt.Fprintln(text, "read", token > 0, read.floor)
+			fmt.Fprintln(text, "read", token > 0, read.minRevision)
 		}
 	}
-	under := []string{}
+	inFlight := []string{}
 	for _, message := range cluster.messages {
-		under = append(under, fmt.Sprint(message.from, message.to, message.kind, xxhash.Sum64(message.body)))
+		inFlight = append(inFlight, fmt.Sprint(message.from, message.to, message.kind, xxhash.Sum64(message.body)))
 	}
-	slices.Sort(under)
-	fmt.Fprintln(text, under, sortedLinks(cluster.blocked), cluster.checker.newest)
-	renamed := []string{}
-	for place, identity := range cluster.view.Chain {
-		if node, there := cluster.view.Node(identity); there {
-			renamed = append(renamed, node.Name+"#", fmt.Sprintf("<%d>#", place), node.Name+" ", fmt.Sprintf("<%d> ", place))
+	slices.Sort(inFlight)
+	fmt.Fprintln(text, inFlight, sortedLinks(cluster.blockedLinks), cluster.checker.newestAcked)
+	replacements := []string{}
+	for index, identity := range cluster.newestView.Chain {
+		if node, found := cluster.newestView.Node(identity); found {
+			replacements = append(replacements, node.Name+"#", fmt.Sprintf("<%d>#", index), node.Name+" ", fmt.Sprintf("<%d> ", index))
 		}
 	}
-	return strings.NewReplacer(renamed...).Replace(text.String())
+	return strings.NewReplacer(replacements...).Replace(text.String())
 }
 
 func sortedLinks(blocked map[[2]string]bool) []string {
--- a/modelcheck/enumerate_test.go
+++ b/modelcheck/enumerate_test.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	enumeratedDepth  = 3
-	enumeratedStates = 100_000
-	enumeratedTime   = 90 * time.Second
+	enumerationDepth     = 3
+	enumerationMaxStates = 100_000
+	enumerationTimeLimit = 90 * time.Second
 )
 
 func TestEnumeration(t *testing.T) {
-	found := Enumerate(Search{Members: 3, Bounds: DefaultBounds(), Depth: enumeratedDepth, States: enumeratedStates, Within: enumeratedTime})
+	found := Enumerate(Search{Members: 3, Bounds: DefaultBounds(), MaxDepth: enumerationDepth, MaxStates: enumerationMaxStates, TimeLimit: enumerationTimeLimit})
 	t.Log(found)
 	if found.Violation != "" {
 		t.Fatal(found)
 	}
-	if found.Depth < enumeratedDepth-1 {
+	if found.Depth < enumerationDepth-1 {
 		t.Fatal("too little was searched:", found)
 	}
 }
 
-// TestPlantedFaultsAreEnumerated wants faults to be found by the systematic search: within its bounds at a depth of two, or at a larger depth
-// within a part of its bounds.
+// TestPlantedFaultsAreEnumerated checks that the systematic search detects faults: within the default bounds at a depth of two, or with
+// narrower bounds at a larger depth. The failing trace must pass without the fault.
 func TestPlantedFaultsAreEnumerated(t *testing.T) {
-	stale := Bounds{budgetWrites: 1, budgetReads: 1, budgetCuts: 1, budgetHeals: 1}
+	stale := Bounds{categoryWrites: 1, categoryReads: 1, categoryPartitions: 1, categoryHeals: 1}
 	searches := map[Fault]Search{
-		FaultVersionNotSynced: {Bounds: DefaultBounds(), Depth: 2},
-		FaultAckedAtHead:      {Bounds: DefaultBounds(), Depth: 2},
-		FaultCountedEarly:     {Bounds: DefaultBounds(), Depth: 2},
-		FaultIdentityKept:     {Bounds: DefaultBounds(), Depth: 2},
-		FaultNoLogMatching:    {Bounds: DefaultBounds(), Depth: 2},
-		FaultReadAlone:        {Bounds: stale, Depth: 3},
-		FaultVouchesForOld:    {Bounds: stale, Depth: 4},
+		FaultVersionNotSynced:      {Bounds: DefaultBounds(), MaxDepth: 2},
+		FaultAcknowledgedByHead:    {Bounds: DefaultBounds(), MaxDepth: 2},
+		FaultJoinedBeforeCaughtUp:  {Bounds: DefaultBounds(), MaxDepth: 2},
+		FaultIdentityKeptAfterWipe: {Bounds: DefaultBounds(), MaxDepth: 2},
+		FaultNoLogMatching:         {Bounds: DefaultBounds(), MaxDepth: 2},
+		FaultReadWithoutQuorum:     {Bounds: stale, MaxDepth: 3},
+		FaultStaleViewConfirmed:    {Bounds: stale, MaxDepth: 4},
 	}
 	for fault, search := range searches {
 		t.Run(string(fault), func(t *testing.T) {
-			search.Members, search.States, search.Within, search.Fault = 3, enumeratedStates, enumeratedTime, fault
+			search.Members, search.MaxStates, search.TimeLimit, search.Fault = 3, enumerationMaxStates, enumerationTimeLimit, fault
 			found := Enumerate(search)
 			if found.Violation == "" {
 				t.Fatal("not found:", found)
 			}
 			t.Log(found)
 			search.Fault = NoFault
-			if sound := search.play(found.Trace); sound.violation != "" {
-				t.Fatal("without the fault:", sound.violation)
+			if correct := search.playTrace(found.Trace); correct.violation != "" {
+				t.Fatal("without the fault:", correct.violation)
 			}
 		})
 	}
--- a/modelcheck/explore.go
+++ b/modelcheck/explore.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// Plan of a search: walks with rising seeds, over clusters of several sizes, until one breaks something or enough was explored.
+// Plan configures a series of walks with increasing seeds over clusters of several sizes. It ends at the first violation, once MaxStates
+// actions were applied, or after TimeLimit.
 type Plan struct {
-	Seed   uint64
-	Steps  int
-	Sizes  []int
-	Fault  Fault
-	States int64
-	Within time.Duration
+	Seed      uint64
+	Steps     int
+	Sizes     []int
+	Fault     Fault
+	MaxStates int64
+	TimeLimit time.Duration
 }
 
-// Summary of a search. Broken is the walk that broke something first, made shorter, or nothing.
+// Summary is the outcome of Explore, with totals over all walks. Broken is the failing walk with the lowest seed, shrunk, or nil.
 type Summary struct {
 	Plan   Plan
 	Walks  int64
@@ -30,6 +31,7 @@
 	Broken *Result
 }
 
+// String formats the totals, and the replay of the failing walk if there is one.
 func (summary Summary) String() string {
 	outcome := "nothing broken"
 	if summary.Broken != nil {
@@ -39,20 +41,20 @@
 		summary.Walks, summary.States, summary.Acked, summary.Reads, summary.Views, summary.Took.Round(time.Millisecond), outcome)
 }
 
-// Explore walks on all processors.
+// Explore runs the walks of a plan in parallel on all processors.
 func Explore(plan Plan) Summary {
-	summary, began, next := Summary{Plan: plan}, time.Now(), atomic.Uint64{}
+	summary, startedAt, next := Summary{Plan: plan}, time.Now(), atomic.Uint64{}
 	group, lock, stop := sync.WaitGroup{}, sync.Mutex{}, atomic.Bool{}
 	for range runtime.GOMAXPROCS(0) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for !stop.Load() && time.Since(began) < plan.Within {
+			for !stop.Load() && time.Since(startedAt) < plan.TimeLimit {
 				number := next.Add(1) - 1
 				result := Walk(Options{Seed: plan.Seed + number, Members: plan.Sizes[int(number)%len(plan.Sizes)], Steps: plan.Steps, Fault: plan.Fault})
 				lock.Lock()
 				summary.add(result)
-				if result.Violation != "" || summary.States >= plan.States {
+				if result.Violation != "" || summary.States >= plan.MaxStates {
 					stop.Store(true)
 				}
 				lock.Unlock()
@@ -61,10 +63,10 @@
 	}
 	group.Wait()
 	if summary.Broken != nil {
-		shorter := Shrink(*summary.Broken)
-		summary.Broken = &shorter
+		shrunk := Shrink(*summary.Broken)
+		summary.Broken = &shrunk
 	}
-	summary.Took = time.Since(began)
+	summary.Took = time.Since(startedAt)
 	return summary
 }
 
--- a/modelcheck/fault.go
+++ b/modelcheck/fault.go
@@ -6,54 +6,56 @@
 	"github.com/cedarreel/cedarreel/image"
 )
 
-// Fault is a defect that is planted at the seams of the owners, to show that the search would find one like it.
+// Fault is a defect injected at the boundary of the replicas (messages, disk, recovered state), to show that the checks would detect a
+// defect of that kind. Its text is the name that commands accept and print.
 type Fault string
 
+// The faults that can be planted; the text of each says what goes wrong.
 const (
-	NoFault               Fault = ""
-	FaultVoteNotSynced    Fault = "a vote is told before it is synced"
-	FaultVersionNotSynced Fault = "a version is passed on before it is synced"
-	FaultReadAlone        Fault = "a read is answered without a quorum"
-	FaultAckedAtHead      Fault = "a write is acknowledged by the head alone"
-	FaultVouchesForOld    Fault = "a member vouches for a view that it has left"
-	FaultCountedEarly     Fault = "a member joins the chain before it caught up"
-	FaultIdentityKept     Fault = "a member keeps its identity though it lost its disk"
-	FaultVoteTwice        Fault = "one member's vote counts for two"
-	FaultNoLogMatching    Fault = "a version is taken without the one before it"
-	FaultRemovalLost      Fault = "a version that was left behind stays in the folder"
-	FaultStartsAlike      Fault = "a start can't be told from the one before it"
-	FaultPromiseForgotten Fault = "a member that starts again has forgotten its promise and its vote"
+	NoFault                    Fault = ""
+	FaultVoteNotSynced         Fault = "a vote is told before it is synced"
+	FaultVersionNotSynced      Fault = "a version is passed on before it is synced"
+	FaultReadWithoutQuorum     Fault = "a read is answered without a quorum"
+	FaultAcknowledgedByHead    Fault = "a write is acknowledged by the head alone"
+	FaultStaleViewConfirmed    Fault = "a member vouches for a view that it has left"
+	FaultJoinedBeforeCaughtUp  Fault = "a member joins the chain before it caught up"
+	FaultIdentityKeptAfterWipe Fault = "a member keeps its identity though it lost its disk"
+	FaultVoteCountedTwice      Fault = "one member's vote counts for two"
+	FaultNoLogMatching         Fault = "a version is taken without the one before it"
+	FaultStaleVersionKept      Fault = "a version that was left behind stays in the folder"
+	FaultSameIncarnation       Fault = "a start can't be told from the one before it"
+	FaultPromiseForgotten      Fault = "a member that starts again has forgotten its promise and its vote"
 )
 
-// Faults are all that can be planted.
+// Faults returns all faults that can be planted.
 func Faults() []Fault {
-	return []Fault{FaultVoteNotSynced, FaultVersionNotSynced, FaultReadAlone, FaultAckedAtHead, FaultVouchesForOld, FaultCountedEarly,
-		FaultIdentityKept, FaultVoteTwice, FaultNoLogMatching, FaultRemovalLost, FaultStartsAlike, FaultPromiseForgotten}
+	return []Fault{FaultVoteNotSynced, FaultVersionNotSynced, FaultReadWithoutQuorum, FaultAcknowledgedByHead, FaultStaleViewConfirmed, FaultJoinedBeforeCaughtUp,
+		FaultIdentityKeptAfterWipe, FaultVoteCountedTwice, FaultNoLogMatching, FaultStaleVersionKept, FaultSameIncarnation, FaultPromiseForgotten}
 }
 
-// rewrite changes what a member sends, where that is how a fault shows.
+// rewrite alters a message that a member sends, for the faults that show in messages; other messages pass unchanged.
 func (fault Fault) rewrite(cluster *Cluster, sender *member, body any) any {
 	switch body := body.(type) {
 	case chain.ViewCheck:
-		if fault == FaultVouchesForOld && body.Responder.Name != "" {
+		if fault == FaultStaleViewConfirmed && body.Responder.Name != "" {
 			body.Current = true
 			return body
 		}
 	case chain.Promise:
-		if fault == FaultCountedEarly {
-			return caughtUp(cluster, body)
+		if fault == FaultJoinedBeforeCaughtUp {
+			return claimCaughtUp(cluster, body)
 		}
-		if fault == FaultVoteTwice {
-			body.Node = cluster.anyone(body.Node)
+		if fault == FaultVoteCountedTwice {
+			body.Node = cluster.randomMember(body.Node)
 			return body
 		}
 	case chain.Accepted:
-		if fault == FaultVoteTwice {
-			body.Node = cluster.anyone(body.Node)
+		if fault == FaultVoteCountedTwice {
+			body.Node = cluster.randomMember(body.Node)
 			return body
 		}
 	case chain.Replicate:
-		if fault == FaultNoLogMatching || fault == FaultCountedEarly {
+		if fault == FaultNoLogMatching || fault == FaultJoinedBeforeCaughtUp {
 			body.Previous = contract.Position{}
 			return body
 		}
@@ -61,31 +63,32 @@
 	return body
 }
 
-// anyone gives a member at random in the place of another.
-func (cluster *Cluster) anyone(node contract.CoreNode) contract.CoreNode {
-	if other := cluster.members[cluster.random.IntN(len(cluster.members))]; other.up() {
-		return other.owner.Self()
+// randomMember returns a random running member in place of node, or node itself if the drawn one is down.
+func (cluster *Cluster) randomMember(node contract.CoreNode) contract.CoreNode {
+	if other := cluster.members[cluster.random.IntN(len(cluster.members))]; other.isUp() {
+		return other.replica.Self()
 	}
 	return node
 }
 
-// caughtUp lets a promise claim all that its proposer has.
-func caughtUp(cluster *Cluster, promise chain.Promise) chain.Promise {
+// claimCaughtUp makes a promise claim the newest version that any running member holds, as if its sender lacked nothing.
+func claimCaughtUp(cluster *Cluster, promise chain.Promise) chain.Promise {
 	for _, member := range cluster.members {
-		if !member.up() {
+		if !member.isUp() {
 			continue
 		}
-		if versions := member.owner.Versions(); len(versions) > 0 && versions[len(versions)-1].Position.Revision > promise.LastSynced {
+		if versions := member.replica.Versions(); len(versions) > 0 && versions[len(versions)-1].Position.Revision > promise.LastSynced {
 			promise.LastSynced, promise.Digest, promise.Missing = versions[len(versions)-1].Position.Revision, versions[len(versions)-1].Digest, 0
 		}
 	}
 	return promise
 }
 
-// identityOf gives what is left of a member's record when its votes and versions are gone: the identity and the view.
-func identityOf(disk *disk) *chain.MemberRecord {
-	recovered, failure := image.Load(disk)
-	if failure != nil || recovered.Member.ID == "" {
+// retainedIdentity returns the member record from a disk with its votes cleared, so that only identity and view remain. It returns nil if
+// there is none.
+func retainedIdentity(disk *disk) *chain.MemberRecord {
+	recovered, err := image.Load(disk)
+	if err != nil || recovered.Member.ID == "" {
 		return nil
 	}
 	record := recovered.Member
--- a/modelcheck/move.go
+++ b/modelcheck/move.go
@@ -7,49 +7,50 @@
 	"github.com/cedarreel/cedarreel/chain"
 )
 
-// Move is one step of the systematic search: something that happens at one place, with all that follows from it until nothing is under
-// way or a fixed time is over. Moves are larger than actions, so that few of them make a view, a loss and a recovery.
+// Move is one step of the systematic search: an event together with its consequences, until the messages are exchanged or a fixed time has
+// passed. Moves are coarser than actions, so that few of them cover a view change, a failure and a recovery.
 type Move int
 
 const (
-	// WriteThrough orders a write and lets it be acknowledged; WriteLost orders one that only the head's disk gets; WriteHeld one whose messages
-	// stay under way.
-	WriteThrough Move = iota
+	// WriteCommitted submits a write and lets it be acknowledged; WriteLost submits one that reaches only the head's disk; WriteInFlight one
+	// whose messages stay in flight.
+	WriteCommitted Move = iota
 	WriteLost
-	WriteHeld
-	// WriteMany orders more writes than a proposal of a view carries.
+	WriteInFlight
+	// WriteMany submits more writes than a proposal for a view carries.
 	WriteMany
-	// ReadFirst and ReadLast begin a read at the first or the last member that believes itself to be the tail.
+	// ReadFirst and ReadLast begin a read at the first or the last member that believes that it is the tail.
 	ReadFirst
 	ReadLast
-	// Exchange lets disks write and messages arrive, the oldest or the newest first, while no clock moves.
+	// Exchange completes disk writes and delivers messages, oldest first, while no clock advances; ExchangeReversed delivers newest first.
 	Exchange
 	ExchangeReversed
-	// Pass lets time pass for all.
-	Pass
-	// Cut isolates a member by its place in the chain and lets time pass; Join ends that without time, Heal with time.
-	CutHead
-	CutMiddle
-	CutTail
-	// Freeze cuts a member off whose own clock stands still.
+	// PassTime advances the clocks of all members past a suspicion timeout and a view change.
+	PassTime
+	// IsolateHead, IsolateMiddle and IsolateTail isolate a member by its position in the chain and let time pass.
+	IsolateHead
+	IsolateMiddle
+	IsolateTail
+	// FreezeHead, FreezeMiddle and FreezeTail do the same while the isolated member's own clock stops.
 	FreezeHead
 	FreezeMiddle
 	FreezeTail
-	Join
+	// Reconnect unblocks all links without letting time pass, HealAll lets time pass afterwards.
+	Reconnect
 	HealAll
-	// Restart ends and starts a member, Power with the loss of what was not synced, Empty with that of its disk; Replace puts another one in
-	// its place.
+	// RestartHead and the following restart a member: cleanly, with the loss of unsynced data (PowerLoss), or with the loss of its disk (Wipe).
+	// ReplaceHead and ReplaceTail replace a member by an empty one under another name.
 	RestartHead
 	RestartMiddle
 	RestartTail
-	PowerHead
-	PowerMiddle
-	PowerTail
-	EmptyHead
-	EmptyTail
+	PowerLossHead
+	PowerLossMiddle
+	PowerLossTail
+	WipeHead
+	WipeTail
 	ReplaceHead
 	ReplaceTail
-	moves
+	moveCount
 )
 
 var moveNames = [...]string{"write", "write that only the head's disk gets", "write whose messages stay under way", "many writes", "read at the first tail", "read at the last tail",
@@ -57,51 +58,52 @@
 	"restart the middle", "restart the tail", "power loss at the head", "power loss at the middle", "power loss at the tail", "head comes with an empty disk",
 	"tail comes with an empty disk", "replace the head", "replace the tail"}
 
+// String returns the name of the move as traces print it.
 func (move Move) String() string { return moveNames[move] }
 
-// budget is the kind of a move, of which a trace has a bounded number.
-type budget int
+// moveCategory groups moves that share a bound on their number in a trace.
+type moveCategory int
 
 const (
-	budgetWrites budget = iota
-	budgetMany
-	budgetReads
-	budgetExchanges
-	budgetTime
-	budgetCuts
-	budgetHeals
-	budgetCrashes
-	budgetReplacements
-	budgets
+	categoryWrites moveCategory = iota
+	categoryWriteMany
+	categoryReads
+	categoryExchanges
+	categoryTime
+	categoryPartitions
+	categoryHeals
+	categoryCrashes
+	categoryReplacements
+	categoryCount
 )
 
-// budgetOf gives the kind of each move.
-var budgetOf = [moves]budget{WriteThrough: budgetWrites, WriteLost: budgetWrites, WriteHeld: budgetWrites, WriteMany: budgetMany, ReadFirst: budgetReads, ReadLast: budgetReads,
-	Exchange: budgetExchanges, ExchangeReversed: budgetExchanges, Pass: budgetTime, CutHead: budgetCuts, CutMiddle: budgetCuts, CutTail: budgetCuts,
-	FreezeHead: budgetCuts, FreezeMiddle: budgetCuts, FreezeTail: budgetCuts, Join: budgetHeals,
-	HealAll: budgetHeals, RestartHead: budgetCrashes, RestartMiddle: budgetCrashes, RestartTail: budgetCrashes, PowerHead: budgetCrashes, PowerMiddle: budgetCrashes,
-	PowerTail: budgetCrashes, EmptyHead: budgetCrashes, EmptyTail: budgetCrashes, ReplaceHead: budgetReplacements, ReplaceTail: budgetReplacements}
+// categoryOf maps each move to its category.
+var categoryOf = [moveCount]moveCategory{WriteCommitted: categoryWrites, WriteLost: categoryWrites, WriteInFlight: categoryWrites, WriteMany: categoryWriteMany, ReadFirst: categoryReads, ReadLast: categoryReads,
+	Exchange: categoryExchanges, ExchangeReversed: categoryExchanges, PassTime: categoryTime, IsolateHead: categoryPartitions, IsolateMiddle: categoryPartitions, IsolateTail: categoryPartitions,
+	FreezeHead: categoryPartitions, FreezeMiddle: categoryPartitions, FreezeTail: categoryPartitions, Reconnect: categoryHeals,
+	HealAll: categoryHeals, RestartHead: categoryCrashes, RestartMiddle: categoryCrashes, RestartTail: categoryCrashes, PowerLossHead: categoryCrashes, PowerLossMiddle: categoryCrashes,
+	PowerLossTail: categoryCrashes, WipeHead: categoryCrashes, WipeTail: categoryCrashes, ReplaceHead: categoryReplacements, ReplaceTail: categoryReplacements}
 
-// Bounds of a trace: how many moves of each kind it has at most.
-type Bounds [budgets]int
+// Bounds is the maximum number of moves of each category in a trace.
+type Bounds [categoryCount]int
 
-// DefaultBounds are two writes, one read, one crash, one replacement, one cut, and what lets them take effect.
+// DefaultBounds allows two writes and one move of each other category.
 func DefaultBounds() Bounds {
-	return Bounds{budgetWrites: 2, budgetMany: 1, budgetReads: 1, budgetExchanges: 1, budgetTime: 1, budgetCuts: 1, budgetHeals: 1, budgetCrashes: 1, budgetReplacements: 1}
+	return Bounds{categoryWrites: 2, categoryWriteMany: 1, categoryReads: 1, categoryExchanges: 1, categoryTime: 1, categoryPartitions: 1, categoryHeals: 1, categoryCrashes: 1, categoryReplacements: 1}
 }
 
 const (
-	// passRounds ticks of passTicks each are longer than a suspicion and a change of view.
-	passRounds    = 24
-	passTicks     = 4
-	exchangeTimes = 6
-	manyWrites    = 40
+	// passRounds rounds of passTicks ticks each last longer than a suspicion timeout and a view change.
+	passRounds     = 24
+	passTicks      = 4
+	exchangeRounds = 6
+	bulkWriteCount = 40
 )
 
-// Play carries a move out. It tells whether the move meant anything.
+// Play executes a move. It returns false if the move was not applicable in the current state.
 func (cluster *Cluster) Play(move Move) bool {
 	switch move {
-	case WriteThrough, WriteLost, WriteHeld, WriteMany:
+	case WriteCommitted, WriteLost, WriteInFlight, WriteMany:
 		return cluster.playWrite(move)
 	case ReadFirst, ReadLast:
 		return cluster.playRead(move)
@@ -109,20 +111,20 @@
 		cluster.exchangeAll(false)
 	case ExchangeReversed:
 		cluster.exchangeAll(true)
-	case Pass:
-		cluster.pass()
-	case Join, HealAll:
-		if len(cluster.blocked) == 0 {
+	case PassTime:
+		cluster.passTime()
+	case Reconnect, HealAll:
+		if len(cluster.blockedLinks) == 0 {
 			return false
 		}
 		cluster.heal()
 		if move == HealAll {
-			cluster.pass()
+			cluster.passTime()
 		}
-	case CutHead, CutMiddle, CutTail:
-		return cluster.playCut(int(move-CutHead), false)
+	case IsolateHead, IsolateMiddle, IsolateTail:
+		return cluster.playIsolate(int(move-IsolateHead), false)
 	case FreezeHead, FreezeMiddle, FreezeTail:
-		return cluster.playCut(int(move-FreezeHead), true)
+		return cluster.playIsolate(int(move-FreezeHead), true)
 	default:
 		return cluster.playCrash(move)
 	}
@@ -130,26 +132,26 @@
 }
 
 func (cluster *Cluster) playWrite(move Move) bool {
-	head := cluster.first(0, headOf)
+	head := cluster.firstMember(0, acceptsWrites)
 	if head == nil {
 		return false
 	}
 	switch move {
-	case WriteThrough:
+	case WriteCommitted:
 		cluster.steps++
 		cluster.submit(head)
 		cluster.exchangeAll(false)
 	case WriteLost:
 		cluster.exchangeAll(false)
 		cluster.submit(head)
-		for head.pending != nil {
+		for head.pendingWrite != nil {
 			cluster.finishWrite(head)
 		}
 		cluster.messages = nil
-	case WriteHeld:
+	case WriteInFlight:
 		cluster.submit(head)
 	case WriteMany:
-		for range manyWrites {
+		for range bulkWriteCount {
 			cluster.steps++
 			cluster.submit(head)
 			cluster.exchangeAll(false)
@@ -161,7 +163,7 @@
 func (cluster *Cluster) playRead(move Move) bool {
 	tails := []*member{}
 	for _, member := range cluster.members {
-		if member.up() && tailOf(member.owner) {
+		if member.isUp() && believesTail(member.replica) {
 			tails = append(tails, member)
 		}
 	}
@@ -176,68 +178,69 @@
 	return true
 }
 
-// playCut isolates the member of a place in the chain and lets time pass, for the others alone if it is frozen.
-func (cluster *Cluster) playCut(place int, frozen bool) bool {
-	member := cluster.ranked(place)
+// playIsolate isolates the member at an index of the chain and lets time pass; a frozen member's clock stops meanwhile.
+func (cluster *Cluster) playIsolate(index int, frozen bool) bool {
+	member := cluster.chainMember(index)
 	if member == nil {
 		return false
 	}
 	cluster.isolate(member)
 	if frozen {
-		cluster.pass(member)
+		cluster.passTime(member)
 	} else {
-		cluster.pass()
+		cluster.passTime()
 	}
 	return true
 }
 
 func (cluster *Cluster) playCrash(move Move) bool {
-	places := map[Move]int{RestartHead: 0, RestartMiddle: 1, RestartTail: 2, PowerHead: 0, PowerMiddle: 1, PowerTail: 2, EmptyHead: 0, EmptyTail: 2, ReplaceHead: 0, ReplaceTail: 2}
-	member := cluster.ranked(places[move])
+	places := map[Move]int{RestartHead: 0, RestartMiddle: 1, RestartTail: 2, PowerLossHead: 0, PowerLossMiddle: 1, PowerLossTail: 2, WipeHead: 0, WipeTail: 2, ReplaceHead: 0, ReplaceTail: 2}
+	member := cluster.chainMember(places[move])
 	if member == nil {
 		return false
 	}
 	switch move {
 	case RestartHead, RestartMiddle, RestartTail:
-		member.owner, member.pending = nil, nil
-	case PowerHead, PowerMiddle, PowerTail:
-		member.owner, member.pending = nil, nil
+		member.replica, member.pendingWrite = nil, nil
+	case PowerLossHead, PowerLossMiddle, PowerLossTail:
+		member.replica, member.pendingWrite = nil, nil
 		member.disk.LosePowerPartially(func() bool { return false })
-	case EmptyHead, EmptyTail:
+	case WipeHead, WipeTail:
 		cluster.wipe(member)
 	case ReplaceHead, ReplaceTail:
 		before := len(cluster.members)
 		cluster.replace(member)
 		return len(cluster.members) > before
 	}
-	if member.up() {
+	if member.isUp() {
 		return false
 	}
 	cluster.start(member, false)
 	return true
 }
 
-// ranked gives the running member of a place in the newest chain.
-func (cluster *Cluster) ranked(place int) *member {
-	if place >= len(cluster.view.Chain) {
+// chainMember returns the running member at an index of the newest view's chain, or nil.
+func (cluster *Cluster) chainMember(index int) *member {
+	if index >= len(cluster.newestView.Chain) {
 		return nil
 	}
-	node, _ := cluster.view.Node(cluster.view.Chain[place])
+	node, _ := cluster.newestView.Node(cluster.newestView.Chain[index])
 	member := cluster.member(node.Name)
-	if member == nil || !member.up() {
+	if member == nil || !member.isUp() {
 		return nil
 	}
 	return member
 }
 
-// pass lets time pass, longer than a suspicion and a change of view, while every disk writes and every message arrives; some stand still.
-func (cluster *Cluster) pass(frozen ...*member) {
+// passTime runs passRounds rounds in which every disk write completes, every clock advances and every message is delivered. Frozen members
+// neither write nor advance their clocks.
+func (cluster *Cluster) passTime(frozen ...*member) {
 	for range passRounds {
 		for _, member := range cluster.members {
-			if !member.up() || slices.Contains(frozen, member) {
+			if !member.isUp() || slices.Contains(frozen, member) {
 				continue
 			}
-			for member.pending != nil {
+			for member.pendingWrite != nil {
 				cluster.finishWrite(member)
 			}
 			cluster.tick(member, passTicks*cluster.bounds.Tick())
@@ -246,42 +249,42 @@
 	}
 }
 
-// exchangeAll lets disks write and messages arrive while no clock moves.
+// exchangeAll completes disk writes and delivers messages while no clock advances; reversed delivers the newest message first.
 func (cluster *Cluster) exchangeAll(reversed bool) {
-	for range exchangeTimes {
+	for range exchangeRounds {
 		for _, member := range cluster.members {
-			for member.up() && member.pending != nil {
+			for member.isUp() && member.pendingWrite != nil {
 				cluster.finishWrite(member)
 			}
 		}
 		for count := len(cluster.messages); count > 0 && len(cluster.messages) > 0; count-- {
-			place := 0
+			index := 0
 			if reversed {
-				place = len(cluster.messages) - 1
+				index = len(cluster.messages) - 1
 			}
-			cluster.Apply(Action{Kind: Deliver, First: place})
+			cluster.Apply(Action{Kind: Deliver, First: index})
 		}
 	}
 }
 
-// lacksAcknowledged names a member of the newest chain that lacks a write which was acknowledged, or nothing.
-func (cluster *Cluster) lacksAcknowledged() string {
-	for _, identity := range cluster.view.Chain {
-		node, _ := cluster.view.Node(identity)
+// findMissingWrite describes a member of the newest view's chain that lacks an acknowledged write; it returns "" if there is none.
+func (cluster *Cluster) findMissingWrite() string {
+	for _, identity := range cluster.newestView.Chain {
+		node, _ := cluster.newestView.Node(identity)
 		member := cluster.member(node.Name)
-		if member == nil || !member.up() || member.owner.Self().Identity() != identity || member.owner.View().Number != cluster.view.Number {
+		if member == nil || !member.isUp() || member.replica.Self().Identity() != identity || member.replica.View().Number != cluster.newestView.Number {
 			continue
 		}
-		if operation, lacks := lackedBy(member.owner, cluster.checker.acked); lacks {
-			return fmt.Sprintf("%s is in the chain of view %d and lacks %s, which was acknowledged", identity, cluster.view.Number, operation)
+		if operation, missing := firstMissing(member.replica, cluster.checker.acked); missing {
+			return fmt.Sprintf("%s is in the chain of view %d and lacks %s, which was acknowledged", identity, cluster.newestView.Number, operation)
 		}
 	}
 	return ""
 }
 
-func lackedBy(owner *chain.Replica, acked map[string]int64) (string, bool) {
+func firstMissing(replica *chain.Replica, acked map[string]int64) (string, bool) {
 	for operation := range acked {
-		if _, there := owner.Operation(operation); !there {
+		if _, found := replica.Operation(operation); !found {
 			return operation, true
 		}
 	}
--- a/modelcheck/walk_test.go
+++ b/modelcheck/walk_test.go
@@ -8,13 +8,13 @@
 
 const (
 	walkSteps = 2000
-	// stateCount and searchTime bound the search that each run of the tests makes; `cedarrig --explore` makes longer ones.
-	stateCount = 500_000
-	searchTime = 60 * time.Second
+	// walkMaxStates and walkTimeLimit bound the exploration of a test run; `cedarrig --explore` makes longer ones.
+	walkMaxStates = 500_000
+	walkTimeLimit = 60 * time.Second
 )
 
 func TestNothingBreaks(t *testing.T) {
-	summary := Explore(Plan{Seed: 1, Steps: walkSteps, Sizes: []int{3, 5, 6}, States: stateCount, Within: searchTime})
+	summary := Explore(Plan{Seed: 1, Steps: walkSteps, Sizes: []int{3, 5, 6}, MaxStates: walkMaxStates, TimeLimit: walkTimeLimit})
 	t.Log(summary)
 	if summary.Broken != nil {
 		t.Fatal(summary.Broken)
@@ -24,10 +24,11 @@
 	}
 }
 
-// TestPlantedFaultsAreFound plays the first walk that finds each fault. The four that walks seldom find are in directed_test.go.
+// TestPlantedFaultsAreFound checks that a walk with a known seed detects each fault and that its replay shows the same violation. The four
+// faults that walks rarely reach are covered in directed_test.go.
 func TestPlantedFaultsAreFound(t *testing.T) {
-	seeds := map[Fault]uint64{FaultVoteNotSynced: 223, FaultVersionNotSynced: 8, FaultReadAlone: 382, FaultAckedAtHead: 1,
-		FaultIdentityKept: 1107, FaultVoteTwice: 21, FaultStartsAlike: 521, FaultPromiseForgotten: 226}
+	seeds := map[Fault]uint64{FaultVoteNotSynced: 223, FaultVersionNotSynced: 8, FaultReadWithoutQuorum: 382, FaultAcknowledgedByHead: 1,
+		FaultIdentityKeptAfterWipe: 1107, FaultVoteCountedTwice: 21, FaultSameIncarnation: 521, FaultPromiseForgotten: 226}
 	for _, fault := range Faults() {
 		seed, walked := seeds[fault]
 		if !walked {
@@ -35,8 +36,8 @@
 		}
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			options := Options{Seed: seed, Members: 3, Steps: walkSteps}
-			if sound := Walk(options); sound.Violation != "" {
-				t.Fatal("without the fault:", sound)
+			if correct := Walk(options); correct.Violation != "" {
+				t.Fatal("without the fault:", correct)
 			}
 			options.Fault = fault
 			found := Walk(options)
@@ -44,8 +45,8 @@
 				t.Fatal("not found")
 			}
 			t.Log(found.Violation)
-			if again := Replay(options, found.Actions, found.Start); again.Violation != found.Violation {
-				t.Fatal("the replay shows something else:", again.Violation)
+			if replayed := Replay(options, found.Actions, found.Start); replayed.Violation != found.Violation {
+				t.Fatal("the replay shows something else:", replayed.Violation)
 			}
 		})
 	}
