--- a/planned/planned.go
+++ b/planned/planned.go
@@ -1,4 +1,4 @@
-// Package planned holds the size that cedarreel is designed for, and makes a configuration of it for benchmarks.
+// Package planned holds the deployment size that cedarreel is designed for, and generates a manifest of that size for benchmarks.
 package planned
 
 import (
@@ -8,39 +8,41 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// The size that is planned for.
+// The deployment size that cedarreel is designed for. Nodes counts all nodes, ControlNodes those that run the control plane, Servers the
+// model servers, Models the distinct models, Tenants the tenants, each with one route.
 const (
-	Nodes    = 1400
-	Controls = 50
-	Servers  = 10000
-	Regions  = 52
-	Zones    = 206
-	Models   = 8
-	Tenants  = 11000
-	// boundPercent of the routes are bound to a home.
-	boundPercent = 27
+	Nodes        = 1400
+	ControlNodes = 50
+	Servers      = 10000
+	Regions      = 52
+	Zones        = 206
+	Models       = 8
+	Tenants      = 11000
+	// homeBoundPercent is the share of routes that are restricted to one region.
+	homeBoundPercent = 27
 )
 
-// Fleet is what a configuration is made for.
+// Fleet selects what the generated manifest contains: the number of routes, and whether its services limit the load of cold servers.
 type Fleet struct {
 	Routes int
-	// Warmup bounds what a cold server takes.
+	// Warmup adds a warm-up period to each service, during which a cold server's load is limited.
 	Warmup bool
 }
 
 func region(index int) string    { return fmt.Sprintf("region-%02d", index%Regions) }
 func modelName(index int) string { return fmt.Sprintf("model-%d", index%Models) }
 
-func route(index int) map[string]any {
-	made := map[string]any{"host": fmt.Sprintf("tenant-%05d.example.com", index), "prefix": "/v1/", "kind": manifest.KindStreaming, "timeoutMs": 60000,
+// planRoute returns the manifest fields of the route of the tenant at index.
+func planRoute(index int) map[string]any {
+	fields := map[string]any{"host": fmt.Sprintf("tenant-%05d.example.com", index), "prefix": "/v1/", "kind": manifest.KindStreaming, "timeoutMs": 60000,
 		"aimMs": 1400, "gapMs": 71, "rank": 1, "attempts": 2, "resumable": true, "affinity": true, "service": modelName(index), "place": index}
-	if index%100 < boundPercent {
-		made["regions"] = []string{region(index)}
+	if index%100 < homeBoundPercent {
+		fields["regions"] = []string{region(index)}
 	}
-	return made
+	return fields
 }
 
-// Configuration gives the manifest of all planned regions, zones and services, with the fleet's routes.
+// Configuration returns the manifest, as JSON, with all regions, zones and services of the planned size and the fleet's routes.
 func (fleet Fleet) Configuration() []byte {
 	regions, zones, services, routes := map[string]any{}, map[string]any{}, map[string]any{}, map[string]any{}
 	for index := range Regions {
@@ -57,7 +59,7 @@
 		services[modelName(index)] = service
 	}
 	for index := range fleet.Routes {
-		routes[fmt.Sprintf("tenant-%05d", index)] = route(index)
+		routes[fmt.Sprintf("tenant-%05d", index)] = planRoute(index)
 	}
 	content, err := json.Marshal(map[string]any{"regions": regions, "zones": zones,
 		"gateway": map[string]any{"revision": 1, "services": services, "routes": routes}})
--- a/shard/cost_test.go
+++ b/shard/cost_test.go
@@ -14,7 +14,7 @@
 	for _, nodes := range []int{48, 350, planned.Nodes} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			members := []contract.Member{}
-			for index := range nodes + nodes*planned.Controls/planned.Nodes {
+			for index := range nodes + nodes*planned.ControlNodes/planned.Nodes {
 				member := contract.Member{Name: fmt.Sprintf("node-%05d", index), Kind: contract.KindData, Region: fmt.Sprintf("region-%02d", index%planned.Regions)}
 				if index >= nodes {
 					member.Kind = contract.KindControl
