--- a/control/control.go
+++ b/control/control.go
@@ -139,7 +139,7 @@
 	}
 	commands = append(commands, controller.requestMissingVersions(now, members)...)
 	if controller.Feed.Known() {
-		commands = append(commands, controller.tickShards(now, shard.Seen{Members: members, Manifest: controller.Feed.Manifest(), Revision: controller.Feed.Version().Position.Revision})...)
+		commands = append(commands, controller.tickShards(now, shard.ClusterState{Members: members, Manifest: controller.Feed.Manifest(), Revision: controller.Feed.Version().Position.Revision})...)
 	}
 	commands = append(commands, controller.index.Tick(now, controller.otherControlNodes(members))...)
 	commands = append(commands, controller.tickWrites(now)...)
