--- a/cmd/cedarrig/load.go
+++ b/cmd/cedarrig/load.go
@@ -18,12 +18,12 @@
 	}
 	clean := true
 	for _, name := range fleet.SceneNames() {
-		sum, hits, asked, turns, kept, breaches := ledger.NewFigures(), 0, 0, 0, 0, 0
+		sum, hits, asked, turns, kept, breaches := ledger.NewStats(), 0, 0, 0, 0, 0
 		for _, one := range beside(given, given.Load, func(seed uint64) fleet.Loaded { return fleet.Load(described, seed, name) }) {
 			sum.Add(one.Figures)
 			hits, asked, turns, kept, breaches = hits+one.Hits, asked+one.Asked, turns+one.Turns, kept+one.Kept, breaches+len(one.Breaches)
 		}
-		fmt.Printf("%s: %d seeds from %d, prefixes held %d of %d, sessions kept %d of %d, breaches %d\n%s\n", name, given.Load, given.Seed, hits, asked, kept, turns, breaches, sum.Text())
+		fmt.Printf("%s: %d seeds from %d, prefixes held %d of %d, sessions kept %d of %d, breaches %d\n%s\n", name, given.Load, given.Seed, hits, asked, kept, turns, breaches, sum.Summary())
 		clean = clean && breaches == 0
 	}
 	return clean, nil
--- a/cmd/cedarrig/sweep.go
+++ b/cmd/cedarrig/sweep.go
@@ -19,19 +19,19 @@
 
 // row is what is kept of one day of a sweep; a sweep that was stopped goes on after the rows of its record.
 type row struct {
-	Seed     uint64          `json:"seed"`
-	Clean    bool            `json:"clean"`
-	Ready    bool            `json:"ready"`
-	Serves   bool            `json:"serves"`
-	Faults   []string        `json:"faults"`
-	Breaches []ledger.Breach `json:"breaches,omitempty"`
-	Worst    ledger.Figures  `json:"worst"`
-	Outcomes map[string]int  `json:"outcomes"`
-	Hits     int             `json:"hits"`
-	Asked    int             `json:"asked"`
-	Turns    int             `json:"turns"`
-	Kept     int             `json:"kept"`
-	Records  int64           `json:"records"`
+	Seed     uint64             `json:"seed"`
+	Clean    bool               `json:"clean"`
+	Ready    bool               `json:"ready"`
+	Serves   bool               `json:"serves"`
+	Faults   []string           `json:"faults"`
+	Breaches []ledger.Violation `json:"breaches,omitempty"`
+	Worst    ledger.Stats       `json:"worst"`
+	Outcomes map[string]int     `json:"outcomes"`
+	Hits     int                `json:"hits"`
+	Asked    int                `json:"asked"`
+	Turns    int                `json:"turns"`
+	Kept     int                `json:"kept"`
+	Records  int64              `json:"records"`
 }
 
 func rowOf(round fleet.Round) row {
@@ -88,7 +88,7 @@
 	}()
 	for round := range rounds {
 		if given.Sweep == 1 {
-			fmt.Println(round.Figures.Text())
+			fmt.Println(round.Figures.Summary())
 		}
 		kept := rowOf(round)
 		kept.tell(given)
@@ -140,13 +140,13 @@
 
 // sum prints the worst and the totals of all days, with what the checker let pass.
 func sum(given arguments, rows []row) bool {
-	unclean, worst, total := 0, ledger.Figures{}, row{Outcomes: map[string]int{}}
+	unclean, worst, total := 0, ledger.Stats{}, row{Outcomes: map[string]int{}}
 	excuses := map[string]int{}
 	for _, kept := range rows {
 		if !kept.Clean {
 			unclean++
 		}
-		worst.Worse(kept.Worst)
+		worst.MergeMaxima(kept.Worst)
 		total.Hits, total.Asked = total.Hits+kept.Hits, total.Asked+kept.Asked
 		total.Turns, total.Kept = total.Turns+kept.Turns, total.Kept+kept.Kept
 		total.Records = max(total.Records, kept.Records)
--- a/fleet/caller.go
+++ b/fleet/caller.go
@@ -80,7 +80,7 @@
 	visit.tries++
 	next := &try{visit: visit, at: machine, began: fleet.World.Now}
 	model := visit.kind.Class != "lookup"
-	next.index = fleet.Ledger.Sent(visit.scoped, visit.kind.Class, visit.home, model, machine.Name, machine.Region != visit.home, fleet.World.Now, deadline)
+	next.index = fleet.Ledger.AttemptSent(visit.scoped, visit.kind.Class, visit.home, model, machine.Name, machine.Region != visit.home, fleet.World.Now, deadline)
 	asked := call.Call{Key: visit.scoped, Caller: visit.desk, Route: visit.kind.Route, Home: visit.home, Tokens: visit.kind.Tokens,
 		IsRetry: visit.repeat, Deadline: deadline, Digest: contract.Digest([]byte(visit.scoped)), IsLookup: !model,
 		Session: visit.session}
@@ -122,7 +122,7 @@
 	try.over = true
 	try.visit.fleet.open--
 	try.reply.Outcome = "left"
-	try.visit.fleet.Ledger.Answered(try.visit.scoped, try.index, try.visit.fleet.World.Now, try.reply)
+	try.visit.fleet.Ledger.AttemptAnswered(try.visit.scoped, try.index, try.visit.fleet.World.Now, try.reply)
 	open.process.Run(func() {
 		if !open.over {
 			open.process.handle(data.CallerLeft{Token: open.token})
@@ -135,26 +135,26 @@
 	if try.over {
 		return
 	}
-	if try.reply.First == 0 {
-		try.reply.First = try.visit.fleet.World.Now - try.began
+	if try.reply.FirstChunkAfter == 0 {
+		try.reply.FirstChunkAfter = try.visit.fleet.World.Now - try.began
 		if try.visit.told != nil {
 			try.visit.told()
 		}
 	}
 	for _, piece := range strings.SplitAfter(text, ";") {
 		if piece != "" {
-			try.reply.Pieces = append(try.reply.Pieces, piece)
+			try.reply.Chunks = append(try.reply.Chunks, piece)
 		}
 	}
 	if !try.visit.kind.Unary {
-		try.reply.Numbers = append(try.reply.Numbers, number)
+		try.reply.ChunkNumbers = append(try.reply.ChunkNumbers, number)
 	}
 }
 
 func (try *try) finished() {
 	try.reply.Finished = true
-	if try.reply.First == 0 {
-		try.reply.First = try.visit.fleet.World.Now - try.began
+	if try.reply.FirstChunkAfter == 0 {
+		try.reply.FirstChunkAfter = try.visit.fleet.World.Now - try.began
 	}
 	try.end("done", 0)
 }
@@ -169,12 +169,12 @@
 	if !try.over {
 		try.reply.Node = try.at.Name
 		try.reply.Excused = try.stuck || try.at.illSince(try.began)
-		try.end(ledger.Silence, 0)
+		try.end(ledger.OutcomeNoAnswer, 0)
 	}
 }
 
 func (try *try) refused(status int, trouble contract.ErrorBody, after time.Duration) {
-	try.reply.Status, try.reply.After = status, after
+	try.reply.Status, try.reply.RetryAfter = status, after
 	outcome := trouble.Outcome
 	if outcome == "" {
 		outcome = fmt.Sprint(status)
@@ -189,7 +189,7 @@
 	try.over = true
 	visit, fleet := try.visit, try.visit.fleet
 	fleet.open--
-	if open := try.session; outcome == ledger.Silence && open != nil && !open.over {
+	if open := try.session; outcome == ledger.OutcomeNoAnswer && open != nil && !open.over {
 		open.process.Run(func() {
 			if !open.over {
 				open.process.handle(data.CallerLeft{Token: open.token})
@@ -198,7 +198,7 @@
 		})
 	}
 	try.reply.Outcome = outcome
-	fleet.Ledger.Answered(visit.scoped, try.index, fleet.World.Now, try.reply)
+	fleet.Ledger.AttemptAnswered(visit.scoped, try.index, fleet.World.Now, try.reply)
 	visit.Ended, visit.took = outcome, fleet.World.Now-try.began
 	if outcome == "done" || outcome == "interrupted" || outcome == "unknown" || visit.tries >= callerTries {
 		fleet.served(visit, outcome)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -55,11 +55,11 @@
 	if err != nil {
 		panic(err)
 	}
-	fleet.Ledger = ledger.New(ledger.Judging(fleet.Bounds, read, len(described.Machines)))
+	fleet.Ledger = ledger.New(ledger.BoundsFor(fleet.Bounds, read, len(described.Machines)))
 	fleet.Platform = &Platform{fleet: fleet, epochs: map[string]contract.Epoch{}}
 	for _, row := range described.Servers {
 		server := &Server{Server: row, fleet: fleet}
-		fleet.Ledger.Server(row.Name, row.Zone, row.Region, row.Slots)
+		fleet.Ledger.AddServer(row.Name, row.Zone, row.Region, row.Slots)
 		fleet.Servers = append(fleet.Servers, server)
 		fleet.byName[row.Name] = server
 		server.Return()
@@ -192,20 +192,20 @@
 func (fleet *Fleet) served(visit *visit, outcome string) {
 	if back, there := fleet.awaiting[visit.home]; there && outcome == "done" && visit.kind.Class != "lookup" && visit.first >= back {
 		delete(fleet.awaiting, visit.home)
-		fleet.Ledger.Returned(visit.home, back, fleet.World.Now)
+		fleet.Ledger.RegionRecovered(visit.home, back, fleet.World.Now)
 	}
 }
 
 // Close ends the run: patience for the last answers, a read-back of all that was accepted, and the ledger's last look.
-func (fleet *Fleet) Close() []ledger.Breach {
+func (fleet *Fleet) Close() []ledger.Violation {
 	fleet.Run(fleet.Bounds.Return())
 	fleet.Until(36*time.Second, func() bool { return fleet.open == 0 })
 	fleet.readBack()
 	for region, back := range fleet.awaiting {
-		fleet.Ledger.Returned(region, back, fleet.World.Now)
+		fleet.Ledger.RegionRecovered(region, back, fleet.World.Now)
 	}
 	fleet.Ledger.Close(fleet.World.Now)
-	return fleet.Ledger.Breaches()
+	return fleet.Ledger.Violations()
 }
 
 func content(value any) []byte {
--- a/fleet/load.go
+++ b/fleet/load.go
@@ -55,8 +55,8 @@
 
 // Loaded is what one scene came to.
 type Loaded struct {
-	Figures     ledger.Figures
-	Breaches    []ledger.Breach
+	Figures     ledger.Stats
+	Breaches    []ledger.Violation
 	Hits, Asked int
 	Turns, Kept int
 }
@@ -65,7 +65,7 @@
 func Load(described site.Site, seed uint64, name string) Loaded {
 	fleet := New(described, seed)
 	if !fleet.Ready() {
-		return Loaded{Breaches: []ledger.Breach{{Rule: ledger.LateReturn, Detail: "the fleet never served"}}}
+		return Loaded{Breaches: []ledger.Violation{{Rule: ledger.SlowRecovery, Detail: "the fleet never served"}}}
 	}
 	fleet.Run(trafficStarts - fleet.World.Now)
 	fleet.Traffic(sceneBegins+sceneLasts+sceneEnds, 1)
@@ -76,7 +76,7 @@
 		}
 	}
 	fleet.Run(sceneLasts + sceneEnds)
-	loaded := Loaded{Breaches: fleet.Close(), Figures: fleet.Ledger.Figures, Turns: fleet.Turns, Kept: fleet.Kept}
+	loaded := Loaded{Breaches: fleet.Close(), Figures: fleet.Ledger.Stats, Turns: fleet.Turns, Kept: fleet.Kept}
 	for _, server := range fleet.Servers {
 		loaded.Hits, loaded.Asked = loaded.Hits+server.PrefixHits, loaded.Asked+server.PrefixAsked
 	}
--- a/fleet/operate.go
+++ b/fleet/operate.go
@@ -40,7 +40,7 @@
 			fleet.accepted(ask, written)
 		}
 		if ask.Verb == contract.VerbUndrain {
-			fleet.Ledger.Undrained(ask.Subject, sent)
+			fleet.Ledger.ZoneUndrained(ask.Subject, sent)
 		}
 		if then != nil {
 			then(written)
@@ -58,12 +58,12 @@
 			digest = version.Digest
 		}
 	}
-	fleet.Ledger.Accepted(written.Accepted.Revision, digest, fleet.World.Now)
+	fleet.Ledger.ManifestAccepted(written.Accepted.Revision, digest, fleet.World.Now)
 	if ask.Verb == contract.VerbUndrain {
 		fleet.undrained[ask.Subject] = max(fleet.undrained[ask.Subject], written.Accepted.Revision)
 	}
 	if ask.Verb == contract.VerbDrain && written.Accepted.Revision > fleet.undrained[ask.Subject] {
-		fleet.Ledger.Drained(ask.Subject, fleet.World.Now)
+		fleet.Ledger.ZoneDrained(ask.Subject, fleet.World.Now)
 	}
 }
 
@@ -74,7 +74,7 @@
 		ask.Operation = fmt.Sprintf("operation-%d", fleet.World.Now)
 	}
 	if ask.Verb == contract.VerbUndrain {
-		fleet.Ledger.Undrained(ask.Subject, fleet.World.Now)
+		fleet.Ledger.ZoneUndrained(ask.Subject, fleet.World.Now)
 	}
 	fleet.Write(machine, ask, func(written Written) { done = &written })
 	fleet.Until(15*time.Second, func() bool { return done != nil })
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -232,8 +232,8 @@
 	}
 	machine.freezes = 0
 	machine.ill()
-	machine.fleet.Ledger.Restarted(machine.Name + "-data")
-	machine.fleet.Ledger.Restarted(machine.Name + "-control")
+	machine.fleet.Ledger.NodeRestarted(machine.Name + "-data")
+	machine.fleet.Ledger.NodeRestarted(machine.Name + "-control")
 }
 
 func (machine *Machine) Up() bool { return machine.Control != nil && machine.Control.Up }
--- a/fleet/readback.go
+++ b/fleet/readback.go
@@ -33,7 +33,7 @@
 		if answer.Status != 200 || version.Document().Digest() != digest {
 			digest = fmt.Sprintf("status %d", answer.Status)
 		}
-		fleet.Ledger.ReadBack(revision, digest, fleet.World.Now)
+		fleet.Ledger.ManifestRead(revision, digest, fleet.World.Now)
 		if tree, err := manifest.ParseObject(version.Document().JSON()); err == nil && answer.Status == 200 {
 			trees[revision] = tree
 		}
@@ -59,7 +59,7 @@
 		want = sent
 	}
 	if !reflect.DeepEqual(want, tree) {
-		fleet.Ledger.Altered(written.Accepted.Revision, fmt.Sprintf("%s %s %s", written.Ask.Verb, written.Ask.Subject, written.Ask.Body), fleet.World.Now)
+		fleet.Ledger.ManifestAltered(written.Accepted.Revision, fmt.Sprintf("%s %s %s", written.Ask.Verb, written.Ask.Subject, written.Ask.Body), fleet.World.Now)
 	}
 }
 
--- a/fleet/schedule.go
+++ b/fleet/schedule.go
@@ -260,7 +260,7 @@
 // undrain is an operator who asks until it is accepted.
 func (fleet *Fleet) undrain(zone string, tries int) {
 	ask := contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone, Operation: fmt.Sprintf("undrain-%s-%d", zone, fleet.World.Now)}
-	fleet.Ledger.Undrained(zone, fleet.World.Now)
+	fleet.Ledger.ZoneUndrained(zone, fleet.World.Now)
 	fleet.Write(fleet.anyNode(), ask, func(written Written) {
 		if written.Status != 200 && written.Status != 202 && tries < 20 {
 			fleet.World.After(time.Second, func() { fleet.undrain(zone, tries+1) })
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -49,7 +49,7 @@
 	server.incarnation++
 	server.up, server.number, server.prefixes, server.lastReport = true, 0, nil, nil
 	server.running, server.waiting, server.recalled = map[string]*run{}, nil, map[string]bool{}
-	server.fleet.Ledger.Cold(server.Name, server.fleet.World.Now)
+	server.fleet.Ledger.ServerCold(server.Name, server.fleet.World.Now)
 }
 
 // Crash ends everything on the server at once; those who wait for it see their links break.
@@ -57,7 +57,7 @@
 	server.up = false
 	for _, identity := range sortedRuns(server.running) {
 		run := server.running[identity]
-		server.fleet.Ledger.Over(identity, run.told, false)
+		server.fleet.Ledger.RunEnded(identity, run.told, false)
 		run.attempt.linkBroke()
 	}
 	for _, run := range server.waiting {
@@ -79,7 +79,7 @@
 func (server *Server) Mark(remaining time.Duration) {
 	fleet := server.fleet
 	server.leaving = true
-	fleet.Ledger.Marked(server.Name, fleet.World.Now)
+	fleet.Ledger.ServerLeaving(server.Name, fleet.World.Now)
 	if remaining > 0 {
 		server.ends = fleet.World.Now + remaining
 		incarnation := server.incarnation
@@ -96,7 +96,7 @@
 func (server *Server) Replace() {
 	server.Crash()
 	server.leaving, server.gone, server.ends, server.unloaded = false, false, 0, false
-	server.fleet.Ledger.Unmarked(server.Name)
+	server.fleet.Ledger.ServerStaying(server.Name)
 	server.Return()
 }
 
@@ -133,12 +133,12 @@
 	case "dark":
 		return
 	case "refuse":
-		fleet.Ledger.Refused(visit.scoped, fleet.World.Now)
+		fleet.Ledger.CallRefused(visit.scoped, fleet.World.Now)
 		attempt.turnedAway()
 		return
 	}
 	if attempt.command.Server.Incarnation != fmt.Sprint(server.incarnation) {
-		fleet.Ledger.Refused(visit.scoped, fleet.World.Now)
+		fleet.Ledger.CallRefused(visit.scoped, fleet.World.Now)
 		attempt.turnedAway()
 		return
 	}
@@ -162,7 +162,7 @@
 	fleet, visit := server.fleet, next.attempt.session.try.visit
 	server.running[next.identity] = next
 	server.Taken++
-	fleet.Ledger.Began(next.scoped, next.identity, server.Name, fleet.World.Now)
+	fleet.Ledger.RunStarted(next.scoped, next.identity, server.Name, fleet.World.Now)
 	if visit.kind.Class == "lookup" {
 		fleet.World.After(site.LookupDuration, func() { server.finishLookup(next) })
 		return
@@ -191,7 +191,7 @@
 
 func (server *Server) stop(next *run, whole bool) {
 	delete(server.running, next.identity)
-	server.fleet.Ledger.Over(next.identity, next.told, whole)
+	server.fleet.Ledger.RunEnded(next.identity, next.told, whole)
 	server.start()
 }
 
@@ -213,7 +213,7 @@
 	if server.Mode == "wrong" {
 		id = "another"
 	}
-	piece := ledger.PieceOf(next.identity, next.scoped, place)
+	piece := ledger.ChunkText(next.identity, next.scoped, place)
 	next.told = append(next.told, piece)
 	if !visit.kind.Unary {
 		chunk := map[string]any{"id": id, "number": place, "choices": []any{map[string]any{"delta": map[string]any{"content": piece}, "finish_reason": nil}}}
--- a/fleet/sweep.go
+++ b/fleet/sweep.go
@@ -11,8 +11,8 @@
 type Round struct {
 	Seed     uint64
 	Faults   []string
-	Breaches []ledger.Breach
-	Figures  ledger.Figures
+	Breaches []ledger.Violation
+	Figures  ledger.Stats
 	Ready    bool
 	Serves   bool
 	Hits     int
@@ -60,7 +60,7 @@
 	fleet.Run(fleet.Bounds.Return())
 	round.Serves = fleet.Until(fleet.Bounds.Return(), fleet.Serves)
 	round.Breaches = fleet.Close()
-	round.Figures = fleet.Ledger.Figures
+	round.Figures = fleet.Ledger.Stats
 	for _, machine := range fleet.Machines {
 		if machine.Up() {
 			round.Records = max(round.Records, machine.Data.Gauges["records"])
--- a/fleet/watch.go
+++ b/fleet/watch.go
@@ -37,7 +37,7 @@
 					if there && revision < newest[groups[machine]] {
 						late = fleet.World.Now - since
 					}
-					fleet.Ledger.Held(name, revision, fleet.World.Now, late)
+					fleet.Ledger.ManifestHeld(name, revision, fleet.World.Now, late)
 				}
 			}
 		}
--- a/ledger/answers.go
+++ b/ledger/answers.go
@@ -7,146 +7,162 @@
 	"time"
 )
 
-// Silence is a caller whose patience ended without any word; it is excused only by a fault of its own node or link.
-const Silence = "silence"
+// OutcomeNoAnswer is the outcome of an attempt whose client got no answer before it gave up. It is a violation unless a fault of the
+// node or of the link excuses it.
+const OutcomeNoAnswer = "silence"
 
-// Reply is what a caller got: pieces as they came, and how it ended.
+// Reply is what a client got for one attempt.
 type Reply struct {
-	Outcome  string
-	Status   int
-	Pieces   []string
-	Numbers  []int64
+	// Outcome is the outcome that the node reported, such as "done" or "not_run", or one that the client saw itself: "broken" for a
+	// connection that ended early, OutcomeNoAnswer after the deadline.
+	Outcome string
+	// Status is the HTTP status of an error, if the client got one.
+	Status int
+	// Chunks are the texts in the order in which they came, and ChunkNumbers their sequence numbers; nil if the reply was not
+	// streamed.
+	Chunks       []string
+	ChunkNumbers []int64
+	// Finished means that the reply ended like a complete one.
 	Finished bool
-	First    time.Duration
-	After    time.Duration
-	Excused  bool
-	Node     string
+	// FirstChunkAfter is the time from sending the call to its first chunk.
+	FirstChunkAfter time.Duration
+	// RetryAfter is the pause that a refusal asked for.
+	RetryAfter time.Duration
+	// Excused means that a missing answer is explained by a fault of Node, or of the link to it.
+	Excused bool
+	Node    string
 }
 
-// PieceOf is the text of a run's piece as the stand-in servers write it; callers can tell run, call and place from it.
-func PieceOf(identity, scoped string, place int) string {
-	return fmt.Sprintf("%s|%s|%d;", identity, scoped, place)
+// ChunkText is the text of a chunk as simulated servers produce it. It names the run, the call and the position in the reply, so that
+// a client can check all three.
+func ChunkText(runID, key string, position int) string {
+	return fmt.Sprintf("%s|%s|%d;", runID, key, position)
 }
 
-// Answered judges one answer at once.
-func (ledger *Ledger) Answered(scoped string, index int, at time.Duration, reply Reply) {
+// AttemptAnswered records the answer to an attempt and checks what can be checked at once.
+func (ledger *Ledger) AttemptAnswered(key string, index int, at time.Duration, reply Reply) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	known := ledger.calls[scoped]
-	tried := known.attempts[index]
-	tried.ended, tried.endedAt, tried.outcome = true, at, reply.Outcome
-	ledger.Figures.answered(known.class, reply, at-tried.sent)
-	if reply.Outcome == Silence && reply.Excused {
-		ledger.Figures.excuse("silence of a node that was frozen, killed or cut from its caller")
+	record := ledger.calls[key]
+	attempt := record.attempts[index]
+	attempt.ended, attempt.endedAt, attempt.outcome = true, at, reply.Outcome
+	ledger.Stats.addAnswer(record.class, reply, at-attempt.sentAt)
+	if reply.Outcome == OutcomeNoAnswer && reply.Excused {
+		ledger.Stats.addExcused("silence of a node that was frozen, killed or cut from its caller")
 	}
-	if reply.Outcome == Silence && !reply.Excused {
-		ledger.breach(at, LostSilently, "call %s had no word from %s, which was well", scoped, reply.Node)
+	if reply.Outcome == OutcomeNoAnswer && !reply.Excused {
+		ledger.addViolation(at, UnansweredCall, "call %s got no answer from %s, which was healthy", key, reply.Node)
 	}
-	if !known.model {
+	if !record.inference {
 		return
 	}
-	run := ledger.judgePieces(known, at, reply)
+	run := ledger.checkChunks(record, at, reply)
 	if !reply.Finished || run == nil {
 		if reply.Finished {
-			ledger.breach(at, BrokenStream, "call %s looked finished without a run", scoped)
+			ledger.addViolation(at, BrokenStream, "call %s was reported as finished without a run", key)
 		}
 		return
 	}
-	if !run.whole || len(run.pieces) != len(reply.Pieces) {
-		ledger.breach(at, BrokenStream, "call %s looked finished with %d pieces of %d", scoped, len(reply.Pieces), len(run.pieces))
+	if !run.complete || len(run.chunks) != len(reply.Chunks) {
+		ledger.addViolation(at, BrokenStream, "call %s was reported as finished with %d chunks of %d", key, len(reply.Chunks), len(run.chunks))
 	}
 }
 
-func (ledger *Ledger) judgePieces(known *called, at time.Duration, reply Reply) *run {
-	identity := ""
-	for place, piece := range reply.Pieces {
-		parts := strings.Split(strings.TrimSuffix(piece, ";"), "|")
+// checkChunks checks the chunks of a reply and returns the run that they came from, or nil if there is none.
+func (ledger *Ledger) checkChunks(record *callRecord, at time.Duration, reply Reply) *serverRun {
+	runID := ""
+	for position, chunk := range reply.Chunks {
+		parts := strings.Split(strings.TrimSuffix(chunk, ";"), "|")
 		if len(parts) != 3 {
-			ledger.breach(at, WrongAnswer, "call %s got an odd piece %q", known.scoped, piece)
+			ledger.addViolation(at, WrongAnswer, "call %s got a malformed chunk %q", record.key, chunk)
 			return nil
 		}
-		if parts[1] != known.scoped {
-			ledger.breach(at, WrongAnswer, "call %s got a piece of call %s", known.scoped, parts[1])
+		if parts[1] != record.key {
+			ledger.addViolation(at, WrongAnswer, "call %s got a chunk of call %s", record.key, parts[1])
 			return nil
 		}
-		if identity != "" && parts[0] != identity {
-			ledger.breach(at, BrokenStream, "call %s got pieces of two runs", known.scoped)
+		if runID != "" && parts[0] != runID {
+			ledger.addViolation(at, BrokenStream, "call %s got chunks of two runs", record.key)
 			return nil
 		}
-		identity = parts[0]
-		if parts[2] != fmt.Sprint(place) || reply.Numbers != nil && reply.Numbers[place] != int64(place) {
-			ledger.breach(at, BrokenStream, "call %s: piece %s came at place %d", known.scoped, parts[2], place)
+		runID = parts[0]
+		if parts[2] != fmt.Sprint(position) || reply.ChunkNumbers != nil && reply.ChunkNumbers[position] != int64(position) {
+			ledger.addViolation(at, BrokenStream, "call %s: chunk %s arrived at position %d", record.key, parts[2], position)
 			return nil
 		}
 	}
-	return ledger.byRun[identity]
+	return ledger.runsByID[runID]
 }
 
-// Accepted notes an operator's answer to a write; Held what a node says it has in force; ReadBack what a read gave.
-func (ledger *Ledger) Accepted(revision int64, digest string, at time.Duration) {
+// ManifestAccepted records that an operator's write was accepted as a revision; an empty digest means that it is not known.
+func (ledger *Ledger) ManifestAccepted(revision int64, digest string, at time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	if former, there := ledger.accepted[revision]; there && digest != "" && former != digest {
-		ledger.breach(at, LostManifest, "revision %d was accepted twice, altered", revision)
+	if previous, found := ledger.accepted[revision]; found && digest != "" && previous != digest {
+		ledger.addViolation(at, LostManifest, "revision %d was accepted twice with different content", revision)
 	}
 	ledger.accepted[revision] = digest
-	if _, there := ledger.inForce[revision]; !there {
-		ledger.inForce[revision] = at
+	if _, found := ledger.acceptedAt[revision]; !found {
+		ledger.acceptedAt[revision] = at
 	}
 }
 
-// Held judges a node's revision; behind is for how long a node that it is in touch with has held more.
-func (ledger *Ledger) Held(node string, revision int64, at, behind time.Duration) {
+// ManifestHeld records and checks the revision that a node has in force; behind is how long some node that it can communicate with
+// has had a newer one.
+func (ledger *Ledger) ManifestHeld(node string, revision int64, at, behind time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	if revision < ledger.held[node] {
-		ledger.breach(at, LateManifest, "%s slipped from revision %d to %d", node, ledger.held[node], revision)
+	if revision < ledger.revisions[node] {
+		ledger.addViolation(at, StaleManifest, "%s went back from revision %d to %d", node, ledger.revisions[node], revision)
 	}
-	ledger.held[node] = revision
-	for accepted, since := range ledger.inForce {
+	ledger.revisions[node] = revision
+	for accepted, acceptedAt := range ledger.acceptedAt {
 		if accepted <= revision {
 			continue
 		}
-		ledger.Figures.manifestLag(min(behind, at-since))
-		if at-since <= ledger.bounds.Deliver {
+		ledger.Stats.addManifestLag(min(behind, at-acceptedAt))
+		if at-acceptedAt <= ledger.bounds.ManifestDelivery {
 			continue
 		}
-		if behind > ledger.bounds.Deliver {
-			ledger.breach(at, LateManifest, "%s holds revision %d, %v after %d was accepted", node, revision, at-since, accepted)
+		if behind > ledger.bounds.ManifestDelivery {
+			ledger.addViolation(at, StaleManifest, "%s holds revision %d, %v after %d was accepted", node, revision, at-acceptedAt, accepted)
 		} else {
-			ledger.Figures.excuse("a look at a node out of touch with the newest manifest")
+			ledger.Stats.addExcused("a look at a node out of touch with the newest manifest")
 		}
 	}
 }
 
-// Excuse counts what was seen and let pass.
+// Excuse counts an observation that is tolerated because of the given cause.
 func (ledger *Ledger) Excuse(cause string) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	ledger.Figures.excuse(cause)
+	ledger.Stats.addExcused(cause)
 }
 
-func (ledger *Ledger) Restarted(node string) {
+// NodeRestarted forgets the revision of a node that lost its state, so that an older one is no violation.
+func (ledger *Ledger) NodeRestarted(node string) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	delete(ledger.held, node)
+	delete(ledger.revisions, node)
 }
 
-func (ledger *Ledger) ReadBack(revision int64, digest string, at time.Duration) {
+// ManifestRead checks the digest that a read of a revision returned; a failed read passes a text that matches no digest.
+func (ledger *Ledger) ManifestRead(revision int64, digest string, at time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	if former, there := ledger.accepted[revision]; there && former != "" && former != digest {
-		ledger.breach(at, LostManifest, "revision %d read back altered or missing: %q, accepted as %q", revision, digest, former)
+	if previous, found := ledger.accepted[revision]; found && previous != "" && previous != digest {
+		ledger.addViolation(at, LostManifest, "revision %d reads back changed or missing: %q, accepted as %q", revision, digest, previous)
 	}
 }
 
-// Altered notes an accepted revision that does not read as its operator sent it.
-func (ledger *Ledger) Altered(revision int64, sent string, at time.Duration) {
+// ManifestAltered records that the content of an accepted revision differs from what its operator sent.
+func (ledger *Ledger) ManifestAltered(revision int64, sent string, at time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	ledger.breach(at, LostManifest, "revision %d does not read as it was sent: %s", revision, sent)
+	ledger.addViolation(at, LostManifest, "revision %d does not read as it was sent: %s", revision, sent)
 }
 
+// AcceptedRevisions returns the accepted revisions in ascending order.
 func (ledger *Ledger) AcceptedRevisions() []int64 {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
@@ -158,72 +174,73 @@
 	return revisions
 }
 
-// Returned judges how long serving took to come back in a region.
-func (ledger *Ledger) Returned(region string, back, served time.Duration) {
+// RegionRecovered records when a region returned and when it first completed a call again.
+func (ledger *Ledger) RegionRecovered(region string, returnedAt, servedAt time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	ledger.Figures.returned(served - back)
-	if served-back > ledger.bounds.Return {
-		ledger.breach(served, LateReturn, "region %s served again only %v after it returned", region, served-back)
+	ledger.Stats.addRecovery(servedAt - returnedAt)
+	if servedAt-returnedAt > ledger.bounds.Recovery {
+		ledger.addViolation(servedAt, SlowRecovery, "region %s served again only %v after it returned", region, servedAt-returnedAt)
 	}
 }
 
-// Cut is a try that a server ran for a node and whose caller got no whole answer.
-type Cut struct {
-	Call        string
-	Node        string
-	Sent, Ended time.Duration
+// LostRun is an attempt that a server ran but whose client got no complete answer.
+type LostRun struct {
+	// Call is the key of the call, Node the node that it was sent to.
+	Call            string
+	Node            string
+	SentAt, EndedAt time.Duration
 }
 
-// Cuts gives the tries whose connections ended without a whole answer after the node they were sent to had passed them on.
-func (ledger *Ledger) Cuts() []Cut {
+// LostRuns returns the attempts whose connection broke before the complete answer although the node had dispatched them to a server.
+func (ledger *Ledger) LostRuns() []LostRun {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	cuts := []Cut{}
-	for _, known := range sortedCalls(ledger.calls) {
-		for _, tried := range known.attempts {
-			ran := slices.ContainsFunc(known.runs, func(begun *run) bool {
-				return strings.HasPrefix(begun.identity, tried.node+"-") && tried.sent <= begun.began && begun.began <= tried.endedAt
+	lostRuns := []LostRun{}
+	for _, record := range sortedByKey(ledger.calls) {
+		for _, attempt := range record.attempts {
+			ran := slices.ContainsFunc(record.runs, func(run *serverRun) bool {
+				return strings.HasPrefix(run.id, attempt.node+"-") && attempt.sentAt <= run.startedAt && run.startedAt <= attempt.endedAt
 			})
-			if tried.ended && tried.outcome == brokenOff && ran {
-				cuts = append(cuts, Cut{Call: known.scoped, Node: tried.node, Sent: tried.sent, Ended: tried.endedAt})
+			if attempt.ended && attempt.outcome == outcomeBroken && ran {
+				lostRuns = append(lostRuns, LostRun{Call: record.key, Node: attempt.node, SentAt: attempt.sentAt, EndedAt: attempt.endedAt})
 			}
 		}
 	}
-	return cuts
+	return lostRuns
 }
 
-// brokenOff is the outcome of a try whose connection ended before a whole answer came.
-const brokenOff = "broken"
+// outcomeBroken is the outcome of an attempt whose connection ended before the complete answer.
+const outcomeBroken = "broken"
 
-// Close judges what only the end shows.
+// Close runs the checks that need the whole run: unanswered calls, runs of calls reported as not run, and the retry budget.
 func (ledger *Ledger) Close(at time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	for _, known := range sortedCalls(ledger.calls) {
-		for _, tried := range known.attempts {
-			if !tried.ended && at > tried.sent+tried.deadline+ledger.bounds.Patience {
-				ledger.breach(at, LostSilently, "call %s sent at %v never got an answer", known.scoped, tried.sent)
+	for _, record := range sortedByKey(ledger.calls) {
+		for _, attempt := range record.attempts {
+			if !attempt.ended && at > attempt.sentAt+attempt.deadline+ledger.bounds.AnswerGrace {
+				ledger.addViolation(at, UnansweredCall, "call %s sent at %v never got an answer", record.key, attempt.sentAt)
 			}
 		}
-		if known.model {
-			ledger.judgeNotRun(known)
+		if record.inference {
+			ledger.checkNotRun(record)
 		}
 	}
-	ledger.judgeRepeats()
+	ledger.checkRetries()
 }
 
-// judgeNotRun wants for every run a try that it can belong to: sent before it to the node that ran it, or away to be passed on,
-// and not told "not run".
-func (ledger *Ledger) judgeNotRun(known *called) {
-	for _, begun := range known.runs {
-		owned := false
-		for _, tried := range known.attempts {
-			there := tried.away || strings.HasPrefix(begun.identity, tried.node+"-")
-			owned = owned || there && tried.sent <= begun.began && !(tried.ended && tried.outcome == "not_run")
+// checkNotRun requires for every run an attempt that explains it: one sent before the run, to the node that ran it or to a node
+// outside the home region (which forwards it), and not reported as not run.
+func (ledger *Ledger) checkNotRun(record *callRecord) {
+	for _, run := range record.runs {
+		explained := false
+		for _, attempt := range record.attempts {
+			mayHaveRun := attempt.outsideHome || strings.HasPrefix(run.id, attempt.node+"-")
+			explained = explained || mayHaveRun && attempt.sentAt <= run.startedAt && !(attempt.ended && attempt.outcome == "not_run")
 		}
-		if !owned {
-			ledger.breach(begun.began, FalseNotRun, "call %s ran on %s, and every try of it was told not run", known.scoped, begun.server)
+		if !explained {
+			ledger.addViolation(run.startedAt, FalseNotRun, "call %s ran on %s, and every attempt of it was reported as not run", record.key, run.server)
 		}
 	}
 }
--- a/ledger/figures.go
+++ b/ledger/figures.go
@@ -9,128 +9,145 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-type classFigures struct {
+// classStats are the results of one class of calls, such as "short" or "lookup". Results encode the fields under their Go names.
+type classStats struct {
 	Sent     int
 	Outcomes map[string]int
-	First    []time.Duration
-	Took     []time.Duration
-	Refused  time.Duration
+	// First and Took are the times to the first chunk and to the end of completed calls.
+	First []time.Duration
+	Took  []time.Duration
+	// Refused is the longest time until a call was reported as not run.
+	Refused time.Duration
 }
 
-// Figures are what a run is measured by.
-type Figures struct {
-	Classes   map[string]*classFigures
+// Stats are the measurements of a run. Results encode the fields under their Go names.
+type Stats struct {
+	Classes map[string]*classStats
+	// LatePick and LateDrain are the longest times after which a server still got a call when it was marked as leaving, or when the
+	// drain of its zone was accepted.
 	LatePick  time.Duration
 	LateDrain time.Duration
-	Lag       time.Duration
-	Return    time.Duration
+	// Lag is the longest time that a node had an older manifest than one it could have learned.
+	Lag time.Duration
+	// Return is the longest time that a region took to serve again after it returned.
+	Return time.Duration
+	// ColdShare is the highest load of a cold server, relative to what its ramp allowed.
 	ColdShare float64
+	// RepeatPct is the number of retries by the nodes in percent of the calls.
 	RepeatPct float64
-	// Window is the fullest that the allowance of repeats of a window was.
-	Window  float64
-	Hasty   int
+	// Window is the highest use of the retry budget of a window, 1 being all of it.
+	Window float64
+	// Hasty counts refusals with status 429 or 503 that gave no Retry-After.
+	Hasty int
+	// Excuses counts tolerated observations by cause.
 	Excuses map[string]int
 }
 
-func NewFigures() Figures {
-	return Figures{Classes: map[string]*classFigures{}, Excuses: map[string]int{}}
+// NewStats makes empty statistics.
+func NewStats() Stats {
+	return Stats{Classes: map[string]*classStats{}, Excuses: map[string]int{}}
 }
 
-// excuse counts what the checker saw and let pass, with the cause.
-func (figures *Figures) excuse(cause string) { figures.Excuses[cause]++ }
+// addExcused counts a tolerated observation by its cause.
+func (stats *Stats) addExcused(cause string) { stats.Excuses[cause]++ }
 
-func (figures *Figures) class(name string) *classFigures {
-	known, there := figures.Classes[name]
-	if !there {
-		known = &classFigures{Outcomes: map[string]int{}}
-		figures.Classes[name] = known
+// class returns the statistics of a class of calls, which it makes if there are none yet.
+func (stats *Stats) class(name string) *classStats {
+	class, found := stats.Classes[name]
+	if !found {
+		class = &classStats{Outcomes: map[string]int{}}
+		stats.Classes[name] = class
 	}
-	return known
+	return class
 }
 
-func (figures *Figures) sent(class string) { figures.class(class).Sent++ }
+func (stats *Stats) addSent(class string) { stats.class(class).Sent++ }
 
-func (figures *Figures) answered(class string, reply Reply, took time.Duration) {
-	known := figures.class(class)
-	known.Outcomes[reply.Outcome]++
+func (stats *Stats) addAnswer(className string, reply Reply, duration time.Duration) {
+	class := stats.class(className)
+	class.Outcomes[reply.Outcome]++
 	if reply.Outcome == "not_run" {
-		known.Refused = max(known.Refused, took)
-		if (reply.Status == 429 || reply.Status == 503) && reply.After == 0 {
-			figures.Hasty++
+		class.Refused = max(class.Refused, duration)
+		if (reply.Status == 429 || reply.Status == 503) && reply.RetryAfter == 0 {
+			stats.Hasty++
 		}
 	}
 	if reply.Outcome == "done" {
-		known.Took = append(known.Took, took)
-		if reply.First > 0 {
-			known.First = append(known.First, reply.First)
+		class.Took = append(class.Took, duration)
+		if reply.FirstChunkAfter > 0 {
+			class.First = append(class.First, reply.FirstChunkAfter)
 		}
 	}
 }
 
-func (figures *Figures) latePick(late time.Duration) { figures.LatePick = max(figures.LatePick, late) }
-func (figures *Figures) lateDrain(late time.Duration) {
-	figures.LateDrain = max(figures.LateDrain, late)
+func (stats *Stats) addLeavingDelay(delay time.Duration) {
+	stats.LatePick = max(stats.LatePick, delay)
 }
-func (figures *Figures) manifestLag(late time.Duration) { figures.Lag = max(figures.Lag, late) }
-func (figures *Figures) returned(took time.Duration)    { figures.Return = max(figures.Return, took) }
-func (figures *Figures) cold(running, allowed int64) {
-	figures.ColdShare = max(figures.ColdShare, float64(running)/float64(allowed))
+func (stats *Stats) addDrainDelay(delay time.Duration) {
+	stats.LateDrain = max(stats.LateDrain, delay)
+}
+func (stats *Stats) addManifestLag(delay time.Duration) { stats.Lag = max(stats.Lag, delay) }
+func (stats *Stats) addRecovery(duration time.Duration) { stats.Return = max(stats.Return, duration) }
+func (stats *Stats) addColdLoad(running, allowed int64) {
+	stats.ColdShare = max(stats.ColdShare, float64(running)/float64(allowed))
 }
 
-// Worse takes what is worse in another run's figures.
-func (figures *Figures) Worse(other Figures) {
-	figures.LatePick, figures.LateDrain = max(figures.LatePick, other.LatePick), max(figures.LateDrain, other.LateDrain)
-	figures.Lag, figures.Return = max(figures.Lag, other.Lag), max(figures.Return, other.Return)
-	figures.ColdShare, figures.RepeatPct = max(figures.ColdShare, other.ColdShare), max(figures.RepeatPct, other.RepeatPct)
-	figures.Window = max(figures.Window, other.Window)
+// MergeMaxima takes over each maximum of another run that is higher.
+func (stats *Stats) MergeMaxima(other Stats) {
+	stats.LatePick, stats.LateDrain = max(stats.LatePick, other.LatePick), max(stats.LateDrain, other.LateDrain)
+	stats.Lag, stats.Return = max(stats.Lag, other.Lag), max(stats.Return, other.Return)
+	stats.ColdShare, stats.RepeatPct = max(stats.ColdShare, other.ColdShare), max(stats.RepeatPct, other.RepeatPct)
+	stats.Window = max(stats.Window, other.Window)
 }
 
-// Add takes in all that another run's callers saw, class by class.
-func (figures *Figures) Add(other Figures) {
-	for name, theirs := range other.Classes {
-		known := figures.class(name)
-		known.Sent += theirs.Sent
-		known.First, known.Took = append(known.First, theirs.First...), append(known.Took, theirs.Took...)
-		known.Refused = max(known.Refused, theirs.Refused)
-		for outcome, count := range theirs.Outcomes {
-			known.Outcomes[outcome] += count
+// Add adds the call statistics of another run, class by class, and merges its maxima.
+func (stats *Stats) Add(other Stats) {
+	for name, otherClass := range other.Classes {
+		class := stats.class(name)
+		class.Sent += otherClass.Sent
+		class.First, class.Took = append(class.First, otherClass.First...), append(class.Took, otherClass.Took...)
+		class.Refused = max(class.Refused, otherClass.Refused)
+		for outcome, count := range otherClass.Outcomes {
+			class.Outcomes[outcome] += count
 		}
 	}
-	figures.Worse(other)
+	stats.MergeMaxima(other)
 }
 
-func middle(spans []time.Duration, part float64) time.Duration {
-	if len(spans) == 0 {
+// quantile returns the duration below which the given share of the durations lies; zero if there are none.
+func quantile(durations []time.Duration, share float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	sorted := append([]time.Duration{}, spans...)
+	sorted := append([]time.Duration{}, durations...)
 	sort.Slice(sorted, func(left, right int) bool { return sorted[left] < sorted[right] })
-	return sorted[int(part*float64(len(sorted)-1))]
+	return sorted[int(share*float64(len(sorted)-1))]
 }
 
-func (figures *Figures) Text() string {
+// Summary renders the statistics as lines for the terminal.
+func (stats *Stats) Summary() string {
 	lines := []string{}
 	names := []string{}
-	for name := range figures.Classes {
+	for name := range stats.Classes {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		known := figures.Classes[name]
+		class := stats.Classes[name]
 		outcomes := []string{}
-		for outcome, count := range known.Outcomes {
+		for outcome, count := range class.Outcomes {
 			outcomes = append(outcomes, fmt.Sprintf("%s=%d", outcome, count))
 		}
 		sort.Strings(outcomes)
-		lines = append(lines, fmt.Sprintf("%-8s sent=%d %s first-piece p50=%v p99=%v took p50=%v p99=%v", name, known.Sent, strings.Join(outcomes, " "),
-			round(middle(known.First, 0.5)), round(middle(known.First, 0.99)), round(middle(known.Took, 0.5)), round(middle(known.Took, 0.99))))
+		lines = append(lines, fmt.Sprintf("%-8s sent=%d %s first-piece p50=%v p99=%v took p50=%v p99=%v", name, class.Sent, strings.Join(outcomes, " "),
+			roundToMillis(quantile(class.First, 0.5)), roundToMillis(quantile(class.First, 0.99)), roundToMillis(quantile(class.Took, 0.5)), roundToMillis(quantile(class.Took, 0.99))))
 	}
 	lines = append(lines, fmt.Sprintf("late pick=%v late drain=%v manifest lag=%v return=%v cold share=%.2f repeats=%.2f%% of a window's allowance=%.2f",
-		round(figures.LatePick), round(figures.LateDrain), round(figures.Lag), round(figures.Return), figures.ColdShare, figures.RepeatPct, figures.Window))
-	for _, cause := range manifest.SortedKeys(figures.Excuses) {
-		lines = append(lines, fmt.Sprintf("excused: %d times %s", figures.Excuses[cause], cause))
+		roundToMillis(stats.LatePick), roundToMillis(stats.LateDrain), roundToMillis(stats.Lag), roundToMillis(stats.Return), stats.ColdShare, stats.RepeatPct, stats.Window))
+	for _, cause := range manifest.SortedKeys(stats.Excuses) {
+		lines = append(lines, fmt.Sprintf("excused: %d times %s", stats.Excuses[cause], cause))
 	}
 	return strings.Join(lines, "\n")
 }
 
-func round(span time.Duration) time.Duration { return span.Round(time.Millisecond) }
+func roundToMillis(duration time.Duration) time.Duration { return duration.Round(time.Millisecond) }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,4 +1,5 @@
-// Package ledger judges a run by what the stand-ins saw: callers, servers, the platform and operators, never our own counters.
+// Package ledger records what simulated clients, servers, the platform and operators observe in a test run, and checks it
+// against the rules that the system promises. It never uses the counters of the nodes under test.
 package ledger
 
 import (
@@ -11,159 +12,201 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
+// Rule names a promise of the system; the text is what results print.
 type Rule string
 
+// Rules that the ledger checks.
 const (
-	Doubled      Rule = "doubled run"
-	LostSilently Rule = "lost silently"
-	FalseNotRun  Rule = "told not run, but it ran"
+	// DuplicateRun: an inference call ran more than once.
+	DuplicateRun Rule = "doubled run"
+	// UnansweredCall: a client got neither an answer nor an error within its deadline, and no fault excuses it.
+	UnansweredCall Rule = "lost silently"
+	// FalseNotRun: a call ran although each attempt of it that could have led to the run was reported as not run.
+	FalseNotRun Rule = "told not run, but it ran"
+	// BrokenStream: chunks were missing, repeated, out of order or from two runs, or an incomplete stream was reported as finished.
 	BrokenStream Rule = "stream skipped, repeated, joined or looked finished"
-	WrongAnswer  Rule = "another's answer or half a success"
-	LatePick     Rule = "picked after it was marked leaving"
-	LateDrain    Rule = "a drained zone was sent a call"
-	LeftHome     Rule = "left the home region"
-	LateManifest Rule = "manifest late or slipped back"
+	// WrongAnswer: a client got a malformed chunk or the chunk of another call, or a server got a call that no client sent.
+	WrongAnswer Rule = "another's answer or half a success"
+	// DispatchWhileLeaving: a server got a call too long after the platform marked it as leaving.
+	DispatchWhileLeaving Rule = "picked after it was marked leaving"
+	// DispatchWhileDrained: a server got a call too long after the drain of its zone was accepted.
+	DispatchWhileDrained Rule = "a drained zone was sent a call"
+	// OutsideHomeRegion: a call ran outside its home region.
+	OutsideHomeRegion Rule = "left the home region"
+	// StaleManifest: a node got an accepted revision too late, or went back to an older one.
+	StaleManifest Rule = "manifest late or slipped back"
+	// LostManifest: an accepted revision cannot be read back as it was written.
 	LostManifest Rule = "accepted manifest missing or altered"
-	Flooded      Rule = "a cold server was flooded"
-	Repeats      Rule = "too many repeats"
-	LateReturn   Rule = "serving came back late"
+	// ColdServerOverload: a server that started with an empty cache ran more calls than its ramp allows.
+	ColdServerOverload Rule = "a cold server was flooded"
+	// ExcessRetries: the nodes retried more calls in a window than their retry budget allows.
+	ExcessRetries Rule = "too many repeats"
+	// SlowRecovery: a region took too long to serve again after it returned.
+	SlowRecovery Rule = "serving came back late"
 )
 
+// Bounds are the limits that the rules apply.
 type Bounds struct {
-	Leave     time.Duration
-	Drain     time.Duration
-	Deliver   time.Duration
-	Return    time.Duration
-	Ramp      time.Duration
-	Slots     int64
-	RepeatPct float64
-	// RepeatAtOnce is what all nodes together may repeat beyond their share in one window.
-	RepeatAtOnce int64
-	Patience     time.Duration
+	// LeavingServer and ZoneDrain limit how long a server may still get calls after it was marked as leaving, or after the drain
+	// of its zone was accepted.
+	LeavingServer time.Duration
+	ZoneDrain     time.Duration
+	// ManifestDelivery limits how long a node may hold an older revision than one that it could have learned.
+	ManifestDelivery time.Duration
+	// Recovery limits the time between the return of a region and its first complete answer.
+	Recovery time.Duration
+	// Ramp is how long a cold server takes to reach all its slots; zero switches the check off.
+	Ramp time.Duration
+	// Slots is not used by the rules: AddServer gives the slots of each server.
+	Slots int64
+	// RetryPercent is the share of calls, in percent, that the nodes may retry in a window.
+	RetryPercent float64
+	// RetryBurst is how many retries all nodes together may make in a window beyond RetryPercent.
+	RetryBurst int64
+	// AnswerGrace is how long after its deadline a call may still be answered.
+	AnswerGrace time.Duration
 }
 
-// Judging gives the bounds that the brief sets and a manifest promises, as the checker applies them to so many nodes.
-func Judging(bounds env.Bounds, read manifest.Manifest, nodes int) Bounds {
-	return Bounds{Leave: bounds.Evacuate(), Drain: bounds.Evacuate(), Deliver: bounds.Deliver(), Return: bounds.Return(), Ramp: read.Retirement.Ramp,
-		RepeatPct: float64(read.RepeatPercent), RepeatAtOnce: read.RepeatAtOnce * int64(nodes), Patience: bounds.Deliver()}
+// BoundsFor derives the limits from the environment's bounds and the manifest; the retry burst grows with the number of nodes.
+func BoundsFor(bounds env.Bounds, read manifest.Manifest, nodes int) Bounds {
+	return Bounds{LeavingServer: bounds.Evacuate(), ZoneDrain: bounds.Evacuate(), ManifestDelivery: bounds.Deliver(), Recovery: bounds.Return(), Ramp: read.Retirement.Ramp,
+		RetryPercent: float64(read.RepeatPercent), RetryBurst: read.RepeatAtOnce * int64(nodes), AnswerGrace: bounds.Deliver()}
 }
 
-type Breach struct {
-	Rule   Rule
-	At     time.Duration
+// Violation is one breach of a rule. Results encode the fields under their Go names.
+type Violation struct {
+	Rule Rule
+	// At is the time since the start of the run.
+	At time.Duration
+	// Detail says what was observed.
 	Detail string
 }
 
-type attempt struct {
-	sent     time.Duration
-	node     string
-	away     bool
-	ended    bool
-	endedAt  time.Duration
-	outcome  string
-	deadline time.Duration
-	arrivals int64
+// callAttempt is one request of a client at one node.
+type callAttempt struct {
+	sentAt      time.Duration
+	node        string
+	outsideHome bool
+	ended       bool
+	endedAt     time.Duration
+	outcome     string
+	deadline    time.Duration
+	arrivals    int64
 }
 
-type run struct {
-	identity string
-	server   string
-	began    time.Duration
-	pieces   []string
-	whole    bool
-	over     bool
+// serverRun is one execution of a call on a server; complete holds if the server produced the whole reply.
+type serverRun struct {
+	id        string
+	server    string
+	startedAt time.Duration
+	chunks    []string
+	complete  bool
+	ended     bool
 }
 
-type called struct {
-	scoped   string
-	class    string
-	home     string
-	model    bool
-	attempts []*attempt
-	runs     []*run
+// callRecord holds all attempts and runs of one call; inference is false for a lookup, which may run more than once.
+type callRecord struct {
+	key       string
+	class     string
+	home      string
+	inference bool
+	attempts  []*callAttempt
+	runs      []*serverRun
 }
 
-// arrived counts an arrival at a server for the newest try of the call; one beyond the first is a repeat of ours.
-func (ledger *Ledger) arrived(known *called, at time.Duration) {
-	if len(known.attempts) == 0 {
+// countArrival counts an arrival at a server for the latest attempt of the call; any beyond the first is a retry by the nodes.
+func (ledger *Ledger) countArrival(record *callRecord, at time.Duration) {
+	if len(record.attempts) == 0 {
 		return
 	}
-	newest := known.attempts[len(known.attempts)-1]
-	if newest.arrivals++; newest.arrivals > 1 {
-		ledger.extras = append(ledger.extras, at)
+	latest := record.attempts[len(record.attempts)-1]
+	if latest.arrivals++; latest.arrivals > 1 {
+		ledger.retries = append(ledger.retries, at)
 	}
 }
 
-type span struct{ from, to time.Duration }
+// interval is the time in which a zone is drained.
+type interval struct{ from, to time.Duration }
 
-type serverFacts struct {
+// serverState is what the ledger knows of a server; leavingSince is never while the server is not leaving.
+type serverState struct {
 	zone, region string
-	marked       time.Duration
-	cold         time.Duration
+	leavingSince time.Duration
+	coldSince    time.Duration
 	running      int64
 	slots        int64
 }
 
+// Ledger collects observations of one test run and the violations they show. It is safe for concurrent use.
 type Ledger struct {
 	lock     sync.Mutex
 	bounds   Bounds
-	calls    map[string]*called
-	byRun    map[string]*run
-	servers  map[string]*serverFacts
-	drains   map[string][]span
-	accepted map[int64]string
-	inForce  map[int64]time.Duration
-	held     map[string]int64
-	real     int64
-	firsts   []time.Duration
-	extras   []time.Duration
-	breaches []Breach
-	Figures  Figures
+	calls    map[string]*callRecord
+	runsByID map[string]*serverRun
+	servers  map[string]*serverState
+	drains   map[string][]interval
+	// accepted holds the digest of each accepted revision, empty if not known; revisions the newest revision seen at each node.
+	accepted   map[int64]string
+	acceptedAt map[int64]time.Duration
+	revisions  map[string]int64
+	callCount  int64
+	firstSends []time.Duration
+	retries    []time.Duration
+	violations []Violation
+	// Stats are the measurements so far; read them after Close.
+	Stats Stats
 }
 
+// never is later than any time of a run.
 const never = time.Duration(1 << 62)
 
+// New makes an empty ledger that applies these bounds.
 func New(bounds Bounds) *Ledger {
-	return &Ledger{bounds: bounds, calls: map[string]*called{}, byRun: map[string]*run{}, servers: map[string]*serverFacts{}, drains: map[string][]span{},
-		accepted: map[int64]string{}, inForce: map[int64]time.Duration{}, held: map[string]int64{}, Figures: NewFigures()}
+	return &Ledger{bounds: bounds, calls: map[string]*callRecord{}, runsByID: map[string]*serverRun{}, servers: map[string]*serverState{}, drains: map[string][]interval{},
+		accepted: map[int64]string{}, acceptedAt: map[int64]time.Duration{}, revisions: map[string]int64{}, Stats: NewStats()}
 }
 
-func (ledger *Ledger) breach(at time.Duration, rule Rule, format string, detail ...any) {
-	ledger.breaches = append(ledger.breaches, Breach{rule, at, fmt.Sprintf(format, detail...)})
+func (ledger *Ledger) addViolation(at time.Duration, rule Rule, format string, detail ...any) {
+	ledger.violations = append(ledger.violations, Violation{rule, at, fmt.Sprintf(format, detail...)})
 }
 
-func (ledger *Ledger) Server(name, zone, region string, slots int64) {
+// AddServer registers a server of the run with its zone, region and number of slots; it counts as warm.
+func (ledger *Ledger) AddServer(name, zone, region string, slots int64) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	ledger.servers[name] = &serverFacts{zone: zone, region: region, marked: never, cold: -never, slots: slots}
+	ledger.servers[name] = &serverState{zone: zone, region: region, leavingSince: never, coldSince: -never, slots: slots}
 }
 
-// Marked says that the platform marked a server as leaving; Cold that it came (back) with nothing in its cache.
-func (ledger *Ledger) Marked(server string, at time.Duration) {
+// ServerLeaving records that the platform marked a server as leaving.
+func (ledger *Ledger) ServerLeaving(server string, at time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	ledger.servers[server].marked = at
+	ledger.servers[server].leavingSince = at
 }
 
-func (ledger *Ledger) Unmarked(server string) {
+// ServerStaying records that a server is no longer leaving.
+func (ledger *Ledger) ServerStaying(server string) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	ledger.servers[server].marked = never
+	ledger.servers[server].leavingSince = never
 }
 
-func (ledger *Ledger) Cold(server string, at time.Duration) {
+// ServerCold records that a server started with an empty cache and nothing running.
+func (ledger *Ledger) ServerCold(server string, at time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	ledger.servers[server].cold, ledger.servers[server].running = at, 0
+	ledger.servers[server].coldSince, ledger.servers[server].running = at, 0
 }
 
-func (ledger *Ledger) Drained(zone string, accepted time.Duration) {
+// ZoneDrained records that the drain of a zone was accepted.
+func (ledger *Ledger) ZoneDrained(zone string, accepted time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	ledger.drains[zone] = append(ledger.drains[zone], span{accepted, never})
+	ledger.drains[zone] = append(ledger.drains[zone], interval{accepted, never})
 }
 
-func (ledger *Ledger) Undrained(zone string, sent time.Duration) {
+// ZoneUndrained ends all drains of a zone when an operator sends an undrain, as it can take effect before its answer arrives.
+func (ledger *Ledger) ZoneUndrained(zone string, sent time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
 	for index := range ledger.drains[zone] {
@@ -171,128 +214,132 @@
 	}
 }
 
-// Sent notes one try of a caller at a node; one away from the call's home passes it on to another.
-func (ledger *Ledger) Sent(scoped, class, home string, model bool, node string, away bool, at, deadline time.Duration) int {
+// AttemptSent records that a client sent a call to a node, and returns the index of the attempt within the call. With outsideHome the
+// node is not in the home region of the call and has to forward it.
+func (ledger *Ledger) AttemptSent(key, class, home string, inference bool, node string, outsideHome bool, at, deadline time.Duration) int {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	known, there := ledger.calls[scoped]
-	if !there {
-		known = &called{scoped: scoped, class: class, home: home, model: model}
-		ledger.calls[scoped] = known
-		ledger.real++
-		ledger.firsts = append(ledger.firsts, at)
+	record, found := ledger.calls[key]
+	if !found {
+		record = &callRecord{key: key, class: class, home: home, inference: inference}
+		ledger.calls[key] = record
+		ledger.callCount++
+		ledger.firstSends = append(ledger.firstSends, at)
 	}
-	known.attempts = append(known.attempts, &attempt{sent: at, node: node, away: away, deadline: deadline})
-	ledger.Figures.sent(class)
-	return len(known.attempts) - 1
+	record.attempts = append(record.attempts, &callAttempt{sentAt: at, node: node, outsideHome: outsideHome, deadline: deadline})
+	ledger.Stats.addSent(class)
+	return len(record.attempts) - 1
 }
 
-// Began notes that a server took a call up: this is where picks are judged.
-func (ledger *Ledger) Began(scoped, identity, server string, at time.Duration) {
+// RunStarted records that a server started to run a call, and checks whether the call may run there.
+func (ledger *Ledger) RunStarted(key, runID, server string, at time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	known, there := ledger.calls[scoped]
-	if !there {
-		ledger.breach(at, WrongAnswer, "server %s got a call that nobody sent: %q", server, scoped)
+	record, found := ledger.calls[key]
+	if !found {
+		ledger.addViolation(at, WrongAnswer, "server %s got a call that no client sent: %q", server, key)
 		return
 	}
-	ledger.arrived(known, at)
-	begun := &run{identity: identity, server: server, began: at}
-	known.runs = append(known.runs, begun)
-	ledger.byRun[identity] = begun
-	if known.model && len(known.runs) > 1 {
-		ledger.breach(at, Doubled, "call %s ran on %s at %v and on %s", scoped, known.runs[0].server, known.runs[0].began, server)
+	ledger.countArrival(record, at)
+	run := &serverRun{id: runID, server: server, startedAt: at}
+	record.runs = append(record.runs, run)
+	ledger.runsByID[runID] = run
+	if record.inference && len(record.runs) > 1 {
+		ledger.addViolation(at, DuplicateRun, "call %s ran on %s at %v and on %s", key, record.runs[0].server, record.runs[0].startedAt, server)
 	}
-	ledger.judgePick(known, server, at)
+	ledger.checkDispatch(record, server, at)
 }
 
-func (ledger *Ledger) judgePick(known *called, server string, at time.Duration) {
-	facts, there := ledger.servers[server]
-	if !there {
+// checkDispatch checks whether this server may get the call at this time.
+func (ledger *Ledger) checkDispatch(record *callRecord, server string, at time.Duration) {
+	state, found := ledger.servers[server]
+	if !found {
 		return
 	}
-	if known.home != "" && known.home != facts.region {
-		ledger.breach(at, LeftHome, "call %s of %s ran on %s in %s", known.scoped, known.home, server, facts.region)
+	if record.home != "" && record.home != state.region {
+		ledger.addViolation(at, OutsideHomeRegion, "call %s of %s ran on %s in %s", record.key, record.home, server, state.region)
 	}
-	if at > facts.marked {
-		ledger.Figures.latePick(at - facts.marked)
-		if at-facts.marked > ledger.bounds.Leave {
-			ledger.breach(at, LatePick, "%s was picked %v after it was marked", server, at-facts.marked)
+	if at > state.leavingSince {
+		ledger.Stats.addLeavingDelay(at - state.leavingSince)
+		if at-state.leavingSince > ledger.bounds.LeavingServer {
+			ledger.addViolation(at, DispatchWhileLeaving, "%s got a call %v after it was marked as leaving", server, at-state.leavingSince)
 		}
 	}
-	for _, drain := range ledger.drains[facts.zone] {
+	for _, drain := range ledger.drains[state.zone] {
 		if at > drain.from && at < drain.to {
-			ledger.Figures.lateDrain(at - drain.from)
-			if at-drain.from > ledger.bounds.Drain {
-				ledger.breach(at, LateDrain, "%s in zone %s was picked %v after the drain", server, facts.zone, at-drain.from)
+			ledger.Stats.addDrainDelay(at - drain.from)
+			if at-drain.from > ledger.bounds.ZoneDrain {
+				ledger.addViolation(at, DispatchWhileDrained, "%s in zone %s got a call %v after the drain was accepted", server, state.zone, at-drain.from)
 			}
 		}
 	}
-	facts.running++
-	age := at - facts.cold
-	if age < ledger.bounds.Ramp && ledger.bounds.Ramp > 0 && known.model {
-		allowed := max(1, facts.slots*int64(age)/int64(ledger.bounds.Ramp))
-		ledger.Figures.cold(facts.running, allowed)
-		if facts.running > allowed {
-			ledger.breach(at, Flooded, "%s ran %d calls %v after it came back: %v", server, facts.running, age, ledger.runningOn(server))
+	state.running++
+	age := at - state.coldSince
+	if age < ledger.bounds.Ramp && ledger.bounds.Ramp > 0 && record.inference {
+		allowed := max(1, state.slots*int64(age)/int64(ledger.bounds.Ramp))
+		ledger.Stats.addColdLoad(state.running, allowed)
+		if state.running > allowed {
+			ledger.addViolation(at, ColdServerOverload, "%s ran %d calls %v after a cold start: %v", server, state.running, age, ledger.runningOn(server))
 		}
 	}
 }
 
-// runningOn names the runs of a server that have not ended.
+// runningOn lists the IDs of the runs of a server that have not ended.
 func (ledger *Ledger) runningOn(server string) []string {
-	identities := []string{}
-	for identity, known := range ledger.byRun {
-		if known.server == server && !known.over {
-			identities = append(identities, identity)
+	ids := []string{}
+	for id, run := range ledger.runsByID {
+		if run.server == server && !run.ended {
+			ids = append(ids, id)
 		}
 	}
-	sort.Strings(identities)
-	return identities
+	sort.Strings(ids)
+	return ids
 }
 
-// Refused notes that a server turned a call away without running it.
-func (ledger *Ledger) Refused(scoped string, at time.Duration) {
+// CallRefused records that a server refused a call without running it.
+func (ledger *Ledger) CallRefused(key string, at time.Duration) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	if known, there := ledger.calls[scoped]; there {
-		ledger.arrived(known, at)
+	if record, found := ledger.calls[key]; found {
+		ledger.countArrival(record, at)
 	}
 }
 
-// Over notes that a server ended a run, with all the pieces of the whole reply if it came to its end.
-func (ledger *Ledger) Over(identity string, pieces []string, whole bool) {
+// RunEnded records the end of a run with the chunks it produced; complete means that it produced the whole reply.
+func (ledger *Ledger) RunEnded(runID string, chunks []string, complete bool) {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	known, there := ledger.byRun[identity]
-	if !there {
+	run, found := ledger.runsByID[runID]
+	if !found {
 		return
 	}
-	known.pieces, known.whole, known.over = pieces, whole, true
-	if facts, there := ledger.servers[known.server]; there {
-		facts.running = max(0, facts.running-1)
+	run.chunks, run.complete, run.ended = chunks, complete, true
+	if state, found := ledger.servers[run.server]; found {
+		state.running = max(0, state.running-1)
 	}
 }
 
-func (ledger *Ledger) Breaches() []Breach {
+// Violations returns the violations found so far.
+func (ledger *Ledger) Violations() []Violation {
 	ledger.lock.Lock()
 	defer ledger.lock.Unlock()
-	return append([]Breach{}, ledger.breaches...)
+	return append([]Violation{}, ledger.violations...)
 }
 
-func (ledger *Ledger) ByRule() map[Rule]int {
+// CountsByRule returns the number of violations of each rule that was broken.
+func (ledger *Ledger) CountsByRule() map[Rule]int {
 	counts := map[Rule]int{}
-	for _, breach := range ledger.Breaches() {
-		counts[breach.Rule]++
+	for _, violation := range ledger.Violations() {
+		counts[violation.Rule]++
 	}
 	return counts
 }
 
-func sortedCalls(calls map[string]*called) []*called {
-	sorted := make([]*called, 0, len(calls))
-	for _, known := range calls {
-		sorted = append(sorted, known)
+func sortedByKey(calls map[string]*callRecord) []*callRecord {
+	sorted := make([]*callRecord, 0, len(calls))
+	for _, record := range calls {
+		sorted = append(sorted, record)
 	}
-	sort.Slice(sorted, func(left, right int) bool { return sorted[left].scoped < sorted[right].scoped })
+	sort.Slice(sorted, func(left, right int) bool { return sorted[left].key < sorted[right].key })
 	return sorted
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -14,163 +14,163 @@
 	RunSpecs(t, "ledger")
 }
 
-func fresh() *Ledger {
-	ledger := New(Bounds{Leave: 5 * time.Second, Drain: 5 * time.Second, Deliver: 3 * time.Second, Return: 12 * time.Second, Ramp: 8 * time.Second, RepeatPct: 5, RepeatAtOnce: 10, Patience: 3 * time.Second})
-	ledger.Server("near", "zone-a", "home", 4)
-	ledger.Server("far", "zone-c", "away", 4)
+func newTestLedger() *Ledger {
+	ledger := New(Bounds{LeavingServer: 5 * time.Second, ZoneDrain: 5 * time.Second, ManifestDelivery: 3 * time.Second, Recovery: 12 * time.Second, Ramp: 8 * time.Second, RetryPercent: 5, RetryBurst: 10, AnswerGrace: 3 * time.Second})
+	ledger.AddServer("near", "zone-a", "home", 4)
+	ledger.AddServer("far", "zone-c", "away", 4)
 	return ledger
 }
 
-func sent(ledger *Ledger, scoped string, at time.Duration) int {
-	return ledger.Sent(scoped, "short", "home", true, "run", false, at, 10*time.Second)
+func sendCall(ledger *Ledger, key string, at time.Duration) int {
+	return ledger.AttemptSent(key, "short", "home", true, "run", false, at, 10*time.Second)
 }
 
-func ran(ledger *Ledger, scoped, identity, server string, at time.Duration) {
-	ledger.Began(scoped, identity, server, at)
-	ledger.Over(identity, []string{PieceOf(identity, scoped, 0), PieceOf(identity, scoped, 1)}, true)
+func completeRun(ledger *Ledger, key, runID, server string, at time.Duration) {
+	ledger.RunStarted(key, runID, server, at)
+	ledger.RunEnded(runID, []string{ChunkText(runID, key, 0), ChunkText(runID, key, 1)}, true)
 }
 
-func reply(pieces ...string) Reply {
-	return Reply{Outcome: "done", Finished: true, Pieces: pieces, Numbers: []int64{0, 1, 2}[:len(pieces)]}
+func reply(chunks ...string) Reply {
+	return Reply{Outcome: "done", Finished: true, Chunks: chunks, ChunkNumbers: []int64{0, 1, 2}[:len(chunks)]}
 }
 
 const second = time.Second
 
-var _ = DescribeTable("a planted violation is caught", func(rule Rule, plant func(*Ledger)) {
-	ledger := fresh()
-	plant(ledger)
+var _ = DescribeTable("a violation is detected", func(rule Rule, violate func(*Ledger)) {
+	ledger := newTestLedger()
+	violate(ledger)
 	ledger.Close(100 * second)
-	Expect(ledger.ByRule()).To(HaveKey(rule))
-	Expect(ledger.ByRule()).To(HaveLen(1), "and nothing else is blamed")
+	Expect(ledger.CountsByRule()).To(HaveKey(rule))
+	Expect(ledger.CountsByRule()).To(HaveLen(1), "no other rule is reported")
 },
-	Entry("a call that runs twice", Doubled, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "near", second)
-		ran(ledger, "a", "run-2", "near", 2*second)
-		ledger.Answered("a", 0, 3*second, Reply{Outcome: "unknown"})
-	}),
-	Entry("a call that nobody answers", LostSilently, func(ledger *Ledger) { sent(ledger, "a", 1) }),
-	Entry("a caller whose well node says nothing", LostSilently, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ledger.Answered("a", 0, 20*second, Reply{Outcome: Silence})
-	}),
-	Entry("a call told not run that ran before", FalseNotRun, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "near", second)
-		ledger.Answered("a", 0, 2*second, Reply{Outcome: "not_run"})
-	}),
-	Entry("a call told not run that runs later", FalseNotRun, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ledger.Answered("a", 0, 2*second, Reply{Outcome: "not_run"})
-		ran(ledger, "a", "run-1", "near", 3*second)
-	}),
-	Entry("a call told not run by the node that runs it later, for all that another try of it is unknown", FalseNotRun, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ledger.Answered("a", 0, 2*second, Reply{Outcome: "not_run"})
-		ledger.Sent("a", "short", "home", true, "other", false, 2*second, 10*second)
-		ledger.Answered("a", 1, 4*second, Reply{Outcome: "unknown"})
-		ran(ledger, "a", "run-1", "near", 3*second)
-	}),
-	Entry("a stream that skips a piece", BrokenStream, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "near", second)
-		ledger.Answered("a", 0, 2*second, reply(PieceOf("run-1", "a", 1)))
-	}),
-	Entry("a stream that repeats a piece", BrokenStream, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "near", second)
-		ledger.Answered("a", 0, 2*second, reply(PieceOf("run-1", "a", 0), PieceOf("run-1", "a", 0)))
-	}),
-	Entry("a stream that joins two runs", BrokenStream, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "near", second)
-		ledger.Answered("a", 0, 2*second, reply(PieceOf("run-1", "a", 0), PieceOf("run-9", "a", 1)))
-	}),
-	Entry("a stream that looks finished when it is not", BrokenStream, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "near", second)
-		ledger.Answered("a", 0, 2*second, reply(PieceOf("run-1", "a", 0)))
-	}),
-	Entry("another caller's answer", WrongAnswer, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		sent(ledger, "b", 1)
-		ran(ledger, "b", "run-1", "near", second)
-		ledger.Answered("a", 0, 2*second, Reply{Outcome: "interrupted", Pieces: []string{PieceOf("run-1", "b", 0)}, Numbers: []int64{0}})
-		ledger.Answered("b", 0, 2*second, Reply{Outcome: "interrupted"})
-	}),
-	Entry("a pick after the mark", LatePick, func(ledger *Ledger) {
-		ledger.Marked("near", second)
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "near", 7*second)
-		ledger.Answered("a", 0, 8*second, Reply{Outcome: "interrupted"})
-	}),
-	Entry("a pick in a drained zone", LateDrain, func(ledger *Ledger) {
-		ledger.Drained("zone-a", second)
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "near", 7*second)
-		ledger.Answered("a", 0, 8*second, Reply{Outcome: "interrupted"})
-	}),
-	Entry("a call that leaves its home", LeftHome, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "far", second)
-		ledger.Answered("a", 0, 2*second, Reply{Outcome: "interrupted"})
-	}),
-	Entry("a node that stays behind", LateManifest, func(ledger *Ledger) {
-		ledger.Accepted(2, "d", second)
-		ledger.Held("m01", 1, 6*second, 4*second)
-	}),
-	Entry("a node that slips back", LateManifest, func(ledger *Ledger) {
-		ledger.Held("m01", 3, second, 0)
-		ledger.Held("m01", 2, 2*second, 0)
-	}),
-	Entry("a revision that reads back altered", LostManifest, func(ledger *Ledger) {
-		ledger.Accepted(2, "d", second)
-		ledger.ReadBack(2, "e", 2*second)
+	Entry("a call that runs twice", DuplicateRun, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "near", second)
+		completeRun(ledger, "a", "run-2", "near", 2*second)
+		ledger.AttemptAnswered("a", 0, 3*second, Reply{Outcome: "unknown"})
+	}),
+	Entry("a call that is never answered", UnansweredCall, func(ledger *Ledger) { sendCall(ledger, "a", 1) }),
+	Entry("a client that gets no answer from a healthy node", UnansweredCall, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		ledger.AttemptAnswered("a", 0, 20*second, Reply{Outcome: OutcomeNoAnswer})
+	}),
+	Entry("a call reported as not run that ran before", FalseNotRun, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "near", second)
+		ledger.AttemptAnswered("a", 0, 2*second, Reply{Outcome: "not_run"})
+	}),
+	Entry("a call reported as not run that runs later", FalseNotRun, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		ledger.AttemptAnswered("a", 0, 2*second, Reply{Outcome: "not_run"})
+		completeRun(ledger, "a", "run-1", "near", 3*second)
+	}),
+	Entry("a call reported as not run by the node that runs it later, while an attempt at another node is unknown", FalseNotRun, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		ledger.AttemptAnswered("a", 0, 2*second, Reply{Outcome: "not_run"})
+		ledger.AttemptSent("a", "short", "home", true, "other", false, 2*second, 10*second)
+		ledger.AttemptAnswered("a", 1, 4*second, Reply{Outcome: "unknown"})
+		completeRun(ledger, "a", "run-1", "near", 3*second)
+	}),
+	Entry("a stream that skips a chunk", BrokenStream, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "near", second)
+		ledger.AttemptAnswered("a", 0, 2*second, reply(ChunkText("run-1", "a", 1)))
+	}),
+	Entry("a stream that repeats a chunk", BrokenStream, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "near", second)
+		ledger.AttemptAnswered("a", 0, 2*second, reply(ChunkText("run-1", "a", 0), ChunkText("run-1", "a", 0)))
+	}),
+	Entry("a stream with chunks of two runs", BrokenStream, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "near", second)
+		ledger.AttemptAnswered("a", 0, 2*second, reply(ChunkText("run-1", "a", 0), ChunkText("run-9", "a", 1)))
+	}),
+	Entry("an incomplete stream that is reported as finished", BrokenStream, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "near", second)
+		ledger.AttemptAnswered("a", 0, 2*second, reply(ChunkText("run-1", "a", 0)))
+	}),
+	Entry("the answer to another call", WrongAnswer, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		sendCall(ledger, "b", 1)
+		completeRun(ledger, "b", "run-1", "near", second)
+		ledger.AttemptAnswered("a", 0, 2*second, Reply{Outcome: "interrupted", Chunks: []string{ChunkText("run-1", "b", 0)}, ChunkNumbers: []int64{0}})
+		ledger.AttemptAnswered("b", 0, 2*second, Reply{Outcome: "interrupted"})
+	}),
+	Entry("a dispatch to a leaving server", DispatchWhileLeaving, func(ledger *Ledger) {
+		ledger.ServerLeaving("near", second)
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "near", 7*second)
+		ledger.AttemptAnswered("a", 0, 8*second, Reply{Outcome: "interrupted"})
+	}),
+	Entry("a dispatch to a drained zone", DispatchWhileDrained, func(ledger *Ledger) {
+		ledger.ZoneDrained("zone-a", second)
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "near", 7*second)
+		ledger.AttemptAnswered("a", 0, 8*second, Reply{Outcome: "interrupted"})
+	}),
+	Entry("a call that runs outside its home region", OutsideHomeRegion, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "far", second)
+		ledger.AttemptAnswered("a", 0, 2*second, Reply{Outcome: "interrupted"})
+	}),
+	Entry("a node that keeps an old manifest", StaleManifest, func(ledger *Ledger) {
+		ledger.ManifestAccepted(2, "d", second)
+		ledger.ManifestHeld("m01", 1, 6*second, 4*second)
+	}),
+	Entry("a node that goes back to an older manifest", StaleManifest, func(ledger *Ledger) {
+		ledger.ManifestHeld("m01", 3, second, 0)
+		ledger.ManifestHeld("m01", 2, 2*second, 0)
+	}),
+	Entry("a revision that reads back changed", LostManifest, func(ledger *Ledger) {
+		ledger.ManifestAccepted(2, "d", second)
+		ledger.ManifestRead(2, "e", 2*second)
 	}),
 	Entry("two writes under one revision", LostManifest, func(ledger *Ledger) {
-		ledger.Accepted(2, "d", second)
-		ledger.Accepted(2, "e", second)
-	}),
-	Entry("a cold server that is flooded", Flooded, func(ledger *Ledger) {
-		ledger.Cold("near", second)
-		for _, scoped := range []string{"a", "b", "c"} {
-			sent(ledger, scoped, 1)
-			ledger.Began(scoped, "run-"+scoped, "near", 2*second)
-			ledger.Answered(scoped, 0, 3*second, Reply{Outcome: "interrupted"})
+		ledger.ManifestAccepted(2, "d", second)
+		ledger.ManifestAccepted(2, "e", second)
+	}),
+	Entry("an overloaded cold server", ColdServerOverload, func(ledger *Ledger) {
+		ledger.ServerCold("near", second)
+		for _, key := range []string{"a", "b", "c"} {
+			sendCall(ledger, key, 1)
+			ledger.RunStarted(key, "run-"+key, "near", 2*second)
+			ledger.AttemptAnswered(key, 0, 3*second, Reply{Outcome: "interrupted"})
 		}
 	}),
-	Entry("repeats past their share", Repeats, func(ledger *Ledger) {
-		sent(ledger, "a", 1)
+	Entry("retries beyond the budget", ExcessRetries, func(ledger *Ledger) {
+		sendCall(ledger, "a", 1)
 		for range 12 {
-			ledger.Refused("a", 2*second)
+			ledger.CallRefused("a", 2*second)
 		}
-		ledger.Answered("a", 0, 3*second, Reply{Outcome: "unknown"})
+		ledger.AttemptAnswered("a", 0, 3*second, Reply{Outcome: "unknown"})
 	}),
-	Entry("a storm of repeats in a quiet day", Repeats, func(ledger *Ledger) {
+	Entry("a burst of retries in a long quiet run", ExcessRetries, func(ledger *Ledger) {
 		for index := range 1000 {
-			scoped := fmt.Sprint("call ", index)
-			sent(ledger, scoped, time.Duration(index)*second/2)
-			ledger.Answered(scoped, 0, time.Duration(index)*second/2, Reply{Outcome: "unknown"})
+			key := fmt.Sprint("call ", index)
+			sendCall(ledger, key, time.Duration(index)*second/2)
+			ledger.AttemptAnswered(key, 0, time.Duration(index)*second/2, Reply{Outcome: "unknown"})
 		}
 		for range 14 {
-			ledger.Refused("call 100", 60*second)
+			ledger.CallRefused("call 100", 60*second)
 		}
 	}),
-	Entry("a region that comes back late", LateReturn, func(ledger *Ledger) { ledger.Returned("home", second, 14*second) }),
+	Entry("a region that recovers too slowly", SlowRecovery, func(ledger *Ledger) { ledger.RegionRecovered("home", second, 14*second) }),
 )
 
 var _ = Describe("a clean run", func() {
-	It("is not blamed", func() {
-		ledger := fresh()
-		sent(ledger, "a", 1)
-		ran(ledger, "a", "run-1", "near", second)
-		ledger.Answered("a", 0, 2*second, reply(PieceOf("run-1", "a", 0), PieceOf("run-1", "a", 1)))
-		sent(ledger, "b", 1)
-		ledger.Answered("b", 0, 2*second, Reply{Outcome: "not_run"})
-		sent(ledger, "b", 3*second)
-		ran(ledger, "b", "run-2", "near", 4*second)
-		ledger.Answered("b", 1, 5*second, reply(PieceOf("run-2", "b", 0), PieceOf("run-2", "b", 1)))
+	It("has no violations", func() {
+		ledger := newTestLedger()
+		sendCall(ledger, "a", 1)
+		completeRun(ledger, "a", "run-1", "near", second)
+		ledger.AttemptAnswered("a", 0, 2*second, reply(ChunkText("run-1", "a", 0), ChunkText("run-1", "a", 1)))
+		sendCall(ledger, "b", 1)
+		ledger.AttemptAnswered("b", 0, 2*second, Reply{Outcome: "not_run"})
+		sendCall(ledger, "b", 3*second)
+		completeRun(ledger, "b", "run-2", "near", 4*second)
+		ledger.AttemptAnswered("b", 1, 5*second, reply(ChunkText("run-2", "b", 0), ChunkText("run-2", "b", 1)))
 		ledger.Close(100 * second)
-		Expect(ledger.Breaches()).To(BeEmpty())
+		Expect(ledger.Violations()).To(BeEmpty())
 	})
 })
--- a/ledger/repeats.go
+++ b/ledger/repeats.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// repeatWindow is short, so that a quiet day cannot hide a storm of repeats.
-const repeatWindow = 10 * time.Second
+// retryWindow is short, so that a long quiet period cannot hide a burst of retries.
+const retryWindow = 10 * time.Second
 
-// judgeRepeats wants, in every window, no more repeats of ours than the share of the calls that came in it, and what the nodes may
-// have saved up.
-func (ledger *Ledger) judgeRepeats() {
-	slices.Sort(ledger.extras)
-	slices.Sort(ledger.firsts)
-	if ledger.real > 0 {
-		ledger.Figures.RepeatPct = 100 * float64(len(ledger.extras)) / float64(ledger.real)
+// checkRetries requires that in every window the nodes retry no more than their share of the calls that arrived in it, plus the
+// burst that they may have saved up.
+func (ledger *Ledger) checkRetries() {
+	slices.Sort(ledger.retries)
+	slices.Sort(ledger.firstSends)
+	if ledger.callCount > 0 {
+		ledger.Stats.RepeatPct = 100 * float64(len(ledger.retries)) / float64(ledger.callCount)
 	}
-	blamed := false
-	for place, at := range ledger.extras {
-		before := func(moments []time.Duration, moment time.Duration) int {
-			found, _ := slices.BinarySearch(moments, moment)
+	reported := false
+	for index, at := range ledger.retries {
+		countBefore := func(times []time.Duration, limit time.Duration) int {
+			found, _ := slices.BinarySearch(times, limit)
 			return found
 		}
-		repeats := place + 1 - before(ledger.extras, at-repeatWindow)
-		calls := before(ledger.firsts, at+1) - before(ledger.firsts, at-repeatWindow)
-		allowed := float64(ledger.bounds.RepeatAtOnce) + float64(calls)*ledger.bounds.RepeatPct/100
-		ledger.Figures.Window = max(ledger.Figures.Window, float64(repeats)/allowed)
-		if float64(repeats) > allowed && !blamed {
-			blamed = true
-			ledger.breach(at, Repeats, "%d repeats for %d calls in %v", repeats, calls, repeatWindow)
+		retries := index + 1 - countBefore(ledger.retries, at-retryWindow)
+		calls := countBefore(ledger.firstSends, at+1) - countBefore(ledger.firstSends, at-retryWindow)
+		allowed := float64(ledger.bounds.RetryBurst) + float64(calls)*ledger.bounds.RetryPercent/100
+		ledger.Stats.Window = max(ledger.Stats.Window, float64(retries)/allowed)
+		if float64(retries) > allowed && !reported {
+			reported = true
+			ledger.addViolation(at, ExcessRetries, "%d retries for %d calls in %v", retries, calls, retryWindow)
 		}
 	}
 }
--- a/rig/callers.go
+++ b/rig/callers.go
@@ -175,7 +175,7 @@
 		return ledger.Reply{Outcome: "not_run"}, 0
 	}
 	began := time.Now()
-	index := rig.Ledger.Sent(visit.scoped, visit.kind.Class, visit.home, visit.kind.Class != "lookup", node.Settings.Name, node.Settings.Region != visit.home, rig.now(), time.Duration(visit.kind.DeadlineMs)*time.Millisecond)
+	index := rig.Ledger.AttemptSent(visit.scoped, visit.kind.Class, visit.home, visit.kind.Class != "lookup", node.Settings.Name, node.Settings.Region != visit.home, rig.now(), time.Duration(visit.kind.DeadlineMs)*time.Millisecond)
 	response, err := rig.client.Do(request)
 	reply, after := ledger.Reply{Outcome: "broken"}, time.Duration(0)
 	if err != nil && strings.Contains(err.Error(), "connection refused") {
@@ -186,7 +186,7 @@
 		reply.Status = response.StatusCode
 		visit.read(response, &reply, began, &after)
 	}
-	rig.Ledger.Answered(visit.scoped, index, rig.now(), reply)
+	rig.Ledger.AttemptAnswered(visit.scoped, index, rig.now(), reply)
 	return reply, after
 }
 
@@ -244,17 +244,17 @@
 		} `json:"choices"`
 	}
 	if json.Unmarshal([]byte(data), &chunk) != nil || len(chunk.Choices) != 1 {
-		reply.Pieces = append(reply.Pieces, "garbled")
+		reply.Chunks = append(reply.Chunks, "garbled")
 		return
 	}
 	if chunk.Choices[0].Finish != nil {
 		return
 	}
-	if reply.First == 0 {
-		reply.First = time.Since(began)
+	if reply.FirstChunkAfter == 0 {
+		reply.FirstChunkAfter = time.Since(began)
 	}
-	reply.Pieces = append(reply.Pieces, chunk.Choices[0].Delta.Content)
-	reply.Numbers = append(reply.Numbers, chunk.Number)
+	reply.Chunks = append(reply.Chunks, chunk.Choices[0].Delta.Content)
+	reply.ChunkNumbers = append(reply.ChunkNumbers, chunk.Number)
 }
 
 func (visit *visit) readWhole(response *http.Response, reply *ledger.Reply, began time.Time) {
@@ -262,7 +262,7 @@
 	if err != nil {
 		return
 	}
-	reply.First = time.Since(began)
+	reply.FirstChunkAfter = time.Since(began)
 	reply.Outcome, reply.Finished = "done", true
 	if visit.kind.Class == "lookup" {
 		return
@@ -277,7 +277,7 @@
 	if json.Unmarshal(content, &read) == nil && len(read.Choices) == 1 {
 		for _, piece := range strings.SplitAfter(read.Choices[0].Message.Content, ";") {
 			if piece != "" {
-				reply.Pieces = append(reply.Pieces, piece)
+				reply.Chunks = append(reply.Chunks, piece)
 			}
 		}
 	}
--- a/rig/mixed.go
+++ b/rig/mixed.go
@@ -62,13 +62,13 @@
 		}
 	}
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"call %s pieces %d wide %d"}]}`, route, key, stalledPieces, stalledWidth)
-	began, index := time.Now(), rig.Ledger.Sent(key, "stalled", node.Settings.Region, true, node.Settings.Name, false, rig.now(), stalledFor)
+	began, index := time.Now(), rig.Ledger.AttemptSent(key, "stalled", node.Settings.Region, true, node.Settings.Name, false, rig.now(), stalledFor)
 	if _, err = fmt.Fprintf(made, "POST /v1/chat/completions HTTP/1.1\r\nHost: node\r\nConnection: close\r\nContent-Type: application/json\r\nCedar-Route: %s\r\nCedar-Caller: desk\r\n"+
 		"Idempotency-Key: %s\r\nCedar-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", route, key, stalledFor.Milliseconds(), len(body), body); err != nil {
 		return err
 	}
 	time.Sleep(stalledFor + rig.bounds.Round()*2)
-	rig.Ledger.Answered(key, index, rig.now(), ledger.Reply{Outcome: "left"})
+	rig.Ledger.AttemptAnswered(key, index, rig.now(), ledger.Reply{Outcome: "left"})
 	_ = made.SetReadDeadline(time.Now().Add(stalledFor * 8))
 	left, err := io.ReadAll(bufio.NewReader(made))
 	if timeout, fine := err.(net.Error); fine && timeout.Timeout() {
--- a/rig/model.go
+++ b/rig/model.go
@@ -86,7 +86,7 @@
 	mux.HandleFunc("POST /calls/{call}/recall", server.recall)
 	server.web = &http.Server{Handler: mux}
 	go func() { _ = server.web.Serve(listener) }()
-	server.rig.Ledger.Cold(server.Row.Name, server.rig.now())
+	server.rig.Ledger.ServerCold(server.Row.Name, server.rig.now())
 	return nil
 }
 
@@ -208,7 +208,7 @@
 	}
 	mode := server.modeNow()
 	if mode == "refuse" || server.stranger(request) {
-		server.rig.Ledger.Refused(scoped, server.rig.now())
+		server.rig.Ledger.CallRefused(scoped, server.rig.now())
 		writer.Header().Set("Cedar-Not-Run", identity)
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -227,10 +227,10 @@
 		<-server.slots
 		server.change(-1, 0)
 	}()
-	server.rig.Ledger.Began(scoped, identity, server.Row.Name, server.rig.now())
+	server.rig.Ledger.RunStarted(scoped, identity, server.Row.Name, server.rig.now())
 	told := []string{}
 	if !pause(request, server.prefill(request.Header.Get("Cedar-Prefix"), len(body)/4)) {
-		server.rig.Ledger.Over(identity, told, false)
+		server.rig.Ledger.RunEnded(identity, told, false)
 		return
 	}
 	server.tell(writer, request, identity, scoped, pieces, wide, mode, read.Stream)
@@ -242,9 +242,9 @@
 		id = "another"
 	}
 	for place := range pieces {
-		piece := ledger.PieceOf(identity, scoped, place) + strings.Repeat("x", wide)
+		piece := ledger.ChunkText(identity, scoped, place) + strings.Repeat("x", wide)
 		if !pause(request, site.DecodeTimePerPiece) || mode == "cut" && place >= pieces/2 {
-			server.rig.Ledger.Over(identity, told, false)
+			server.rig.Ledger.RunEnded(identity, told, false)
 			panic(http.ErrAbortHandler)
 		}
 		told = append(told, piece)
@@ -253,13 +253,13 @@
 			chunk := map[string]any{"id": id, "number": place, "choices": []any{map[string]any{"delta": map[string]any{"content": piece}, "finish_reason": nil}}}
 			content, _ := json.Marshal(chunk)
 			if _, err := fmt.Fprintf(writer, "data: %s\n\n", content); err != nil {
-				server.rig.Ledger.Over(identity, told, false)
+				server.rig.Ledger.RunEnded(identity, told, false)
 				return
 			}
 			_ = http.NewResponseController(writer).Flush()
 		}
 	}
-	server.rig.Ledger.Over(identity, told, true)
+	server.rig.Ledger.RunEnded(identity, told, true)
 	if streamed {
 		_, _ = fmt.Fprintf(writer, "data: {\"id\":%q,\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", id)
 		return
@@ -277,16 +277,16 @@
 	defer server.change(-1, 0)
 	identity, key := request.Header.Get("Cedar-Call"), request.PathValue("key")
 	if server.stranger(request) {
-		server.rig.Ledger.Refused(key, server.rig.now())
+		server.rig.Ledger.CallRefused(key, server.rig.now())
 		writer.Header().Set("Cedar-Not-Run", identity)
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	server.rig.Ledger.Began(key, identity, server.Row.Name, server.rig.now())
+	server.rig.Ledger.RunStarted(key, identity, server.Row.Name, server.rig.now())
 	if !pause(request, site.LookupDuration) {
 		return
 	}
-	server.rig.Ledger.Over(identity, nil, true)
+	server.rig.Ledger.RunEnded(identity, nil, true)
 	_ = json.NewEncoder(writer).Encode(map[string]any{"id": identity, "key": key, "value": "free"})
 }
 
--- a/rig/operate.go
+++ b/rig/operate.go
@@ -38,7 +38,7 @@
 	}
 	_ = json.Unmarshal(content, &accepted)
 	if status == 200 || status == 202 {
-		rig.Ledger.Accepted(accepted.Revision, "", rig.now())
+		rig.Ledger.ManifestAccepted(accepted.Revision, "", rig.now())
 	}
 	if status >= 300 {
 		err = fmt.Errorf("%s %s: %d %s", method, path, status, strings.TrimSpace(string(content)))
--- a/rig/platform.go
+++ b/rig/platform.go
@@ -111,5 +111,5 @@
 	server.lock.Lock()
 	server.leaving, server.leavingMs = time.Now(), remaining.Milliseconds()
 	server.lock.Unlock()
-	platform.rig.Ledger.Marked(server.Row.Name, platform.rig.now())
+	platform.rig.Ledger.ServerLeaving(server.Row.Name, platform.rig.now())
 }
--- a/rig/play.go
+++ b/rig/play.go
@@ -106,8 +106,8 @@
 	close(stop)
 	<-watched
 	rig.Ledger.Close(rig.now())
-	plan.Say(fmt.Sprintf("seed %d story %s\n%s", plan.Seed, plan.Story, rig.Ledger.Figures.Text()))
-	breaches := rig.Ledger.Breaches()
+	plan.Say(fmt.Sprintf("seed %d story %s\n%s", plan.Seed, plan.Story, rig.Ledger.Stats.Summary()))
+	breaches := rig.Ledger.Violations()
 	for index, breach := range breaches {
 		if index < 20 {
 			plan.Say(fmt.Sprintf("BREACH %v at %v: %s", breach.Rule, breach.At.Round(time.Millisecond), breach.Detail))
@@ -183,9 +183,9 @@
 				behind[name] = one.at
 			}
 			if there && known {
-				rig.Ledger.Held(name+"-data", one.revision, one.at, one.at-since)
+				rig.Ledger.ManifestHeld(name+"-data", one.revision, one.at, one.at-since)
 			} else if there {
-				rig.Ledger.Held(name+"-data", one.revision, one.at, 0)
+				rig.Ledger.ManifestHeld(name+"-data", one.revision, one.at, 0)
 			}
 		}
 	}
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -66,13 +66,13 @@
 		return nil, err
 	}
 	rig := &Rig{Site: described, folder: folder, bin: bin, began: time.Now(), bounds: bounds, random: rand.New(rand.NewPCG(seed, 1)),
-		Ledger: ledger.New(ledger.Judging(bounds, read, len(described.Machines))), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+		Ledger: ledger.New(ledger.BoundsFor(bounds, read, len(described.Machines))), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		given: map[string]bool{}, looker: &http.Client{Timeout: lookTime, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 	if rig.Platform, err = newPlatform(rig); err != nil {
 		return nil, err
 	}
 	for _, row := range described.Servers {
-		rig.Ledger.Server(row.Name, row.Zone, row.Region, row.Slots)
+		rig.Ledger.AddServer(row.Name, row.Zone, row.Region, row.Slots)
 		server, err := newServer(rig, row)
 		if err != nil {
 			return nil, err
--- a/rig/soak.go
+++ b/rig/soak.go
@@ -180,7 +180,7 @@
 		node.Kill()
 	}
 	over()
-	soaked.rig.Ledger.Restarted(node.Machine.Name + "-data")
+	soaked.rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	failure := soaked.restart(node)
 	if !timely {
 		return errors.Join(failure, fmt.Errorf("%s did not end within %v of SIGTERM", node.Machine.Name, stopLimit))
@@ -212,7 +212,7 @@
 	over := soaked.noted(&soaked.troubles, node)
 	defer over()
 	node.Kill()
-	soaked.rig.Ledger.Restarted(node.Machine.Name + "-data")
+	soaked.rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	return soaked.restart(node)
 }
 
@@ -267,9 +267,9 @@
 	if failure := rig.insist("/v1/zones/" + zone + "/drain"); failure != nil {
 		return failure
 	}
-	rig.Ledger.Drained(zone, rig.now())
+	rig.Ledger.ZoneDrained(zone, rig.now())
 	time.Sleep(departureFor)
-	rig.Ledger.Undrained(zone, rig.now())
+	rig.Ledger.ZoneUndrained(zone, rig.now())
 	return rig.insist("/v1/zones/" + zone + "/undrain")
 }
 
--- a/rig/soak_check.go
+++ b/rig/soak_check.go
@@ -31,7 +31,7 @@
 		return rig.serves()
 	}), soaked.readBack(), rig.sound())
 	for _, lost := range soaked.lostAtStops() {
-		failures = append(failures, fmt.Errorf("call %s ran and got no answer while %s stopped as planned, sent at %v, ended at %v", lost.Call, lost.Node, lost.Sent, lost.Ended))
+		failures = append(failures, fmt.Errorf("call %s ran and got no answer while %s stopped as planned, sent at %v, ended at %v", lost.Call, lost.Node, lost.SentAt, lost.EndedAt))
 	}
 	soaked.plan.Say(fmt.Sprint(rig.Taken()))
 	for _, what := range manifest.SortedKeys(soaked.counts) {
@@ -52,9 +52,9 @@
 }
 
 // lostAtStops gives the calls that a server ran and that were cut while their machine stopped as planned and had no other trouble.
-func (soaked *soaking) lostAtStops() []ledger.Cut {
-	lost := []ledger.Cut{}
-	for _, cut := range soaked.rig.Ledger.Cuts() {
+func (soaked *soaking) lostAtStops() []ledger.LostRun {
+	lost := []ledger.LostRun{}
+	for _, cut := range soaked.rig.Ledger.LostRuns() {
 		if during(soaked.stops, cut, 0) && !during(soaked.troubles, cut, soaked.rig.bounds.Withdraw()) {
 			lost = append(lost, cut)
 		}
@@ -63,9 +63,9 @@
 }
 
 // during tells whether a call was under way while something was done to its machine, or so long after.
-func during(spans []span, cut ledger.Cut, after time.Duration) bool {
+func during(spans []span, cut ledger.LostRun, after time.Duration) bool {
 	for _, span := range spans {
-		if span.node == cut.Node && span.from <= cut.Ended && cut.Sent <= span.until+after {
+		if span.node == cut.Node && span.from <= cut.EndedAt && cut.SentAt <= span.until+after {
 			return true
 		}
 	}
--- a/rig/stories.go
+++ b/rig/stories.go
@@ -83,7 +83,7 @@
 func (rig *Rig) killSome(nodes []*Node, span time.Duration) error {
 	for _, node := range nodes {
 		node.Kill()
-		rig.Ledger.Restarted(node.Machine.Name + "-data")
+		rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	}
 	time.Sleep(span)
 	var errs []error
@@ -146,7 +146,7 @@
 	}
 	back := rig.now()
 	err := rig.Await("serving again", 2*rig.bounds.Return(), rig.serves)
-	rig.Ledger.Returned(region, back, rig.now())
+	rig.Ledger.RegionRecovered(region, back, rig.now())
 	return err
 }
 
@@ -207,9 +207,9 @@
 	if err := rig.insist("/v1/zones/" + zone + "/drain"); err != nil {
 		return err
 	}
-	rig.Ledger.Drained(zone, rig.now())
+	rig.Ledger.ZoneDrained(zone, rig.now())
 	time.Sleep(plan.part(0.5))
-	rig.Ledger.Undrained(zone, rig.now())
+	rig.Ledger.ZoneUndrained(zone, rig.now())
 	return rig.insist("/v1/zones/" + zone + "/undrain")
 }
 
@@ -264,7 +264,7 @@
 	if !node.Stop() {
 		return errors.New("a stop on SIGTERM did not end with exit code 0")
 	}
-	rig.Ledger.Restarted(node.Machine.Name + "-data")
+	rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	time.Sleep(plan.part(0.2))
 	return node.Start()
 }
@@ -303,7 +303,7 @@
 	time.Sleep(plan.part(0.2))
 	node := rig.where(func(node *Node) bool { return node.Machine.Core })[rig.draw(3)]
 	node.Kill()
-	rig.Ledger.Restarted(node.Machine.Name + "-data")
+	rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	if err := node.wipe(); err != nil {
 		return err
 	}
--- a/rig/troubles.go
+++ b/rig/troubles.go
@@ -62,7 +62,7 @@
 	}
 	time.Sleep(plan.part(0.1))
 	node.Kill()
-	rig.Ledger.Restarted(node.Machine.Name + "-data")
+	rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	if err := errors.Join(node.wipe(), os.Rename(copied, node.Settings.Folder), node.Start()); err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 	time.Sleep(plan.part(0.2))
 	node := rig.cores()[rig.draw(3)]
 	node.Kill()
-	rig.Ledger.Restarted(node.Machine.Name + "-data")
+	rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	entries, err := os.ReadDir(node.Settings.Folder)
 	if err != nil || len(entries) == 0 {
 		return errors.Join(err, errors.New("the folder has no files"))
@@ -158,7 +158,7 @@
 	server.lock.Lock()
 	server.leaving, server.leavingMs, server.unloaded = time.Time{}, 0, false
 	server.lock.Unlock()
-	platform.rig.Ledger.Unmarked(server.Row.Name)
+	platform.rig.Ledger.ServerStaying(server.Row.Name)
 	return server.start()
 }
 
@@ -187,11 +187,11 @@
 			go func() {
 				defer group.Done()
 				if verb == "undrain" {
-					rig.Ledger.Undrained(zone, rig.now())
+					rig.Ledger.ZoneUndrained(zone, rig.now())
 				}
 				_, _, errs[place] = rig.Write(rig.Nodes[place*3+turn], http.MethodPost, "/v1/zones/"+zone+"/"+verb, fmt.Sprintf("%s-%s-%d", verb, zone, rig.now()), nil)
 				if verb == "drain" && errs[place] == nil {
-					rig.Ledger.Drained(zone, rig.now())
+					rig.Ledger.ZoneDrained(zone, rig.now())
 				}
 			}()
 		}
--- a/stories/calls/calls_test.go
+++ b/stories/calls/calls_test.go
@@ -120,11 +120,11 @@
 		refused, worst := 0, time.Duration(0)
 		for _, class := range []string{"long", "short", "lookup"} {
 			refused += harness.Outcomes(played, class)["not_run"]
-			worst = max(worst, played.Ledger.Figures.Classes[class].Refused)
+			worst = max(worst, played.Ledger.Stats.Classes[class].Refused)
 		}
 		Expect(refused).To(BeNumerically(">", 100))
-		Expect(played.Ledger.Figures.Hasty).To(BeZero(), "every refusal says when to come back")
-		GinkgoWriter.Println("slowest refusal", worst, played.Ledger.Figures.Text())
+		Expect(played.Ledger.Stats.Hasty).To(BeZero(), "every refusal says when to come back")
+		GinkgoWriter.Println("slowest refusal", worst, played.Ledger.Stats.Summary())
 	})
 
 	It("is refused at its own home when its home is down, and never sent elsewhere", func() {
@@ -214,7 +214,7 @@
 			}
 			played.Run(25 * time.Second)
 			harness.NothingWrong(played)
-			GinkgoWriter.Println(played.Ledger.Figures.Text())
+			GinkgoWriter.Println(played.Ledger.Stats.Summary())
 		})
 	}
 })
--- a/stories/days/calm_test.go
+++ b/stories/days/calm_test.go
@@ -15,7 +15,7 @@
 			played.Traffic(30*time.Second, 1)
 			played.Run(30 * time.Second)
 			harness.NothingWrong(played)
-			GinkgoWriter.Println(played.Ledger.Figures.Text())
+			GinkgoWriter.Println(played.Ledger.Stats.Summary())
 			for _, class := range []string{"long", "short", "lookup"} {
 				Expect(harness.Outcomes(played, class)).To(HaveKey("done"))
 				Expect(harness.Outcomes(played, class)).To(HaveLen(1), "every call is done")
--- a/stories/days/planted_test.go
+++ b/stories/days/planted_test.go
@@ -45,7 +45,7 @@
 
 func found(played *fleet.Fleet, rule ledger.Rule) bool {
 	played.Close()
-	return played.Ledger.ByRule()[rule] > 0
+	return played.Ledger.CountsByRule()[rule] > 0
 }
 
 var _ = Describe("an excuse for ill nodes cannot hide a breach by one that is well", func() {
@@ -59,7 +59,7 @@
 		})
 		played.Traffic(10*time.Second, 0.5)
 		played.Run(10 * time.Second)
-		Expect(found(played, ledger.LostSilently)).To(BeTrue())
+		Expect(found(played, ledger.UnansweredCall)).To(BeTrue())
 	})
 
 	It("when it stays behind, with links of its own cut", func() {
@@ -72,7 +72,7 @@
 		})
 		Expect(harness.Patched(played, played.Machines[3], 1).Status).To(Equal(202))
 		played.Run(8 * time.Second)
-		Expect(found(played, ledger.LateManifest)).To(BeTrue())
+		Expect(found(played, ledger.StaleManifest)).To(BeTrue())
 	})
 })
 
--- a/stories/days/regions_test.go
+++ b/stories/days/regions_test.go
@@ -23,7 +23,7 @@
 				played.KillRegion(region, 6*time.Second)
 				played.Run(35 * time.Second)
 				harness.NothingWrong(played)
-				Expect(played.Ledger.Figures.Return).To(BeNumerically(">", 0), "the return was judged")
+				Expect(played.Ledger.Stats.Return).To(BeNumerically(">", 0), "the return was judged")
 			})
 		}
 
@@ -222,7 +222,7 @@
 	It("are the same day for the same seed", func() {
 		described := harness.SiteOf("brazos")
 		first, second := fleet.Day(described, 77, fleet.Usual(6, "")), fleet.Day(described, 77, fleet.Usual(6, ""))
-		Expect(first.Figures.Text()).To(Equal(second.Figures.Text()))
+		Expect(first.Figures.Summary()).To(Equal(second.Figures.Summary()))
 		Expect(first.Faults).To(Equal(second.Faults))
 	})
 })
--- a/stories/harness/harness.go
+++ b/stories/harness/harness.go
@@ -50,11 +50,11 @@
 			GinkgoWriter.Println(breach.Rule, breach.At, breach.Detail)
 		}
 	}
-	Expect(breaches).To(BeEmpty(), played.Ledger.Figures.Text())
+	Expect(breaches).To(BeEmpty(), played.Ledger.Stats.Summary())
 }
 
 func Outcomes(played *fleet.Fleet, class string) map[string]int {
-	known := played.Ledger.Figures.Classes[class]
+	known := played.Ledger.Stats.Classes[class]
 	if known == nil {
 		return map[string]int{}
 	}
--- a/stories/sight/sight_test.go
+++ b/stories/sight/sight_test.go
@@ -172,7 +172,7 @@
 				}
 				played.Run(22 * time.Second)
 				harness.NothingWrong(played)
-				Expect(played.Ledger.Figures.ColdShare).To(BeNumerically(">", 0))
+				Expect(played.Ledger.Stats.ColdShare).To(BeNumerically(">", 0))
 			}
 		})
 	}
--- a/stories/zones/ramp_test.go
+++ b/stories/zones/ramp_test.go
@@ -22,7 +22,7 @@
 			}
 			played.Run(30 * time.Second)
 			harness.NothingWrong(played)
-			Expect(played.Ledger.Figures.ColdShare).To(BeNumerically(">", 0), "cold servers were judged")
+			Expect(played.Ledger.Stats.ColdShare).To(BeNumerically(">", 0), "cold servers were judged")
 		})
 
 		It("is not flooded in "+name+" by callers who leave while it is still at their calls", func() {
@@ -38,7 +38,7 @@
 			}
 			played.Run(12 * time.Second)
 			harness.NothingWrong(played)
-			Expect(played.Ledger.Figures.ColdShare).To(BeNumerically(">", 0), "cold servers were judged")
+			Expect(played.Ledger.Stats.ColdShare).To(BeNumerically(">", 0), "cold servers were judged")
 		})
 
 		It("is not flooded in "+name+" when a node that serves it is cut off from its peers in the middle of its calls", func() {
--- a/stories/zones/retire_test.go
+++ b/stories/zones/retire_test.go
@@ -160,7 +160,7 @@
 				played.World.Heal()
 				played.World.After(20*time.Second, server.Replace)
 				harness.NothingWrong(played)
-				Expect(played.Ledger.Figures.LatePick).To(BeNumerically("<", 4*time.Second))
+				Expect(played.Ledger.Stats.LatePick).To(BeNumerically("<", 4*time.Second))
 			}
 		})
 	}
