--- a/control/regions.go
+++ b/control/regions.go
@@ -24,7 +24,7 @@
 }
 
 // tickShards updates the shards to the regions of the manifest. All of them share one read of the listing.
-func (controller *Controller) tickShards(now time.Duration, view shard.Seen) []contract.Command {
+func (controller *Controller) tickShards(now time.Duration, view shard.ClusterState) []contract.Command {
 	if controller.allRegions {
 		self := controller.Self()
 		for _, region := range manifest.SortedKeys(view.Manifest.Regions) {
@@ -90,7 +90,7 @@
 	if index > 0 {
 		region = manifest.SortedKeys(controller.standInShards)[index-1]
 	}
-	scoped := shard.ListingResult{Region: region, Began: result.Began, Error: result.Error, Listing: contract.Listing{Region: region}}
+	scoped := shard.ListingResult{Region: region, StartedAt: result.StartedAt, Error: result.Error, Listing: contract.Listing{Region: region}}
 	for _, server := range result.Listing.Servers {
 		if server.Region == region {
 			scoped.Listing.Servers = append(scoped.Listing.Servers, server)
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -105,7 +105,7 @@
 			simulation.messages[command.To] = append(simulation.messages[command.To], contract.Message{Kind: command.Kind, From: from.name, Body: content})
 		case shard.ReadPlatform:
 			simulation.listingReads++
-			simulation.messages[from.name] = append(simulation.messages[from.name], shard.ListingResult{Region: command.Region, Began: simulation.now, Listing: simulation.listing})
+			simulation.messages[from.name] = append(simulation.messages[from.name], shard.ListingResult{Region: command.Region, StartedAt: simulation.now, Listing: simulation.listing})
 		case gateway.Update:
 			listed, ok := command.Event.(gateway.ServersListed)
 			if !ok {
