--- a/cmd/cedarrig/explore.go
+++ b/cmd/cedarrig/explore.go
@@ -20,7 +20,7 @@
 		return true, nil
 	}
 	summary := modelcheck.Explore(modelcheck.Plan{Seed: args.Seed, Steps: walkSteps, Sizes: args.Members, Fault: modelcheck.Fault(args.PlantedFault),
-		States: args.ExploredStates, Within: time.Duration(args.Minutes) * time.Minute})
+		MaxStates: args.ExploredStates, TimeLimit: time.Duration(args.Minutes) * time.Minute})
 	fmt.Println(summary)
 	return summary.Broken == nil, nil
 }
@@ -30,8 +30,8 @@
 
 // enumerate checks the core in all traces of moves up to a depth, visiting each state once.
 func enumerate(args arguments) (bool, error) {
-	result := modelcheck.Enumerate(modelcheck.Search{Members: enumeratedMembers, Bounds: modelcheck.DefaultBounds(), Depth: args.EnumerateDepth, States: maxEnumeratedStates,
-		Within: time.Duration(args.Minutes) * time.Minute, Fault: modelcheck.Fault(args.PlantedFault)})
+	result := modelcheck.Enumerate(modelcheck.Search{Members: enumeratedMembers, Bounds: modelcheck.DefaultBounds(), MaxDepth: args.EnumerateDepth, MaxStates: maxEnumeratedStates,
+		TimeLimit: time.Duration(args.Minutes) * time.Minute, Fault: modelcheck.Fault(args.PlantedFault)})
 	fmt.Println(result)
 	return result.Violation == "", nil
 }
--- a/cmd/cedarrig/load.go
+++ b/cmd/cedarrig/load.go
@@ -18,12 +18,12 @@
 	}
 	clean := true
 	for _, name := range fleet.SceneNames() {
-		figures, prefixHits, prefixLookups, turns, sessionsKept, breaches := ledger.NewFigures(), 0, 0, 0, 0, 0
+		figures, prefixHits, prefixLookups, turns, sessionsKept, breaches := ledger.NewStats(), 0, 0, 0, 0, 0
 		for _, result := range runParallel(args, args.LoadSeeds, func(seed uint64) fleet.Loaded { return fleet.Load(deployment, seed, name) }) {
 			figures.Add(result.Figures)
 			prefixHits, prefixLookups, turns, sessionsKept, breaches = prefixHits+result.Hits, prefixLookups+result.Asked, turns+result.Turns, sessionsKept+result.Kept, breaches+len(result.Breaches)
 		}
-		fmt.Printf("%s: %d seeds from %d, prefixes held %d of %d, sessions kept %d of %d, breaches %d\n%s\n", name, args.LoadSeeds, args.Seed, prefixHits, prefixLookups, sessionsKept, turns, breaches, figures.Text())
+		fmt.Printf("%s: %d seeds from %d, prefixes held %d of %d, sessions kept %d of %d, breaches %d\n%s\n", name, args.LoadSeeds, args.Seed, prefixHits, prefixLookups, sessionsKept, turns, breaches, figures.Summary())
 		clean = clean && breaches == 0
 	}
 	return clean, nil
--- a/cmd/cedarrig/sweep.go
+++ b/cmd/cedarrig/sweep.go
@@ -23,12 +23,12 @@
 	Seed  uint64 `json:"seed"`
 	Clean bool   `json:"clean"`
 	// Ready says that the fleet came up, ServesAgain that it served after the faults.
-	Ready       bool            `json:"ready"`
-	ServesAgain bool            `json:"serves"`
-	Faults      []string        `json:"faults"`
-	Breaches    []ledger.Breach `json:"breaches,omitempty"`
+	Ready       bool               `json:"ready"`
+	ServesAgain bool               `json:"serves"`
+	Faults      []string           `json:"faults"`
+	Breaches    []ledger.Violation `json:"breaches,omitempty"`
 	// Worst holds the figures of the day, Outcomes the number of calls with each outcome.
-	Worst    ledger.Figures `json:"worst"`
+	Worst    ledger.Stats   `json:"worst"`
 	Outcomes map[string]int `json:"outcomes"`
 	// PrefixHits of PrefixLookups calls met a cached prefix, and SessionsKept of SessionTurns turns stayed with their session's server.
 	PrefixHits    int `json:"hits"`
@@ -94,7 +94,7 @@
 	}()
 	for round := range rounds {
 		if args.SweepDays == 1 {
-			fmt.Println(round.Figures.Text())
+			fmt.Println(round.Figures.Summary())
 		}
 		record := newDayRecord(round)
 		record.print(args)
@@ -150,13 +150,13 @@
 // printTotals prints the worst figures and the totals of all days and the deviations that the checker excused, and reports whether all days
 // were clean.
 func printTotals(args arguments, records []dayRecord) bool {
-	unclean, worst, total := 0, ledger.Figures{}, dayRecord{Outcomes: map[string]int{}}
+	unclean, worst, total := 0, ledger.Stats{}, dayRecord{Outcomes: map[string]int{}}
 	excuses := map[string]int{}
 	for _, record := range records {
 		if !record.Clean {
 			unclean++
 		}
-		worst.Worse(record.Worst)
+		worst.MergeMaxima(record.Worst)
 		total.PrefixHits, total.PrefixLookups = total.PrefixHits+record.PrefixHits, total.PrefixLookups+record.PrefixLookups
 		total.SessionTurns, total.SessionsKept = total.SessionTurns+record.SessionTurns, total.SessionsKept+record.SessionsKept
 		total.Records = max(total.Records, record.Records)
--- a/rig/callers.go
+++ b/rig/callers.go
@@ -193,7 +193,7 @@
 		return ledger.Reply{Outcome: "not_run"}, 0
 	}
 	began := time.Now()
-	index := rig.Ledger.Sent(call.key, call.kind.Class, call.home, call.kind.Class != "lookup", node.Settings.Name, node.Settings.Region != call.home, rig.now(), time.Duration(call.kind.DeadlineMs)*time.Millisecond)
+	index := rig.Ledger.AttemptSent(call.key, call.kind.Class, call.home, call.kind.Class != "lookup", node.Settings.Name, node.Settings.Region != call.home, rig.now(), time.Duration(call.kind.DeadlineMs)*time.Millisecond)
 	response, err := rig.client.Do(request)
 	reply, retryAfter := ledger.Reply{Outcome: "broken"}, time.Duration(0)
 	if err != nil && strings.Contains(err.Error(), "connection refused") {
@@ -204,7 +204,7 @@
 		reply.Status = response.StatusCode
 		call.readReply(response, &reply, began, &retryAfter)
 	}
-	rig.Ledger.Answered(call.key, index, rig.now(), reply)
+	rig.Ledger.AttemptAnswered(call.key, index, rig.now(), reply)
 	return reply, retryAfter
 }
 
@@ -265,17 +265,17 @@
 		} `json:"choices"`
 	}
 	if json.Unmarshal([]byte(data), &chunk) != nil || len(chunk.Choices) != 1 {
-		reply.Pieces = append(reply.Pieces, "garbled")
+		reply.Chunks = append(reply.Chunks, "garbled")
 		return
 	}
 	if chunk.Choices[0].Finish != nil {
 		return
 	}
-	if reply.First == 0 {
-		reply.First = time.Since(began)
+	if reply.FirstChunkAfter == 0 {
+		reply.FirstChunkAfter = time.Since(began)
 	}
-	reply.Pieces = append(reply.Pieces, chunk.Choices[0].Delta.Content)
-	reply.Numbers = append(reply.Numbers, chunk.Number)
+	reply.Chunks = append(reply.Chunks, chunk.Choices[0].Delta.Content)
+	reply.ChunkNumbers = append(reply.ChunkNumbers, chunk.Number)
 }
 
 // readUnary reads a lookup or an unstreamed chat, whose pieces end with semicolons.
@@ -284,7 +284,7 @@
 	if err != nil {
 		return
 	}
-	reply.First = time.Since(began)
+	reply.FirstChunkAfter = time.Since(began)
 	reply.Outcome, reply.Finished = "done", true
 	if call.kind.Class == "lookup" {
 		return
@@ -299,7 +299,7 @@
 	if json.Unmarshal(content, &parsed) == nil && len(parsed.Choices) == 1 {
 		for _, piece := range strings.SplitAfter(parsed.Choices[0].Message.Content, ";") {
 			if piece != "" {
-				reply.Pieces = append(reply.Pieces, piece)
+				reply.Chunks = append(reply.Chunks, piece)
 			}
 		}
 	}
--- a/rig/mixed.go
+++ b/rig/mixed.go
@@ -67,13 +67,13 @@
 		}
 	}
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"call %s pieces %d wide %d"}]}`, route, key, stalledReplyPieces, stalledPieceBytes)
-	began, index := time.Now(), rig.Ledger.Sent(key, "stalled", node.Settings.Region, true, node.Settings.Name, false, rig.now(), stalledDeadline)
+	began, index := time.Now(), rig.Ledger.AttemptSent(key, "stalled", node.Settings.Region, true, node.Settings.Name, false, rig.now(), stalledDeadline)
 	if _, err = fmt.Fprintf(connection, "POST /v1/chat/completions HTTP/1.1\r\nHost: node\r\nConnection: close\r\nContent-Type: application/json\r\nCedar-Route: %s\r\nCedar-Caller: desk\r\n"+
 		"Idempotency-Key: %s\r\nCedar-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s", route, key, stalledDeadline.Milliseconds(), len(body), body); err != nil {
 		return err
 	}
 	time.Sleep(stalledDeadline + rig.bounds.Round()*2)
-	rig.Ledger.Answered(key, index, rig.now(), ledger.Reply{Outcome: "left"})
+	rig.Ledger.AttemptAnswered(key, index, rig.now(), ledger.Reply{Outcome: "left"})
 	_ = connection.SetReadDeadline(time.Now().Add(stalledDeadline * 8))
 	remaining, err := io.ReadAll(bufio.NewReader(connection))
 	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
--- a/rig/model.go
+++ b/rig/model.go
@@ -101,7 +101,7 @@
 	mux.HandleFunc("POST /calls/{call}/recall", server.serveRecall)
 	server.httpServer = &http.Server{Handler: mux}
 	go func() { _ = server.httpServer.Serve(listener) }()
-	server.rig.Ledger.Cold(server.Spec.Name, server.rig.now())
+	server.rig.Ledger.ServerCold(server.Spec.Name, server.rig.now())
 	return nil
 }
 
@@ -230,7 +230,7 @@
 	}
 	mode := server.currentMode()
 	if mode == "refuse" || server.wrongIncarnation(request) {
-		server.rig.Ledger.Refused(key, server.rig.now())
+		server.rig.Ledger.CallRefused(key, server.rig.now())
 		writer.Header().Set("Cedar-Not-Run", callID)
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -249,10 +249,10 @@
 		<-server.slots
 		server.adjustLoad(-1, 0)
 	}()
-	server.rig.Ledger.Began(key, callID, server.Spec.Name, server.rig.now())
+	server.rig.Ledger.RunStarted(key, callID, server.Spec.Name, server.rig.now())
 	sentPieces := []string{}
 	if !sleepUnlessCancelled(request, server.prefillTime(request.Header.Get("Cedar-Prefix"), len(body)/4)) {
-		server.rig.Ledger.Over(callID, sentPieces, false)
+		server.rig.Ledger.RunEnded(callID, sentPieces, false)
 		return
 	}
 	server.writeReply(writer, request, callID, key, pieces, pieceWidth, mode, parsed.Stream)
@@ -265,9 +265,9 @@
 		replyID = "another"
 	}
 	for number := range pieces {
-		piece := ledger.PieceOf(callID, key, number) + strings.Repeat("x", pieceWidth)
+		piece := ledger.ChunkText(callID, key, number) + strings.Repeat("x", pieceWidth)
 		if !sleepUnlessCancelled(request, site.DecodeTimePerPiece) || mode == "cut" && number >= pieces/2 {
-			server.rig.Ledger.Over(callID, sentPieces, false)
+			server.rig.Ledger.RunEnded(callID, sentPieces, false)
 			panic(http.ErrAbortHandler)
 		}
 		sentPieces = append(sentPieces, piece)
@@ -276,13 +276,13 @@
 			chunk := map[string]any{"id": replyID, "number": number, "choices": []any{map[string]any{"delta": map[string]any{"content": piece}, "finish_reason": nil}}}
 			content, _ := json.Marshal(chunk)
 			if _, err := fmt.Fprintf(writer, "data: %s\n\n", content); err != nil {
-				server.rig.Ledger.Over(callID, sentPieces, false)
+				server.rig.Ledger.RunEnded(callID, sentPieces, false)
 				return
 			}
 			_ = http.NewResponseController(writer).Flush()
 		}
 	}
-	server.rig.Ledger.Over(callID, sentPieces, true)
+	server.rig.Ledger.RunEnded(callID, sentPieces, true)
 	if streamed {
 		_, _ = fmt.Fprintf(writer, "data: {\"id\":%q,\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", replyID)
 		return
@@ -301,16 +301,16 @@
 	defer server.adjustLoad(-1, 0)
 	callID, key := request.Header.Get("Cedar-Call"), request.PathValue("key")
 	if server.wrongIncarnation(request) {
-		server.rig.Ledger.Refused(key, server.rig.now())
+		server.rig.Ledger.CallRefused(key, server.rig.now())
 		writer.Header().Set("Cedar-Not-Run", callID)
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	server.rig.Ledger.Began(key, callID, server.Spec.Name, server.rig.now())
+	server.rig.Ledger.RunStarted(key, callID, server.Spec.Name, server.rig.now())
 	if !sleepUnlessCancelled(request, site.LookupDuration) {
 		return
 	}
-	server.rig.Ledger.Over(callID, nil, true)
+	server.rig.Ledger.RunEnded(callID, nil, true)
 	_ = json.NewEncoder(writer).Encode(map[string]any{"id": callID, "key": key, "value": "free"})
 }
 
--- a/rig/operate.go
+++ b/rig/operate.go
@@ -39,7 +39,7 @@
 	}
 	_ = json.Unmarshal(content, &result)
 	if status == 200 || status == 202 {
-		rig.Ledger.Accepted(result.Revision, "", rig.now())
+		rig.Ledger.ManifestAccepted(result.Revision, "", rig.now())
 	}
 	if status >= 300 {
 		err = fmt.Errorf("%s %s: %d %s", method, path, status, strings.TrimSpace(string(content)))
--- a/rig/platform.go
+++ b/rig/platform.go
@@ -121,5 +121,5 @@
 	server.lock.Lock()
 	server.leavingSince, server.leavingWindowMs = time.Now(), remaining.Milliseconds()
 	server.lock.Unlock()
-	platform.rig.Ledger.Marked(server.Spec.Name, platform.rig.now())
+	platform.rig.Ledger.ServerLeaving(server.Spec.Name, platform.rig.now())
 }
--- a/rig/play.go
+++ b/rig/play.go
@@ -120,8 +120,8 @@
 	close(stop)
 	<-watched
 	rig.Ledger.Close(rig.now())
-	plan.Log(fmt.Sprintf("seed %d story %s\n%s", plan.Seed, plan.Story, rig.Ledger.Figures.Text()))
-	breaches := rig.Ledger.Breaches()
+	plan.Log(fmt.Sprintf("seed %d story %s\n%s", plan.Seed, plan.Story, rig.Ledger.Stats.Summary()))
+	breaches := rig.Ledger.Violations()
 	for index, breach := range breaches {
 		if index < 20 {
 			plan.Log(fmt.Sprintf("BREACH %v at %v: %s", breach.Rule, breach.At.Round(time.Millisecond), breach.Detail))
@@ -199,9 +199,9 @@
 				behindSince[name] = sample.at
 			}
 			if found && known {
-				rig.Ledger.Held(name+"-data", sample.revision, sample.at, sample.at-since)
+				rig.Ledger.ManifestHeld(name+"-data", sample.revision, sample.at, sample.at-since)
 			} else if found {
-				rig.Ledger.Held(name+"-data", sample.revision, sample.at, 0)
+				rig.Ledger.ManifestHeld(name+"-data", sample.revision, sample.at, 0)
 			}
 		}
 	}
--- a/rig/rig.go
+++ b/rig/rig.go
@@ -80,13 +80,13 @@
 		return nil, err
 	}
 	rig := &Rig{Site: description, folder: folder, bin: bin, startedAt: time.Now(), bounds: bounds, random: rand.New(rand.NewPCG(seed, 1)),
-		Ledger: ledger.New(ledger.Judging(bounds, parsed, len(description.Machines))), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+		Ledger: ledger.New(ledger.BoundsFor(bounds, parsed, len(description.Machines))), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		usedAddresses: map[string]bool{}, metricsClient: &http.Client{Timeout: metricsTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 	if rig.Platform, err = newPlatform(rig); err != nil {
 		return nil, err
 	}
 	for _, spec := range description.Servers {
-		rig.Ledger.Server(spec.Name, spec.Zone, spec.Region, spec.Slots)
+		rig.Ledger.AddServer(spec.Name, spec.Zone, spec.Region, spec.Slots)
 		server, err := newServer(rig, spec)
 		if err != nil {
 			return nil, err
--- a/rig/soak.go
+++ b/rig/soak.go
@@ -191,7 +191,7 @@
 		node.Kill()
 	}
 	endSpan()
-	run.rig.Ledger.Restarted(node.Machine.Name + "-data")
+	run.rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	err := run.restartNode(node)
 	if !timely {
 		return errors.Join(err, fmt.Errorf("%s did not end within %v of SIGTERM", node.Machine.Name, stopTimeout))
@@ -223,7 +223,7 @@
 	endSpan := run.openSpan(&run.faults, node)
 	defer endSpan()
 	node.Kill()
-	run.rig.Ledger.Restarted(node.Machine.Name + "-data")
+	run.rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	return run.restartNode(node)
 }
 
@@ -280,9 +280,9 @@
 	if err := rig.writeUntilAccepted("/v1/zones/" + zone + "/drain"); err != nil {
 		return err
 	}
-	rig.Ledger.Drained(zone, rig.now())
+	rig.Ledger.ZoneDrained(zone, rig.now())
 	time.Sleep(departureWindow)
-	rig.Ledger.Undrained(zone, rig.now())
+	rig.Ledger.ZoneUndrained(zone, rig.now())
 	return rig.writeUntilAccepted("/v1/zones/" + zone + "/undrain")
 }
 
--- a/rig/soak_check.go
+++ b/rig/soak_check.go
@@ -32,7 +32,7 @@
 		return rig.isServing()
 	}), run.readBackNewestRevisions(), rig.checkProcesses())
 	for _, lost := range run.lostDuringStops() {
-		failures = append(failures, fmt.Errorf("call %s ran and got no answer while %s stopped as planned, sent at %v, ended at %v", lost.Call, lost.Node, lost.Sent, lost.Ended))
+		failures = append(failures, fmt.Errorf("call %s ran and got no answer while %s stopped as planned, sent at %v, ended at %v", lost.Call, lost.Node, lost.SentAt, lost.EndedAt))
 	}
 	run.plan.Log(fmt.Sprint(rig.ResourceUsage()))
 	for _, event := range manifest.SortedKeys(run.counts) {
@@ -55,9 +55,9 @@
 
 // lostDuringStops returns the calls that a server ran and that were broken off while their machine stopped gracefully without being killed or
 // frozen around that time.
-func (run *soakRun) lostDuringStops() []ledger.Cut {
-	lost := []ledger.Cut{}
-	for _, cut := range run.rig.Ledger.Cuts() {
+func (run *soakRun) lostDuringStops() []ledger.LostRun {
+	lost := []ledger.LostRun{}
+	for _, cut := range run.rig.Ledger.LostRuns() {
 		if overlapsAny(run.stops, cut, 0) && !overlapsAny(run.faults, cut, run.rig.bounds.Withdraw()) {
 			lost = append(lost, cut)
 		}
@@ -66,9 +66,9 @@
 }
 
 // overlapsAny reports whether a call was in progress during one of the spans of its machine, or within margin after it.
-func overlapsAny(spans []timeSpan, cut ledger.Cut, margin time.Duration) bool {
+func overlapsAny(spans []timeSpan, cut ledger.LostRun, margin time.Duration) bool {
 	for _, span := range spans {
-		if span.node == cut.Node && span.from <= cut.Ended && cut.Sent <= span.until+margin {
+		if span.node == cut.Node && span.from <= cut.EndedAt && cut.SentAt <= span.until+margin {
 			return true
 		}
 	}
--- a/rig/stories.go
+++ b/rig/stories.go
@@ -89,7 +89,7 @@
 func (rig *Rig) killNodes(nodes []*Node, span time.Duration) error {
 	for _, node := range nodes {
 		node.Kill()
-		rig.Ledger.Restarted(node.Machine.Name + "-data")
+		rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	}
 	time.Sleep(span)
 	var errs []error
@@ -158,7 +158,7 @@
 	}
 	restartedAt := rig.now()
 	err := rig.Await("serving again", 2*rig.bounds.Return(), rig.isServing)
-	rig.Ledger.Returned(region, restartedAt, rig.now())
+	rig.Ledger.RegionRecovered(region, restartedAt, rig.now())
 	return err
 }
 
@@ -226,9 +226,9 @@
 	if err := rig.writeUntilAccepted("/v1/zones/" + zone + "/drain"); err != nil {
 		return err
 	}
-	rig.Ledger.Drained(zone, rig.now())
+	rig.Ledger.ZoneDrained(zone, rig.now())
 	time.Sleep(plan.fraction(0.5))
-	rig.Ledger.Undrained(zone, rig.now())
+	rig.Ledger.ZoneUndrained(zone, rig.now())
 	return rig.writeUntilAccepted("/v1/zones/" + zone + "/undrain")
 }
 
@@ -287,7 +287,7 @@
 	if !node.Stop() {
 		return errors.New("a stop on SIGTERM did not end with exit code 0")
 	}
-	rig.Ledger.Restarted(node.Machine.Name + "-data")
+	rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	time.Sleep(plan.fraction(0.2))
 	return node.Start()
 }
@@ -327,7 +327,7 @@
 	time.Sleep(plan.fraction(0.2))
 	node := rig.nodesWhere(func(node *Node) bool { return node.Machine.Core })[rig.randomBelow(3)]
 	node.Kill()
-	rig.Ledger.Restarted(node.Machine.Name + "-data")
+	rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	if err := node.wipeData(); err != nil {
 		return err
 	}
--- a/rig/troubles.go
+++ b/rig/troubles.go
@@ -66,7 +66,7 @@
 	}
 	time.Sleep(plan.fraction(0.1))
 	node.Kill()
-	rig.Ledger.Restarted(node.Machine.Name + "-data")
+	rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	if err := errors.Join(node.wipeData(), os.Rename(backup, node.Settings.Folder), node.Start()); err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	time.Sleep(plan.fraction(0.2))
 	node := rig.coreNodes()[rig.randomBelow(3)]
 	node.Kill()
-	rig.Ledger.Restarted(node.Machine.Name + "-data")
+	rig.Ledger.NodeRestarted(node.Machine.Name + "-data")
 	entries, err := os.ReadDir(node.Settings.Folder)
 	if err != nil || len(entries) == 0 {
 		return errors.Join(err, errors.New("the folder has no files"))
@@ -163,7 +163,7 @@
 	server.lock.Lock()
 	server.leavingSince, server.leavingWindowMs, server.unloaded = time.Time{}, 0, false
 	server.lock.Unlock()
-	platform.rig.Ledger.Unmarked(server.Spec.Name)
+	platform.rig.Ledger.ServerStaying(server.Spec.Name)
 	return server.start()
 }
 
@@ -193,11 +193,11 @@
 			go func() {
 				defer group.Done()
 				if verb == "undrain" {
-					rig.Ledger.Undrained(zone, rig.now())
+					rig.Ledger.ZoneUndrained(zone, rig.now())
 				}
 				_, _, errs[index] = rig.Write(rig.Nodes[index*3+round], http.MethodPost, "/v1/zones/"+zone+"/"+verb, fmt.Sprintf("%s-%s-%d", verb, zone, rig.now()), nil)
 				if verb == "drain" && errs[index] == nil {
-					rig.Ledger.Drained(zone, rig.now())
+					rig.Ledger.ZoneDrained(zone, rig.now())
 				}
 			}()
 		}
