--- a/nodecheck/fault.go
+++ b/nodecheck/fault.go
@@ -9,79 +9,80 @@
 	"github.com/cedarreel/cedarreel/feed"
 )
 
-// Fault is a defect that is planted at the seams of the owners, to show that a walk would find one like it.
+// Fault is a defect injected at the boundary of the controllers (messages, answers, recovered state), to show that a walk would detect a
+// defect of that kind. Its text is the name that commands accept and print.
 type Fault string
 
 // The faults that can be planted.
 const (
 	NoFault Fault = ""
-	// FaultOperationForgotten takes away which operations made the versions of a folder, when a member starts.
+	// FaultOperationForgotten erases, when a member starts, which operations created the recovered versions.
 	FaultOperationForgotten Fault = "an operation is forgotten at a restart"
-	// FaultWrongChange alters changes on their way to nodes, with a digest that fits.
+	// FaultWrongChange alters changes in deliveries to nodes, with a matching digest.
 	FaultWrongChange Fault = "a change is applied to the wrong base at a node, and the digest is not compared"
-	// FaultWrongPass does the same to those that pass along the chain.
-	FaultWrongPass Fault = "a change is applied to the wrong base at a member, and the digest is not compared"
-	// FaultNoQuorum answers questions for a quorum though nobody was asked.
+	// FaultWrongReplicate does the same to changes replicated along the chain.
+	FaultWrongReplicate Fault = "a change is applied to the wrong base at a member, and the digest is not compared"
+	// FaultNoQuorum answers quorum checks in the name of members that were not asked.
 	FaultNoQuorum Fault = "a refusal or a read is given without the quorum"
-	// FaultToldEarly tells nodes of versions that are passed along the chain and not committed.
-	FaultToldEarly Fault = "a node is told a version before its commit"
-	// FaultFormerAnswer answers a read with the answer to a former one.
-	FaultFormerAnswer Fault = "an answer from before a change is given again"
-	// FaultAcknowledgedEarly has the head take its own word for the tail's.
-	FaultAcknowledgedEarly Fault = "an order is acknowledged before the chain has it"
+	// FaultEarlyDelivery delivers versions to nodes before they are committed.
+	FaultEarlyDelivery Fault = "a node is told a version before its commit"
+	// FaultStaleAnswer answers a read with the answer to an earlier one.
+	FaultStaleAnswer Fault = "an answer from before a change is given again"
+	// FaultEarlyAcknowledgement makes the sender of a version treat it as committed by the tail at once.
+	FaultEarlyAcknowledgement Fault = "an order is acknowledged before the chain has it"
 )
 
-// Faults are all that can be planted.
+// Faults returns all faults that can be planted.
 func Faults() []Fault {
-	return []Fault{FaultOperationForgotten, FaultWrongChange, FaultWrongPass, FaultNoQuorum, FaultToldEarly, FaultFormerAnswer, FaultAcknowledgedEarly}
+	return []Fault{FaultOperationForgotten, FaultWrongChange, FaultWrongReplicate, FaultNoQuorum, FaultEarlyDelivery, FaultStaleAnswer, FaultEarlyAcknowledgement}
 }
 
-// recovered changes what a member finds in its folder.
-func (fault Fault) recovered(found *chain.Recovered) {
+// recovered alters what a member recovers from its folder, for FaultOperationForgotten.
+func (fault Fault) recovered(recovered *chain.Recovered) {
 	if fault != FaultOperationForgotten {
 		return
 	}
-	for place := range found.Versions {
-		found.Versions[place].Operation = ""
+	for index := range recovered.Versions {
+		recovered.Versions[index].Operation = ""
 	}
-	found.PastOperations = nil
+	recovered.PastOperations = nil
 }
 
-// rewrite changes what a node sends, or adds to it.
-func (fault Fault) rewrite(world *world, sender *node, command contract.Send) any {
+// rewrite alters a message that a node sends, or schedules forged messages in addition, for the faults that show in messages.
+func (fault Fault) rewrite(simulation *simulation, sender *node, command contract.Send) any {
 	switch body := command.Body.(type) {
 	case feed.Delivery:
 		if fault == FaultWrongChange {
-			body.Records = world.altered(body.Records)
+			body.Records = simulation.withWrongChange(body.Records)
 		}
 		return body
 	case chain.Replicate:
 		switch fault {
-		case FaultWrongPass:
-			body.Records = world.altered(body.Records)
-		case FaultToldEarly:
-			world.tellEarly(sender, body)
-		case FaultAcknowledgedEarly:
-			world.acknowledgeEarly(sender, body)
+		case FaultWrongReplicate:
+			body.Records = simulation.withWrongChange(body.Records)
+		case FaultEarlyDelivery:
+			simulation.deliverEarly(sender, body)
+		case FaultEarlyAcknowledgement:
+			simulation.confirmEarly(sender, body)
 		}
 		return body
 	case chain.ViewCheck:
 		if fault == FaultNoQuorum && !body.Current {
-			world.vouchFor(sender, body)
+			simulation.forgeViewChecks(sender, body)
 		}
 	}
 	return command.Body
 }
 
-// altered gives records of which one lacks a part of its change, with the digest of what it makes then: as if it were put on another base
-// and no digest were compared.
-func (world *world) altered(records []contract.Record) []contract.Record {
+// withWrongChange returns records whose changes lack a part, with the digest of the resulting content: as if a change had been applied to
+// the wrong base and no digest compared.
+func (simulation *simulation) withWrongChange(records []contract.Record) []contract.Record {
 	changed := []contract.Record{}
 	for _, record := range records {
 		if record.Base != nil && len(record.Change.Set) > 1 {
-			if base, there := world.judge.versions[*record.Base]; there {
-				change := without(*record.Change)
-				record.Change, record.Digest = &change, base.Next(record.Position, record.Operation, change).Digest
+			if base, found := simulation.checker.versions[*record.Base]; found {
+				altered := withoutOnePart(*record.Change)
+				record.Change, record.Digest = &altered, base.Next(record.Position, record.Operation, altered).Digest
 			}
 		}
 		changed = append(changed, record)
@@ -89,57 +90,57 @@
 	return changed
 }
 
-// without gives a change that lacks a part, but for the revision.
-func without(change document.Change) document.Change {
-	left, skipped := document.Change{Remove: change.Remove}, false
+// withoutOnePart returns the change without one of its parts; the revision is always kept.
+func withoutOnePart(change document.Change) document.Change {
+	kept, skipped := document.Change{Remove: change.Remove}, false
 	for pointer, value := range change.Set {
 		if !skipped && pointer != "/gateway/revision" {
 			skipped = true
 			continue
 		}
-		left.SetPart(pointer, string(value))
+		kept.SetPart(pointer, string(value))
 	}
-	return left
+	return kept
 }
 
-// tellEarly tells a node without a folder of versions that are still under way along the chain.
-func (world *world) tellEarly(sender *node, pass chain.Replicate) {
-	if len(pass.Records) == 0 {
+// deliverEarly delivers versions that are still being replicated to the nodes outside the core.
+func (simulation *simulation) deliverEarly(sender *node, replicate chain.Replicate) {
+	if len(replicate.Records) == 0 {
 		return
 	}
-	body, failure := json.Marshal(feed.Delivery{Records: pass.Records})
-	if failure != nil {
-		panic(failure)
+	body, err := json.Marshal(feed.Delivery{Records: replicate.Records})
+	if err != nil {
+		panic(err)
 	}
-	for _, target := range world.nodes {
-		if !target.core() {
-			world.carry(sender.address, target.address, func() { target.handle(target.life, contract.Message{Kind: feed.MessageDelivery, Body: body}) })
+	for _, target := range simulation.nodes {
+		if !target.isCore() {
+			simulation.transmit(sender.address, target.address, func() { target.handle(target.incarnation, contract.Message{Kind: feed.MessageDelivery, Body: body}) })
 		}
 	}
 }
 
-// acknowledgeEarly has a sender hear that the whole chain has what it passes.
-func (world *world) acknowledgeEarly(sender *node, pass chain.Replicate) {
-	if len(pass.Records) == 0 {
+// confirmEarly sends the sender a commit notice for what it is still replicating.
+func (simulation *simulation) confirmEarly(sender *node, replicate chain.Replicate) {
+	if len(replicate.Records) == 0 {
 		return
 	}
-	body, failure := json.Marshal(chain.CommitNotice{View: pass.View, Position: pass.Records[len(pass.Records)-1].Position})
-	if failure != nil {
-		panic(failure)
+	body, err := json.Marshal(chain.CommitNotice{View: replicate.View, Position: replicate.Records[len(replicate.Records)-1].Position})
+	if err != nil {
+		panic(err)
 	}
-	life := sender.life
-	world.after(0, func() { sender.handle(life, contract.Message{Kind: chain.MessageCommitNotice, Body: body}) })
+	incarnation := sender.incarnation
+	simulation.schedule(0, func() { sender.handle(incarnation, contract.Message{Kind: chain.MessageCommitNotice, Body: body}) })
 }
 
-// vouchFor answers a question for a quorum in the name of a member that was not asked.
-func (world *world) vouchFor(sender *node, check chain.ViewCheck) {
-	life := sender.life
-	for _, member := range sender.owner.Feed.View().Core {
+// forgeViewChecks answers a quorum check in the name of every core member without asking them.
+func (simulation *simulation) forgeViewChecks(sender *node, check chain.ViewCheck) {
+	incarnation := sender.incarnation
+	for _, member := range sender.controller.Feed.View().Core {
 		check.Current, check.Responder = true, member
-		body, failure := json.Marshal(check)
-		if failure != nil {
-			panic(failure)
+		body, err := json.Marshal(check)
+		if err != nil {
+			panic(err)
 		}
-		world.after(0, func() { sender.handle(life, contract.Message{Kind: chain.MessageViewCheckReply, Body: body}) })
+		simulation.schedule(0, func() { sender.handle(incarnation, contract.Message{Kind: chain.MessageViewCheckReply, Body: body}) })
 	}
 }
--- a/nodecheck/judge.go
+++ b/nodecheck/judge.go
@@ -11,191 +11,194 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// judge checks what operators were told against what they ordered.
-type judge struct {
-	world     *world
-	violation string
-	// orders are all orders of a configuration by their operations; contents are what was read under a revision.
+// checker checks the answers that operators receive against what they ordered.
+type checker struct {
+	simulation *simulation
+	violation  string
+	// orders holds all configuration orders by operation; contents maps revisions to what was read under them.
 	orders   map[string]*order
 	contents map[int64]string
-	// acked are the acknowledged orders of a configuration by the revision that they build on; refused the refused ones.
-	acked   map[int64]*order
-	refused map[string]*order
-	ended   map[string]bool
-	newest  int64
-	// drained is what was last acknowledged of a zone, and since when; a zone with orders that are not answered is not judged.
-	drained map[string]bool
-	settled map[string]time.Duration
-	open    map[string]int
-	// overlap tells that orders of a zone were under way at the same time, so that nobody knows which came last.
-	overlap map[string]bool
-	// unclear is when a zone last had an order of which a try may still be under way.
-	unclear map[string]time.Duration
-	// digests are those of the versions that were in force at some node, by place.
+	// acked holds acknowledged configuration orders by base revision; refused and finished are keyed by operation.
+	acked       map[int64]*order
+	refused     map[string]*order
+	finished    map[string]bool
+	newestAcked int64
+	// drainAcknowledged is the last acknowledged drain state of a zone, settledSince the time of that acknowledgement, and openOrders the
+	// number of unanswered orders; a zone with open orders is not checked.
+	drainAcknowledged map[string]bool
+	settledSince      map[string]time.Duration
+	openOrders        map[string]int
+	// overlapping marks zones whose orders ran concurrently, so that it is unknown which one was applied last.
+	overlapping map[string]bool
+	// uncertainSince is when a zone last had an order of which an attempt may still be executed later.
+	uncertainSince map[string]time.Duration
+	// digests are those of the versions that any node has applied, by position.
 	digests map[contract.Position]string
-	// versions are those themselves, for faults that are made of them.
+	// versions are the applied versions themselves, from which faults are forged.
 	versions map[contract.Position]contract.Version
 	history  []porcupine.Operation
 }
 
-func newJudge(world *world) *judge {
-	return &judge{world: world, orders: map[string]*order{}, contents: map[int64]string{}, acked: map[int64]*order{}, refused: map[string]*order{}, ended: map[string]bool{},
-		drained: map[string]bool{}, settled: map[string]time.Duration{}, open: map[string]int{}, overlap: map[string]bool{}, unclear: map[string]time.Duration{}, digests: map[contract.Position]string{}, versions: map[contract.Position]contract.Version{}}
+func newChecker(simulation *simulation) *checker {
+	return &checker{simulation: simulation, orders: map[string]*order{}, contents: map[int64]string{}, acked: map[int64]*order{}, refused: map[string]*order{}, finished: map[string]bool{},
+		drainAcknowledged: map[string]bool{}, settledSince: map[string]time.Duration{}, openOrders: map[string]int{}, overlapping: map[string]bool{}, uncertainSince: map[string]time.Duration{}, digests: map[contract.Position]string{}, versions: map[contract.Position]contract.Version{}}
 }
 
-func (judge *judge) fail(format string, details ...any) {
-	if judge.violation == "" {
-		judge.violation = fmt.Sprintf("at %v: ", judge.world.now) + fmt.Sprintf(format, details...)
+func (checker *checker) fail(format string, args ...any) {
+	if checker.violation == "" {
+		checker.violation = fmt.Sprintf("at %v: ", checker.simulation.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (judge *judge) sent(order *order) {
+func (checker *checker) recordSent(order *order) {
 	if order.zone != "" {
-		judge.open[order.zone]++
-		judge.overlap[order.zone] = judge.overlap[order.zone] || judge.open[order.zone] > 1
+		checker.openOrders[order.zone]++
+		checker.overlapping[order.zone] = checker.overlapping[order.zone] || checker.openOrders[order.zone] > 1
 		return
 	}
-	judge.orders[order.ask.Operation] = order
+	checker.orders[order.request.Operation] = order
 }
 
-// answered takes up a clear answer; status 0 is none.
-func (judge *judge) answered(order *order, status int) {
-	done := status == statusDone || status == statusPartly
+// checkAnswer records and checks the final status of an order; 0 means that there was no definite answer.
+func (checker *checker) checkAnswer(order *order, status int) {
+	done := status == statusOK || status == statusAccepted
 	if order.zone != "" {
-		judge.answeredDrain(order, done)
+		checker.recordDrainAnswer(order, done)
 		return
 	}
-	key := order.ask.Operation
-	if order.again {
+	key := order.request.Operation
+	if order.resent {
 		if status != 0 && !done {
-			judge.fail("order %s was acknowledged and, sent again, refused with %d", key, status)
+			checker.fail("order %s was acknowledged and, sent again, refused with %d", key, status)
 		}
 		return
 	}
-	judge.ended[key] = true
+	checker.finished[key] = true
 	switch {
 	case status == 0:
-		judge.unknown(order)
+		checker.recordUnknown(order)
 	case !done:
-		judge.refused[key] = order
+		checker.refused[key] = order
 	default:
-		if other, there := judge.acked[order.base]; there {
-			judge.fail("orders %s and %s both build on revision %d and are both acknowledged", other.ask.Operation, key, order.base)
+		if other, found := checker.acked[order.baseRevision]; found {
+			checker.fail("orders %s and %s have the same base revision %d and are both acknowledged", other.request.Operation, key, order.baseRevision)
 		}
-		judge.acked[order.base] = order
-		judge.newest = max(judge.newest, order.revision)
-		judge.history = append(judge.history, porcupine.Operation{ClientId: len(judge.history), Input: input{order: order}, Output: output{}, Call: int64(order.sent), Return: int64(judge.world.now)})
+		checker.acked[order.baseRevision] = order
+		checker.newestAcked = max(checker.newestAcked, order.revision)
+		checker.history = append(checker.history, porcupine.Operation{ClientId: len(checker.history), Input: input{order: order}, Output: output{}, Call: int64(order.sentAt), Return: int64(checker.simulation.now)})
 	}
 }
 
-// longestUnclear is how long a try of an order may still be carried out after its operator has given it up, as by a node that was frozen.
-const longestUnclear = 10 * time.Second
+// maxUncertainty is how long an attempt may still be executed after its operator has given up, for example by a node that was frozen.
+const maxUncertainty = 10 * time.Second
 
-// unknown notes an order of which it is not known whether it was carried out, or will be.
-func (judge *judge) unknown(order *order) {
-	judge.history = append(judge.history, porcupine.Operation{ClientId: len(judge.history), Input: input{order: order}, Output: output{unknown: true}, Call: int64(order.sent), Return: math.MaxInt64})
+// recordUnknown records an order that may or may not be executed, at any later time.
+func (checker *checker) recordUnknown(order *order) {
+	checker.history = append(checker.history, porcupine.Operation{ClientId: len(checker.history), Input: input{order: order}, Output: output{unknown: true}, Call: int64(order.sentAt), Return: math.MaxInt64})
 }
 
-func (judge *judge) answeredDrain(order *order, done bool) {
-	judge.open[order.zone]--
-	if !done || order.tries > 1 {
-		judge.unclear[order.zone] = judge.world.now
+func (checker *checker) recordDrainAnswer(order *order, done bool) {
+	checker.openOrders[order.zone]--
+	if !done || order.attempts > 1 {
+		checker.uncertainSince[order.zone] = checker.simulation.now
 	}
-	since, unclear := judge.unclear[order.zone]
-	if overlap := judge.overlap[order.zone]; overlap || unclear && judge.world.now-since < longestUnclear {
-		judge.overlap[order.zone] = judge.open[order.zone] > 0
-		delete(judge.settled, order.zone)
+	since, uncertain := checker.uncertainSince[order.zone]
+	if overlap := checker.overlapping[order.zone]; overlap || uncertain && checker.simulation.now-since < maxUncertainty {
+		checker.overlapping[order.zone] = checker.openOrders[order.zone] > 0
+		delete(checker.settledSince, order.zone)
 		return
 	}
-	judge.drained[order.zone], judge.settled[order.zone] = order.ask.Verb == contract.VerbDrain, judge.world.now
+	checker.drainAcknowledged[order.zone], checker.settledSince[order.zone] = order.request.Verb == contract.VerbDrain, checker.simulation.now
 }
 
-// read checks a configuration that was read; began is when the question was put.
-func (judge *judge) read(began time.Duration, content *document.Document) {
+// checkRead checks a configuration that was read; startedAt is when the request was sent.
+func (checker *checker) checkRead(startedAt time.Duration, content *document.Document) {
 	revision, text := manifest.GatewayRevision(content), gatewayOf(content)
-	if former, there := judge.contents[revision]; there && former != text {
-		judge.fail("revision %d was read with another content than before", revision)
+	if previous, found := checker.contents[revision]; found && previous != text {
+		checker.fail("revision %d was read with another content than before", revision)
 	}
-	if _, there := judge.contents[revision]; !there {
-		judge.belongs(revision, text)
+	if _, found := checker.contents[revision]; !found {
+		checker.checkContent(revision, text)
 	}
-	judge.contents[revision] = text
-	judge.history = append(judge.history, porcupine.Operation{ClientId: len(judge.history), Input: input{}, Output: output{revision: revision}, Call: int64(began), Return: int64(judge.world.now)})
-	for zone, since := range judge.settled {
-		if judge.open[zone] > 0 || since > began {
+	checker.contents[revision] = text
+	checker.history = append(checker.history, porcupine.Operation{ClientId: len(checker.history), Input: input{}, Output: output{revision: revision}, Call: int64(startedAt), Return: int64(checker.simulation.now)})
+	for zone, since := range checker.settledSince {
+		if checker.openOrders[zone] > 0 || since > startedAt {
 			continue
 		}
-		if value, _ := content.Part(document.Pointer("zones", zone, "drained")); (value == "true") != judge.drained[zone] {
-			judge.fail("zone %s: drained %v was acknowledged and %q read", zone, judge.drained[zone], value)
+		if value, _ := content.Part(document.Pointer("zones", zone, "drained")); (value == "true") != checker.drainAcknowledged[zone] {
+			checker.fail("zone %s: drained %v was acknowledged and %q read", zone, checker.drainAcknowledged[zone], value)
 		}
 	}
 }
 
-// belongs wants a content to be what one order of its revision makes, and that order not to have been refused.
-func (judge *judge) belongs(revision int64, text string) {
+// checkContent checks that a content is the result of an order of that revision which was not refused.
+func (checker *checker) checkContent(revision int64, text string) {
 	if revision <= firstRevision {
 		return
 	}
-	for key, order := range judge.orders {
+	for key, order := range checker.orders {
 		if order.revision != revision || order.content != text {
 			continue
 		}
-		if _, refused := judge.refused[key]; !refused {
+		if _, refused := checker.refused[key]; !refused {
 			return
 		}
 	}
-	judge.fail("revision %d is in force as no order made it, or as a refused one did", revision)
+	checker.fail("revision %d was read with a content that no order produces, or only a refused one", revision)
 }
 
-// inForce checks that a place is one version for ever, at every node.
-func (judge *judge) inForce(node string, version contract.Version) {
-	if former, there := judge.digests[version.Position]; there && former != version.Digest || version.Content.Digest() != version.Digest {
-		judge.fail("%s has %v in force as another version than others", node, version.Position)
+// checkApplied checks that all nodes apply the same version at a position.
+func (checker *checker) checkApplied(node string, version contract.Version) {
+	if previous, found := checker.digests[version.Position]; found && previous != version.Digest || version.Content.Digest() != version.Digest {
+		checker.fail("%s applied %v as another version than other nodes", node, version.Position)
 	}
-	judge.digests[version.Position], judge.versions[version.Position] = version.Digest, version
+	checker.digests[version.Position], checker.versions[version.Position] = version.Digest, version
 }
 
-// kept checks that what was in force anywhere is what the core keeps under its revision, as far back as it keeps versions.
-func (judge *judge) kept(node *node) {
-	newest := node.owner.Feed.Version().Position.Revision
+// checkRetained checks that every version that any node applied is the one that the core node retains under that revision, as far back as
+// it retains versions.
+func (checker *checker) checkRetained(node *node) {
+	newest := node.controller.Feed.Version().Position.Revision
 	oldest := newest
-	for revision := newest; revision > newest-historyKept; revision-- {
-		if _, there := node.owner.CommittedVersion(revision); there {
+	for revision := newest; revision > newest-historyLength; revision-- {
+		if _, found := node.controller.CommittedVersion(revision); found {
 			oldest = revision
 		}
 	}
-	for place, digest := range judge.digests {
-		version, _ := node.owner.CommittedVersion(place.Revision)
-		if place.Revision >= oldest && place.Revision <= newest && (version.Position != place || version.Digest != digest) {
-			judge.fail("%v was in force at some node and %s keeps %v under that revision", place, node.name, version.Position)
+	for index, digest := range checker.digests {
+		version, _ := node.controller.CommittedVersion(index.Revision)
+		if index.Revision >= oldest && index.Revision <= newest && (version.Position != index || version.Digest != digest) {
+			checker.fail("%v was applied by some node and %s retains %v under that revision", index, node.name, version.Position)
 		}
 	}
 }
 
-// input of an operation in the history: an order, or a read.
+// input describes an operation in the history: an order, or a read if order is nil.
 type input struct{ order *order }
 
-// output of one: the revision that was read, or that the order's end is not known.
+// output is the revision that was read, or that the outcome of an order is unknown.
 type output struct {
 	revision int64
 	unknown  bool
 }
 
-// configuration is a register whose writes succeed on their base alone; one whose end is not known may have been carried out or not.
-var configuration = porcupine.NondeterministicModel{
+// configurationModel is the linearizability model: a compare-and-set register whose writes succeed only on their base revision. A write with
+// an unknown outcome may have been applied or not.
+var configurationModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{firstRevision} },
 	Step: func(state, in, out any) []any {
-		current, asked, given := state.(int64), in.(input), out.(output)
+		current, operation, answer := state.(int64), in.(input), out.(output)
 		switch {
-		case asked.order == nil && given.revision == current:
+		case operation.order == nil && answer.revision == current:
 			return []any{current}
-		case asked.order == nil:
+		case operation.order == nil:
 			return nil
-		case asked.order.base == current && given.unknown:
-			return []any{current, asked.order.revision}
-		case asked.order.base == current:
-			return []any{asked.order.revision}
-		case given.unknown:
+		case operation.order.baseRevision == current && answer.unknown:
+			return []any{current, operation.order.revision}
+		case operation.order.baseRevision == current:
+			return []any{operation.order.revision}
+		case answer.unknown:
 			return []any{current}
 		}
 		return nil
@@ -203,17 +206,17 @@
 	Equal: func(left, right any) bool { return left == right },
 }
 
-// checkTime bounds the search for an order of operations that explains a history.
-const checkTime = time.Minute
+// linearizabilityTimeout bounds the search for a linearization of a history; a timeout counts as a pass.
+const linearizabilityTimeout = time.Minute
 
-// linearizable checks the whole history; orders that are still under way may have been carried out or not.
-func (judge *judge) linearizable() {
-	for key, order := range judge.orders {
-		if !judge.ended[key] {
-			judge.unknown(order)
+// checkLinearizable checks the whole history; orders without an answer may have been applied or not.
+func (checker *checker) checkLinearizable() {
+	for key, order := range checker.orders {
+		if !checker.finished[key] {
+			checker.recordUnknown(order)
 		}
 	}
-	if judge.violation == "" && porcupine.CheckOperationsTimeout(configuration.ToModel(), judge.history, checkTime) == porcupine.Illegal {
-		judge.fail("the history of %d orders and reads is not linearizable", len(judge.history))
+	if checker.violation == "" && porcupine.CheckOperationsTimeout(configurationModel.ToModel(), checker.history, linearizabilityTimeout) == porcupine.Illegal {
+		checker.fail("the history of %d orders and reads is not linearizable", len(checker.history))
 	}
 }
--- a/nodecheck/node.go
+++ b/nodecheck/node.go
@@ -18,209 +18,212 @@
 
 const (
 	coreSize = 3
-	// historyKept and historyBytes are small, so that versions are dropped while orders are still sent again.
-	historyKept  = 24
-	historyBytes = 6 << 10
-	slowestDisk  = 8 * time.Millisecond
+	// historyLength (versions) and historyBytes are small, so that versions are discarded while orders are still being retried.
+	historyLength  = 24
+	historyBytes   = 6 << 10
+	maxDiskLatency = 8 * time.Millisecond
 )
 
-// node is a machine with a control process; one of the core has a disk.
+// node is a machine with a control process. Core nodes have a disk; for other nodes disk is nil. Each start of the process is a new
+// incarnation: scheduled work carries its incarnation and is dropped if the process has restarted since.
 type node struct {
-	world   *world
-	name    string
-	address string
-	disk    *virtual.Disk
-	owner   *control.Controller
-	life    int
-	started time.Duration
-	// frozen is until when the process stands still; what comes meanwhile waits.
-	frozen  time.Duration
-	asks    map[int64]func(contract.Response)
-	token   int64
-	inForce contract.Position
-	founded bool
-	// lastRead is an answer that a planted fault hands out again.
+	simulation  *simulation
+	name        string
+	address     string
+	disk        *virtual.Disk
+	controller  *control.Controller
+	incarnation int
+	startedAt   time.Duration
+	// frozenUntil is when the process resumes; events that arrive before are postponed until then, except ticks, which are dropped.
+	frozenUntil     time.Duration
+	pendingRequests map[int64]func(contract.Response)
+	lastToken       int64
+	appliedPosition contract.Position
+	startedBefore   bool
+	// lastRead is the latest answer to a read, which FaultStaleAnswer returns again.
 	lastRead   *contract.Response
 	lastReadAt time.Duration
 }
 
-func (node *node) core() bool { return node.disk != nil }
-func (node *node) up() bool   { return node.owner != nil }
+func (node *node) isCore() bool { return node.disk != nil }
+func (node *node) isUp() bool   { return node.controller != nil }
 
-func zoneOf(place int) string { return fmt.Sprintf("zone-%d", place%coreSize) }
+func zoneOf(nodeIndex int) string { return fmt.Sprintf("zone-%d", nodeIndex%coreSize) }
 
-func (world *world) settings(node *node, place int) env.Env {
+func (simulation *simulation) settings(node *node, nodeIndex int) env.Env {
 	seeds := []string{}
 	for number := range coreSize {
 		seeds = append(seeds, addressOf(number))
 	}
-	settings := env.New(env.WithName(node.name), env.WithZone(zoneOf(place)), env.WithRegion("region"), env.WithControl(node.address), env.WithSeeds(seeds))
-	settings.CoreSize, settings.Founders, settings.Wide, settings.Joins = coreSize, seeds, true, node.founded
+	settings := env.New(env.WithName(node.name), env.WithZone(zoneOf(nodeIndex)), env.WithRegion("region"), env.WithControl(node.address), env.WithSeeds(seeds))
+	settings.CoreSize, settings.Founders, settings.Wide, settings.Joins = coreSize, seeds, true, node.startedBefore
 	settings.Zones = map[string]string{}
 	for number := range coreSize {
 		settings.Zones[zoneOf(number)] = "region"
 	}
-	settings.Bounds.History, settings.Bounds.HistoryBytes = historyKept, historyBytes
+	settings.Bounds.History, settings.Bounds.HistoryBytes = historyLength, historyBytes
 	return settings
 }
 
-func addressOf(place int) string { return fmt.Sprintf("10.0.0.%d:7000", 1+place) }
+func addressOf(nodeIndex int) string { return fmt.Sprintf("10.0.0.%d:7000", 1+nodeIndex) }
 
-// start begins a new life.
-func (node *node) start(place int) {
+// start starts the process as a new incarnation, from what its disk holds.
+func (node *node) start(nodeIndex int) {
 	var recovered *chain.Recovered
-	if node.core() {
-		loaded, failure := image.Load(node.disk)
-		if failure != nil {
-			panic(failure)
+	if node.isCore() {
+		loaded, err := image.Load(node.disk)
+		if err != nil {
+			panic(err)
 		}
-		node.world.fault.recovered(&loaded)
+		node.simulation.fault.recovered(&loaded)
 		recovered = &loaded
 	}
-	node.life++
-	node.started, node.frozen, node.asks, node.inForce = node.world.now, 0, map[int64]func(contract.Response){}, contract.Position{}
-	random := rand.New(rand.NewPCG(node.world.random.Uint64(), uint64(node.life)))
-	node.owner = control.New(node.world.settings(node, place), fmt.Sprintf("%s-life%d", node.name, node.life), recovered, random)
-	node.founded = true
-	node.tick(node.life)
+	node.incarnation++
+	node.startedAt, node.frozenUntil, node.pendingRequests, node.appliedPosition = node.simulation.now, 0, map[int64]func(contract.Response){}, contract.Position{}
+	random := rand.New(rand.NewPCG(node.simulation.random.Uint64(), uint64(node.incarnation)))
+	node.controller = control.New(node.simulation.settings(node, nodeIndex), fmt.Sprintf("%s-life%d", node.name, node.incarnation), recovered, random)
+	node.startedBefore = true
+	node.tick(node.incarnation)
 }
 
-// alive tells whether a life still goes on.
-func (node *node) alive(life int) bool { return node.up() && node.life == life }
+// isCurrent reports whether an incarnation is still running.
+func (node *node) isCurrent(incarnation int) bool {
+	return node.isUp() && node.incarnation == incarnation
+}
 
-func (node *node) tick(life int) {
-	if !node.alive(life) {
+func (node *node) tick(incarnation int) {
+	if !node.isCurrent(incarnation) {
 		return
 	}
-	node.handle(life, contract.Tick{})
-	node.world.after(node.world.settings(node, 0).Bounds.Tick(), func() { node.tick(life) })
+	node.handle(incarnation, contract.Tick{})
+	node.simulation.schedule(node.simulation.settings(node, 0).Bounds.Tick(), func() { node.tick(incarnation) })
 }
 
-// handle gives an event to the process, later if it is frozen.
-func (node *node) handle(life int, event contract.Event) {
-	if !node.alive(life) {
+// handle passes an event to the controller and executes the resulting commands, after the freeze if the process is frozen.
+func (node *node) handle(incarnation int, event contract.Event) {
+	if !node.isCurrent(incarnation) {
 		return
 	}
-	if node.frozen > node.world.now {
+	if node.frozenUntil > node.simulation.now {
 		if _, tick := event.(contract.Tick); !tick {
-			node.world.after(node.frozen-node.world.now, func() { node.handle(life, event) })
+			node.simulation.schedule(node.frozenUntil-node.simulation.now, func() { node.handle(incarnation, event) })
 		}
 		return
 	}
-	for _, command := range node.owner.Handle(node.world.now-node.started, event) {
-		node.act(life, command)
+	for _, command := range node.controller.Handle(node.simulation.now-node.startedAt, event) {
+		node.execute(incarnation, command)
 	}
-	if version := node.owner.Feed.Version(); version.Position != node.inForce {
-		node.inForce = version.Position
-		node.world.judge.inForce(node.name, version)
+	if version := node.controller.Feed.Version(); version.Position != node.appliedPosition {
+		node.appliedPosition = version.Position
+		node.simulation.checker.checkApplied(node.name, version)
 	}
-	node.world.counts.Views = max(node.world.counts.Views, node.owner.Feed.View().Number)
+	node.simulation.counts.Views = max(node.simulation.counts.Views, node.controller.Feed.View().Number)
 }
 
-func (node *node) act(life int, command contract.Command) {
-	world := node.world
+func (node *node) execute(incarnation int, command contract.Command) {
+	simulation := node.simulation
 	switch command := command.(type) {
 	case contract.Send:
 		node.send(command)
 	case chain.Persist:
-		world.after(world.between(time.Millisecond, slowestDisk), func() {
-			if !node.alive(life) {
+		simulation.schedule(simulation.randomDuration(time.Millisecond, maxDiskLatency), func() {
+			if !node.isCurrent(incarnation) {
 				return
 			}
 			persisted := chain.Persisted{Token: command.Token}
-			if failure := image.Save(node.disk, command); failure != nil {
-				persisted.Error = failure.Error()
+			if err := image.Save(node.disk, command); err != nil {
+				persisted.Error = err.Error()
 			}
-			node.handle(life, persisted)
+			node.handle(incarnation, persisted)
 		})
 	case index.Persist:
-		world.after(time.Millisecond, func() { node.handle(life, index.Persisted{}) })
+		simulation.schedule(time.Millisecond, func() { node.handle(incarnation, index.Persisted{}) })
 	case shard.ReadPlatform:
-		read := shard.ListingResult{StartedAt: world.now - node.started}
-		world.after(time.Millisecond, func() { node.handle(life, read) })
+		read := shard.ListingResult{StartedAt: simulation.now - node.startedAt}
+		simulation.schedule(time.Millisecond, func() { node.handle(incarnation, read) })
 	case contract.Response:
-		take := node.asks[command.Token]
-		delete(node.asks, command.Token)
-		if take != nil {
-			take(command)
+		onResponse := node.pendingRequests[command.Token]
+		delete(node.pendingRequests, command.Token)
+		if onResponse != nil {
+			onResponse(command)
 		}
 	case contract.Forward:
-		node.forward(life, command)
+		node.forward(incarnation, command)
 	}
 }
 
 func (node *node) send(command contract.Send) {
-	world := node.world
-	body, failure := json.Marshal(world.fault.rewrite(world, node, command))
-	if failure != nil {
-		panic(failure)
+	simulation := node.simulation
+	body, err := json.Marshal(simulation.fault.rewrite(simulation, node, command))
+	if err != nil {
+		panic(err)
 	}
-	message := contract.Message{Kind: command.Kind, From: node.name + "-" + contract.KindControl, Boot: fmt.Sprintf("%s-life%d", node.name, node.life), Body: body}
-	target := world.at(command.To)
+	message := contract.Message{Kind: command.Kind, From: node.name + "-" + contract.KindControl, Boot: fmt.Sprintf("%s-life%d", node.name, node.incarnation), Body: body}
+	target := simulation.nodeAt(command.To)
 	if target == nil {
 		return
 	}
-	world.carry(node.address, command.To, func() { target.handle(target.life, message) })
+	simulation.transmit(node.address, command.To, func() { target.handle(target.incarnation, message) })
 }
 
-// ask puts an operator's question to this node; without an answer, take is not called.
-func (node *node) ask(ask contract.OperatorRequest, take func(contract.Response)) {
-	if !node.up() {
+// request sends an operator's request to this node. onResponse is not called if the node is down or never answers.
+func (node *node) request(request contract.OperatorRequest, onResponse func(contract.Response)) {
+	if !node.isUp() {
 		return
 	}
-	if answer, there := node.answerAgain(ask); there {
-		take(answer)
+	if answer, found := node.staleAnswer(request); found {
+		onResponse(answer)
 		return
 	}
-	node.token++
-	ask.Token = node.token
-	node.asks[ask.Token] = func(answer contract.Response) {
-		if ask.Verb == contract.VerbGet && answer.Status == statusDone {
-			node.lastRead, node.lastReadAt = &answer, node.world.now
+	node.lastToken++
+	request.Token = node.lastToken
+	node.pendingRequests[request.Token] = func(answer contract.Response) {
+		if request.Verb == contract.VerbGet && answer.Status == statusOK {
+			node.lastRead, node.lastReadAt = &answer, node.simulation.now
 		}
-		take(answer)
+		onResponse(answer)
 	}
-	node.handle(node.life, ask)
+	node.handle(node.incarnation, request)
 }
 
-// answerAgain gives an answer to a former read, where that fault is planted.
-func (node *node) answerAgain(ask contract.OperatorRequest) (contract.Response, bool) {
-	if node.world.fault != FaultFormerAnswer || ask.Verb != contract.VerbGet || node.lastRead == nil || node.world.now-node.lastReadAt > time.Second {
+// staleAnswer returns the answer to an earlier read of the last second, if FaultStaleAnswer is planted.
+func (node *node) staleAnswer(request contract.OperatorRequest) (contract.Response, bool) {
+	if node.simulation.fault != FaultStaleAnswer || request.Verb != contract.VerbGet || node.lastRead == nil || node.simulation.now-node.lastReadAt > time.Second {
 		return contract.Response{}, false
 	}
 	return *node.lastRead, true
 }
 
-// forward carries a question to the authority; an answer that is lost is unknown.
-func (node *node) forward(life int, forward contract.Forward) {
-	world, target, given := node.world, node.world.at(forward.Address), false
-	end := func(answer contract.Response) {
-		if given || !node.alive(life) {
+// forward forwards a request to the authority. Without an answer in time the outcome is unknown, and the request fails with status 504.
+func (node *node) forward(incarnation int, forward contract.Forward) {
+	simulation, target, responded := node.simulation, node.simulation.nodeAt(forward.Address), false
+	complete := func(answer contract.Response) {
+		if responded || !node.isCurrent(incarnation) {
 			return
 		}
-		given = true
+		responded = true
 		answer.Token = forward.Request.Token
-		node.act(life, answer)
+		node.execute(incarnation, answer)
 	}
-	world.after(world.settings(node, 0).Bounds.Deliver(), func() { end(contract.Response{Status: 504}) })
+	simulation.schedule(simulation.settings(node, 0).Bounds.Deliver(), func() { complete(contract.Response{Status: 504}) })
 	if target == nil {
 		return
 	}
-	world.carry(node.address, forward.Address, func() {
-		if !target.up() {
-			end(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0))
+	simulation.transmit(node.address, forward.Address, func() {
+		if !target.isUp() {
+			complete(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0))
 			return
 		}
-		target.ask(forward.Request, func(answer contract.Response) {
-			world.carry(target.address, node.address, func() { end(answer) })
+		target.request(forward.Request, func(answer contract.Response) {
+			simulation.transmit(target.address, node.address, func() { complete(answer) })
 		})
 	})
 }
 
-// kill ends the process; with power, what was not synced goes too.
+// kill ends the process; with power, unsynced data is lost too.
 func (node *node) kill(power bool) {
-	node.owner, node.lastRead = nil, nil
-	if power && node.core() {
-		node.disk.LosePowerPartially(func() bool { return node.world.random.IntN(2) == 0 })
+	node.controller, node.lastRead = nil, nil
+	if power && node.isCore() {
+		node.disk.LosePowerPartially(func() bool { return node.simulation.random.IntN(2) == 0 })
 	}
 }
--- a/nodecheck/operator.go
+++ b/nodecheck/operator.go
@@ -11,110 +11,110 @@
 )
 
 const (
-	statusDone    = 200
-	statusPartly  = 202
-	operators     = 3
-	readers       = 2
-	answerWaited  = 1200 * time.Millisecond
-	orderWaited   = 6 * time.Second
-	shortestPause = 50 * time.Millisecond
-	longestPause  = 400 * time.Millisecond
-	// lostAnswerOdds and againOdds are how seldom an answer is lost on its way, and how often an order that was acknowledged is sent again.
-	lostAnswerOdds = 8
-	againOdds      = 4
-	routesAtFirst  = 60
-	routesMany     = 25
+	statusOK       = 200
+	statusAccepted = 202
+	operatorCount  = 3
+	readerCount    = 2
+	answerTimeout  = 1200 * time.Millisecond
+	orderTimeout   = 6 * time.Second
+	minPause       = 50 * time.Millisecond
+	maxPause       = 400 * time.Millisecond
+	// One in answerLossOneIn answers is lost; one in resendOneIn acknowledged orders is sent again.
+	answerLossOneIn = 8
+	resendOneIn     = 4
+	initialRoutes   = 60
+	bulkRoutes      = 25
 )
 
-// order is one change that an operator wants.
+// order is one change that an operator requests: of the configuration, or of the drain state of a zone.
 type order struct {
-	ask  contract.OperatorRequest
-	base int64
-	// revision is that of the gateway's configuration, or 0 for a drain or undrain.
+	request      contract.OperatorRequest
+	baseRevision int64
+	// revision is the new revision of the gateway's configuration, or 0 for a drain or undrain.
 	revision int64
-	// content is the gateway's configuration that the order makes of the one that it builds on.
-	content string
-	zone    string
-	sent    time.Duration
-	again   bool
-	tries   int
+	// content is the gateway's configuration after the order is applied to its base.
+	content  string
+	zone     string
+	sentAt   time.Duration
+	resent   bool
+	attempts int
 }
 
-// operator sends one order after the other.
+// operator sends one order after another.
 type operator struct {
-	world  *world
-	name   string
-	orders int
+	simulation *simulation
+	name       string
+	orders     int
 }
 
-// next reads the configuration and orders a change of it.
-func (operator *operator) next() {
-	world := operator.world
-	world.after(world.between(shortestPause, longestPause), func() {
+// orderNext reads the configuration after a pause and sends an order to change it.
+func (operator *operator) orderNext() {
+	simulation := operator.simulation
+	simulation.schedule(simulation.randomDuration(minPause, maxPause), func() {
 		answered := false
-		world.after(answerWaited, func() {
+		simulation.schedule(answerTimeout, func() {
 			if !answered {
-				operator.next()
+				operator.orderNext()
 			}
 		})
-		world.anyNode().ask(contract.OperatorRequest{Verb: contract.VerbGet}, func(answer contract.Response) {
-			version, fine := answer.Body.(contract.Version)
+		simulation.randomNode().request(contract.OperatorRequest{Verb: contract.VerbGet}, func(answer contract.Response) {
+			version, isVersion := answer.Body.(contract.Version)
 			if answered {
 				return
 			}
 			answered = true
-			if answer.Status != statusDone || !fine {
-				operator.next()
+			if answer.Status != statusOK || !isVersion {
+				operator.orderNext()
 				return
 			}
-			operator.send(operator.compose(version.Document()))
+			operator.send(operator.composeOrder(version.Document()))
 		})
 	})
 }
 
-// compose draws a change of a configuration.
-func (operator *operator) compose(content *document.Document) *order {
+// composeOrder draws a random change of a configuration.
+func (operator *operator) composeOrder(content *document.Document) *order {
 	operator.orders++
-	world, base := operator.world, manifest.GatewayRevision(content)
-	made := &order{base: base, sent: world.now}
-	made.ask = contract.OperatorRequest{Operation: fmt.Sprintf("%s-%d", operator.name, operator.orders), ReplyOnCommit: true}
-	if world.random.IntN(6) == 0 {
-		made.zone = zoneOf(world.random.IntN(coreSize))
-		made.ask.Subject, made.ask.Verb = made.zone, []string{contract.VerbDrain, contract.VerbUndrain}[world.random.IntN(2)]
-		return made
+	simulation, base := operator.simulation, manifest.GatewayRevision(content)
+	composed := &order{baseRevision: base, sentAt: simulation.now}
+	composed.request = contract.OperatorRequest{Operation: fmt.Sprintf("%s-%d", operator.name, operator.orders), ReplyOnCommit: true}
+	if simulation.random.IntN(6) == 0 {
+		composed.zone = zoneOf(simulation.random.IntN(coreSize))
+		composed.request.Subject, composed.request.Verb = composed.zone, []string{contract.VerbDrain, contract.VerbUndrain}[simulation.random.IntN(2)]
+		return composed
 	}
-	made.revision = base + 1 + world.random.Int64N(3)
-	made.ask.Verb, made.ask.BaseRevision, made.ask.HasBaseRevision = contract.VerbUpdate, base, true
+	composed.revision = base + 1 + simulation.random.Int64N(3)
+	composed.request.Verb, composed.request.BaseRevision, composed.request.HasBaseRevision = contract.VerbUpdate, base, true
 	upsert, count := map[string]any{}, 1
-	if world.random.IntN(4) == 0 {
-		count = routesMany
+	if simulation.random.IntN(4) == 0 {
+		count = bulkRoutes
 	}
-	for number := range count {
-		name := fmt.Sprintf("r%d", world.random.IntN(2*routesAtFirst))
+	for index := range count {
+		name := fmt.Sprintf("r%d", simulation.random.IntN(2*initialRoutes))
 		if count > 1 {
-			name = fmt.Sprintf("r%d", number)
+			name = fmt.Sprintf("r%d", index)
 		}
 		upsert[name] = routeOf(name, operator.name, operator.orders)
 	}
-	section := map[string]any{"revision": made.revision, "upsert": map[string]any{"routes": upsert}, "remove": map[string]any{"routes": []any{fmt.Sprintf("r%d", world.random.IntN(2*routesAtFirst))}}}
-	made.ask.Body, _ = json.Marshal(map[string]any{"gateway": section})
-	tree, failure := manifest.ParseObject(made.ask.Body)
-	if failure != nil {
-		panic(failure)
+	section := map[string]any{"revision": composed.revision, "upsert": map[string]any{"routes": upsert}, "remove": map[string]any{"routes": []any{fmt.Sprintf("r%d", simulation.random.IntN(2*initialRoutes))}}}
+	composed.request.Body, _ = json.Marshal(map[string]any{"gateway": section})
+	tree, err := manifest.ParseObject(composed.request.Body)
+	if err != nil {
+		panic(err)
 	}
-	change, failure := manifest.GatewayChange(content, tree, false)
-	if failure != nil {
-		panic(failure)
+	change, err := manifest.GatewayChange(content, tree, false)
+	if err != nil {
+		panic(err)
 	}
-	made.content = gatewayOf(content.Apply(change))
-	return made
+	composed.content = gatewayOf(content.Apply(change))
+	return composed
 }
 
 func routeOf(name, operator string, number int) map[string]any {
 	return map[string]any{"host": name + ".example", "prefix": "/", "service": "s", "timeoutMs": 1000 + number, "more": map[string]any{"by": operator}}
 }
 
-// gatewayOf gives the gateway's configuration as text.
+// gatewayOf returns the gateway's part of a configuration as text.
 func gatewayOf(content *document.Document) string {
 	text := []byte{}
 	content.VisitPrefix("/gateway", func(pointer, value string) bool {
@@ -125,36 +125,36 @@
 	return string(text)
 }
 
-// send sends an order until it has a clear answer, or until its time is over.
+// send sends an order, with retries, until it has a definite answer or orderTimeout has passed.
 func (operator *operator) send(order *order) {
-	world := operator.world
-	if !order.again {
-		world.counts.Orders++
-		world.judge.sent(order)
+	simulation := operator.simulation
+	if !order.resent {
+		simulation.counts.Orders++
+		simulation.checker.recordSent(order)
 	} else {
-		world.counts.SentAgain++
+		simulation.counts.SentAgain++
 	}
-	operator.try(order, world.now+orderWaited)
+	operator.attempt(order, simulation.now+orderTimeout)
 }
 
-func (operator *operator) try(order *order, until time.Duration) {
-	world, answered := operator.world, false
-	order.tries++
+func (operator *operator) attempt(order *order, deadline time.Duration) {
+	simulation, answered := operator.simulation, false
+	order.attempts++
 	retry := func() {
-		if world.now >= until {
-			operator.end(order, 0)
+		if simulation.now >= deadline {
+			operator.finish(order, 0)
 			return
 		}
-		world.after(world.between(shortestPause, longestPause), func() { operator.try(order, until) })
+		simulation.schedule(simulation.randomDuration(minPause, maxPause), func() { operator.attempt(order, deadline) })
 	}
-	world.after(answerWaited, func() {
+	simulation.schedule(answerTimeout, func() {
 		if !answered {
 			answered = true
 			retry()
 		}
 	})
-	world.anyNode().ask(order.ask, func(answer contract.Response) {
-		if answered || world.random.IntN(lostAnswerOdds) == 0 {
+	simulation.randomNode().request(order.request, func(answer contract.Response) {
+		if answered || simulation.random.IntN(answerLossOneIn) == 0 {
 			return
 		}
 		answered = true
@@ -162,54 +162,54 @@
 			retry()
 			return
 		}
-		operator.end(order, answer.Status)
+		operator.finish(order, answer.Status)
 	})
 }
 
-// end takes up a clear answer, or that there was none.
-func (operator *operator) end(order *order, status int) {
-	world := operator.world
-	world.judge.answered(order, status)
+// finish records the final status of an order (0 if there was no definite answer) and goes on with a resend or the next order.
+func (operator *operator) finish(order *order, status int) {
+	simulation := operator.simulation
+	simulation.checker.checkAnswer(order, status)
 	switch {
 	case status == 0:
-		world.counts.Unknown++
-	case status != statusDone && status != statusPartly:
-		world.counts.Refused++
+		simulation.counts.Unknown++
+	case status != statusOK && status != statusAccepted:
+		simulation.counts.Refused++
 	default:
-		world.counts.Acknowledged++
-		if order.revision > 0 && world.random.IntN(againOdds) == 0 {
-			again := *order
-			again.again = true
-			world.after(world.between(shortestPause, orderWaited/2), func() { operator.send(&again) })
+		simulation.counts.Acknowledged++
+		if order.revision > 0 && simulation.random.IntN(resendOneIn) == 0 {
+			resend := *order
+			resend.resent = true
+			simulation.schedule(simulation.randomDuration(minPause, orderTimeout/2), func() { operator.send(&resend) })
 			return
 		}
 	}
-	operator.next()
+	operator.orderNext()
 }
 
-// read asks any node for the configuration, again and again.
-func (world *world) read() {
-	world.after(world.between(shortestPause, longestPause), func() {
-		began, answered := world.now, false
-		world.after(answerWaited, func() {
+// scheduleRead reads the configuration from a random node after a pause, and repeats forever.
+func (simulation *simulation) scheduleRead() {
+	simulation.schedule(simulation.randomDuration(minPause, maxPause), func() {
+		startedAt, answered := simulation.now, false
+		simulation.schedule(answerTimeout, func() {
 			if !answered {
 				answered = true
-				world.read()
+				simulation.scheduleRead()
 			}
 		})
-		world.anyNode().ask(contract.OperatorRequest{Verb: contract.VerbGet}, func(answer contract.Response) {
+		simulation.randomNode().request(contract.OperatorRequest{Verb: contract.VerbGet}, func(answer contract.Response) {
 			if answered {
 				return
 			}
 			answered = true
-			version, fine := answer.Body.(contract.Version)
-			if answer.Status == statusDone && fine {
-				world.counts.Reads++
-				world.judge.read(began, version.Document())
+			version, isVersion := answer.Body.(contract.Version)
+			if answer.Status == statusOK && isVersion {
+				simulation.counts.Reads++
+				simulation.checker.checkRead(startedAt, version.Document())
 			} else {
-				world.counts.ReadsRefused++
+				simulation.counts.ReadsRefused++
 			}
-			world.read()
+			simulation.scheduleRead()
 		})
 	})
 }
--- a/nodecheck/walk.go
+++ b/nodecheck/walk.go
@@ -13,20 +13,21 @@
 	"github.com/cedarreel/cedarreel/virtual"
 )
 
-// Options of a walk: its seed, how long it is in virtual time, and a planted fault.
+// Options configure a walk: its seed, how long faults are injected in virtual time, and the planted fault.
 type Options struct {
 	Seed  uint64
 	Span  time.Duration
 	Fault Fault
 }
 
-// Result of a walk. Violation is empty where everything held.
+// Result is the outcome of a walk. Violation is empty if every check passed.
 type Result struct {
 	Options   Options
 	Violation string
 	Counts    Counts
 }
 
+// String formats the seed, the counts and the violation if there is one.
 func (result Result) String() string {
 	outcome := "nothing broken"
 	if result.Violation != "" {
@@ -36,50 +37,50 @@
 }
 
 const (
-	// followers are the nodes without a folder.
-	followers     = 2
+	// nonCoreNodes is the number of nodes outside the core, which have no data folder.
+	nonCoreNodes  = 2
 	firstRevision = int64(1)
-	founding      = 6 * time.Second
-	calmAtEnd     = 14 * time.Second
-	// shortestCalm and longestCalm lie between two troubles; a trouble lasts as long at most as longestTrouble.
-	shortestCalm   = 300 * time.Millisecond
-	longestCalm    = 5 * time.Second
-	longestTrouble = 6 * time.Second
+	formationTime = 6 * time.Second
+	recoveryTime  = 14 * time.Second
+	// Faults start minFaultInterval to maxFaultInterval apart and last at most maxFaultDuration.
+	minFaultInterval = 300 * time.Millisecond
+	maxFaultInterval = 5 * time.Second
+	maxFaultDuration = 6 * time.Second
 )
 
-// Walk plays one day and judges it.
+// Walk runs one simulation: the core forms, operators and readers work while faults are injected, faults end, and the result is checked.
 func Walk(options Options) Result {
-	world := &world{random: rand.New(rand.NewPCG(options.Seed, 21)), cut: map[[2]string]bool{}, fault: options.Fault}
-	world.judge = newJudge(world)
-	for place := range coreSize + followers {
-		made := &node{world: world, name: fmt.Sprintf("n%d", place), address: addressOf(place)}
-		if place < coreSize {
-			made.disk = virtual.NewDisk(nil, virtual.DiskOptions{LosesUnsynced: true})
+	simulation := &simulation{random: rand.New(rand.NewPCG(options.Seed, 21)), blockedLinks: map[[2]string]bool{}, fault: options.Fault}
+	simulation.checker = newChecker(simulation)
+	for index := range coreSize + nonCoreNodes {
+		created := &node{simulation: simulation, name: fmt.Sprintf("n%d", index), address: addressOf(index)}
+		if index < coreSize {
+			created.disk = virtual.NewDisk(nil, virtual.DiskOptions{LosesUnsynced: true})
 		}
-		world.nodes = append(world.nodes, made)
+		simulation.nodes = append(simulation.nodes, created)
 	}
-	for place, made := range world.nodes {
-		made.start(place)
+	for index, created := range simulation.nodes {
+		created.start(index)
 	}
-	world.run(founding)
-	world.first()
-	world.run(2 * founding)
-	for number := range operators {
-		(&operator{world: world, name: fmt.Sprintf("o%d", number)}).next()
+	simulation.run(formationTime)
+	simulation.submitInitialConfiguration()
+	simulation.run(2 * formationTime)
+	for number := range operatorCount {
+		(&operator{simulation: simulation, name: fmt.Sprintf("o%d", number)}).orderNext()
 	}
-	for range readers {
-		world.read()
+	for range readerCount {
+		simulation.scheduleRead()
 	}
-	world.trouble(2*founding + options.Span)
-	world.run(2*founding + options.Span + calmAtEnd)
-	world.end()
-	return Result{Options: options, Violation: world.judge.violation, Counts: world.counts}
+	simulation.scheduleFaults(2*formationTime + options.Span)
+	simulation.run(2*formationTime + options.Span + recoveryTime)
+	simulation.checkFinalState()
+	return Result{Options: options, Violation: simulation.checker.violation, Counts: simulation.counts}
 }
 
-// first brings the first configuration.
-func (world *world) first() {
+// submitInitialConfiguration submits the first configuration.
+func (simulation *simulation) submitInitialConfiguration() {
 	routes := map[string]any{}
-	for number := range routesAtFirst {
+	for number := range initialRoutes {
 		name := fmt.Sprintf("r%d", number)
 		routes[name] = routeOf(name, "first", 0)
 	}
@@ -87,103 +88,104 @@
 	for number := range coreSize {
 		zones[zoneOf(number)] = map[string]any{"region": "region"}
 	}
-	body, failure := json.Marshal(map[string]any{"regions": map[string]any{"region": map[string]any{"shards": 1, "machines": []any{}}}, "zones": zones,
+	body, err := json.Marshal(map[string]any{"regions": map[string]any{"region": map[string]any{"shards": 1, "machines": []any{}}}, "zones": zones,
 		"gateway": map[string]any{"revision": firstRevision, "routes": routes, "services": map[string]any{"s": map[string]any{}}}})
-	if failure != nil {
-		panic(failure)
+	if err != nil {
+		panic(err)
 	}
-	world.nodes[0].ask(contract.OperatorRequest{Verb: contract.VerbReplace, HasBaseRevision: true, Operation: "first", Body: body, ReplyOnCommit: true}, func(answer contract.Response) {
-		if answer.Status != statusDone {
-			world.judge.fail("the first configuration got %d", answer.Status)
+	simulation.nodes[0].request(contract.OperatorRequest{Verb: contract.VerbReplace, HasBaseRevision: true, Operation: "first", Body: body, ReplyOnCommit: true}, func(answer contract.Response) {
+		if answer.Status != statusOK {
+			simulation.checker.fail("the first configuration got %d", answer.Status)
 		}
 	})
 }
 
-// trouble draws one trouble after the other until a moment.
-func (world *world) trouble(until time.Duration) {
-	world.after(world.between(shortestCalm, longestCalm), func() {
-		if world.now > until {
+// scheduleFaults injects random faults one after another until a point of virtual time.
+func (simulation *simulation) scheduleFaults(deadline time.Duration) {
+	simulation.schedule(simulation.randomDuration(minFaultInterval, maxFaultInterval), func() {
+		if simulation.now > deadline {
 			return
 		}
-		world.strike()
-		world.trouble(until)
+		simulation.injectFault()
+		simulation.scheduleFaults(deadline)
 	})
 }
 
-// whole tells whether every core node runs, reaches the others and is in the newest view's chain, so that one may be lost.
-func (world *world) whole() bool {
-	if len(world.cut) > 0 {
+// fullyReplicated reports whether every core node runs, reaches the others and is in the newest view's chain, so that one disk may be lost.
+func (simulation *simulation) fullyReplicated() bool {
+	if len(simulation.blockedLinks) > 0 {
 		return false
 	}
-	for _, node := range world.nodes[:coreSize] {
-		if !node.up() || node.frozen > world.now {
+	for _, node := range simulation.nodes[:coreSize] {
+		if !node.isUp() || node.frozenUntil > simulation.now {
 			return false
 		}
-		view := node.owner.Feed.View()
-		if view.Number != int64(world.counts.Views) || len(view.Chain) < coreSize || view.ChainIndex(node.owner.Identity()) < 0 {
+		view := node.controller.Feed.View()
+		if view.Number != int64(simulation.counts.Views) || len(view.Chain) < coreSize || view.ChainIndex(node.controller.Identity()) < 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (world *world) strike() {
-	place := world.random.IntN(len(world.nodes))
-	struck := world.nodes[place]
-	span := world.between(shortestPause, longestTrouble)
-	comeBack := func() {
-		world.after(span, func() {
-			if !struck.up() {
-				struck.start(place)
+// injectFault draws a node and a fault and injects it; a fault that is not applicable now is skipped.
+func (simulation *simulation) injectFault() {
+	index := simulation.random.IntN(len(simulation.nodes))
+	target := simulation.nodes[index]
+	duration := simulation.randomDuration(minPause, maxFaultDuration)
+	restartLater := func() {
+		simulation.schedule(duration, func() {
+			if !target.isUp() {
+				target.start(index)
 			}
 		})
 	}
-	switch world.random.IntN(6) {
+	switch simulation.random.IntN(6) {
 	case 0, 1:
-		if struck.up() {
-			world.counts.Kills++
-			struck.kill(false)
-			comeBack()
+		if target.isUp() {
+			simulation.counts.Kills++
+			target.kill(false)
+			restartLater()
 		}
 	case 2:
-		if struck.up() {
-			world.counts.PowerLosses++
-			struck.kill(true)
-			comeBack()
+		if target.isUp() {
+			simulation.counts.PowerLosses++
+			target.kill(true)
+			restartLater()
 		}
 	case 3:
-		if struck.core() && world.whole() {
-			world.counts.Wipes++
-			struck.kill(false)
-			struck.disk.Wipe()
-			comeBack()
+		if target.isCore() && simulation.fullyReplicated() {
+			simulation.counts.Wipes++
+			target.kill(false)
+			target.disk.Wipe()
+			restartLater()
 		}
 	case 4:
-		if struck.core() && len(world.cut) == 0 {
-			world.counts.Cuts++
-			world.isolate(struck, world.random.IntN(2) == 0)
-			world.after(span, func() { world.cut = map[[2]string]bool{} })
+		if target.isCore() && len(simulation.blockedLinks) == 0 {
+			simulation.counts.Cuts++
+			simulation.isolate(target, simulation.random.IntN(2) == 0)
+			simulation.schedule(duration, func() { simulation.blockedLinks = map[[2]string]bool{} })
 		}
 	case 5:
-		world.counts.Freezes++
-		struck.frozen = world.now + span
+		simulation.counts.Freezes++
+		target.frozenUntil = simulation.now + duration
 	}
 }
 
-// end judges what is left when all trouble is over.
-func (world *world) end() {
-	for _, node := range world.nodes[:coreSize] {
-		if node.up() {
-			world.judge.kept(node)
+// checkFinalState checks the final state after all faults have ended.
+func (simulation *simulation) checkFinalState() {
+	for _, node := range simulation.nodes[:coreSize] {
+		if node.isUp() {
+			simulation.checker.checkRetained(node)
 		}
 	}
-	if world.counts.Acknowledged == 0 || world.counts.Reads == 0 {
-		world.judge.fail("nothing was acknowledged or read")
+	if simulation.counts.Acknowledged == 0 || simulation.counts.Reads == 0 {
+		simulation.checker.fail("nothing was acknowledged or read")
 	}
-	world.judge.linearizable()
+	simulation.checker.checkLinearizable()
 }
 
-// Summary of walks. Broken is the first one that broke something, or nothing.
+// Summary is the outcome of Explore, with totals over all walks. Broken is the failing walk with the lowest seed, or nil.
 type Summary struct {
 	Walks  int
 	Counts Counts
@@ -191,6 +193,7 @@
 	Broken *Result
 }
 
+// String formats the totals, and the failing walk if there is one.
 func (summary Summary) String() string {
 	outcome := "nothing broken"
 	if summary.Broken != nil {
@@ -199,15 +202,15 @@
 	return fmt.Sprintf("%d walks, %+v, %v: %s", summary.Walks, summary.Counts, summary.Took.Round(time.Millisecond), outcome)
 }
 
-// Explore plays walks with rising seeds on all processors until one breaks something, or all are played.
-func Explore(options Options, walks int, within time.Duration) Summary {
-	summary, began, next := Summary{}, time.Now(), atomic.Uint64{}
+// Explore runs walks with increasing seeds in parallel on all processors, until one fails, all are done or the time limit has passed.
+func Explore(options Options, walks int, timeLimit time.Duration) Summary {
+	summary, startedAt, next := Summary{}, time.Now(), atomic.Uint64{}
 	group, lock, stop := sync.WaitGroup{}, sync.Mutex{}, atomic.Bool{}
 	for range runtime.GOMAXPROCS(0) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for !stop.Load() && time.Since(began) < within {
+			for !stop.Load() && time.Since(startedAt) < timeLimit {
 				number := next.Add(1) - 1
 				if number >= uint64(walks) {
 					return
@@ -223,26 +226,26 @@
 		}()
 	}
 	group.Wait()
-	summary.Took = time.Since(began)
+	summary.Took = time.Since(startedAt)
 	return summary
 }
 
 func (summary *Summary) add(result Result) {
 	summary.Walks++
-	total, one := &summary.Counts, result.Counts
-	total.Orders += one.Orders
-	total.Acknowledged += one.Acknowledged
-	total.Refused += one.Refused
-	total.Unknown += one.Unknown
-	total.SentAgain += one.SentAgain
-	total.Reads += one.Reads
-	total.ReadsRefused += one.ReadsRefused
-	total.Kills += one.Kills
-	total.PowerLosses += one.PowerLosses
-	total.Wipes += one.Wipes
-	total.Cuts += one.Cuts
-	total.Freezes += one.Freezes
-	total.Views += one.Views
+	total, walk := &summary.Counts, result.Counts
+	total.Orders += walk.Orders
+	total.Acknowledged += walk.Acknowledged
+	total.Refused += walk.Refused
+	total.Unknown += walk.Unknown
+	total.SentAgain += walk.SentAgain
+	total.Reads += walk.Reads
+	total.ReadsRefused += walk.ReadsRefused
+	total.Kills += walk.Kills
+	total.PowerLosses += walk.PowerLosses
+	total.Wipes += walk.Wipes
+	total.Cuts += walk.Cuts
+	total.Freezes += walk.Freezes
+	total.Views += walk.Views
 	if result.Violation != "" && (summary.Broken == nil || result.Options.Seed < summary.Broken.Options.Seed) {
 		summary.Broken = &result
 	}
--- a/nodecheck/walk_test.go
+++ b/nodecheck/walk_test.go
@@ -6,32 +6,33 @@
 )
 
 const (
-	walksPlayed = 24
-	walkSpan    = 30 * time.Second
-	walkTime    = 90 * time.Second
-	// faultWalks is in how many walks a planted fault has to be found.
-	faultWalks = 200
+	walkCount     = 24
+	walkSpan      = 30 * time.Second
+	walkTimeLimit = 90 * time.Second
+	// maxFaultWalks is the number of walks within which a planted fault must be detected.
+	maxFaultWalks = 200
 )
 
 func TestNothingBreaks(t *testing.T) {
-	summary := Explore(Options{Seed: 1, Span: walkSpan}, walksPlayed, walkTime)
+	summary := Explore(Options{Seed: 1, Span: walkSpan}, walkCount, walkTimeLimit)
 	t.Log(summary)
 	if summary.Broken != nil {
 		t.Fatal(summary.Broken)
 	}
 }
 
-// TestPlantedFaultsAreFound wants each fault to be found within some walks, by what its operators and nodes saw.
+// TestPlantedFaultsAreFound checks that each planted fault is detected within maxFaultWalks walks, and that a replay of the failing walk
+// shows the same violation.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for _, fault := range Faults() {
 		t.Run(string(fault), func(t *testing.T) {
-			summary := Explore(Options{Seed: 1, Span: walkSpan, Fault: fault}, faultWalks, walkTime)
+			summary := Explore(Options{Seed: 1, Span: walkSpan, Fault: fault}, maxFaultWalks, walkTimeLimit)
 			if summary.Broken == nil {
 				t.Fatal("not found:", summary)
 			}
 			t.Log(summary.Walks, "walks:", summary.Broken.Violation)
-			if again := Walk(summary.Broken.Options); again.Violation != summary.Broken.Violation {
-				t.Fatal("the replay shows something else:", again.Violation)
+			if replayed := Walk(summary.Broken.Options); replayed.Violation != summary.Broken.Violation {
+				t.Fatal("the replay shows something else:", replayed.Violation)
 			}
 		})
 	}
--- a/nodecheck/world.go
+++ b/nodecheck/world.go
@@ -1,9 +1,10 @@
-// Package nodecheck plays whole control nodes against operators that race, lose answers and send again, and judges what the operators were
-// told. Where modelcheck explores the core's agreement alone, this package drives the shipped owners of control nodes with their feeds,
-// chains and data folders, in virtual time, over links that lose, delay, reorder and are cut, with losses of processes, power and disks.
+// Package nodecheck tests whole control nodes against concurrent operators that lose answers and retry, and checks the answers that the
+// operators receive. Where modelcheck tests only the replication of the core, this package drives the production control.Controller with its
+// feed, chain and data folder, in virtual time, over links that lose, delay and reorder messages and are cut, with process crashes, power
+// losses and disk losses.
 //
-// A walk is one day of a small fleet, drawn from a seed. Its history is checked for linearizability, and each answer for belonging to its
-// order.
+// A walk is one simulated run of a small fleet; its seed determines everything. Its history is checked for linearizability, and each answer
+// is checked against its order. An order is an operator's request to change the configuration or to drain a zone.
 package nodecheck
 
 import (
@@ -12,21 +13,22 @@
 	"time"
 )
 
-// world is virtual time and the links between nodes.
-type world struct {
-	now    time.Duration
-	queue  events
-	number int64
-	random *rand.Rand
-	nodes  []*node
-	// cut are the links that pass nothing, from the first address to the second.
-	cut    map[[2]string]bool
-	judge  *judge
-	fault  Fault
-	counts Counts
+// simulation is a discrete-event simulation of the nodes, the links between them and virtual time.
+type simulation struct {
+	now          time.Duration
+	queue        eventQueue
+	lastSequence int64
+	random       *rand.Rand
+	nodes        []*node
+	// blockedLinks drop all messages from the first address to the second.
+	blockedLinks map[[2]string]bool
+	checker      *checker
+	fault        Fault
+	counts       Counts
 }
 
-// Counts tell what a walk did.
+// Counts are the totals of a walk. Its fields are printed by name. Unknown counts orders without a definite answer, SentAgain acknowledged
+// orders that were sent again, and Views is the highest view number (in a Summary the sum over walks).
 type Counts struct {
 	Orders, Acknowledged, Refused, Unknown, SentAgain int
 	Reads, ReadsRefused                               int
@@ -34,65 +36,67 @@
 	Views                                             int64
 }
 
+// event is an action scheduled at a point of virtual time; sequence orders events of the same time.
 type event struct {
-	at     time.Duration
-	number int64
-	work   func()
+	at       time.Duration
+	sequence int64
+	action   func()
 }
 
-type events []event
+// eventQueue is a heap (container/heap) of events, earliest first.
+type eventQueue []event
 
-func (queue events) Len() int { return len(queue) }
-func (queue events) Less(left, right int) bool {
+func (queue eventQueue) Len() int { return len(queue) }
+func (queue eventQueue) Less(left, right int) bool {
 	if queue[left].at != queue[right].at {
 		return queue[left].at < queue[right].at
 	}
-	return queue[left].number < queue[right].number
+	return queue[left].sequence < queue[right].sequence
 }
-func (queue events) Swap(left, right int) { queue[left], queue[right] = queue[right], queue[left] }
-func (queue *events) Push(added any)      { *queue = append(*queue, added.(event)) }
-func (queue *events) Pop() any {
+func (queue eventQueue) Swap(left, right int) { queue[left], queue[right] = queue[right], queue[left] }
+func (queue *eventQueue) Push(value any)      { *queue = append(*queue, value.(event)) }
+func (queue *eventQueue) Pop() any {
 	last := (*queue)[len(*queue)-1]
 	*queue = (*queue)[:len(*queue)-1]
 	return last
 }
 
-// after has work done later.
-func (world *world) after(span time.Duration, work func()) {
-	world.number++
-	heap.Push(&world.queue, event{at: world.now + span, number: world.number, work: work})
+// schedule runs an action after a delay of virtual time.
+func (simulation *simulation) schedule(delay time.Duration, action func()) {
+	simulation.lastSequence++
+	heap.Push(&simulation.queue, event{at: simulation.now + delay, sequence: simulation.lastSequence, action: action})
 }
 
-// run lets time pass until a moment or until something is broken.
-func (world *world) run(until time.Duration) {
-	for len(world.queue) > 0 && world.queue[0].at <= until && world.judge.violation == "" {
-		next := heap.Pop(&world.queue).(event)
-		world.now = next.at
-		next.work()
+// run executes events up to a point of virtual time, or until a check fails.
+func (simulation *simulation) run(deadline time.Duration) {
+	for len(simulation.queue) > 0 && simulation.queue[0].at <= deadline && simulation.checker.violation == "" {
+		next := heap.Pop(&simulation.queue).(event)
+		simulation.now = next.at
+		next.action()
 	}
 }
 
 const (
-	slowestLink = 15 * time.Millisecond
-	// lossOdds is how seldom a message is lost, one in so many.
-	lossOdds = 200
+	maxLinkLatency = 15 * time.Millisecond
+	// lossOneIn is the mean number of messages per lost one.
+	lossOneIn = 200
 )
 
-// between draws a span.
-func (world *world) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(world.random.Int64N(int64(most-least)))
+// randomDuration draws a duration of at least shortest and less than longest.
+func (simulation *simulation) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(simulation.random.Int64N(int64(longest-shortest)))
 }
 
-// carry has work done at the other end of a link, unless what is sent is lost on the way.
-func (world *world) carry(from, to string, work func()) {
-	if world.cut[[2]string{from, to}] || world.random.IntN(lossOdds) == 0 {
+// transmit runs an action at the other end of a link after a random latency, unless the message is lost or the link is blocked.
+func (simulation *simulation) transmit(from, to string, action func()) {
+	if simulation.blockedLinks[[2]string{from, to}] || simulation.random.IntN(lossOneIn) == 0 {
 		return
 	}
-	world.after(world.between(time.Millisecond, slowestLink), work)
+	simulation.schedule(simulation.randomDuration(time.Millisecond, maxLinkLatency), action)
 }
 
-func (world *world) at(address string) *node {
-	for _, node := range world.nodes {
+func (simulation *simulation) nodeAt(address string) *node {
+	for _, node := range simulation.nodes {
 		if node.address == address {
 			return node
 		}
@@ -100,14 +104,16 @@
 	return nil
 }
 
-func (world *world) anyNode() *node { return world.nodes[world.random.IntN(len(world.nodes))] }
+func (simulation *simulation) randomNode() *node {
+	return simulation.nodes[simulation.random.IntN(len(simulation.nodes))]
+}
 
-// isolate cuts a core node off from the other core nodes, or from all nodes; operators reach it in either case.
-func (world *world) isolate(cut *node, fromAll bool) {
-	for _, other := range world.nodes {
-		if other != cut && (fromAll || other.core()) {
-			world.cut[[2]string{cut.address, other.address}] = true
-			world.cut[[2]string{other.address, cut.address}] = true
+// isolate blocks the links between a core node and the other core nodes, or all nodes; operators reach it in either case.
+func (simulation *simulation) isolate(isolated *node, fromAll bool) {
+	for _, other := range simulation.nodes {
+		if other != isolated && (fromAll || other.isCore()) {
+			simulation.blockedLinks[[2]string{isolated.address, other.address}] = true
+			simulation.blockedLinks[[2]string{other.address, isolated.address}] = true
 		}
 	}
 }
