--- a/cmd/cedarctl/main.go
+++ b/cmd/cedarctl/main.go
@@ -191,7 +191,7 @@
 	if err != nil {
 		return exitFailed, err
 	}
-	session.print(response.Body)
+	session.printBody(response.Body)
 	return exitCodeFor(response.Status), nil
 }
 
@@ -206,8 +206,8 @@
 	return exitRefused
 }
 
-// print prints a JSON body for reading, or as it is with the option for JSON. Text that is not JSON is printed as it is.
-func (session *session) print(content []byte) {
+// printBody prints a JSON body for reading, or as it is with the option for JSON. Text that is not JSON is printed as it is.
+func (session *session) printBody(content []byte) {
 	var pretty bytes.Buffer
 	if session.JSON || json.Indent(&pretty, content, "", "  ") != nil {
 		fmt.Print(string(content))
--- a/control/control.go
+++ b/control/control.go
@@ -50,11 +50,11 @@
 type Controller struct {
 	*machine.Node
 	chain     *chain.Replica
-	ownShards *shard.Owner
-	index     *index.Owner
+	ownShards *shard.Manager
+	index     *index.CacheIndex
 	// standInShards are the shards of other regions, which this node owns while those regions have no live control node. They are kept up to date
 	// so that a takeover is quick.
-	standInShards map[string]*shard.Owner
+	standInShards map[string]*shard.Manager
 	allRegions    bool
 	listingReadAt time.Duration
 	pendingWrites map[int64]*pendingWrite
@@ -74,7 +74,7 @@
 func New(settings env.Env, boot string, recovered *chain.Recovered, random *rand.Rand) *Controller {
 	node := machine.New(settings, contract.KindControl, boot, random)
 	controller := &Controller{Node: node, ownShards: shard.New(node.Self(), settings.Bounds), index: index.New(settings.Bounds.Return(), settings.Bounds.Withdraw()/2),
-		standInShards: map[string]*shard.Owner{}, allRegions: settings.Wide, listingReadAt: -settings.Bounds.PlatformPoll(),
+		standInShards: map[string]*shard.Manager{}, allRegions: settings.Wide, listingReadAt: -settings.Bounds.PlatformPoll(),
 		pendingWrites: map[int64]*pendingWrite{}, queries: map[int64]*query{}, pendingRefusals: map[int64]refusal{},
 		confirmations: map[int64]func(time.Duration, bool) []contract.Command{}}
 	if recovered != nil {
@@ -84,7 +84,7 @@
 		node.Neighbours.SetIdentity(controller.chain.Self().ID)
 		controller.chain.SetFounders(settings.Founders)
 		if newest, found := recovered.NewestCommitted(); found && settings.Wide {
-			controller.Feed.Apply(feed.Change{Versions: []contract.Version{newest}}, nil)
+			controller.Feed.Apply(feed.Update{Versions: []contract.Version{newest}}, nil)
 		}
 	}
 	controller.ownShards.SetAdvisoryLeases(settings.Wide)
@@ -132,13 +132,13 @@
 func (controller *Controller) tick(now time.Duration) []contract.Command {
 	members := controller.Neighbours.Members(now)
 	commands := []contract.Command{}
-	controller.Neighbours.Blind(controller.ownShards.Blind() || controller.Neighbours.Isolated(now))
+	controller.Neighbours.SetImpaired(controller.ownShards.PlatformUnreadable() || controller.Neighbours.Isolated(now))
 	if controller.chain != nil {
 		controller.Neighbours.SetState(controller.Feed.Version().Position, controller.Feed.View().Number, controller.chain.DiskHealthy())
 		commands = append(commands, controller.chain.Handle(now, chain.Membership{Members: controller.Neighbours.Members(now), NewestVersion: controller.Feed.Version(), View: controller.Feed.View()})...)
 	}
 	commands = append(commands, controller.requestMissingVersions(now, members)...)
-	if controller.Feed.Known() {
+	if controller.Feed.HasVersion() {
 		commands = append(commands, controller.tickShards(now, shard.ClusterState{Members: members, Manifest: controller.Feed.Manifest(), Revision: controller.Feed.Version().Position.Revision})...)
 	}
 	commands = append(commands, controller.index.Tick(now, controller.otherControlNodes(members))...)
@@ -181,11 +181,11 @@
 		switch command := command.(type) {
 		case chain.Committed:
 			version := command.Version
-			commands = append(controller.Feed.Apply(feed.Change{Versions: []contract.Version{version}}, controller.Neighbours.ActiveAddresses()), commands...)
+			commands = append(controller.Feed.Apply(feed.Update{Versions: []contract.Version{version}}, controller.Neighbours.ActiveAddresses()), commands...)
 			controller.markCommitted(now, version)
 		case chain.ViewInstalled:
 			view := command.View
-			commands = append(controller.Feed.Apply(feed.Change{View: &view}, controller.Neighbours.ActiveAddresses()), commands...)
+			commands = append(controller.Feed.Apply(feed.Update{View: &view}, controller.Neighbours.ActiveAddresses()), commands...)
 		case chain.Confirmed:
 			commands = append(controller.handleConfirmed(now, command), commands...)
 		case contract.VersionAdopted:
@@ -268,7 +268,7 @@
 // answerPlacement answers which server a prompt should go to. Any control node may answer, since a wrong server only costs the time to process
 // the prompt again.
 func (controller *Controller) answerPlacement(now time.Duration, request contract.OperatorRequest) []contract.Command {
-	var lookup index.Ask
+	var lookup index.PlacementRequest
 	if json.Unmarshal(request.Body, &lookup) != nil {
 		return []contract.Command{contract.ErrorResponse(request.Token, 400, "not a question for a place", 0)}
 	}
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -166,14 +166,14 @@
 			}
 			deliveries, bytes = append(deliveries, body), len(body)
 		}
-		node := (*feed.Owner)(nil)
+		node := (*feed.Replicator)(nil)
 		b.ResetTimer()
 		for number := range b.N {
 			index := number % changesPerNode
 			if index == 0 {
 				b.StopTimer()
 				node = feed.New("node", bounds)
-				node.Apply(feed.Change{Versions: versions}, nil)
+				node.Apply(feed.Update{Versions: versions}, nil)
 				b.StartTimer()
 			}
 			node.Handle(time.Second, contract.Message{Kind: feed.MessageDelivery, Body: deliveries[index]}, nil)
@@ -190,7 +190,7 @@
 	for _, routes := range routeCounts {
 		b.Run(fmt.Sprintf("routes=%d", routes), func(b *testing.B) {
 			bounds, keeper := env.DefaultBounds(), feed.New("keeper", env.DefaultBounds())
-			keeper.Apply(feed.Change{Versions: []contract.Version{plannedVersion(b, routes)}}, nil)
+			keeper.Apply(feed.Update{Versions: []contract.Version{plannedVersion(b, routes)}}, nil)
 			request, _ := json.Marshal(feed.VersionNotice{From: "node"})
 			bytes := 0
 			b.ResetTimer()
@@ -203,7 +203,7 @@
 				}
 				bytes = len(response)
 				node.Handle(time.Second, contract.Message{Kind: feed.MessageDelivery, Body: response}, nil)
-				if !node.Known() {
+				if !node.HasVersion() {
 					b.Fatal("not in force")
 				}
 			}
@@ -233,7 +233,7 @@
 				for range b.N {
 					bytes = retainedHeap(func() any {
 						controller := feed.New("node", env.DefaultBounds())
-						controller.Apply(feed.Change{Versions: changedVersions(b, plannedVersion(b, routes), kept)}, nil)
+						controller.Apply(feed.Update{Versions: changedVersions(b, plannedVersion(b, routes), kept)}, nil)
 						return controller
 					})
 				}
--- a/control/gather.go
+++ b/control/gather.go
@@ -54,7 +54,7 @@
 		}
 		var status any = controller.shardStatus(now)
 		if request.Cache {
-			status = controller.index.View(now)
+			status = controller.index.Status(now)
 		}
 		body, _ := json.Marshal(status)
 		return []contract.Command{contract.Send{To: request.Address, Kind: MessageStatusReply, Body: StatusReply{Token: request.Token, Node: controller.Self().Name, Body: body}}}
@@ -132,9 +132,9 @@
 	}, func(time.Duration) []contract.Command {
 		response := map[string]any{"shards": all}
 		if request.Verb == contract.VerbRetirements {
-			retired := []shard.Retired{}
+			retired := []shard.RetirementStatus{}
 			for _, status := range all {
-				retired = append(retired, status.Retired...)
+				retired = append(retired, status.Retirements...)
 			}
 			response = map[string]any{"retirements": retired}
 		}
@@ -156,7 +156,7 @@
 		}
 		return false
 	}, func(time.Duration) []contract.Command {
-		return []contract.Command{contract.Response{Token: request.Token, Status: 200, Body: map[string]any{"servers": index.Merge(all)}}}
+		return []contract.Command{contract.Response{Token: request.Token, Status: 200, Body: map[string]any{"servers": index.MergeStatus(all)}}}
 	})
 }
 
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -36,14 +36,14 @@
 
 func placementQuery(anchor uint64, candidates ...string) []byte {
 	GinkgoHelper()
-	body, err := json.Marshal(index.Ask{Key: index.Key{Scope: "s", Anchor: anchor}, Candidates: candidates, Work: 10})
+	body, err := json.Marshal(index.PlacementRequest{Key: index.Key{Scope: "s", Anchor: anchor}, Candidates: candidates, Work: 10})
 	Expect(err).NotTo(HaveOccurred())
 	return body
 }
 
 func knownPlacementQuery(anchor uint64) []byte {
 	GinkgoHelper()
-	body, err := json.Marshal(index.Ask{Key: index.Key{Scope: "s", Anchor: anchor}, Known: true})
+	body, err := json.Marshal(index.PlacementRequest{Key: index.Key{Scope: "s", Anchor: anchor}, Known: true})
 	Expect(err).NotTo(HaveOccurred())
 	return body
 }
@@ -54,7 +54,7 @@
 		for _, name := range simulation.controlNodes() {
 			response := simulation.askPlacement(name, placementQuery(1, name+"-own", "b"))
 			Expect(response.Status).To(Equal(200))
-			Expect(response.Body).To(Equal(index.Place{Key: index.Key{Scope: "s", Anchor: 1}, Server: name + "-own"}))
+			Expect(response.Body).To(Equal(index.Placement{Key: index.Key{Scope: "s", Anchor: 1}, Server: name + "-own"}))
 		}
 	})
 
@@ -70,7 +70,7 @@
 		simulation.askPlacement("west-m1-control", placementQuery(1, "a", "b"))
 		simulation.run(4 * time.Second)
 		for _, name := range simulation.controlNodes() {
-			Expect(simulation.askPlacement(name, placementQuery(1, "other")).Body.(index.Place).Server).To(Equal("a"), name)
+			Expect(simulation.askPlacement(name, placementQuery(1, "other")).Body.(index.Placement).Server).To(Equal("a"), name)
 		}
 	})
 
@@ -87,7 +87,7 @@
 			for _, name := range simulation.controlNodes() {
 				response := simulation.askPlacement(name, known)
 				Expect(response.Status).To(Equal(200), name)
-				Expect(response.Body).To(Equal(index.Place{Key: index.Key{Scope: "s", Anchor: anchor}, Server: "a"}))
+				Expect(response.Body).To(Equal(index.Placement{Key: index.Key{Scope: "s", Anchor: anchor}, Server: "a"}))
 			}
 		}
 	})
@@ -108,12 +108,12 @@
 			}
 			return snapshots
 		}
-		kept := index.Snapshot{Places: []index.Place{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a"}}}
+		kept := index.Snapshot{Places: []index.Placement{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "a"}}}
 		disk := simulation.nodes["east-m0-control"].owner.(*Controller)
 		disk.RestoreIndex(kept)
-		Expect(simulation.askPlacement("east-m0-control", placementQuery(1, "b")).Body.(index.Place).Server).To(Equal("a"))
+		Expect(simulation.askPlacement("east-m0-control", placementQuery(1, "b")).Body.(index.Placement).Server).To(Equal("a"))
 		simulation.askPlacement("east-m0-control", placementQuery(2, "b"))
-		kept.Places = append(kept.Places, index.Place{Key: index.Key{Scope: "s", Anchor: 2}, Server: "b"})
+		kept.Places = append(kept.Places, index.Placement{Key: index.Key{Scope: "s", Anchor: 2}, Server: "b"})
 		snapshots := handed(disk)
 		Expect(len(snapshots)).To(And(BeNumerically(">=", 1), BeNumerically("<=", 2)), "one per interval")
 		Expect(snapshots[0]).To(Equal(kept))
@@ -148,7 +148,7 @@
 			if cache {
 				Expect(statuses).To(Equal([]index.CacheStatus{{Server: "a", Service: "s", Placed: 1, Checked: 1, Kept: 1, Share: 1}}))
 			} else {
-				Expect(index.Merge(statuses)).To(BeEmpty(), "the reply of an older node is ignored")
+				Expect(index.MergeStatus(statuses)).To(BeEmpty(), "the reply of an older node is ignored")
 			}
 		}
 	})
--- a/control/regions.go
+++ b/control/regions.go
@@ -9,8 +9,8 @@
 )
 
 // allShards returns the shards of this node's own region first, then those of the other regions by name.
-func (controller *Controller) allShards() []*shard.Owner {
-	all := []*shard.Owner{controller.ownShards}
+func (controller *Controller) allShards() []*shard.Manager {
+	all := []*shard.Manager{controller.ownShards}
 	for _, region := range manifest.SortedKeys(controller.standInShards) {
 		all = append(all, controller.standInShards[region])
 	}
--- a/data/data.go
+++ b/data/data.go
@@ -25,9 +25,9 @@
 	maxKeptReplies = 32
 )
 
-// Arrive is the event of a new call from a caller. Unless the caller leaves, each gets exactly one contract.Response with the same
+// CallArrived is the event of a new call from a caller. Unless the caller leaves, each gets exactly one contract.Response with the same
 // token; chunks of a streamed reply go to the caller before it.
-type Arrive struct {
+type CallArrived struct {
 	Token int64
 	Call  call.Call
 }
@@ -61,9 +61,9 @@
 	Confirmed bool
 }
 
-// Look is the event of a caller that asks what became of an earlier call. Forwarded is set if a node of another region passed the
+// OutcomeQuery is the event of a caller that asks what became of an earlier call. Forwarded is set if a node of another region passed the
 // question on.
-type Look struct {
+type OutcomeQuery struct {
 	Token     int64
 	Caller    string
 	Key       string
@@ -125,10 +125,10 @@
 	// exported holds the members that sent this node their records, with the process start that they did so for.
 	exported   map[string]string
 	nextExport time.Duration
-	// token numbers the searches.
-	token    int64
-	stopping bool
-	out      []contract.Command
+	// lastSearchToken numbers the searches.
+	lastSearchToken int64
+	stopping        bool
+	commands        []contract.Command
 }
 
 // New returns the state machine of a node. boot identifies this process start; random must be seeded by the caller.
@@ -141,7 +141,9 @@
 }
 
 // emit adds commands to those that Handle returns.
-func (router *Router) emit(added ...contract.Command) { router.out = append(router.out, added...) }
+func (router *Router) emit(added ...contract.Command) {
+	router.commands = append(router.commands, added...)
+}
 
 func (router *Router) count(name string) { router.emit(contract.AddCounter{Name: name, Delta: 1}) }
 
@@ -151,13 +153,13 @@
 }
 
 func (router *Router) handle(now time.Duration, event contract.Event) []contract.Command {
-	router.out = nil
+	router.commands = nil
 	if gap := router.DetectFreeze(now); gap > 0 {
 		router.afterFreeze(now, gap)
 	}
 	for _, command := range router.Node.Handle(now, event) {
 		if adopted, ok := command.(contract.VersionAdopted); ok {
-			router.retryBudget.Configure(router.Feed.Manifest().RepeatPercent, router.Feed.Manifest().RepeatAtOnce)
+			router.retryBudget.Configure(router.Feed.Manifest().RepeatPercent, router.Feed.Manifest().RepeatAllowance)
 			command = contract.Log{Message: "manifest in force", Attributes: []any{"revision", adopted.Version.Position.Revision}}
 		}
 		router.emit(command)
@@ -166,9 +168,9 @@
 	case contract.Tick:
 		router.tick(now)
 	case contract.Message:
-		router.message(now, event)
-	case Arrive:
-		router.arrive(now, event)
+		router.handleMessage(now, event)
+	case CallArrived:
+		router.handleCallArrived(now, event)
 	case Shutdown:
 		router.stopping = true
 	case CallerLeft:
@@ -181,13 +183,13 @@
 		router.forwardEnded(now, event)
 	case RecallAnswered:
 		router.recallAnswered(now, event)
-	case Look:
+	case OutcomeQuery:
 		router.queryOutcome(now, event)
 	case contract.OperatorRequest:
-		router.ask(now, event)
+		router.handleOperatorRequest(now, event)
 	}
-	out := router.out
-	router.out = nil
+	out := router.commands
+	router.commands = nil
 	return out
 }
 
@@ -198,15 +200,15 @@
 	for _, current := range router.shardLeases {
 		current.expiresAt = 0
 	}
-	for _, token := range router.tokens() {
+	for _, token := range router.sortedTokens() {
 		if job := router.jobs[token]; job.phase != phaseRunning && job.phase != phaseForwarded {
 			router.refuse(now, job, 503, "this node was frozen; the call did not run", router.Bounds.Lease())
 		}
 	}
 }
 
-// tokens returns the tokens of all jobs in ascending order, so that iteration is deterministic.
-func (router *Router) tokens() []int64 {
+// sortedTokens returns the tokens of all jobs in ascending order, so that iteration is deterministic.
+func (router *Router) sortedTokens() []int64 {
 	tokens := make([]int64, 0, len(router.jobs))
 	for token := range router.jobs {
 		tokens = append(tokens, token)
@@ -227,26 +229,26 @@
 	router.reportGauges()
 }
 
-func (router *Router) message(now time.Duration, message contract.Message) {
+func (router *Router) handleMessage(now time.Duration, message contract.Message) {
 	switch message.Kind {
 	case shard.MessageLease:
-		decodeMessage(router, message, func(lease contract.Lease) { router.lease(now, message, lease) })
+		decodeMessage(router, message, func(lease contract.Lease) { router.handleLease(now, message, lease) })
 	case shard.MessageNotOwner:
-		decodeMessage(router, message, func(hint contract.NotOwner) { router.notOwner(hint) })
+		decodeMessage(router, message, func(hint contract.NotOwner) { router.handleNotOwner(hint) })
 	case MessageClaim:
-		decodeMessage(router, message, func(claim Claim) { router.claim(now, claim) })
+		decodeMessage(router, message, func(claim Claim) { router.handleClaim(now, claim) })
 	case MessageClaimReply:
-		decodeMessage(router, message, func(claimReply ClaimReply) { router.claimReply(now, message.From, claimReply) })
+		decodeMessage(router, message, func(claimReply ClaimReply) { router.handleClaimReply(now, message.From, claimReply) })
 	case MessageFinish:
 		decodeMessage(router, message, func(record call.Record) { router.table.Finish(record) })
 	case MessageRelease:
 		decodeMessage(router, message, func(record call.Record) { router.table.Release(record) })
 	case MessageFind:
-		decodeMessage(router, message, func(ask Find) { router.find(now, ask) })
+		decodeMessage(router, message, func(ask Find) { router.handleFind(now, ask) })
 	case MessageFindReply:
-		decodeMessage(router, message, func(findReply FindReply) { router.findReply(now, message.From, findReply) })
+		decodeMessage(router, message, func(findReply FindReply) { router.handleFindReply(now, message.From, findReply) })
 	case MessageExport:
-		decodeMessage(router, message, func(ask Export) { router.export(now, ask) })
+		decodeMessage(router, message, func(ask Export) { router.handleExport(now, ask) })
 	case MessageExportReply:
 		decodeMessage(router, message, func(exported ExportReply) { router.importRecords(now, message, exported) })
 	case control.MessageTraceRequest:
@@ -267,9 +269,9 @@
 	handler(body)
 }
 
-// ask forwards an operator's request to the control-plane node that decides it. Why and gone requests can be answered by any
+// handleOperatorRequest forwards an operator's request to the control-plane node that decides it. Why and gone requests can be answered by any
 // control-plane node.
-func (router *Router) ask(now time.Duration, ask contract.OperatorRequest) {
+func (router *Router) handleOperatorRequest(now time.Duration, ask contract.OperatorRequest) {
 	node, exists := ask.AuthoritativeNode(router.Feed.View())
 	address := node.Address
 	if ask.Verb == contract.VerbWhy || ask.Verb == contract.VerbGone {
--- a/data/end.go
+++ b/data/end.go
@@ -139,7 +139,7 @@
 	if len(servers) == 0 {
 		return
 	}
-	for _, token := range router.tokens() {
+	for _, token := range router.sortedTokens() {
 		job := router.jobs[token]
 		if job.call.IsLookup {
 			continue
--- a/data/find.go
+++ b/data/find.go
@@ -28,12 +28,12 @@
 
 // searchRecord starts the search for the record of a call that was first sent age ago.
 func (router *Router) searchRecord(now time.Duration, scopedKey string, age time.Duration, complete func(time.Duration, *call.Record, bool)) {
-	router.token++
+	router.lastSearchToken++
 	voters := router.votersFor(scopedKey)
-	search := &recordSearch{token: router.token, scopedKey: scopedKey, until: now + router.Bounds.ReplicationTimeout(), voters: voters, complete: complete,
+	search := &recordSearch{token: router.lastSearchToken, scopedKey: scopedKey, until: now + router.Bounds.ReplicationTimeout(), voters: voters, complete: complete,
 		waiting: mapset.NewThreadUnsafeSet[string](), confirmed: mapset.NewThreadUnsafeSet[string](), witness: mapset.NewThreadUnsafeSet[string]()}
-	router.searches[router.token] = search
-	ask := Find{Token: router.token, ScopedKey: scopedKey, Age: age, Address: router.Self().Address}
+	router.searches[router.lastSearchToken] = search
+	ask := Find{Token: router.lastSearchToken, ScopedKey: scopedKey, Age: age, Address: router.Self().Address}
 	for _, name := range voters {
 		if name == router.Self().Name {
 			if router.table.CoversAge(now, age) {
@@ -54,8 +54,8 @@
 	router.concludeSearch(now, search)
 }
 
-// find answers a peer's search.
-func (router *Router) find(now time.Duration, ask Find) {
+// handleFind answers a peer's search.
+func (router *Router) handleFind(now time.Duration, ask Find) {
 	found := FindReply{Token: ask.Token, CoversAge: router.table.CoversAge(now, ask.Age)}
 	if record, exists := router.table.Find(now, ask.ScopedKey); exists {
 		found.Record = &record
@@ -63,8 +63,8 @@
 	router.emit(contract.Send{To: ask.Address, Kind: MessageFindReply, Body: found})
 }
 
-// findReply handles an answer to a search of this node. A record with a final outcome takes precedence over a running one.
-func (router *Router) findReply(now time.Duration, from string, findReply FindReply) {
+// handleFindReply handles an answer to a search of this node. A record with a final outcome takes precedence over a running one.
+func (router *Router) handleFindReply(now time.Duration, from string, findReply FindReply) {
 	search, exists := router.searches[findReply.Token]
 	witness := exists && search.witness.Contains(from)
 	if !exists || !witness && !search.waiting.Contains(from) {
@@ -139,7 +139,7 @@
 }
 
 // look tells a caller what became of a call; the call's home region answers.
-func (router *Router) queryOutcome(now time.Duration, event Look) {
+func (router *Router) queryOutcome(now time.Duration, event OutcomeQuery) {
 	if router.forwardQuery(now, event) {
 		return
 	}
--- a/data/handover.go
+++ b/data/handover.go
@@ -63,8 +63,8 @@
 	return router.dataNodes(now, "back/"+scopedKey, maxRemoteReplicas, func(region string) bool { return region != router.Self().Region })
 }
 
-// export sends a peer the records that it asks for, in batches. An empty result is sent too, as the last batch.
-func (router *Router) export(now time.Duration, ask Export) {
+// handleExport sends a peer the records that it asks for, in batches. An empty result is sent too, as the last batch.
+func (router *Router) handleExport(now time.Duration, ask Export) {
 	records := router.table.Export(now, ask.Region, ask.AllRegions, maxExportedRecords)
 	for first := true; first || len(records) > 0; first = false {
 		count := min(exportBatchSize, len(records))
--- a/data/job.go
+++ b/data/job.go
@@ -40,7 +40,7 @@
 }
 
 // job is a call that this node is handling. Its claim is described by voters, the nodes whose grants count; replicas, those of them
-// that are alive; remoteReplicas, addresses in other regions that store a copy; and witness, the nodes of the witness region, if they
+// that are alive; remoteReplicas, addresses in other regions that store a copy; and witnesses, the nodes of the witness region, if they
 // were asked. granted and witnessed are the nodes that granted the claim, refusals counts voters without room for the record, and
 // contested is set while another node's claim stands in the way. replicas is nil once the record has been released or has its outcome.
 type job struct {
@@ -53,7 +53,7 @@
 	claimedAt      time.Duration
 	replicas       map[string]contract.Member
 	remoteReplicas []string
-	witness        map[string]contract.Member
+	witnesses      map[string]contract.Member
 	witnessed      map[string]bool
 	granted        map[string]bool
 	voters         []string
@@ -73,8 +73,8 @@
 	return delay + time.Duration(router.Random.Int64N(int64(delay)+1))
 }
 
-// arrive checks a new call and forwards it to its home region, answers it from a record, or starts to claim it.
-func (router *Router) arrive(now time.Duration, event Arrive) {
+// handleCallArrived checks a new call and forwards it to its home region, answers it from a record, or starts to claim it.
+func (router *Router) handleCallArrived(now time.Duration, event CallArrived) {
 	config, request := router.Feed.Manifest(), event.Call
 	home, ok := config.Home(request.Caller, request.Home, router.Self().Region)
 	request.Home = home
@@ -82,7 +82,7 @@
 		trace: &Trace{Call: request.Key, Caller: request.Caller, Route: request.Route, Node: router.Self().Name, Home: home, Revision: router.Feed.Version().Position.Revision, arrivedAt: now}}
 	router.traces.add(job.trace)
 	router.count("calls")
-	if !router.Feed.Known() || router.stopping {
+	if !router.Feed.HasVersion() || router.stopping {
 		router.refuse(now, job, 503, "this node does not serve now", router.jitter(router.Bounds.Round()))
 		return
 	}
@@ -111,7 +111,7 @@
 		return
 	}
 	if job.call.Tokens == 0 {
-		job.call.Tokens = route.Tokens
+		job.call.Tokens = route.EstimatedTokens
 	}
 	router.jobs[job.token] = job
 	if request.IsLookup {
@@ -182,7 +182,7 @@
 
 // enqueue puts a claimed call into its route's queue, or refuses it at once if it can't be expected to be served before its deadline.
 func (router *Router) enqueue(now time.Duration, job *job) {
-	wait := router.queues.EstimateWait(job.call.Route, router.queues.Ahead(job.call.Route, job.call.Caller), router.runningCalls(job.call.Route))
+	wait := router.queues.EstimateWait(job.call.Route, router.queues.CallsAhead(job.call.Route, job.call.Caller), router.runningCalls(job.call.Route))
 	joined, displaced := router.queues.Enqueue(job.call.Route, job.call.Caller, job.token, job.route.QueueLimit)
 	if other, exists := router.jobs[displaced]; exists {
 		router.count("calls_displaced")
@@ -288,7 +288,7 @@
 
 // tickJobs handles the time limits of all calls: claims, queueing and hedging.
 func (router *Router) tickJobs(now time.Duration) {
-	for _, token := range router.tokens() {
+	for _, token := range router.sortedTokens() {
 		job := router.jobs[token]
 		switch {
 		case job.phase == phaseClaiming && now-job.claimedAt > router.Bounds.ReplicationTimeout():
--- a/data/keep.go
+++ b/data/keep.go
@@ -61,8 +61,8 @@
 	Record    *call.Record `json:"record,omitempty"`
 }
 
-// record returns the idempotency record of a call that runs here.
-func (router *Router) record(job *job) call.Record {
+// newRecord returns the idempotency record of a call that runs here.
+func (router *Router) newRecord(job *job) call.Record {
 	self := router.Self()
 	return call.Record{ScopedKey: job.call.ScopedKey(), Digest: job.call.Digest, Node: self.Name, Region: self.Region, Boot: self.Boot, Token: job.token, Outcome: call.Running, Remaining: job.deadline - job.arrivedAt}
 }
@@ -98,9 +98,9 @@
 func (router *Router) startClaim(now time.Duration, job *job) {
 	job.phase, job.claimedAt = phaseClaiming, now
 	job.granted, job.refusals, job.voters = map[string]bool{}, 0, router.votersFor(job.call.ScopedKey())
-	job.witness, job.witnessed = nil, map[string]bool{}
+	job.witnesses, job.witnessed = nil, map[string]bool{}
 	job.replicas, job.remoteReplicas = router.liveReplicas(now, job.voters), router.remoteReplicasFor(now, job.call.ScopedKey())
-	record := router.record(job)
+	record := router.newRecord(job)
 	if _, ok, full := router.table.Claim(now, record); !ok {
 		err := "the call is held by another"
 		if full {
@@ -119,7 +119,7 @@
 // claimAgain repeats a contested claim at the replicas that have not granted it.
 func (router *Router) claimAgain(job *job) {
 	job.contested = false
-	claim := Claim{Record: router.record(job), Address: router.Self().Address}
+	claim := Claim{Record: router.newRecord(job), Address: router.Self().Address}
 	for _, name := range manifest.SortedKeys(job.replicas) {
 		if !job.granted[name] {
 			router.emit(contract.Send{To: job.replicas[name].Address, Kind: MessageClaim, Body: claim})
@@ -137,25 +137,25 @@
 	for _, address := range job.remoteReplicas {
 		router.emit(contract.Send{To: address, Kind: kind, Body: body})
 	}
-	for _, name := range manifest.SortedKeys(job.witness) {
-		router.emit(contract.Send{To: job.witness[name].Address, Kind: kind, Body: body})
+	for _, name := range manifest.SortedKeys(job.witnesses) {
+		router.emit(contract.Send{To: job.witnesses[name].Address, Kind: kind, Body: body})
 	}
 }
 
-// claim answers another node's claim of a call.
-func (router *Router) claim(now time.Duration, claim Claim) {
+// handleClaim answers another node's claim of a call.
+func (router *Router) handleClaim(now time.Duration, claim Claim) {
 	known, ok, full := router.table.Claim(now, claim.Record)
 	router.emit(contract.Send{To: claim.Address, Kind: MessageClaimReply, Body: ClaimReply{Token: claim.Record.Token, ScopedKey: claim.Record.ScopedKey, Granted: ok, Full: full, CaughtUp: router.caughtUp(now), Record: known}})
 }
 
-// claimReply handles an answer to a claim of this node.
-func (router *Router) claimReply(now time.Duration, from string, claimReply ClaimReply) {
+// handleClaimReply handles an answer to a claim of this node.
+func (router *Router) handleClaimReply(now time.Duration, from string, claimReply ClaimReply) {
 	job, exists := router.jobs[claimReply.Token]
 	if !exists || job.phase != phaseClaiming || job.call.ScopedKey() != claimReply.ScopedKey {
 		return
 	}
 	if _, replica := job.replicas[from]; !replica && (claimReply.Granted || claimReply.Full) {
-		router.witnessed(now, job, from, claimReply)
+		router.handleWitnessReply(now, job, from, claimReply)
 		return
 	}
 	switch {
@@ -173,7 +173,7 @@
 	case router.takesPrecedence(now, job, claimReply.Record):
 		job.contested = true
 	default:
-		router.release(job)
+		router.releaseClaim(job)
 		router.answerFromRecord(now, job, claimReply.Record)
 	}
 }
@@ -206,16 +206,16 @@
 // grantedByOldReplica reports whether a replica that was up for longer than a record lives granted the claim, or there is no such replica.
 func (router *Router) grantedByOldReplica(job *job) bool {
 	old := int64(router.Bounds.RecordRetention() / router.Bounds.GossipInterval())
-	any := false
+	granted := false
 	for name, replica := range job.replicas {
 		if replica.Heartbeat >= old {
-			any = true
+			granted = true
 			if job.granted[name] {
 				return true
 			}
 		}
 	}
-	return !any
+	return !granted
 }
 
 // answerFromRecord answers a call whose key has a record; the call is not run again. A running record of another node is searched for
@@ -253,9 +253,9 @@
 	return exists && member.Boot == record.Boot && router.Neighbours.Alive(now, record.Node)
 }
 
-// release withdraws the claim of a call that did not run.
-func (router *Router) release(job *job) {
-	record := router.record(job)
+// releaseClaim withdraws the claim of a call that did not run.
+func (router *Router) releaseClaim(job *job) {
+	record := router.newRecord(job)
 	router.table.Release(record)
 	router.sendToReplicas(job, MessageRelease, record)
 	job.replicas = nil
@@ -267,10 +267,10 @@
 		return
 	}
 	if outcome == call.NotRun {
-		router.release(job)
+		router.releaseClaim(job)
 		return
 	}
-	record := router.record(job)
+	record := router.newRecord(job)
 	record.Outcome, record.Chunks = outcome, pieces
 	router.table.Finish(record)
 	router.sendToReplicas(job, MessageFinish, record)
--- a/data/leases.go
+++ b/data/leases.go
@@ -12,36 +12,36 @@
 )
 
 // shardLease is this node's state for one shard of its region's servers: the newest lease, which lists the servers to pick from, and the
-// highest epoch ever seen. requestedAt is when that lease was requested, and hint the owner that another node named.
+// highest epoch ever seen. requestedAt is when that lease was requested, ownerHint the owner that another node named.
 type shardLease struct {
-	lease       contract.Lease
-	highest     contract.Epoch
-	requestedAt time.Duration
-	expiresAt   time.Duration
-	hint        string
-	detour      machine.RelayPath
+	lease        contract.Lease
+	highestEpoch contract.Epoch
+	requestedAt  time.Duration
+	expiresAt    time.Duration
+	ownerHint    string
+	relayPath    machine.RelayPath
 }
 
 // requestLeases asks for a new lease of every shard in each interval. It asks the shard's first owner, the node of the last lease and
 // the hinted owner.
 func (router *Router) requestLeases(now time.Duration) {
-	if now < router.nextLeaseRequest || !router.Feed.Known() {
+	if now < router.nextLeaseRequest || !router.Feed.HasVersion() {
 		return
 	}
 	router.nextLeaseRequest = now + router.Bounds.LeaseRenewal()
 	region := router.Self().Region
-	members, shards := router.Neighbours.Members(now), router.shards()
+	members, shards := router.Neighbours.Members(now), router.shardCount()
 	for index := 0; index < shards; index++ {
 		current, exists := router.shardLeases[index]
 		if !exists {
 			current = &shardLease{}
 			router.shardLeases[index] = current
 		}
-		targets := map[string]bool{current.hint: true, current.lease.Epoch.Node: true}
+		targets := map[string]bool{current.ownerHint: true, current.lease.Epoch.Node: true}
 		first := shard.PreferredOwner(members, region, index)
 		targets[first] = true
 		request := contract.LeaseRequest{Node: router.Self().Name, Address: router.Self().Address, Region: region, Shard: index,
-			SentAt: now, HighestEpoch: current.highest, Number: current.lease.Number, ShardCount: shards}
+			SentAt: now, HighestEpoch: current.highestEpoch, Number: current.lease.Number, ShardCount: shards}
 		request.Calls, request.Abandoned = router.callsOnShard(index)
 		for _, name := range manifest.SortedKeys(targets) {
 			if member, exists := router.Neighbours.Lookup(name); exists && member.Kind == contract.KindControl && router.Neighbours.Alive(now, name) {
@@ -60,19 +60,19 @@
 	if !exists {
 		return
 	}
-	if route, tried, needed := current.detour.Next(silent); needed {
+	if route, tried, needed := current.relayPath.Next(silent); needed {
 		router.emit(router.SendByRelay(now, target, contract.Send{To: target.Address, Kind: shard.MessageLeaseRequest, Body: request}, route, tried)...)
 	}
 }
 
-// shards returns the number of shards of this node's region.
-func (router *Router) shards() int {
+// shardCount returns the number of shards of this node's region.
+func (router *Router) shardCount() int {
 	return router.Feed.Manifest().Regions[router.Self().Region].Shards
 }
 
 // callsOnShard counts this node's calls per server of a shard: those that run, and abandoned ones that may still run.
 func (router *Router) callsOnShard(index int) (calls, lingering map[string]int64) {
-	shards := router.shards()
+	shards := router.shardCount()
 	calls, lingering = map[string]int64{}, map[string]int64{}
 	for name, usage := range router.usages {
 		if contract.ShardOf(name, shards) != index {
@@ -88,18 +88,18 @@
 	return calls, lingering
 }
 
-// lease takes up a shard's lease unless a higher epoch was seen. It expires Life after this node requested it, so that no clocks are
+// handleLease takes up a shard's lease unless a higher epoch was seen. It expires Life after this node requested it, so that no clocks are
 // compared. For each new load report of a server it notes how many of this node's calls the report already includes.
-func (router *Router) lease(now time.Duration, message contract.Message, lease contract.Lease) {
+func (router *Router) handleLease(now time.Duration, message contract.Message, lease contract.Lease) {
 	current, exists := router.shardLeases[lease.Shard]
 	if !exists || lease.Region != router.Self().Region {
 		return
 	}
-	if lease.Epoch.Before(current.highest) || lease.ShardCount != router.shards() {
+	if lease.Epoch.Before(current.highestEpoch) || lease.ShardCount != router.shardCount() {
 		router.count("leases_refused")
 		return
 	}
-	same := lease.Epoch == current.highest
+	same := lease.Epoch == current.highestEpoch
 	if lease.RequestSentAt > now || same && (lease.Number < current.lease.Number || lease.RequestSentAt < current.requestedAt) {
 		router.count("leases_late")
 		return
@@ -108,8 +108,8 @@
 		router.backoffs = map[string]backoff{}
 	}
 	previous := current.lease.Withdraw
-	current.detour.RecordAnswer(message.ReturnRoute, current.requestedAt == lease.RequestSentAt)
-	current.highest, current.lease, current.requestedAt, current.hint = lease.Epoch, lease, lease.RequestSentAt, ""
+	current.relayPath.RecordAnswer(message.ReturnRoute, current.requestedAt == lease.RequestSentAt)
+	current.highestEpoch, current.lease, current.requestedAt, current.ownerHint = lease.Epoch, lease, lease.RequestSentAt, ""
 	current.expiresAt = lease.RequestSentAt + lease.Duration
 	for _, candidate := range lease.Servers {
 		usage := router.usages[candidate.Name]
@@ -127,16 +127,16 @@
 	router.dispatchQueued(now)
 }
 
-// notOwner remembers the owner that a control-plane node named in place of itself.
-func (router *Router) notOwner(hint contract.NotOwner) {
+// handleNotOwner remembers the owner that a control-plane node named in place of itself.
+func (router *Router) handleNotOwner(hint contract.NotOwner) {
 	if current, exists := router.shardLeases[hint.Shard]; exists && hint.Region == router.Self().Region {
-		current.hint = hint.Owner
+		current.ownerHint = hint.Owner
 	}
 }
 
 // candidates returns the servers of all unexpired leases, and the shards whose lease has expired, whose servers can't be picked.
 func (router *Router) candidates(now time.Duration) ([]contract.Candidate, []int) {
-	candidates, lapsed, shards, previous := []contract.Candidate{}, []int{}, router.shards(), false
+	candidates, lapsed, shards, previous := []contract.Candidate{}, []int{}, router.shardCount(), false
 	for _, current := range router.shardLeases {
 		previous = previous || now < current.expiresAt && current.lease.ShardCount != shards
 	}
@@ -160,7 +160,7 @@
 // shardLeaseOf returns the lease that a server is picked under. After a change of the number of shards, leases of the previous number
 // stay in use until they expire or are replaced.
 func (router *Router) shardLeaseOf(now time.Duration, server string) *shardLease {
-	shards := router.shards()
+	shards := router.shardCount()
 	current, exists := router.shardLeases[contract.ShardOf(server, shards)]
 	if exists && now < current.expiresAt && current.lease.ShardCount == shards {
 		return current
--- a/data/outer.go
+++ b/data/outer.go
@@ -37,20 +37,20 @@
 
 // askWitnesses asks the witness region to grant the claim as well, once exactly half of the voters have granted it.
 func (router *Router) askWitnesses(job *job) {
-	if job.witness != nil {
+	if job.witnesses != nil {
 		return
 	}
 	router.count("calls_widened")
-	job.witness = router.witnessNodes()
-	claim := Claim{Record: router.record(job), Address: router.Self().Address}
-	for _, name := range manifest.SortedKeys(job.witness) {
-		router.emit(contract.Send{To: job.witness[name].Address, Kind: MessageClaim, Body: claim})
+	job.witnesses = router.witnessNodes()
+	claim := Claim{Record: router.newRecord(job), Address: router.Self().Address}
+	for _, name := range manifest.SortedKeys(job.witnesses) {
+		router.emit(contract.Send{To: job.witnesses[name].Address, Kind: MessageClaim, Body: claim})
 	}
 }
 
-// witnessed handles a witness's answer to a claim. The grant of one that may have forgotten records after a restart does not count.
-func (router *Router) witnessed(now time.Duration, job *job, from string, claimReply ClaimReply) {
-	if _, wasAsked := job.witness[from]; wasAsked && claimReply.Granted && claimReply.CaughtUp {
+// handleWitnessReply handles a witness's answer to a claim. The grant of one that may have forgotten records after a restart does not count.
+func (router *Router) handleWitnessReply(now time.Duration, job *job, from string, claimReply ClaimReply) {
+	if _, wasAsked := job.witnesses[from]; wasAsked && claimReply.Granted && claimReply.CaughtUp {
 		job.witnessed[from] = true
 		router.checkClaim(now, job)
 	}
--- a/data/pass.go
+++ b/data/pass.go
@@ -90,7 +90,7 @@
 }
 
 // forwardQuery has a question about a call forwarded to the call's home region, or refuses it. It reports false if this region is home.
-func (router *Router) forwardQuery(now time.Duration, event Look) bool {
+func (router *Router) forwardQuery(now time.Duration, event OutcomeQuery) bool {
 	home, ok := router.Feed.Manifest().Home(event.Caller, event.Home, router.Self().Region)
 	answer := contract.Response{Token: event.Token, Status: 400, Body: contract.ErrorBody{Error: "the home is not this caller's, or no region"}}
 	switch {
--- a/emulator/data.go
+++ b/emulator/data.go
@@ -97,9 +97,9 @@
 		}
 	}
 	shell.answers[token] = func(answer contract.Response) {
-		place, fine := answer.Body.(index.Place)
+		place, fine := answer.Body.(index.Placement)
 		if fine {
-			shell.traffic.Handle(shell.now(), gateway.PlacesMoved{Places: []index.Place{place}})
+			shell.traffic.Handle(shell.now(), gateway.PlacesMoved{Places: []index.Placement{place}})
 		}
 		end(gateway.PlaceAnswer{Token: asked.Token, Place: place, TimedOut: !fine && !gateway.IsRefusalStatus(answer.Status)})
 	}
--- a/emulator/index_test.go
+++ b/emulator/index_test.go
@@ -67,7 +67,7 @@
 		day.world.RunUntil(8 * time.Second)
 		ask := func(lasts time.Duration) (refused, late int) {
 			for _, machine := range day.machines {
-				machine.data.ask(gateway.PlaceQuery{Ask: index.Ask{Key: index.Key{Scope: "nobody's"}}, Timeout: lasts / 2}, func(placed gateway.PlaceAnswer) {
+				machine.data.ask(gateway.PlaceQuery{Ask: index.PlacementRequest{Key: index.Key{Scope: "nobody's"}}, Timeout: lasts / 2}, func(placed gateway.PlaceAnswer) {
 					Expect(placed.Place.Server).To(BeEmpty())
 					if placed.TimedOut {
 						late++
--- a/env/env.go
+++ b/env/env.go
@@ -147,7 +147,7 @@
 	for _, option := range options {
 		option(&settings)
 	}
-	return settings, settings.Check()
+	return settings, settings.Validate()
 }
 
 // Parse reads settings from JSON without checking that they are complete; see Validate.
@@ -167,7 +167,7 @@
 	settings.Data = reader.Text("data", "")
 	settings.Folder = reader.Text("folder", "")
 	settings.Platform = reader.Text("platform", "")
-	settings.CoreSize = reader.Number("coreSize", 3, 1, 9)
+	settings.CoreSize = reader.Integer("coreSize", 3, 1, 9)
 	settings.Seeds = reader.Texts("seeds")
 	settings.Bounds.parse(reader)
 	return settings, reader.Err()
@@ -189,14 +189,14 @@
 	}
 	names := []string{}
 	for _, field := range fields {
-		*field.target = reader.Number("bounds."+field.name, *field.target, field.least, field.top)
+		*field.target = reader.Integer("bounds."+field.name, *field.target, field.least, field.top)
 		names = append(names, field.name)
 	}
 	reader.AllowOnly("bounds", names...)
 }
 
-// Check returns an error that lists all settings that are missing or malformed, or nil.
-func (settings Env) Check() error {
+// Validate returns an error that lists all settings that are missing or malformed, or nil.
+func (settings Env) Validate() error {
 	problems := []string{}
 	for _, field := range [][2]string{{"name", settings.Name}, {"zone", settings.Zone}, {"region", settings.Region}} {
 		if field[1] == "" {
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -37,8 +37,8 @@
 	NoticeIfLarge bool `json:"brief,omitempty"`
 }
 
-// Change is a set of new versions, and a new view or nil.
-type Change struct {
+// Update is a set of new versions, and a new view or nil.
+type Update struct {
 	Versions []contract.Version
 	View     *contract.View
 }
@@ -66,8 +66,8 @@
 	Records []contract.Record `json:"records"`
 }
 
-// Owner is one node's part of the feed: its current version and view, and the older versions that it keeps for others.
-type Owner struct {
+// Replicator is one node's part of the feed: its current version and view, and the older versions that it keeps for others.
+type Replicator struct {
 	bounds  env.Bounds
 	address string
 	version contract.Version
@@ -90,28 +90,28 @@
 }
 
 // New returns the feed of the node at an address, without any version.
-func New(address string, bounds env.Bounds) *Owner {
-	return &Owner{address: address, bounds: bounds, history: map[int64]contract.Version{}, catchUpAt: -bounds.GossipInterval(), requestedAt: -bounds.GossipInterval(), bootstrapAt: -bounds.GossipInterval()}
+func New(address string, bounds env.Bounds) *Replicator {
+	return &Replicator{address: address, bounds: bounds, history: map[int64]contract.Version{}, catchUpAt: -bounds.GossipInterval(), requestedAt: -bounds.GossipInterval(), bootstrapAt: -bounds.GossipInterval()}
 }
 
 // Version returns the version in force here, the zero value if none is known.
-func (owner *Owner) Version() contract.Version { return owner.version }
+func (replicator *Replicator) Version() contract.Version { return replicator.version }
 
 // Manifest returns the parsed manifest of the version in force.
-func (owner *Owner) Manifest() manifest.Manifest { return owner.parsed }
+func (replicator *Replicator) Manifest() manifest.Manifest { return replicator.parsed }
 
 // View returns the newest view of the core that is known here.
-func (owner *Owner) View() contract.View { return owner.view }
+func (replicator *Replicator) View() contract.View { return replicator.view }
 
-// Known reports whether this node has any version.
-func (owner *Owner) Known() bool { return owner.version.Position.Revision > 0 }
+// HasVersion reports whether this node has any version.
+func (replicator *Replicator) HasVersion() bool { return replicator.version.Position.Revision > 0 }
 
-func (owner *Owner) isBehind(position contract.Position, view int64) bool {
-	return position.Revision > owner.version.Position.Revision || view > owner.view.Number
+func (replicator *Replicator) isBehind(position contract.Position, view int64) bool {
+	return position.Revision > replicator.version.Position.Revision || view > replicator.view.Number
 }
 
 // Handle processes messages of the feed. The neighbours are the addresses that are notified of a new version or view.
-func (owner *Owner) Handle(now time.Duration, event contract.Event, neighbours []string) []contract.Command {
+func (replicator *Replicator) Handle(now time.Duration, event contract.Event, neighbours []string) []contract.Command {
 	message, ok := event.(contract.Message)
 	if !ok {
 		return nil
@@ -119,54 +119,54 @@
 	switch message.Kind {
 	case MessageNotice:
 		var notice VersionNotice
-		if json.Unmarshal(message.Body, &notice) == nil && owner.isBehind(notice.Position, notice.View) && now-owner.requestedAt >= owner.bounds.GossipInterval() {
-			owner.requestedAt = now
-			return []contract.Command{owner.request(notice.From, false)}
+		if json.Unmarshal(message.Body, &notice) == nil && replicator.isBehind(notice.Position, notice.View) && now-replicator.requestedAt >= replicator.bounds.GossipInterval() {
+			replicator.requestedAt = now
+			return []contract.Command{replicator.request(notice.From, false)}
 		}
 	case MessageRequest:
 		var notice VersionNotice
 		if json.Unmarshal(message.Body, &notice) == nil {
-			return owner.deliver(notice)
+			return replicator.handleNotice(notice)
 		}
 	case MessageHistoryRequest:
 		var historyRequest HistoryRequest
 		if json.Unmarshal(message.Body, &historyRequest) == nil {
-			return []contract.Command{contract.Send{To: historyRequest.Address, Kind: MessageHistoryReply, Body: owner.historyFor(historyRequest)}}
+			return []contract.Command{contract.Send{To: historyRequest.Address, Kind: MessageHistoryReply, Body: replicator.historyFor(historyRequest)}}
 		}
 	case MessageHistoryReply:
 		var historyReply HistoryReply
 		if json.Unmarshal(message.Body, &historyReply) == nil {
-			owner.restoreRecords(historyReply.Records)
+			replicator.restoreRecords(historyReply.Records)
 		}
 	case MessageDelivery:
 		var delivery Delivery
 		if json.Unmarshal(message.Body, &delivery) == nil {
-			owner.requestedAt = now - owner.bounds.GossipInterval()
-			return owner.receive(message, delivery, neighbours)
+			replicator.requestedAt = now - replicator.bounds.GossipInterval()
+			return replicator.receive(message, delivery, neighbours)
 		}
 	}
 	return nil
 }
 
 // receive applies a delivery. If its versions cannot be reconstructed here, the newest version is requested whole.
-func (owner *Owner) receive(message contract.Message, delivery Delivery, neighbours []string) []contract.Command {
-	if len(delivery.Packed) > 0 && delivery.PackedOf.Revision > owner.version.Position.Revision {
+func (replicator *Replicator) receive(message contract.Message, delivery Delivery, neighbours []string) []contract.Command {
+	if len(delivery.Packed) > 0 && delivery.PackedOf.Revision > replicator.version.Position.Revision {
 		if records, err := decompress(delivery.Packed); err == nil {
 			delivery.Records = append(delivery.Records, records...)
 		}
 	}
-	versions, err := contract.DecodeRecords(delivery.Records, owner.versionAt)
-	commands := owner.Apply(Change{Versions: versions, View: delivery.View}, neighbours)
+	versions, err := contract.DecodeRecords(delivery.Records, replicator.versionAt)
+	commands := replicator.Apply(Update{Versions: versions, View: delivery.View}, neighbours)
 	if err != nil {
-		owner.wantsFullVersion = true
+		replicator.wantsFullVersion = true
 		commands = append(commands, contract.AddCounter{Name: "feed_refused", Delta: 1}, contract.Log{Message: "versions not taken", Attributes: []any{"from", message.From, "error", err}})
 	}
 	return commands
 }
 
 // versionAt returns a kept version by its position.
-func (owner *Owner) versionAt(position contract.Position) (contract.Version, bool) {
-	if version, found := owner.history[position.Revision]; found && version.Position == position {
+func (replicator *Replicator) versionAt(position contract.Position) (contract.Version, bool) {
+	if version, found := replicator.history[position.Revision]; found && version.Position == position {
 		return version, true
 	}
 	return contract.Version{}, false
@@ -174,21 +174,21 @@
 
 // CatchUp asks two members that are ahead, chosen again each time: one of those that this node hears from directly, and one of all
 // members, since links may be cut in either direction.
-func (owner *Owner) CatchUp(now time.Duration, members, near []contract.Member, random *rand.Rand) []contract.Command {
-	if now-owner.catchUpAt < owner.bounds.GossipInterval() {
+func (replicator *Replicator) CatchUp(now time.Duration, members, near []contract.Member, random *rand.Rand) []contract.Command {
+	if now-replicator.catchUpAt < replicator.bounds.GossipInterval() {
 		return nil
 	}
-	commands := owner.historyRequest(now, near, random)
+	commands := replicator.historyRequest(now, near, random)
 	for _, group := range [][]contract.Member{near, members} {
 		ahead := []string{}
 		for _, member := range group {
-			if owner.isBehind(member.Position, member.View) {
+			if replicator.isBehind(member.Position, member.View) {
 				ahead = append(ahead, member.Address)
 			}
 		}
 		if len(ahead) > 0 {
-			owner.catchUpAt = now
-			commands = append(commands, owner.request(ahead[random.IntN(len(ahead))], false))
+			replicator.catchUpAt = now
+			commands = append(commands, replicator.request(ahead[random.IntN(len(ahead))], false))
 		}
 	}
 	return commands
@@ -197,21 +197,21 @@
 // historyRequest asks a neighbour for older versions that are missing here, so that a restarted node keeps its full history again. It
 // starts at any missing revision, since a gap that no node can fill must not hide the versions after it. If nothing is gained, it asks
 // less often.
-func (owner *Owner) historyRequest(now time.Duration, near []contract.Member, random *rand.Rand) []contract.Command {
-	interval := owner.bounds.Return()
-	if owner.historyGained {
-		interval = owner.bounds.Round()
+func (replicator *Replicator) historyRequest(now time.Duration, near []contract.Member, random *rand.Rand) []contract.Command {
+	interval := replicator.bounds.Return()
+	if replicator.historyGained {
+		interval = replicator.bounds.Round()
 	}
-	if !owner.Known() {
+	if !replicator.HasVersion() {
 		return nil
 	}
-	if owner.historyRequestedAt == 0 {
-		owner.historyRequestedAt = now + time.Duration(random.Int64N(int64(interval/2)))
+	if replicator.historyRequestedAt == 0 {
+		replicator.historyRequestedAt = now + time.Duration(random.Int64N(int64(interval/2)))
 	}
-	if now-owner.historyRequestedAt < interval || len(near) == 0 {
+	if now-replicator.historyRequestedAt < interval || len(near) == 0 {
 		return nil
 	}
-	missing, gaps := owner.Missing(), []int64{}
+	missing, gaps := replicator.Missing(), []int64{}
 	for index, revision := range missing {
 		if index == 0 || missing[index-1] != revision-1 {
 			gaps = append(gaps, revision)
@@ -220,8 +220,8 @@
 	if len(missing) == 0 {
 		return nil
 	}
-	owner.historyRequestedAt, owner.historyGained = now, false
-	historyRequest := HistoryRequest{From: missing[random.IntN(len(missing))], Address: owner.address, Base: owner.version.Position}
+	replicator.historyRequestedAt, replicator.historyGained = now, false
+	historyRequest := HistoryRequest{From: missing[random.IntN(len(missing))], Address: replicator.address, Base: replicator.version.Position}
 	if random.IntN(2) == 0 {
 		historyRequest.From = gaps[random.IntN(len(gaps))]
 	}
@@ -229,135 +229,135 @@
 }
 
 // Missing returns the revisions below the newest one that should be kept here and are not, in ascending order.
-func (owner *Owner) Missing() []int64 {
-	newest, missing := owner.version.Position.Revision, []int64{}
-	for revision := max(1, newest-owner.bounds.History+1, owner.historyStart); revision < newest; revision++ {
-		if _, found := owner.history[revision]; !found {
+func (replicator *Replicator) Missing() []int64 {
+	newest, missing := replicator.version.Position.Revision, []int64{}
+	for revision := max(1, newest-replicator.bounds.History+1, replicator.historyStart); revision < newest; revision++ {
+		if _, found := replicator.history[revision]; !found {
 			missing = append(missing, revision)
 		}
 	}
 	return missing
 }
 
-func (owner *Owner) restoreRecords(records []contract.Record) {
-	versions, _ := contract.DecodeRecords(records, owner.versionAt)
-	owner.Restore(versions)
+func (replicator *Replicator) restoreRecords(records []contract.Record) {
+	versions, _ := contract.DecodeRecords(records, replicator.versionAt)
+	replicator.Restore(versions)
 }
 
 // Restore keeps committed versions that are older than the newest one, for other nodes to request. Versions already kept are unchanged.
-func (owner *Owner) Restore(versions []contract.Version) {
+func (replicator *Replicator) Restore(versions []contract.Version) {
 	for _, version := range versions {
-		_, found := owner.history[version.Position.Revision]
-		if !found && version.Position.Revision < owner.version.Position.Revision && version.Position.Revision >= owner.historyStart {
-			owner.store(version)
-			owner.historyGained = true
+		_, found := replicator.history[version.Position.Revision]
+		if !found && version.Position.Revision < replicator.version.Position.Revision && version.Position.Revision >= replicator.historyStart {
+			replicator.store(version)
+			replicator.historyGained = true
 		}
 	}
 }
 
 // Bootstrap asks all the given addresses for the current version, so a node that knows none need not wait until it hears who has one.
-func (owner *Owner) Bootstrap(now time.Duration, addresses []string) []contract.Command {
-	if owner.Known() || now-owner.bootstrapAt < owner.bounds.GossipInterval() {
+func (replicator *Replicator) Bootstrap(now time.Duration, addresses []string) []contract.Command {
+	if replicator.HasVersion() || now-replicator.bootstrapAt < replicator.bounds.GossipInterval() {
 		return nil
 	}
-	owner.bootstrapAt = now
+	replicator.bootstrapAt = now
 	commands := []contract.Command{}
 	for _, address := range addresses {
-		if address != owner.address {
-			commands = append(commands, owner.request(address, true))
+		if address != replicator.address {
+			commands = append(commands, replicator.request(address, true))
 		}
 	}
 	return commands
 }
 
-func (owner *Owner) request(address string, noticeIfLarge bool) contract.Command {
-	notice := owner.notice()
+func (replicator *Replicator) request(address string, noticeIfLarge bool) contract.Command {
+	notice := replicator.notice()
 	notice.NoticeIfLarge = noticeIfLarge
-	if owner.wantsFullVersion {
-		notice.Position, owner.wantsFullVersion = contract.Position{}, false
+	if replicator.wantsFullVersion {
+		notice.Position, replicator.wantsFullVersion = contract.Position{}, false
 	}
 	return contract.Send{To: address, Kind: MessageRequest, Body: notice}
 }
 
-func (owner *Owner) notice() VersionNotice {
-	return VersionNotice{Position: owner.version.Position, View: owner.view.Number, From: owner.address}
+func (replicator *Replicator) notice() VersionNotice {
+	return VersionNotice{Position: replicator.version.Position, View: replicator.view.Number, From: replicator.address}
 }
 
 // parseNext parses a newer version; parts that it shares with the one in force are not parsed again.
-func (owner *Owner) parseNext(version contract.Version) (manifest.Manifest, error) {
-	if !owner.Known() {
+func (replicator *Replicator) parseNext(version contract.Version) (manifest.Manifest, error) {
+	if !replicator.HasVersion() {
 		return manifest.FromDocument(version.Document())
 	}
 	change := version.Change
-	if version.Base != owner.version.Position {
-		change = document.Diff(owner.version.Document(), version.Document())
+	if version.Base != replicator.version.Position {
+		change = document.Diff(replicator.version.Document(), version.Document())
 	}
-	return owner.parsed.Next(version.Document(), change)
+	return replicator.parsed.Next(version.Document(), change)
 }
 
 // store keeps a version, unless one with its revision is kept already.
-func (owner *Owner) store(version contract.Version) {
-	if _, found := owner.history[version.Position.Revision]; !found {
-		owner.history[version.Position.Revision] = version
-		owner.historyBytes += version.RetainedBytes()
+func (replicator *Replicator) store(version contract.Version) {
+	if _, found := replicator.history[version.Position.Revision]; !found {
+		replicator.history[version.Position.Revision] = version
+		replicator.historyBytes += version.RetainedBytes()
 	}
 }
 
-func (owner *Owner) drop(revision int64) {
-	if version, found := owner.history[revision]; found {
-		owner.historyBytes -= version.RetainedBytes()
-		delete(owner.history, revision)
+func (replicator *Replicator) drop(revision int64) {
+	if version, found := replicator.history[revision]; found {
+		replicator.historyBytes -= version.RetainedBytes()
+		delete(replicator.history, revision)
 	}
 }
 
 // trim drops the oldest versions while the kept ones exceed the allowed bytes of changes; the newest one always stays.
-func (owner *Owner) trim() {
-	if owner.historyBytes <= owner.bounds.HistoryBytes {
+func (replicator *Replicator) trim() {
+	if replicator.historyBytes <= replicator.bounds.HistoryBytes {
 		return
 	}
-	for _, version := range owner.versionsFrom(0) {
-		if owner.historyBytes <= owner.bounds.HistoryBytes || version.Position.Revision >= owner.version.Position.Revision {
+	for _, version := range replicator.versionsFrom(0) {
+		if replicator.historyBytes <= replicator.bounds.HistoryBytes || version.Position.Revision >= replicator.version.Position.Revision {
 			return
 		}
-		owner.drop(version.Position.Revision)
-		owner.historyStart = max(owner.historyStart, version.Position.Revision+1)
+		replicator.drop(version.Position.Revision)
+		replicator.historyStart = max(replicator.historyStart, version.Position.Revision+1)
 	}
 }
 
 // Apply adopts newer versions and views and notifies the neighbours. A lower revision or view never replaces a higher one.
-func (owner *Owner) Apply(change Change, neighbours []string) []contract.Command {
+func (replicator *Replicator) Apply(change Update, neighbours []string) []contract.Command {
 	commands, changed, newVersions := []contract.Command{}, false, []contract.Version{}
-	if change.View != nil && change.View.Number > owner.view.Number {
-		owner.view, changed = *change.View, true
-		commands = append(commands, contract.Log{Message: "view adopted", Attributes: []any{"view", owner.view.Number}})
+	if change.View != nil && change.View.Number > replicator.view.Number {
+		replicator.view, changed = *change.View, true
+		commands = append(commands, contract.Log{Message: "view adopted", Attributes: []any{"view", replicator.view.Number}})
 	}
 	for _, version := range change.Versions {
-		owner.store(version)
+		replicator.store(version)
 		newVersions = append(newVersions, version)
 	}
 	slices.SortFunc(newVersions, func(left, right contract.Version) int {
 		return cmp.Compare(right.Position.Revision, left.Position.Revision)
 	})
 	for _, version := range newVersions {
-		if version.Position.Revision <= owner.version.Position.Revision {
+		if version.Position.Revision <= replicator.version.Position.Revision {
 			break
 		}
-		parsed, err := owner.parseNext(version)
+		parsed, err := replicator.parseNext(version)
 		if err != nil {
 			commands = append(commands, contract.AddCounter{Name: "feed_refused", Delta: 1})
 			continue
 		}
-		for revision := owner.version.Position.Revision; revision < version.Position.Revision; revision++ {
-			owner.drop(revision + 1 - owner.bounds.History)
+		for revision := replicator.version.Position.Revision; revision < version.Position.Revision; revision++ {
+			replicator.drop(revision + 1 - replicator.bounds.History)
 		}
-		owner.version, owner.parsed, changed = version, parsed, true
-		owner.trim()
+		replicator.version, replicator.parsed, changed = version, parsed, true
+		replicator.trim()
 		commands = append(commands, contract.VersionAdopted{Version: version})
 		break
 	}
 	if changed {
 		for _, address := range neighbours {
-			commands = append(commands, contract.Send{To: address, Kind: MessageNotice, Body: owner.notice()})
+			commands = append(commands, contract.Send{To: address, Kind: MessageNotice, Body: replicator.notice()})
 		}
 	}
 	return commands
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -51,9 +51,9 @@
 	bounds, random := env.DefaultBounds(), rand.New(rand.NewPCG(1, 2))
 	keeper, restarted := New("keeper", bounds), New("restarted", bounds)
 	for revision := int64(41); revision <= 140; revision++ {
-		keeper.Apply(Change{Versions: []contract.Version{version(revision)}}, nil)
+		keeper.Apply(Update{Versions: []contract.Version{version(revision)}}, nil)
 	}
-	restarted.Apply(Change{Versions: []contract.Version{version(140)}}, nil)
+	restarted.Apply(Update{Versions: []contract.Version{version(140)}}, nil)
 	near := []contract.Member{{Name: "keeper", Address: "keeper", Position: contract.Position{View: 1, Revision: 140}}}
 	for now := time.Second; now < 10*time.Minute; now += bounds.GossipInterval() {
 		for _, command := range restarted.CatchUp(now, near, near, random) {
@@ -72,10 +72,10 @@
 		Expect(commands).To(HaveLen(1))
 		return commands[0].(contract.Send).Body.(Delivery)
 	}
-	keeper := func() *Owner {
+	keeper := func() *Replicator {
 		source := New("keeper", env.DefaultBounds())
 		for revision := int64(1); revision <= 40; revision++ {
-			source.Apply(Change{Versions: []contract.Version{version(revision)}}, nil)
+			source.Apply(Update{Versions: []contract.Version{version(revision)}}, nil)
 		}
 		return source
 	}
@@ -94,7 +94,7 @@
 	It("given several versions at once, when they are taken, then the newest valid one is adopted and all are kept", func() {
 		broken := versionOf(4, []byte(`{}`))
 		node := New("node", env.DefaultBounds())
-		commands := node.Apply(Change{Versions: []contract.Version{version(1), version(2), version(3), broken}}, nil)
+		commands := node.Apply(Update{Versions: []contract.Version{version(1), version(2), version(3), broken}}, nil)
 		adopted := ""
 		for _, command := range commands {
 			if taken, ok := command.(contract.VersionAdopted); ok {
@@ -112,7 +112,7 @@
 		content := fmt.Appendf(nil, `{"regions":{"r":{"shards":1,"machines":["m"%s]}},"zones":{}}`, strings.Repeat(`,"another machine"`, 2000))
 		large := versionOf(41, content)
 		source := keeper()
-		source.Apply(Change{Versions: []contract.Version{large}}, nil)
+		source.Apply(Update{Versions: []contract.Version{large}}, nil)
 		first := changed(source.Handle(time.Second, message(MessageRequest, VersionNotice{From: "new"}), nil))
 		second := changed(source.Handle(time.Second, message(MessageRequest, VersionNotice{Position: contract.Position{View: 9, Revision: 40}, From: "other"}), nil))
 		Expect(first.Records).To(BeEmpty())
@@ -121,7 +121,7 @@
 		node := New("node", env.DefaultBounds())
 		node.Handle(time.Second, message(MessageDelivery, Delivery{Packed: first.Packed[:len(first.Packed)/2], PackedOf: large.Position}), nil)
 		node.Handle(time.Second, message(MessageDelivery, Delivery{Packed: []byte("no gzip"), PackedOf: large.Position}), nil)
-		Expect(node.Known()).To(BeFalse())
+		Expect(node.HasVersion()).To(BeFalse())
 		node.Handle(time.Second, message(MessageDelivery, first), nil)
 		Expect(encoded(node.Version())).To(Equal(encoded(large)))
 	})
@@ -129,7 +129,7 @@
 	It("given a change that does not fit what the node holds, when it comes, then none of it takes effect and the newest version is requested whole", func() {
 		bounds, random := env.DefaultBounds(), rand.New(rand.NewPCG(1, 2))
 		source, node := keeper(), New("node", bounds)
-		node.Apply(Change{Versions: []contract.Version{version(37)}}, nil)
+		node.Apply(Update{Versions: []contract.Version{version(37)}}, nil)
 		delivery := changed(source.Handle(time.Second, message(MessageRequest, VersionNotice{Position: contract.Position{View: 1, Revision: 37}, From: "node"}), nil))
 		delivery.Records[0].Change.Set["/regions/r/shards"] = document.Value("5")
 		commands := node.Handle(2*time.Second, message(MessageDelivery, delivery), nil)
@@ -147,10 +147,10 @@
 	It("given seeds that hold a large version, when a node asks all of them at once, then it has the version from one of them", func() {
 		content := fmt.Appendf(nil, `{"regions":{"r":{"shards":1,"machines":["m"%s]}},"zones":{}}`, strings.Repeat(`,"another machine"`, 2000))
 		large := versionOf(41, content)
-		node, seeds, sent := New("node", env.DefaultBounds()), map[string]*Owner{}, 0
+		node, seeds, sent := New("node", env.DefaultBounds()), map[string]*Replicator{}, 0
 		for _, name := range []string{"one", "two", "three"} {
 			seeds[name] = New(name, env.DefaultBounds())
-			seeds[name].Apply(Change{Versions: []contract.Version{large}}, nil)
+			seeds[name].Apply(Update{Versions: []contract.Version{large}}, nil)
 		}
 		commands := node.Bootstrap(time.Second, []string{"one", "two", "three"})
 		Expect(commands).To(HaveLen(3))
@@ -176,7 +176,7 @@
 	It("given an applied snapshot, when neighbours have older versions, then they are requested only after the allowed return time", func() {
 		bounds, random := env.DefaultBounds(), rand.New(rand.NewPCG(1, 2))
 		node := New("node", bounds)
-		node.Apply(Change{Versions: []contract.Version{version(40)}}, nil)
+		node.Apply(Update{Versions: []contract.Version{version(40)}}, nil)
 		near := []contract.Member{{Name: "keeper", Address: "keeper", Position: contract.Position{View: 1, Revision: 40}}}
 		first := time.Duration(0)
 		for now := time.Second; first == 0 && now < time.Minute; now += bounds.GossipInterval() {
--- a/feed/tell.go
+++ b/feed/tell.go
@@ -6,23 +6,23 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// deliver answers a request with what the requester lacks: changes of its version, or the newest version whole if that is not kept here.
-func (owner *Owner) deliver(notice VersionNotice) []contract.Command {
+// handleNotice answers a request with what the requester lacks: changes of its version, or the newest version whole if that is not kept here.
+func (replicator *Replicator) handleNotice(notice VersionNotice) []contract.Command {
 	delivery := Delivery{}
-	if owner.Known() && notice.Position.Revision < owner.version.Position.Revision {
-		base, found := owner.versionAt(notice.Position)
-		large := owner.version.Document().Size() >= minCompressSize
+	if replicator.HasVersion() && notice.Position.Revision < replicator.version.Position.Revision {
+		base, found := replicator.versionAt(notice.Position)
+		large := replicator.version.Document().Size() >= minCompressSize
 		switch {
 		case !found && large && notice.NoticeIfLarge:
-			return []contract.Command{contract.Send{To: notice.From, Kind: MessageNotice, Body: owner.notice()}}
+			return []contract.Command{contract.Send{To: notice.From, Kind: MessageNotice, Body: replicator.notice()}}
 		case !found && !large:
-			delivery.Records = []contract.Record{owner.version.FullRecord()}
+			delivery.Records = []contract.Record{replicator.version.FullRecord()}
 		default:
-			owner.fillDelivery(&delivery, base)
+			replicator.fillDelivery(&delivery, base)
 		}
 	}
-	if owner.view.Number > notice.View {
-		view := owner.view
+	if replicator.view.Number > notice.View {
+		view := replicator.view
 		delivery.View = &view
 	}
 	if len(delivery.Records) == 0 && len(delivery.Packed) == 0 && delivery.View == nil {
@@ -32,29 +32,29 @@
 }
 
 // recordsSince returns all versions after a base, each as a change of the one before, or only the newest one if there are many.
-func (owner *Owner) recordsSince(base contract.Version) []contract.Record {
+func (replicator *Replicator) recordsSince(base contract.Version) []contract.Record {
 	if base.Position.Revision == 0 {
-		return []contract.Record{owner.version.FullRecord()}
+		return []contract.Record{replicator.version.FullRecord()}
 	}
-	versions := owner.versionsFrom(base.Position.Revision + 1)
+	versions := replicator.versionsFrom(base.Position.Revision + 1)
 	if len(versions) <= maxChanges {
 		if records := contract.EncodeRecords(base, versions, contract.MaxRecordBytes); len(records) == len(versions) {
 			return records
 		}
 	}
-	return []contract.Record{owner.version.RecordRelativeTo(base)}
+	return []contract.Record{replicator.version.RecordRelativeTo(base)}
 }
 
 // fillDelivery puts the versions after a base into a delivery, or the newest version whole if there is no base; large records are packed.
-func (owner *Owner) fillDelivery(delivery *Delivery, base contract.Version) {
-	if owner.packedOf != owner.version.Position {
-		owner.packed, owner.packedOf = map[contract.Position][]byte{}, owner.version.Position
+func (replicator *Replicator) fillDelivery(delivery *Delivery, base contract.Version) {
+	if replicator.packedOf != replicator.version.Position {
+		replicator.packed, replicator.packedOf = map[contract.Position][]byte{}, replicator.version.Position
 	}
-	if packed, found := owner.packed[base.Position]; found {
-		delivery.Packed, delivery.PackedOf = packed, owner.version.Position
+	if packed, found := replicator.packed[base.Position]; found {
+		delivery.Packed, delivery.PackedOf = packed, replicator.version.Position
 		return
 	}
-	records, size := owner.recordsSince(base), 0
+	records, size := replicator.recordsSince(base), 0
 	for _, record := range records {
 		size += record.Size()
 	}
@@ -63,23 +63,23 @@
 		return
 	}
 	packed := compress(records)
-	if len(owner.packed) < maxPackedBases {
-		owner.packed[base.Position] = packed
+	if len(replicator.packed) < maxPackedBases {
+		replicator.packed[base.Position] = packed
 	}
-	delivery.Packed, delivery.PackedOf = packed, owner.version.Position
+	delivery.Packed, delivery.PackedOf = packed, replicator.version.Position
 }
 
 // historyFor returns the kept versions from a revision on.
-func (owner *Owner) historyFor(historyRequest HistoryRequest) HistoryReply {
-	versions := owner.versionsFrom(historyRequest.From)
-	base, _ := owner.versionAt(historyRequest.Base)
+func (replicator *Replicator) historyFor(historyRequest HistoryRequest) HistoryReply {
+	versions := replicator.versionsFrom(historyRequest.From)
+	base, _ := replicator.versionAt(historyRequest.Base)
 	return HistoryReply{Records: contract.EncodeRecords(base, versions[:min(len(versions), maxChanges)], contract.MaxRecordBytes)}
 }
 
 // versionsFrom returns the kept versions from a revision on, in ascending order.
-func (owner *Owner) versionsFrom(revision int64) []contract.Version {
+func (replicator *Replicator) versionsFrom(revision int64) []contract.Version {
 	versions := []contract.Version{}
-	for _, version := range owner.history {
+	for _, version := range replicator.history {
 		if version.Position.Revision >= revision {
 			versions = append(versions, version)
 		}
--- a/fleet/platform.go
+++ b/fleet/platform.go
@@ -78,7 +78,7 @@
 		}, func(content []byte) {
 			read := shard.ListingResult{StartedAt: began}
 			var err error
-			if read.Listing, err = listing.ReadListing(content, command.Region); err != nil {
+			if read.Listing, err = listing.ParseListing(content, command.Region); err != nil {
 				read.Error = err.Error()
 			}
 			process.handle(read)
@@ -88,7 +88,7 @@
 		fleet.question(process, server.place(), limit, server.report, func(content []byte) {
 			read := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: began}}
 			var err error
-			if read.Report, err = listing.ReadReport(content, command.Server); err != nil {
+			if read.Report, err = listing.ParseReport(content, command.Server); err != nil {
 				read.Error = err.Error()
 			}
 			process.handle(read)
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -76,7 +76,7 @@
 	process.token++
 	token := process.token
 	process.asks[token] = func(answer contract.Response) { given = answer }
-	process.handle(data.Arrive{Token: token, Call: asked})
+	process.handle(data.CallArrived{Token: token, Call: asked})
 	fleet.Until(5*time.Second, func() bool { return given.Status != 0 || given.Body != nil })
 	return given
 }
@@ -88,14 +88,14 @@
 	process.token++
 	token := process.token
 	process.asks[token] = func(answer contract.Response) { given = answer }
-	process.handle(data.Look{Token: token, Caller: caller, Key: key, Home: home})
+	process.handle(data.OutcomeQuery{Token: token, Caller: caller, Key: key, Home: home})
 	fleet.Until(5*time.Second, func() bool { return given.Status != 0 || given.Body != nil })
 	if pass, away := given.Body.(data.HomeForward); away {
 		process = fleet.processes[pass.Nodes[0]]
 		given = contract.Response{}
 		process.token++
 		process.asks[process.token] = func(answer contract.Response) { given = answer }
-		process.handle(data.Look{Token: process.token, Caller: caller, Key: key, Home: pass.Home, Forwarded: true})
+		process.handle(data.OutcomeQuery{Token: process.token, Caller: caller, Key: key, Home: pass.Home, Forwarded: true})
 		fleet.Until(5*time.Second, func() bool { return given.Status != 0 })
 	}
 	return given
--- a/fleet/retirement.go
+++ b/fleet/retirement.go
@@ -143,9 +143,9 @@
 	}
 }
 
-func (fleet *Fleet) retirements() []shard.Retired {
+func (fleet *Fleet) retirements() []shard.RetirementStatus {
 	answer := fleet.Operate(fleet.anyNode(), contract.OperatorRequest{Verb: contract.VerbRetirements})
 	body, _ := answer.Body.(map[string]any)
-	rows, _ := body["retirements"].([]shard.Retired)
+	rows, _ := body["retirements"].([]shard.RetirementStatus)
 	return rows
 }
--- a/fleet/session.go
+++ b/fleet/session.go
@@ -62,7 +62,7 @@
 	} else {
 		outer.inner = open
 	}
-	process.handle(data.Arrive{Token: open.token, Call: asked})
+	process.handle(data.CallArrived{Token: open.token, Call: asked})
 	return open
 }
 
--- a/gateway/cache.go
+++ b/gateway/cache.go
@@ -86,7 +86,7 @@
 	if !call.soleReader || server.load.Waiting > 1 || elapsed <= expected {
 		return index.Unclear
 	}
-	return index.Missed(elapsed, elapsed-expected+overhead/2)
+	return index.MissVerdict(elapsed, elapsed-expected+overhead/2)
 }
 
 // learnOverhead updates what calls to a region take apart from reading the prompt, from calls whose prompt was certainly cached.
--- a/gateway/cache_test.go
+++ b/gateway/cache_test.go
@@ -10,7 +10,7 @@
 
 // withEngines makes every server of the service a model server with a prompt cache.
 func withEngines(read *manifest.Manifest) {
-	read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, TokensPerStep: 5}}
+	read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, TokenCapacity: 300000, TokensPerStep: 5}}
 }
 
 func longPrompt(own string) engine.Prompt {
--- a/gateway/index_test.go
+++ b/gateway/index_test.go
@@ -54,7 +54,7 @@
 		node.now += node.listRequestInterval()
 		return node.process(contract.Tick{})
 	}
-	ask := AskPlace{Token: 9, Ask: index.Ask{Key: index.Key{Scope: "s", Anchor: 1<<64 - 1}, Candidates: []string{"a"}, Work: 7}}
+	ask := AskPlace{Token: 9, Ask: index.PlacementRequest{Key: index.Key{Scope: "s", Anchor: 1<<64 - 1}, Candidates: []string{"a"}, Work: 7}}
 
 	It("given no control node, when a place is queried, then the query is refused and the router is told of no owner", func() {
 		node := startedNode()
@@ -81,7 +81,7 @@
 			Expect(forwards[0].Address).To(Equal(first().Address))
 			Expect(forwards[0].Request.Token).To(Equal(int64(9)))
 			Expect(forwards[0].Request.Verb).To(Equal(contract.VerbPlace))
-			var carried index.Ask
+			var carried index.PlacementRequest
 			Expect(json.Unmarshal(forwards[0].Request.Body, &carried)).To(Succeed())
 			Expect(carried).To(Equal(ask.Ask))
 		}
@@ -105,7 +105,7 @@
 			}
 			return ordered
 		}(5)
-		known := AskPlace{Token: 9, Ask: index.Ask{Key: index.Key{Scope: "s", Anchor: 7}, Known: true}}
+		known := AskPlace{Token: 9, Ask: index.PlacementRequest{Key: index.Key{Scope: "s", Anchor: 7}, Known: true}}
 		addresses := func(commands []contract.Command) []string {
 			found := []string{}
 			for _, command := range commands {
@@ -188,8 +188,8 @@
 
 	It("given a message of moved places, when it arrives, then the router gets them, and one that cannot be decoded changes nothing", func() {
 		node := startedNode()
-		places := []index.Place{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "b"}}
-		Expect(events[PlacesMoved](node.process(message(index.MessageMoved, "c1-control", index.Moved{Places: places})))).To(Equal([]PlacesMoved{{Places: places}}))
+		places := []index.Placement{{Key: index.Key{Scope: "s", Anchor: 1}, Server: "b"}}
+		Expect(events[PlacesMoved](node.process(message(index.MessageMoved, "c1-control", index.PlacementUpdate{Places: places})))).To(Equal([]PlacesMoved{{Places: places}}))
 		Expect(events[PlacesMoved](node.process(contract.Message{Kind: index.MessageMoved, Body: []byte(`{"places":7}`)}))).To(BeEmpty())
 	})
 })
--- a/gateway/lists.go
+++ b/gateway/lists.go
@@ -39,7 +39,7 @@
 // requestLists requests the lists of all shards when that is due, sooner while lists are missing, and adapts the set of lists to the shards of the
 // manifest.
 func (node *Node) requestLists(now time.Duration) {
-	if now < node.nextListRequest || !node.Feed.Known() {
+	if now < node.nextListRequest || !node.Feed.HasVersion() {
 		return
 	}
 	node.nextListRequest = now + node.listRequestInterval()
--- a/gateway/near_test.go
+++ b/gateway/near_test.go
@@ -42,7 +42,7 @@
 	It("given a prompt that is not known here, when a call arrives, then the replica is asked first, with a short timeout and only the key", func() {
 		router := routerWithReplica()
 		near := router.expectReplicaQuery("one")
-		Expect(near.Ask).To(Equal(index.Ask{Key: near.Ask.Key, Known: true}))
+		Expect(near.Ask).To(Equal(index.PlacementRequest{Key: near.Ask.Key, Known: true}))
 		Expect(near.Ask.Anchor).NotTo(BeZero())
 		Expect(near.Timeout).To(Equal(router.policy.Contact / 64))
 		Expect(expectDispatch(router.answerPlace(near, "e")).Server.Name).To(Equal("e"))
--- a/gateway/node.go
+++ b/gateway/node.go
@@ -31,7 +31,7 @@
 // answer is an index.Place.
 type AskPlace struct {
 	Token int64
-	Ask   index.Ask
+	Ask   index.PlacementRequest
 }
 
 // Leave is the event that this node stops; the other members are told.
@@ -138,7 +138,7 @@
 			node.applyNotices(message, notices)
 		}
 	case index.MessageMoved:
-		var moved index.Moved
+		var moved index.PlacementUpdate
 		if json.Unmarshal(message.Body, &moved) == nil {
 			node.emit(Update{PlacesMoved{Places: moved.Places}})
 		}
--- a/gateway/pick.go
+++ b/gateway/pick.go
@@ -27,7 +27,7 @@
 
 // newCacheEstimate returns an empty estimate of the prompt cache of one of the service's servers.
 func newCacheEstimate(service manifest.Service) *engine.CacheEstimate {
-	return engine.NewCacheEstimate(service.Engine.Tokens)
+	return engine.NewCacheEstimate(service.Engine.TokenCapacity)
 }
 
 // presumedReadTime returns how long an engine reads a number of tokens, where its cache is checked.
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -14,19 +14,19 @@
 // call goes on without an answer, by a PlaceAnswer with TimedOut.
 type PlaceQuery struct {
 	Token   int64
-	Ask     index.Ask
+	Ask     index.PlacementRequest
 	Timeout time.Duration
 }
 
 // PlaceAnswer is the event that a place query was answered. A place without a server means a refusal, or, with TimedOut, that no answer came in time.
 type PlaceAnswer struct {
 	Token    int64
-	Place    index.Place
+	Place    index.Placement
 	TimedOut bool
 }
 
 // PlacesMoved brings places that differ from what this node believed.
-type PlacesMoved struct{ Places []index.Place }
+type PlacesMoved struct{ Places []index.Placement }
 
 // IndexReachability tells whether there is an owner of the index to ask, and whether a replica is so much nearer that it is asked first.
 type IndexReachability struct {
@@ -95,10 +95,10 @@
 	}
 	if askReplica {
 		call.queryingReplica, call.replicaQueried = true, true
-		return PlaceQuery{Token: call.Token, Ask: index.Ask{Key: call.placeKey, Known: true}, Timeout: router.policy.Contact / 64}, true
+		return PlaceQuery{Token: call.Token, Ask: index.PlacementRequest{Key: call.placeKey, Known: true}, Timeout: router.policy.Contact / 64}, true
 	}
 	call.ownerQueries++
-	ask := index.Ask{Key: call.placeKey, Lost: name, Work: router.readTime(call.service, call.Prompt.Input).Milliseconds()}
+	ask := index.PlacementRequest{Key: call.placeKey, Lost: name, Work: router.readTime(call.service, call.Prompt.Input).Milliseconds()}
 	if root, tokens := call.Prompt.Root(); root != call.placeKey.Anchor {
 		ask.Root, ask.RootWork = root, router.readTime(call.service, tokens).Milliseconds()
 	}
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -40,7 +40,7 @@
 // answerPlace answers a query with a place and returns what the call does then.
 func (router *testRouter) answerPlace(ask PlaceQuery, server string) contract.Command {
 	GinkgoHelper()
-	return router.handleOne(PlaceAnswer{Token: ask.Token, Place: index.Place{Key: ask.Ask.Key, Server: server}})
+	return router.handleOne(PlaceAnswer{Token: ask.Token, Place: index.Placement{Key: ask.Ask.Key, Server: server}})
 }
 
 // learnPlace places the long prompt on the server, by a call that completes.
@@ -119,9 +119,9 @@
 	It("given more prompts than are remembered, when more arrive, then the least recently used one is queried again", func() {
 		router := routerWithIndex(withEngines)
 		key := router.learnPlace("a")
-		places := []index.Place{}
+		places := []index.Placement{}
 		for anchor := range uint64(maxKnownPlaces) {
-			places = append(places, index.Place{Key: index.Key{Scope: key.Scope, Anchor: anchor}, Server: "b"})
+			places = append(places, index.Placement{Key: index.Key{Scope: key.Scope, Anchor: anchor}, Server: "b"})
 		}
 		router.Handle(router.now, PlacesMoved{Places: places})
 		Expect(router.places.known.Len()).To(Equal(maxKnownPlaces))
@@ -207,7 +207,7 @@
 		Expect(router.TakePlaceUses()).To(BeEmpty())
 		key := router.learnPlace("b")
 		router.completeAfter(router.dispatchPrompt("/stream/x", shortSharedPrompt("one")), 20*time.Millisecond)
-		Expect(router.TakePlaceUses()).To(Equal([]index.Use{{Key: key, Server: "b", Took: 600, Verdict: index.Missed(600*time.Millisecond, 317*time.Millisecond), At: 1600 * time.Millisecond}}))
+		Expect(router.TakePlaceUses()).To(Equal([]index.Use{{Key: key, Server: "b", Took: 600, Verdict: index.MissVerdict(600*time.Millisecond, 317*time.Millisecond), At: 1600 * time.Millisecond}}))
 		Expect(router.TakePlaceUses()).To(BeEmpty())
 	})
 
@@ -234,7 +234,7 @@
 	It("given a moved place, when the next call arrives, then it goes there without a query", func() {
 		router := routerWithIndex(withEngines)
 		key := router.learnPlace("b")
-		router.Handle(router.now, PlacesMoved{Places: []index.Place{{Key: key, Server: "e"}}})
+		router.Handle(router.now, PlacesMoved{Places: []index.Placement{{Key: key, Server: "e"}}})
 		Expect(expectDispatch(router.sendLongPrompt("two")).Server.Name).To(Equal("e"))
 	})
 })
@@ -247,7 +247,7 @@
 		}
 		router := startedRouter(withEngines, eastList(names...))
 		router.Handle(router.now, IndexReachability{OwnerKnown: true})
-		ask := func(branch string) index.Ask {
+		ask := func(branch string) index.PlacementRequest {
 			GinkgoHelper()
 			return expectPlaceQuery(router.arrive("/stream/x", withPrompt(engine.Prompt{Model: "m", Input: 7000, Output: 9, Parts: []engine.Part{
 				{ID: "root", Tokens: 4000}, {ID: branch, Tokens: 2000}, {ID: "own", Tokens: 1000}}}))).Ask
--- a/gateway/shown_test.go
+++ b/gateway/shown_test.go
@@ -85,7 +85,7 @@
 		router := routerWithIndex(withEngines)
 		key := router.learnPlace("b")
 		Expect(router.servers["b"].cacheEstimate.CachedTokens(longPrompt("x"))).To(Equal(int64(13000)))
-		router.Handle(router.now, PlacesMoved{Places: []index.Place{{Key: key}}})
+		router.Handle(router.now, PlacesMoved{Places: []index.Placement{{Key: key}}})
 		ask := expectPlaceQuery(router.sendLongPrompt("two"))
 		Expect(ask.Ask.Lost).To(BeEmpty())
 		Expect(router.servers["b"].cacheEstimate.CachedTokens(longPrompt("x"))).To(BeZero(), "its cache does not contain the prompt")
@@ -95,7 +95,7 @@
 
 	It("given a place that is not known here, when its move is reported, then nothing changes", func() {
 		router := routerWithIndex(withEngines)
-		router.Handle(router.now, PlacesMoved{Places: []index.Place{{Key: index.Key{Scope: "s", Anchor: 9}}}})
+		router.Handle(router.now, PlacesMoved{Places: []index.Placement{{Key: index.Key{Scope: "s", Anchor: 9}}}})
 		Expect(router.places.known.Len()).To(BeZero())
 	})
 })
--- a/gateway/traffic_test.go
+++ b/gateway/traffic_test.go
@@ -94,7 +94,7 @@
 
 var _ = Describe("the pick of a server", func() {
 	engines := func(read *manifest.Manifest) {
-		read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 16, Tokens: 200000, TokensPerStep: 1}}
+		read.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 16, TokenCapacity: 200000, TokensPerStep: 1}}
 	}
 	west := listOf("west", candidate("w1", "west-a"), candidate("w2", "west-a"))
 
--- a/image/index_test.go
+++ b/image/index_test.go
@@ -50,7 +50,7 @@
 var _ = Describe("a saved cache index", func() {
 	var folder Folder
 	snapshot := func(server string) index.Snapshot {
-		return index.Snapshot{Places: []index.Place{{Key: index.Key{Scope: "s\x00east", Anchor: 1<<64 - 1}, Server: server}}}
+		return index.Snapshot{Places: []index.Placement{{Key: index.Key{Scope: "s\x00east", Anchor: 1<<64 - 1}, Server: server}}}
 	}
 	names := func() []string {
 		names, err := folder.List()
--- a/index/checks.go
+++ b/index/checks.go
@@ -22,8 +22,8 @@
 	missed, lastMissed Verdict = 'A', 'Z'
 )
 
-// Missed returns the verdict for a call that took longer than expected; slack is how much shorter its wait could be and still be late.
-func Missed(took, slack time.Duration) Verdict {
+// MissVerdict returns the verdict for a call that took longer than expected; slack is how much shorter its wait could be and still be late.
+func MissVerdict(took, slack time.Duration) Verdict {
 	return missed + Verdict(min(time.Duration(lastMissed-missed), max(0, slack)*time.Duration(lastMissed-missed)/max(1, took)))
 }
 
@@ -87,35 +87,35 @@
 	return Verdict(usage.Results[2*position]), now - cooldown/ageSteps*time.Duration(min(maxAgeStep, max(0, int(usage.Results[2*position+1])-'a')))
 }
 
-// call is one reported use of a place. A possible miss is decided when other nodes had time to report; previousUse is the use before it.
-type call struct {
+// reportedCall is one reported use of a place. A possible miss is decided when other nodes had time to report; previousUse is the use before it.
+type reportedCall struct {
 	key                       Key
 	began, ended, previousUse time.Duration
 	slack                     time.Duration
 	missed                    bool
 }
 
-// checks is what first pieces showed of one server's cache. The recent counts decay by half in each half-life.
-type checks struct {
+// cacheChecks is what first pieces showed of one server's cache. The recent counts decay by half in each half-life.
+type cacheChecks struct {
 	service                     string
-	calls                       []call
+	calls                       []reportedCall
 	used                        time.Duration
 	kept, missed                int64
 	recentChecked, recentMissed float64
 	updatedAt                   time.Duration
 	reduced                     int // steps by which its share of the work is reduced
-	suspect                     suspicion
+	suspect                     lossTest
 	doubtedSince, doubtedUntil  time.Duration // the time in which its cache is believed to be lost
 }
 
-// pending is a server with a possible miss that is decided at dueAt.
-type pending struct {
+// pendingCheck is a server with a possible miss that is decided at dueAt.
+type pendingCheck struct {
 	server string
 	dueAt  time.Duration
 }
 
-// suspicion is a sequential test for the loss of a server's whole cache.
-type suspicion struct {
+// lossTest is a sequential test for the loss of a server's whole cache.
+type lossTest struct {
 	since    time.Duration
 	evidence float64
 	keys     map[Key]bool
@@ -126,32 +126,34 @@
 	return service
 }
 
-func (owner *Owner) checksOf(key Key, server string) *checks {
-	stats, found := owner.checks.Get(server)
+func (cacheIndex *CacheIndex) checksOf(key Key, server string) *cacheChecks {
+	stats, found := cacheIndex.checks.Get(server)
 	if !found {
-		stats = &checks{}
-		owner.checks.Add(server, stats)
+		stats = &cacheChecks{}
+		cacheIndex.checks.Add(server, stats)
 	}
 	stats.service = key.service()
 	return stats
 }
 
 // recordUse adds a use to the checks of its server and returns the updated place.
-func (owner *Owner) recordUse(now time.Duration, place entry, use Use) entry {
+func (cacheIndex *CacheIndex) recordUse(now time.Duration, place entry, use Use) entry {
 	began := use.At - time.Duration(max(0, use.Took))*time.Millisecond
-	stats := owner.checksOf(use.Key, use.Server)
+	stats := cacheIndex.checksOf(use.Key, use.Server)
 	slack, late := use.Verdict.MissSlack(use.At - began)
-	late = late && place.read > 0 && place.read < began && began-place.used < owner.halfLife*retentionHalfLives
-	stats.calls = slices.DeleteFunc(stats.calls, func(current call) bool { return !current.missed && current.ended < now-owner.halfLife/callsPerHalfLife })
+	late = late && place.read > 0 && place.read < began && began-place.used < cacheIndex.halfLife*retentionHalfLives
+	stats.calls = slices.DeleteFunc(stats.calls, func(current reportedCall) bool {
+		return !current.missed && current.ended < now-cacheIndex.halfLife/callsPerHalfLife
+	})
 	if len(stats.calls) >= maxCalls {
 		stats.calls = stats.calls[1:]
 	}
-	stats.calls, stats.used = append(stats.calls, call{use.Key, began, use.At, place.used, slack, late}), now
+	stats.calls, stats.used = append(stats.calls, reportedCall{use.Key, began, use.At, place.used, slack, late}), now
 	if late {
-		owner.pending = append(owner.pending, pending{use.Server, now + owner.halfLife/settlesPerHalfLife})
+		cacheIndex.pendingChecks = append(cacheIndex.pendingChecks, pendingCheck{use.Server, now + cacheIndex.halfLife/settlesPerHalfLife})
 	}
 	if use.Verdict == Kept {
-		owner.recordCheck(now, stats, true)
+		cacheIndex.recordCheck(now, stats, true)
 		stats.suspect.clear(began, place.used)
 		if place.used > 0 && place.used < stats.doubtedSince && began > stats.doubtedSince {
 			stats.doubtedUntil = 0
@@ -165,8 +167,8 @@
 }
 
 // recordCheck counts one check of a server, and reduces its share of the work by a step or restores a step.
-func (owner *Owner) recordCheck(now time.Duration, stats *checks, kept bool) {
-	decay := math.Exp2(-float64(now-stats.updatedAt) / float64(owner.halfLife))
+func (cacheIndex *CacheIndex) recordCheck(now time.Duration, stats *cacheChecks, kept bool) {
+	decay := math.Exp2(-float64(now-stats.updatedAt) / float64(cacheIndex.halfLife))
 	stats.recentChecked, stats.recentMissed, stats.updatedAt = stats.recentChecked*decay+1, stats.recentMissed*decay, now
 	if kept {
 		stats.kept++
@@ -181,16 +183,16 @@
 	switch {
 	case wanted < stats.reduced:
 		stats.reduced--
-	case wanted > stats.reduced && (stats.reduced > 0 || owner.mayReduce(now, stats.service)):
+	case wanted > stats.reduced && (stats.reduced > 0 || cacheIndex.mayReduce(now, stats.service)):
 		stats.reduced++
 	}
 }
 
 // mayReduce reports whether one more server of a service may get a smaller share: at most half of those used lately, so never the only one.
-func (owner *Owner) mayReduce(now time.Duration, service string) bool {
+func (cacheIndex *CacheIndex) mayReduce(now time.Duration, service string) bool {
 	reduced, used := 1, 0
-	for _, stats := range owner.checks.Values() {
-		if stats.service != service || now-stats.used > owner.halfLife*repeatHalfLives {
+	for _, stats := range cacheIndex.checks.Values() {
+		if stats.service != service || now-stats.used > cacheIndex.halfLife*repeatHalfLives {
 			continue
 		}
 		used++
@@ -201,9 +203,9 @@
 	return reduced*2 <= used
 }
 
-// share is the factor on a server's share of the work, 1 if it is not reduced.
-func (owner *Owner) share(server string) float64 {
-	stats, found := owner.checks.Peek(server)
+// workShare is the factor on a server's share of the work, 1 if it is not reduced.
+func (cacheIndex *CacheIndex) workShare(server string) float64 {
+	stats, found := cacheIndex.checks.Peek(server)
 	if !found {
 		return 1
 	}
@@ -211,29 +213,29 @@
 }
 
 // settleMisses decides the possible misses that other nodes had time to explain.
-func (owner *Owner) settleMisses(now time.Duration) []contract.Command {
+func (cacheIndex *CacheIndex) settleMisses(now time.Duration) []contract.Command {
 	commands := []contract.Command{}
-	for ; len(owner.pending) > 0 && now >= owner.pending[0].dueAt; owner.pending = owner.pending[1:] {
-		server := owner.pending[0].server
-		stats, found := owner.checks.Peek(server)
+	for ; len(cacheIndex.pendingChecks) > 0 && now >= cacheIndex.pendingChecks[0].dueAt; cacheIndex.pendingChecks = cacheIndex.pendingChecks[1:] {
+		server := cacheIndex.pendingChecks[0].server
+		stats, found := cacheIndex.checks.Peek(server)
 		for position := 0; found && position < len(stats.calls); position++ {
 			current := &stats.calls[position]
-			if !current.missed || now-current.ended < owner.halfLife/settlesPerHalfLife {
+			if !current.missed || now-current.ended < cacheIndex.halfLife/settlesPerHalfLife {
 				continue
 			}
-			if current.missed = false; !owner.explained(stats.calls, position) {
-				commands = append(commands, owner.recordMismatch(now, server, stats, *current)...)
+			if current.missed = false; !cacheIndex.otherCallDelayed(stats.calls, position) {
+				commands = append(commands, cacheIndex.recordMismatch(now, server, stats, *current)...)
 			}
 		}
 	}
 	return commands
 }
 
-// explained reports whether another call that arrived first, within the skew of network paths, delayed a call by more than its slack.
-func (owner *Owner) explained(calls []call, position int) bool {
+// otherCallDelayed reports whether another call that arrived first, within the skew of network paths, delayed a call by more than its slack.
+func (cacheIndex *CacheIndex) otherCallDelayed(calls []reportedCall, position int) bool {
 	current := calls[position]
 	for index, other := range calls {
-		if index != position && other.began <= current.began+owner.cooldown/pathSkewsPerCooldown && other.ended > current.began+current.slack {
+		if index != position && other.began <= current.began+cacheIndex.cooldown/pathSkewsPerCooldown && other.ended > current.began+current.slack {
 			return true
 		}
 	}
@@ -242,35 +244,35 @@
 
 // recordMismatch records a cache miss. The server has just read the prompt, so the place is right again, unless the server misses the
 // prompt repeatedly: then the prompt's next call is placed elsewhere.
-func (owner *Owner) recordMismatch(now time.Duration, server string, stats *checks, current call) []contract.Command {
-	owner.recordCheck(now, stats, false)
+func (cacheIndex *CacheIndex) recordMismatch(now time.Duration, server string, stats *cacheChecks, current reportedCall) []contract.Command {
+	cacheIndex.recordCheck(now, stats, false)
 	commands := []contract.Command{contract.AddCounter{Name: "index_checked", Delta: 1}, contract.AddCounter{Name: "index_mismatches", Delta: 1},
 		contract.Log{Message: "cache mismatch", Attributes: []any{"server", server, "scope", current.key.Scope, "anchor", current.key.Anchor, "agoMs", (now - current.ended).Milliseconds()}}}
-	if stats.suspect.addMiss(current, owner.halfLife) {
-		stats.doubtedSince, stats.doubtedUntil = stats.suspect.since, now+owner.halfLife
-		stats.suspect = suspicion{}
+	if stats.suspect.addMiss(current, cacheIndex.halfLife) {
+		stats.doubtedSince, stats.doubtedUntil = stats.suspect.since, now+cacheIndex.halfLife
+		stats.suspect = lossTest{}
 		commands = append(commands, contract.AddCounter{Name: "index_losses_noticed", Delta: 1}, contract.Log{Message: "cache loss noticed", Attributes: []any{"server", server}})
 	}
-	place, found := owner.places.Peek(current.key)
+	place, found := cacheIndex.places.Peek(current.key)
 	if !found || place.server != server {
 		return commands
 	}
-	repeated := place.missed > 0 && current.ended-place.missed < owner.halfLife*repeatHalfLives
+	repeated := place.missed > 0 && current.ended-place.missed < cacheIndex.halfLife*repeatHalfLives
 	place.missed = current.ended
-	if repeated && stats.reduced > 0 && !place.leaving && now >= place.moved+owner.cooldown {
+	if repeated && stats.reduced > 0 && !place.leaving && now >= place.moved+cacheIndex.cooldown {
 		place.leaving = true
-		owner.changed.Add(current.key, struct{}{})
-		owner.dirty = true
+		cacheIndex.changed.Add(current.key, struct{}{})
+		cacheIndex.dirty = true
 		commands = append(commands, contract.AddCounter{Name: "index_places_left", Delta: 1})
 	}
-	owner.places.Add(current.key, place)
+	cacheIndex.places.Add(current.key, place)
 	return commands
 }
 
 // addMiss adds a miss and reports whether the evidence suffices. Each prompt counts once, and only if it was not used since the loss.
-func (suspect *suspicion) addMiss(current call, halfLife time.Duration) bool {
+func (suspect *lossTest) addMiss(current reportedCall, halfLife time.Duration) bool {
 	if suspect.keys == nil || current.began-suspect.since > halfLife {
-		*suspect = suspicion{since: current.began, keys: map[Key]bool{}}
+		*suspect = lossTest{since: current.began, keys: map[Key]bool{}}
 	}
 	if !suspect.keys[current.key] && (len(suspect.keys) == 0 || current.previousUse < suspect.since) {
 		suspect.keys[current.key] = true
@@ -279,14 +281,14 @@
 	return suspect.evidence >= math.Log((1-missedLossRate)/falseAlarmRate)
 }
 
-// clear ends a suspicion by a prompt that was last used before it and is still cached.
-func (suspect *suspicion) clear(began, previousUse time.Duration) {
+// clear resets the test by a prompt that was last used before it and is still cached.
+func (suspect *lossTest) clear(began, previousUse time.Duration) {
 	if suspect.keys != nil && previousUse > 0 && previousUse < suspect.since && began > suspect.since {
-		*suspect = suspicion{}
+		*suspect = lossTest{}
 	}
 }
 
-// CacheStatus is what operators see of one server's cache: the prompts placed there, the checks since this owner started, the factor on
+// CacheStatus is what operators see of one server's cache: the prompts placed there, the checks since this index started, the factor on
 // its share of the work, and for how many milliseconds its cache has been believed lost.
 type CacheStatus struct {
 	Server    string  `json:"server"`
@@ -299,18 +301,18 @@
 	DoubtedMs int64   `json:"doubtedMs,omitempty"`
 }
 
-// View returns the status of all servers that have places or were checked, by name.
-func (owner *Owner) View(now time.Duration) []CacheStatus {
+// Status returns the status of all servers that have places or were checked, by name.
+func (cacheIndex *CacheIndex) Status(now time.Duration) []CacheStatus {
 	views := map[string]CacheStatus{}
-	for _, key := range owner.places.Keys() {
-		place, _ := owner.places.Peek(key)
+	for _, key := range cacheIndex.places.Keys() {
+		place, _ := cacheIndex.places.Peek(key)
 		view := views[place.server]
 		view.Service = key.service()
 		view.Placed++
 		views[place.server] = view
 	}
-	for _, server := range owner.checks.Keys() {
-		stats, _ := owner.checks.Peek(server)
+	for _, server := range cacheIndex.checks.Keys() {
+		stats, _ := cacheIndex.checks.Peek(server)
 		view := views[server]
 		view.Service, view.Kept, view.Missed, view.Checked = stats.service, stats.kept, stats.missed, stats.kept+stats.missed
 		if now < stats.doubtedUntil {
@@ -320,15 +322,15 @@
 	}
 	all := make([]CacheStatus, 0, len(views))
 	for server, view := range views {
-		view.Server, view.Share = server, owner.share(server)
+		view.Server, view.Share = server, cacheIndex.workShare(server)
 		all = append(all, view)
 	}
-	return Merge(all)
+	return MergeStatus(all)
 }
 
-// Merge combines the views of several control nodes by server. Checks add up, since each node counts its own reports; places do not,
+// MergeStatus combines the views of several control nodes by server. Checks add up, since each node counts its own reports; places do not,
 // since most nodes know the same ones.
-func Merge(views []CacheStatus) []CacheStatus {
+func MergeStatus(views []CacheStatus) []CacheStatus {
 	sums := map[string]CacheStatus{}
 	for _, view := range views {
 		if view.Server == "" {
--- a/index/checks_test.go
+++ b/index/checks_test.go
@@ -13,7 +13,7 @@
 	*fixture
 	counts map[string]int64
 	said   []contract.Log
-	moved  []Place
+	moved  []Placement
 }
 
 func newObserver() *observer { return &observer{fixture: newFixture(), counts: map[string]int64{}} }
@@ -26,7 +26,7 @@
 		case contract.Log:
 			observer.said = append(observer.said, command)
 		case contract.Send:
-			if moved, ok := command.Body.(Moved); ok {
+			if moved, ok := command.Body.(PlacementUpdate); ok {
 				observer.moved = append(observer.moved, moved.Places...)
 			}
 		}
@@ -59,7 +59,7 @@
 	settleTime         = 2 * time.Second
 )
 
-var late = Missed(slowCall, slowCall/2)
+var late = MissVerdict(slowCall, slowCall/2)
 
 var _ = Describe("the check of a server's cache", func() {
 	It("given a prompt that is read for the first time, when its call is late, then that is no mismatch", func() {
@@ -79,7 +79,7 @@
 		Expect(observer.counts).To(Equal(map[string]int64{"index_checked": 1, "index_mismatches": 1}))
 		Expect(observer.said).To(HaveLen(1))
 		Expect(observer.said[0].Attributes[:2]).To(Equal([]any{"server", "a"}))
-		Expect(observer.View(observer.now)).To(Equal([]CacheStatus{{Server: "a", Service: "s", Placed: 1, Checked: 1, Missed: 1, Share: 1}}))
+		Expect(observer.Status(observer.now)).To(Equal([]CacheStatus{{Server: "a", Service: "s", Placed: 1, Checked: 1, Missed: 1, Share: 1}}))
 	})
 
 	It("given a prompt that was read, when a call finds it kept, then it is checked, also if another node placed it", func() {
@@ -87,7 +87,7 @@
 		observer.readPrompts("a", 1)
 		observer.call("a", 1, fastCall, Kept)
 		Expect(observer.counts).To(Equal(map[string]int64{"index_checked": 1}))
-		Expect(observer.View(observer.now)).To(Equal([]CacheStatus{{Server: "a", Service: "s", Placed: 1, Checked: 1, Kept: 1, Share: 1}}))
+		Expect(observer.Status(observer.now)).To(Equal([]CacheStatus{{Server: "a", Service: "s", Placed: 1, Checked: 1, Kept: 1, Share: 1}}))
 	})
 
 	It("given a call that waited behind the reading of another node, when that is reported later, then no miss is counted", func() {
@@ -132,7 +132,7 @@
 	})
 
 	It("given uses with verdicts, when they are encoded, then each has two characters, and there are none without verdicts", func() {
-		uses := []Use{{Verdict: Kept, At: time.Second}, {Verdict: Missed(slowCall, slowCall), At: 500 * time.Millisecond}, {}}
+		uses := []Use{{Verdict: Kept, At: time.Second}, {Verdict: MissVerdict(slowCall, slowCall), At: 500 * time.Millisecond}, {}}
 		results := Results(time.Second, cooldown, uses)
 		Expect(results).To(HaveLen(2 * len(uses)))
 		usage := Usage{Uses: uses, Results: results}
@@ -153,9 +153,9 @@
 		observer.readPrompts("a", 1, 2, 3)
 		observer.advance(settleTime)
 		Expect(observer.counts["index_losses_noticed"]).To(Equal(int64(1)))
-		Expect(observer.View(observer.now)[0].DoubtedMs).To(BeNumerically(">", settleTime.Milliseconds()))
+		Expect(observer.Status(observer.now)[0].DoubtedMs).To(BeNumerically(">", settleTime.Milliseconds()))
 		observer.advance(halfLife)
-		Expect(observer.View(observer.now)[0].DoubtedMs).To(BeZero())
+		Expect(observer.Status(observer.now)[0].DoubtedMs).To(BeZero())
 	})
 
 	It("given two prompts that are missed, when nothing else is, then no loss is noticed: two late calls happen without a loss", func() {
@@ -200,14 +200,14 @@
 
 var _ = Describe("the view of several control nodes", func() {
 	It("given views of the same servers, when they are merged, then checks add up, places don't, and rows of older nodes are left out", func() {
-		merged := Merge([]CacheStatus{{Server: "b", Share: 1}, {Server: "a", Service: "s", Placed: 3, Checked: 2, Kept: 2, Share: 1},
+		merged := MergeStatus([]CacheStatus{{Server: "b", Share: 1}, {Server: "a", Service: "s", Placed: 3, Checked: 2, Kept: 2, Share: 1},
 			{}, {Server: "a", Service: "s", Placed: 2, Checked: 3, Missed: 3, Share: 0.5, DoubtedMs: 7}})
 		Expect(merged).To(Equal([]CacheStatus{{Server: "a", Service: "s", Placed: 3, Checked: 5, Kept: 2, Missed: 3, Share: 0.5, DoubtedMs: 7}, {Server: "b", Share: 1}}))
 	})
 })
 
 var _ = Describe("a server that misses cached prompts repeatedly", func() {
-	// spread is an owner with servers of one service that are all used.
+	// spread is an index with servers of one service that are all used.
 	spread := func(servers ...string) *observer {
 		observer := newObserver()
 		for place, server := range servers {
@@ -232,16 +232,16 @@
 	It("given prompts that are missed again, when they are, then its share is reduced in steps and a leaving place moves once", func() {
 		observer := spread("a", "b", "c")
 		misses(observer, "a", 1, 2)
-		Expect(observer.View(observer.now)[0].Share).To(Equal(0.75))
+		Expect(observer.Status(observer.now)[0].Share).To(Equal(0.75))
 		misses(observer, "a", 1)
-		Expect(observer.View(observer.now)[0].Share).To(Equal(0.5))
+		Expect(observer.Status(observer.now)[0].Share).To(Equal(0.5))
 		Expect(observer.counts["index_places_left"]).To(Equal(int64(1)))
 		observer.call("a", 1, fastCall, Kept)
-		Expect(observer.moved).To(Equal([]Place{{Key: key(1)}}), "the node has to ask again")
+		Expect(observer.moved).To(Equal([]Placement{{Key: key(1)}}), "the node has to ask again")
 		Expect(observer.mustPlace(1, "", "a", "b", "c").Server).To(Equal("b"))
 		Expect(observer.mustPlace(1, "", "a", "c").Server).To(Equal("b"))
 		observer.call("a", 1, fastCall, Kept)
-		Expect(observer.moved[1:]).To(Equal([]Place{{Key: key(1), Server: "b"}}), "a node that still uses the old place is corrected")
+		Expect(observer.moved[1:]).To(Equal([]Placement{{Key: key(1), Server: "b"}}), "a node that still uses the old place is corrected")
 	})
 
 	It("given a leaving place, when no other candidate is offered, then it stays, and no ask is refused", func() {
@@ -260,18 +260,18 @@
 		observer.call("a", 1, slowCall, late)
 		observer.now += settleTime
 		replica, announcement := newFixture(), []contract.Command{}
-		replica.Restore(Snapshot{[]Place{{Key: key(1), Server: "a"}, {Key: key(2), Server: "a"}}})
+		replica.Restore(Snapshot{[]Placement{{Key: key(1), Server: "a"}, {Key: key(2), Server: "a"}}})
 		for _, command := range observer.Tick(observer.now, []contract.Member{{Name: "other", Address: "other"}}) {
 			if send, ok := command.(contract.Send); ok && send.Kind == MessageAnnouncement {
 				announcement = append(announcement, replica.Handle(replica.now, message(MessageAnnouncement, send.Body))...)
 			}
 		}
 		Expect(announcement).To(BeEmpty())
-		_, found := replica.Place(replica.now, Ask{Key: key(1), Known: true})
+		_, found := replica.Place(replica.now, PlacementRequest{Key: key(1), Known: true})
 		Expect(found).To(BeFalse())
-		_, found = replica.Place(replica.now, Ask{Key: key(2), Known: true})
+		_, found = replica.Place(replica.now, PlacementRequest{Key: key(2), Known: true})
 		Expect(found).To(BeTrue())
-		_, found = observer.Place(observer.now, Ask{Key: key(1), Known: true})
+		_, found = observer.Place(observer.now, PlacementRequest{Key: key(1), Known: true})
 		Expect(found).To(BeFalse())
 	})
 
@@ -283,7 +283,7 @@
 		for range 8 {
 			observer.call("a", 2, fastCall, Kept)
 			observer.advance(time.Second)
-			parts = append(parts, observer.View(observer.now)[0].Share)
+			parts = append(parts, observer.Status(observer.now)[0].Share)
 		}
 		for place := 1; place < len(parts); place++ {
 			Expect(parts[place] - parts[place-1]).To(And(BeNumerically(">=", 0), BeNumerically("<=", 1.0/shareSteps)))
@@ -299,7 +299,7 @@
 			}
 		}
 		reduced := 0
-		for _, view := range observer.View(observer.now) {
+		for _, view := range observer.Status(observer.now) {
 			Expect(view.Share).To(BeNumerically(">=", 1.0/shareSteps))
 			if view.Share < 1 {
 				reduced++
@@ -310,7 +310,7 @@
 		for range 4 {
 			misses(single, "a", 1, 2)
 		}
-		Expect(single.View(single.now)[0].Share).To(Equal(1.0))
+		Expect(single.Status(single.now)[0].Share).To(Equal(1.0))
 		Expect(single.counts["index_places_left"]).To(BeZero())
 	})
 
--- a/index/cost_test.go
+++ b/index/cost_test.go
@@ -10,13 +10,13 @@
 	"github.com/cedarreel/cedarreel/contract"
 )
 
-// filled returns an owner with the given numbers of places and servers.
-func filled(places, servers int) *Owner {
-	owner := New(halfLife, cooldown)
+// filled returns an index with the given numbers of places and servers.
+func filled(places, servers int) *CacheIndex {
+	cacheIndex := New(halfLife, cooldown)
 	for anchor := range places {
-		owner.Place(0, Ask{Key: key(uint64(anchor)), Candidates: candidates(anchor, servers), Work: 280})
+		cacheIndex.Place(0, PlacementRequest{Key: key(uint64(anchor)), Candidates: candidates(anchor, servers), Work: 280})
 	}
-	return owner
+	return cacheIndex
 }
 
 func candidates(first, servers int) []string {
@@ -27,27 +27,27 @@
 	return names
 }
 
-// BenchmarkPlace measures one Ask as it arrives from a node.
+// BenchmarkPlace measures one PlacementRequest as it arrives from a node.
 func BenchmarkPlace(b *testing.B) {
 	for name, offset := range map[string]int{"known": 0, "new": maxPlaces, "replica": 0} {
 		b.Run(name, func(b *testing.B) {
-			owner, requests := filled(maxPlaces, 5000), make([][]byte, 4096)
+			cacheIndex, requests := filled(maxPlaces, 5000), make([][]byte, 4096)
 			for number := range requests {
-				request := Ask{Key: key(uint64(offset + number)), Candidates: candidates(number, 5000), Work: 280}
+				request := PlacementRequest{Key: key(uint64(offset + number)), Candidates: candidates(number, 5000), Work: 280}
 				if name == "replica" {
-					request = Ask{Key: request.Key, Known: true}
+					request = PlacementRequest{Key: request.Key, Known: true}
 				}
 				requests[number], _ = json.Marshal(request)
 			}
 			b.SetBytes(int64(len(requests[0])))
 			b.ResetTimer()
 			for number := range b.N {
-				var request Ask
+				var request PlacementRequest
 				if json.Unmarshal(requests[number%len(requests)], &request) != nil {
 					b.Fatal("an ask cannot be decoded")
 				}
 				request.Anchor += uint64(number/len(requests)) * uint64(offset)
-				owner.Place(time.Duration(number)*time.Microsecond, request)
+				cacheIndex.Place(time.Duration(number)*time.Microsecond, request)
 			}
 		})
 	}
@@ -57,9 +57,9 @@
 func BenchmarkUsed(b *testing.B) {
 	for _, uses := range []int{1, 16, MaxUses} {
 		b.Run(fmt.Sprintf("uses=%d", uses), func(b *testing.B) {
-			owner, usage := filled(maxPlaces, 5000), Usage{Address: "10.0.0.1:7720"}
+			cacheIndex, usage := filled(maxPlaces, 5000), Usage{Address: "10.0.0.1:7720"}
 			for anchor := range uses {
-				place, _ := owner.Place(0, Ask{Key: key(uint64(anchor))})
+				place, _ := cacheIndex.Place(0, PlacementRequest{Key: key(uint64(anchor))})
 				usage.Uses = append(usage.Uses, Use{Key: place.Key, Server: place.Server, Took: 60})
 			}
 			body, err := json.Marshal(usage)
@@ -69,31 +69,31 @@
 			b.SetBytes(int64(len(body)))
 			b.ResetTimer()
 			for number := range b.N {
-				owner.Handle(time.Duration(number)*time.Microsecond, contract.Message{Kind: MessageUsage, Body: body})
+				cacheIndex.Handle(time.Duration(number)*time.Microsecond, contract.Message{Kind: MessageUsage, Body: body})
 			}
 		})
 	}
 }
 
-// BenchmarkHeap measures the memory per place of a full owner, with its names and the work of 5,000 servers.
+// BenchmarkHeap measures the memory per place of a full index, with its names and the work of 5,000 servers.
 func BenchmarkHeap(b *testing.B) {
 	for range b.N {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		owner := filled(maxPlaces, 5000)
+		cacheIndex := filled(maxPlaces, 5000)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(owner.Len()), "B/place")
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(cacheIndex.Len()), "B/place")
 	}
 }
 
-// BenchmarkSnapshot measures the time that a snapshot takes in the owner's goroutine; the bytes are those of its file.
+// BenchmarkSnapshot measures the time that a snapshot takes in the event loop's goroutine; the bytes are those of its file.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, places := range []int{100, MaxSaved, maxPlaces} {
 		b.Run(fmt.Sprintf("places=%d", places), func(b *testing.B) {
-			owner := filled(places, 5000)
-			body, err := json.Marshal(owner.Snapshot())
+			cacheIndex := filled(places, 5000)
+			body, err := json.Marshal(cacheIndex.Snapshot())
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -101,7 +101,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				owner.Snapshot()
+				cacheIndex.Snapshot()
 			}
 		})
 	}
--- a/index/index.go
+++ b/index/index.go
@@ -12,9 +12,9 @@
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// MessageUsed carries what a node sent where, MessageMoved the places that its index has wrong, MessageTold places between control nodes.
+// Kinds of the messages that maintain the index.
 const (
-	// MessageUsage carries the calls that a node sent to placed servers (Usage), MessageMoved the placements that a node has wrong (Moved),
+	// MessageUsage carries the calls that a node sent to placed servers (Usage), MessageMoved the placements that a node has wrong (PlacementUpdate),
 	// MessageAnnouncement changed placements between control nodes (Announcement).
 	MessageUsage        = "index-used"
 	MessageMoved        = "index-moved"
@@ -28,16 +28,16 @@
 	Anchor uint64 `json:"anchor"`
 }
 
-// Place assigns a prompt to the server that should have it cached.
-type Place struct {
+// Placement assigns a prompt to the server that should have it cached.
+type Placement struct {
 	Key
 	Server string `json:"server"`
 }
 
-// Ask requests a prompt's place. If it has none yet, or its place is the Lost server, one of the candidates is chosen, preferring the
+// PlacementRequest requests a prompt's place. If it has none yet, or its place is the Lost server, one of the candidates is chosen, preferring the
 // first. Work is the time to read the prompt in milliseconds. With Known set, only an existing place is returned and nothing changes.
 // Root is the anchor of leading parts shared with other prompts, 0 for none; RootWork is the part of Work for reading these.
-type Ask struct {
+type PlacementRequest struct {
 	Key
 	Candidates []string `json:"candidates,omitempty"`
 	Lost       string   `json:"lost,omitempty"`
@@ -70,36 +70,36 @@
 	Results string `json:"results,omitempty"`
 }
 
-// Moved lists the places that the receiver has wrong; for a place without a server it must send a new Ask.
-type Moved struct {
-	Places []Place `json:"places"`
+// PlacementUpdate lists the places that the receiver has wrong; for a place without a server it must send a new PlacementRequest.
+type PlacementUpdate struct {
+	Places []Placement `json:"places"`
 }
 
 const (
-	// maxPlaces bounds the prompts, and maxServers the servers, that an owner keeps; the least recently used are dropped.
+	// maxPlaces bounds the prompts, and maxServers the servers, that an index keeps; the least recently used are dropped.
 	maxPlaces  = 1 << 16
 	maxServers = 1 << 14
 	// capacityFactor bounds a server's work for new prompts, as a multiple of its fair share.
 	capacityFactor = 1.25
 	// MaxUses bounds the uses in one Usage.
 	MaxUses = 256
-	// MaxCandidates bounds the candidates in one Ask.
+	// MaxCandidates bounds the candidates in one PlacementRequest.
 	MaxCandidates = 16
 )
 
-// Owner holds the index on a control node. It may lose its state at any time: nodes report to a successor the places that they use.
-type Owner struct {
-	halfLife time.Duration
-	cooldown time.Duration // time in which a moved place does not move again and a lost server gets no place
-	places   *lru.LRU[Key, entry]
-	loads    *lru.LRU[string, load]
-	roots    *lru.LRU[rootOnServer, struct{}] // roots that a server has read
-	checks   *lru.LRU[string, *checks]
-	pending  []pending // misses that wait for a decision
+// CacheIndex holds the index on a control node. It may lose its state at any time: nodes report to a successor the places that they use.
+type CacheIndex struct {
+	halfLife      time.Duration
+	cooldown      time.Duration // time in which a moved place does not move again and a lost server gets no place
+	places        *lru.LRU[Key, entry]
+	loads         *lru.LRU[string, load]
+	roots         *lru.LRU[rootOnServer, struct{}] // roots that a server has read
+	checks        *lru.LRU[string, *cacheChecks]
+	pendingChecks []pendingCheck // misses that wait for a decision
 	replication
 }
 
-// entry is a place. A confirmed one was assigned by this owner or used by a node; others come from peers and the first use decides.
+// entry is a place. A confirmed one was assigned by this index or used by a node; others come from peers and the first use decides.
 // read is when the first reported call had read the prompt there, used the last use, missed the last cache miss. A leaving entry
 // stays until it is asked for with other candidates.
 type entry struct {
@@ -125,12 +125,12 @@
 	busyUntil time.Duration
 }
 
-// New returns an empty owner. A server's work decays by half in halfLife; cooldown is how long a moved place stays put and a lost
+// New returns an empty index. A server's work decays by half in halfLife; cooldown is how long a moved place stays put and a lost
 // server gets no place.
-func New(halfLife, cooldown time.Duration) *Owner {
-	return &Owner{halfLife: halfLife, cooldown: cooldown, places: newLRU[Key, entry](maxPlaces), loads: newLRU[string, load](maxServers),
+func New(halfLife, cooldown time.Duration) *CacheIndex {
+	return &CacheIndex{halfLife: halfLife, cooldown: cooldown, places: newLRU[Key, entry](maxPlaces), loads: newLRU[string, load](maxServers),
 		roots:       newLRU[rootOnServer, struct{}](maxPlaces),
-		checks:      newLRU[string, *checks](maxServers),
+		checks:      newLRU[string, *cacheChecks](maxServers),
 		replication: replication{changed: newLRU[Key, struct{}](MaxSaved)}}
 }
 
@@ -143,100 +143,100 @@
 }
 
 // Len returns the number of places.
-func (owner *Owner) Len() int { return owner.places.Len() }
+func (cacheIndex *CacheIndex) Len() int { return cacheIndex.places.Len() }
 
 // work returns a server's decayed work in milliseconds.
-func (owner *Owner) work(now time.Duration, server string) float64 {
-	serverLoad, found := owner.loads.Peek(server)
+func (cacheIndex *CacheIndex) work(now time.Duration, server string) float64 {
+	serverLoad, found := cacheIndex.loads.Peek(server)
 	if !found {
 		return 0
 	}
-	return serverLoad.work * math.Exp2(-float64(now-serverLoad.updatedAt)/float64(owner.halfLife))
+	return serverLoad.work * math.Exp2(-float64(now-serverLoad.updatedAt)/float64(cacheIndex.halfLife))
 }
 
-func (owner *Owner) addWork(now time.Duration, server string, work int64) {
-	serverLoad, _ := owner.loads.Peek(server)
-	owner.loads.Add(server, load{owner.work(now, server) + float64(work), now, serverLoad.lost, serverLoad.busyUntil})
+func (cacheIndex *CacheIndex) addWork(now time.Duration, server string, work int64) {
+	serverLoad, _ := cacheIndex.loads.Peek(server)
+	cacheIndex.loads.Add(server, load{cacheIndex.work(now, server) + float64(work), now, serverLoad.lost, serverLoad.busyUntil})
 }
 
 // queueRead adds the reading of a prompt to a server's work, after the prompts it was given before.
-func (owner *Owner) queueRead(now time.Duration, server string, work int64) {
-	owner.addWork(now, server, work)
-	serverLoad, _ := owner.loads.Peek(server)
+func (cacheIndex *CacheIndex) queueRead(now time.Duration, server string, work int64) {
+	cacheIndex.addWork(now, server, work)
+	serverLoad, _ := cacheIndex.loads.Peek(server)
 	serverLoad.busyUntil = max(now, serverLoad.busyUntil) + time.Duration(work)*time.Millisecond
-	owner.loads.Add(server, serverLoad)
+	cacheIndex.loads.Add(server, serverLoad)
 }
 
 // backlog is how long a server will still read the prompts that it was given.
-func (owner *Owner) backlog(now time.Duration, server string) time.Duration {
-	serverLoad, _ := owner.loads.Peek(server)
+func (cacheIndex *CacheIndex) backlog(now time.Duration, server string) time.Duration {
+	serverLoad, _ := cacheIndex.loads.Peek(server)
 	return max(0, serverLoad.busyUntil-now)
 }
 
 // markLost records a report that a server is lost; nothing is placed there during the cooldown.
-func (owner *Owner) markLost(now time.Duration, server string) {
+func (cacheIndex *CacheIndex) markLost(now time.Duration, server string) {
 	if server != "" {
-		owner.loads.Add(server, load{work: owner.work(now, server), updatedAt: now, lost: now + owner.cooldown})
+		cacheIndex.loads.Add(server, load{work: cacheIndex.work(now, server), updatedAt: now, lost: now + cacheIndex.cooldown})
 	}
 }
 
 // lost reports whether a server was reported lost within the cooldown.
-func (owner *Owner) lost(now time.Duration, server string) bool {
-	serverLoad, found := owner.loads.Peek(server)
+func (cacheIndex *CacheIndex) lost(now time.Duration, server string) bool {
+	serverLoad, found := cacheIndex.loads.Peek(server)
 	return found && now < serverLoad.lost
 }
 
-// Place answers an Ask with the existing place or with a candidate that has little work. It returns false if there is no place to give:
+// Place answers a PlacementRequest with the existing place or with a candidate that has little work. It returns false if there is no place to give:
 // no candidate is usable, or the place has moved within the cooldown.
-func (owner *Owner) Place(now time.Duration, request Ask) (Place, bool) {
+func (cacheIndex *CacheIndex) Place(now time.Duration, request PlacementRequest) (Placement, bool) {
 	if request.Known {
-		return owner.existing(now, request)
+		return cacheIndex.existingPlacement(now, request)
 	}
-	owner.markLost(now, request.Lost)
-	existing, found := owner.places.Get(request.Key)
+	cacheIndex.markLost(now, request.Lost)
+	existing, found := cacheIndex.places.Get(request.Key)
 	if found && existing.server != request.Lost && !existing.leaving {
-		return Place{Key: request.Key, Server: existing.server}, true
+		return Placement{Key: request.Key, Server: existing.server}, true
 	}
-	if found && now < existing.moved+owner.cooldown || len(request.Candidates) > MaxCandidates {
-		return Place{}, false
+	if found && now < existing.moved+cacheIndex.cooldown || len(request.Candidates) > MaxCandidates {
+		return Placement{}, false
 	}
 	candidates := slices.DeleteFunc(slices.Clone(request.Candidates), func(name string) bool {
-		return owner.lost(now, name) || existing.leaving && name == existing.server
+		return cacheIndex.lost(now, name) || existing.leaving && name == existing.server
 	})
 	if len(candidates) == 0 {
 		if !existing.leaving || existing.server == request.Lost {
-			return Place{}, false
+			return Placement{}, false
 		}
 		existing.leaving, existing.missed, existing.moved = false, 0, now
-		owner.store(request.Key, existing)
-		return Place{Key: request.Key, Server: existing.server}, true
+		cacheIndex.store(request.Key, existing)
+		return Placement{Key: request.Key, Server: existing.server}, true
 	}
-	chosen := owner.chooseServer(now, candidates, request)
-	owner.store(request.Key, entry{server: chosen, moved: now, confirmed: true})
-	owner.queueRead(now, chosen, owner.unread(request, chosen))
+	chosen := cacheIndex.chooseServer(now, candidates, request)
+	cacheIndex.store(request.Key, entry{server: chosen, moved: now, confirmed: true})
+	cacheIndex.queueRead(now, chosen, cacheIndex.unread(request, chosen))
 	if request.Root != 0 {
-		owner.roots.Add(request.rootOnServer(chosen), struct{}{})
+		cacheIndex.roots.Add(request.rootOnServer(chosen), struct{}{})
 	}
-	return Place{Key: request.Key, Server: chosen}, true
+	return Placement{Key: request.Key, Server: chosen}, true
 }
 
-// existing answers an Ask from existing places only, for a node that has a replica nearer than the owner.
-func (owner *Owner) existing(now time.Duration, request Ask) (Place, bool) {
-	existing, found := owner.places.Peek(request.Key)
-	if !found || existing.leaving || existing.server == request.Lost || owner.lost(now, existing.server) {
-		return Place{}, false
+// existingPlacement answers a request from existing places only, for a node that has a replica nearer than the owner.
+func (cacheIndex *CacheIndex) existingPlacement(now time.Duration, request PlacementRequest) (Placement, bool) {
+	existing, found := cacheIndex.places.Peek(request.Key)
+	if !found || existing.leaving || existing.server == request.Lost || cacheIndex.lost(now, existing.server) {
+		return Placement{}, false
 	}
-	owner.places.Get(request.Key)
-	return Place{Key: request.Key, Server: existing.server}, true
+	cacheIndex.places.Get(request.Key)
+	return Placement{Key: request.Key, Server: existing.server}, true
 }
 
-func (request Ask) rootOnServer(server string) rootOnServer {
+func (request PlacementRequest) rootOnServer(server string) rootOnServer {
 	return rootOnServer{Key{Scope: request.Scope, Anchor: request.Root}, server}
 }
 
 // unread is the work of reading a prompt on a server; the root is not read again where a prompt with it was placed.
-func (owner *Owner) unread(request Ask, server string) int64 {
-	if request.Root != 0 && owner.roots.Contains(request.rootOnServer(server)) {
+func (cacheIndex *CacheIndex) unread(request PlacementRequest, server string) int64 {
+	if request.Root != 0 && cacheIndex.roots.Contains(request.rootOnServer(server)) {
 		return max(0, request.Work-request.RootWork)
 	}
 	return max(0, request.Work)
@@ -245,25 +245,25 @@
 // chooseServer returns the candidate that will have read the prompt first, among those within their bounded share of the work, or else
 // among all; ties go to the candidates' order. A server that often misses cached prompts has a smaller share. An idle first candidate
 // is usually chosen, so a lost index is mostly rebuilt alike (Mirrokni, Thorup, Zadimoghaddam, "Consistent Hashing with Bounded Loads").
-func (owner *Owner) chooseServer(now time.Duration, candidates []string, request Ask) string {
+func (cacheIndex *CacheIndex) chooseServer(now time.Duration, candidates []string, request PlacementRequest) string {
 	totalWork, totalShare := float64(max(0, request.Work)), 0.0
 	for _, name := range candidates {
-		totalWork += owner.work(now, name)
-		totalShare += owner.share(name)
+		totalWork += cacheIndex.work(now, name)
+		totalShare += cacheIndex.workShare(name)
 	}
 	withinShare := slices.DeleteFunc(slices.Clone(candidates), func(name string) bool {
-		return owner.work(now, name)+float64(owner.unread(request, name)) > capacityFactor*totalWork*owner.share(name)/totalShare
+		return cacheIndex.work(now, name)+float64(cacheIndex.unread(request, name)) > capacityFactor*totalWork*cacheIndex.workShare(name)/totalShare
 	})
 	finishTime := func(name string) float64 {
-		unread := owner.unread(request, name)
-		return (float64(owner.backlog(now, name).Milliseconds()) + float64(unread)) / owner.share(name)
+		unread := cacheIndex.unread(request, name)
+		return (float64(cacheIndex.backlog(now, name).Milliseconds()) + float64(unread)) / cacheIndex.workShare(name)
 	}
 	relativeWork := func(name string) float64 {
-		return (owner.work(now, name) + float64(owner.unread(request, name))) / owner.share(name)
+		return (cacheIndex.work(now, name) + float64(cacheIndex.unread(request, name))) / cacheIndex.workShare(name)
 	}
 	if len(withinShare) == 0 {
 		least := slices.MinFunc(candidates, func(left, right string) int { return cmp.Compare(relativeWork(left), relativeWork(right)) })
-		if owner.backlog(now, least) == 0 {
+		if cacheIndex.backlog(now, least) == 0 {
 			return least
 		}
 		withinShare = candidates
@@ -272,23 +272,23 @@
 }
 
 // store sets a new or moved place and marks it to be announced and saved.
-func (owner *Owner) store(key Key, place entry) {
-	owner.places.Add(key, place)
-	owner.changed.Add(key, struct{}{})
-	owner.dirty = true
+func (cacheIndex *CacheIndex) store(key Key, place entry) {
+	cacheIndex.places.Add(key, place)
+	cacheIndex.changed.Add(key, struct{}{})
+	cacheIndex.dirty = true
 }
 
 // Handle processes usage reports of nodes, announcements of other control nodes and the results of saving.
-func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
+func (cacheIndex *CacheIndex) Handle(now time.Duration, event contract.Event) []contract.Command {
 	switch event := event.(type) {
 	case Persisted:
-		return owner.persisted(event)
+		return cacheIndex.handlePersisted(event)
 	case contract.Message:
 		switch event.Kind {
 		case MessageUsage:
-			return owner.usage(now, event)
+			return cacheIndex.handleUsage(now, event)
 		case MessageAnnouncement:
-			return owner.announcement(now, event)
+			return cacheIndex.handleAnnouncement(now, event)
 		}
 	}
 	return nil
@@ -296,30 +296,30 @@
 
 var malformedMessage = []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 
-// usage confirms the places that a node used. A place that is unknown here, or only announced by a peer, is taken over from the node;
+// handleUsage confirms the places that a node used. A place that is unknown here, or only announced by a peer, is taken over from the node;
 // where the node uses another server than the confirmed one, it is sent the right place.
-func (owner *Owner) usage(now time.Duration, message contract.Message) []contract.Command {
+func (cacheIndex *CacheIndex) handleUsage(now time.Duration, message contract.Message) []contract.Command {
 	var usage Usage
 	if json.Unmarshal(message.Body, &usage) != nil {
 		return malformedMessage
 	}
-	moved, kept := Moved{}, int64(0)
+	moved, kept := PlacementUpdate{}, int64(0)
 	for number, use := range usage.Uses[:min(len(usage.Uses), MaxUses)] {
 		if use.Server == "" {
 			continue
 		}
-		use.Verdict, use.At = usage.result(now, owner.cooldown, number)
-		owner.addWork(now, use.Server, max(0, use.Took))
-		existing, found := owner.places.Get(use.Key)
+		use.Verdict, use.At = usage.result(now, cacheIndex.cooldown, number)
+		cacheIndex.addWork(now, use.Server, max(0, use.Took))
+		existing, found := cacheIndex.places.Get(use.Key)
 		switch {
 		case !found || !existing.confirmed && existing.server != use.Server:
-			owner.store(use.Key, owner.recordUse(now, entry{server: use.Server, moved: now, confirmed: true}, use))
+			cacheIndex.store(use.Key, cacheIndex.recordUse(now, entry{server: use.Server, moved: now, confirmed: true}, use))
 		case existing.server == use.Server:
 			existing.confirmed = true
-			owner.places.Add(use.Key, owner.recordUse(now, existing, use))
+			cacheIndex.places.Add(use.Key, cacheIndex.recordUse(now, existing, use))
 		}
 		if found && existing.announcedServer() != use.Server && existing.confirmed {
-			moved.Places = append(moved.Places, Place{Key: use.Key, Server: existing.announcedServer()})
+			moved.Places = append(moved.Places, Placement{Key: use.Key, Server: existing.announcedServer()})
 		}
 		if use.Verdict == Kept {
 			kept++
--- a/index/index_test.go
+++ b/index/index_test.go
@@ -21,9 +21,9 @@
 	cooldown = 2 * time.Second
 )
 
-// fixture is an owner with its own clock.
+// fixture is an index with its own clock.
 type fixture struct {
-	*Owner
+	*CacheIndex
 	now time.Duration
 }
 
@@ -31,11 +31,11 @@
 
 func key(anchor uint64) Key { return Key{Scope: "s", Anchor: anchor} }
 
-func (fixture *fixture) place(anchor uint64, lost string, candidates ...string) (Place, bool) {
-	return fixture.Place(fixture.now, Ask{Key: key(anchor), Candidates: candidates, Lost: lost, Work: 100})
+func (fixture *fixture) place(anchor uint64, lost string, candidates ...string) (Placement, bool) {
+	return fixture.Place(fixture.now, PlacementRequest{Key: key(anchor), Candidates: candidates, Lost: lost, Work: 100})
 }
 
-func (fixture *fixture) mustPlace(anchor uint64, lost string, candidates ...string) Place {
+func (fixture *fixture) mustPlace(anchor uint64, lost string, candidates ...string) Placement {
 	GinkgoHelper()
 	place, found := fixture.place(anchor, lost, candidates...)
 	Expect(found).To(BeTrue())
@@ -57,20 +57,20 @@
 
 var _ = Describe("the place of a prompt", func() {
 	It("given no place yet, when it is asked for, then the first candidate gets it", func() {
-		Expect(newFixture().mustPlace(1, "", "b", "a", "c")).To(Equal(Place{Key: key(1), Server: "b"}))
+		Expect(newFixture().mustPlace(1, "", "b", "a", "c")).To(Equal(Placement{Key: key(1), Server: "b"}))
 	})
 
 	It("given a place, when others ask with other candidates, then it stays", func() {
 		fixture := newFixture()
 		fixture.mustPlace(1, "", "b", "a")
 		fixture.now += time.Hour
-		Expect(fixture.mustPlace(1, "", "a", "c")).To(Equal(Place{Key: key(1), Server: "b"}))
+		Expect(fixture.mustPlace(1, "", "a", "c")).To(Equal(Placement{Key: key(1), Server: "b"}))
 	})
 
 	It("given two scopes with one anchor, when both are asked for, then each has a place of its own", func() {
 		fixture := newFixture()
 		fixture.mustPlace(1, "", "a", "b")
-		place, found := fixture.Place(fixture.now, Ask{Key: Key{Scope: "home", Anchor: 1}, Candidates: []string{"b"}, Work: 100})
+		place, found := fixture.Place(fixture.now, PlacementRequest{Key: Key{Scope: "home", Anchor: 1}, Candidates: []string{"b"}, Work: 100})
 		Expect(found).To(BeTrue())
 		Expect(place.Server).To(Equal("b"))
 	})
@@ -99,7 +99,7 @@
 
 	It("given a server that reads a large prompt, when small ones come, then they go elsewhere until it has read", func() {
 		fixture := newFixture()
-		fixture.Place(fixture.now, Ask{Key: key(1), Candidates: []string{"a", "b"}, Work: 1000})
+		fixture.Place(fixture.now, PlacementRequest{Key: key(1), Candidates: []string{"a", "b"}, Work: 1000})
 		for anchor := range uint64(3) {
 			Expect(fixture.mustPlace(10+anchor, "", "a", "b").Server).To(Equal("b"))
 			fixture.now += 200 * time.Millisecond
@@ -109,7 +109,7 @@
 	It("given prompts of several roots, when more of them are placed, then each goes where its root was read, until that server has more than its share", func() {
 		fixture, counts := newFixture(), map[string]int{}
 		ask := func(anchor, root uint64) string {
-			place, found := fixture.Place(fixture.now, Ask{Key: key(anchor), Candidates: []string{"a", "b", "c", "d"}, Work: 1000, Root: root, RootWork: 900})
+			place, found := fixture.Place(fixture.now, PlacementRequest{Key: key(anchor), Candidates: []string{"a", "b", "c", "d"}, Work: 1000, Root: root, RootWork: 900})
 			Expect(found).To(BeTrue())
 			fixture.now += time.Second
 			return place.Server
@@ -150,12 +150,12 @@
 
 	It("given negative work or time, when it is reported, then it reduces no server's work", func() {
 		fixture := newFixture()
-		_, found := fixture.Place(fixture.now, Ask{Key: key(1), Candidates: []string{"a"}, Work: -500})
+		_, found := fixture.Place(fixture.now, PlacementRequest{Key: key(1), Candidates: []string{"a"}, Work: -500})
 		Expect(found).To(BeTrue())
 		fixture.reportUses("n", Use{Key: key(1), Server: "a", Took: -500})
 		Expect(fixture.work(fixture.now, "a")).To(BeZero())
 		fixture.reportUses("n", Use{Key: key(2), Server: "a", Took: 100})
-		place, _ := fixture.Place(fixture.now, Ask{Key: key(3), Candidates: []string{"a", "b"}, Work: -500})
+		place, _ := fixture.Place(fixture.now, PlacementRequest{Key: key(3), Candidates: []string{"a", "b"}, Work: -500})
 		Expect(place.Server).To(Equal("b"))
 	})
 })
@@ -165,7 +165,7 @@
 		fixture := newFixture()
 		fixture.mustPlace(1, "", "a", "b", "c")
 		fixture.now += cooldown
-		Expect(fixture.mustPlace(1, "a", "a", "b", "c")).To(Equal(Place{Key: key(1), Server: "b"}))
+		Expect(fixture.mustPlace(1, "a", "a", "b", "c")).To(Equal(Placement{Key: key(1), Server: "b"}))
 		fixture.now += cooldown - 1
 		Expect(fixture.mustPlace(1, "a", "a", "b", "c").Server).To(Equal("b"), "others that lost the former place get the new one")
 		_, found := fixture.place(1, "b", "a", "b", "c")
@@ -198,8 +198,8 @@
 })
 
 var _ = Describe("an ask for known places only", func() {
-	known := func(fixture *fixture, anchor uint64, lost string) (Place, bool) {
-		return fixture.Place(fixture.now, Ask{Key: key(anchor), Candidates: []string{"c"}, Lost: lost, Work: 100, Known: true})
+	known := func(fixture *fixture, anchor uint64, lost string) (Placement, bool) {
+		return fixture.Place(fixture.now, PlacementRequest{Key: key(anchor), Candidates: []string{"c"}, Lost: lost, Work: 100, Known: true})
 	}
 
 	It("given no place, when it is asked, then there is none, and nothing is placed, counted, announced or saved", func() {
@@ -215,7 +215,7 @@
 	It("given a place, also an announced one, when it is asked, then it is returned and adds no work", func() {
 		fixture := newFixture()
 		fixture.mustPlace(1, "", "a")
-		fixture.receive(Announcement{Places: []Place{named(2, "b")}})
+		fixture.receive(Announcement{Places: []Placement{named(2, "b")}})
 		for anchor, server := range map[uint64]string{1: "a", 2: "b"} {
 			place, found := known(fixture, anchor, "")
 			Expect(found).To(BeTrue())
@@ -264,7 +264,7 @@
 	})
 
 	It("given such an ask, when it is encoded, then it has neither candidates nor work", func() {
-		body, err := json.Marshal(Ask{Key: key(1), Known: true})
+		body, err := json.Marshal(PlacementRequest{Key: key(1), Known: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(MatchJSON(`{"scope":"s","anchor":1,"known":true}`))
 	})
@@ -287,7 +287,7 @@
 	It("given a new owner, when nodes report what they use, then it adopts it", func() {
 		fixture := newFixture()
 		Expect(fixture.reportUses("n:1", Use{Key: key(1), Server: "c", Took: 30})).To(BeEmpty())
-		Expect(fixture.mustPlace(1, "", "a", "b", "c")).To(Equal(Place{Key: key(1), Server: "c"}))
+		Expect(fixture.mustPlace(1, "", "a", "b", "c")).To(Equal(Placement{Key: key(1), Server: "c"}))
 		Expect(fixture.work(fixture.now, "c")).To(BeNumerically("==", 30))
 	})
 
@@ -296,7 +296,7 @@
 		fixture.mustPlace(1, "", "a")
 		fixture.mustPlace(2, "", "a")
 		commands := fixture.reportUses("10.0.0.7:7720", Use{Key: key(1), Server: "a"}, Use{Key: key(2), Server: "b"})
-		Expect(commands).To(Equal([]contract.Command{contract.Send{To: "10.0.0.7:7720", Kind: MessageMoved, Body: Moved{Places: []Place{{Key: key(2), Server: "a"}}}}}))
+		Expect(commands).To(Equal([]contract.Command{contract.Send{To: "10.0.0.7:7720", Kind: MessageMoved, Body: PlacementUpdate{Places: []Placement{{Key: key(2), Server: "a"}}}}}))
 		Expect(fixture.mustPlace(2, "", "a", "b").Server).To(Equal("a"))
 	})
 
@@ -330,6 +330,6 @@
 		Expect(fixture.Len()).To(Equal(maxPlaces))
 		Expect(fixture.loads.Len()).To(Equal(maxServers))
 		Expect(fixture.mustPlace(0, "", "other").Server).To(Equal("first"))
-		Expect(fixture.mustPlace(1, "", "other")).To(Equal(Place{Key: key(1), Server: "other"}))
+		Expect(fixture.mustPlace(1, "", "other")).To(Equal(Placement{Key: key(1), Server: "other"}))
 	})
 })
--- a/index/replication_test.go
+++ b/index/replication_test.go
@@ -39,7 +39,9 @@
 	Expect(fixture.Handle(fixture.now, message(MessageAnnouncement, announcement))).To(BeEmpty())
 }
 
-func named(anchor uint64, server string) Place { return Place{Key: key(anchor), Server: server} }
+func named(anchor uint64, server string) Placement {
+	return Placement{Key: key(anchor), Server: server}
+}
 
 var _ = Describe("a snapshot", func() {
 	It("given an owner with a disk, when places change, then a snapshot is returned once per interval and only then", func() {
@@ -53,7 +55,7 @@
 		Expect(snapshots).To(BeEmpty())
 		fixture.now++
 		_, snapshots = fixture.tick()
-		Expect(snapshots).To(Equal([]Snapshot{{[]Place{named(1, "a")}}}))
+		Expect(snapshots).To(Equal([]Snapshot{{[]Placement{named(1, "a")}}}))
 		fixture.Handle(fixture.now, Persisted{})
 		fixture.reportUses("n", Use{Key: key(1), Server: "a"})
 		fixture.now += saveInterval
@@ -110,14 +112,14 @@
 		Expect(places[0]).To(Equal(named(6, "a")))
 		Expect(places[MaxSaved-1]).To(Equal(named(2, "a")))
 		again := newFixture()
-		again.Restore(Snapshot{append([]Place{named(90000, "z"), {Key: key(90001)}}, places...)})
+		again.Restore(Snapshot{append([]Placement{named(90000, "z"), {Key: key(90001)}}, places...)})
 		Expect(again.Snapshot().Places).To(Equal(places))
 		Expect(again.Len()).To(Equal(MaxSaved), "a snapshot that is too long is truncated")
 	})
 
 	It("given a restored place, when it is asked for, then it holds, and if its server is lost it moves at once", func() {
 		fixture := &fixture{New(halfLife, cooldown), 0}
-		fixture.Restore(Snapshot{[]Place{named(1, "b"), named(2, "b"), {Key: key(3)}}})
+		fixture.Restore(Snapshot{[]Placement{named(1, "b"), named(2, "b"), {Key: key(3)}}})
 		Expect(fixture.Len()).To(Equal(2), "a place without a server is ignored")
 		Expect(fixture.mustPlace(1, "", "a", "b")).To(Equal(named(1, "b")))
 		Expect(fixture.mustPlace(2, "b", "a", "b").Server).To(Equal("a"))
@@ -125,7 +127,7 @@
 
 	It("given a restored place that nodes have moved since, when the first use tells, then the node's place is adopted, and the next node is corrected", func() {
 		fixture := newFixture()
-		fixture.Restore(Snapshot{[]Place{named(1, "old")}})
+		fixture.Restore(Snapshot{[]Placement{named(1, "old")}})
 		Expect(fixture.reportUses("n", Use{Key: key(1), Server: "new"})).To(BeEmpty())
 		Expect(fixture.mustPlace(1, "", "old")).To(Equal(named(1, "new")))
 		Expect(fixture.reportUses("m", Use{Key: key(1), Server: "old"})).To(HaveLen(1))
@@ -133,7 +135,7 @@
 
 	It("given a restored place that a use has confirmed, when another node uses another one, then that node is corrected", func() {
 		fixture := newFixture()
-		fixture.Restore(Snapshot{[]Place{named(1, "a")}})
+		fixture.Restore(Snapshot{[]Placement{named(1, "a")}})
 		fixture.reportUses("n", Use{Key: key(1), Server: "a"})
 		Expect(fixture.reportUses("m", Use{Key: key(1), Server: "b"})).To(HaveLen(1))
 		Expect(fixture.mustPlace(1, "", "b").Server).To(Equal("a"))
@@ -146,7 +148,7 @@
 		fixture.mustPlace(1, "", "a")
 		fixture.reportUses("n", Use{Key: key(2), Server: "b"})
 		announcement, _ := fixture.tick(peer("x", "1"), peer("y", "1"))
-		Expect(announcement).To(Equal(map[string]Announcement{"x:80": {Places: []Place{named(1, "a"), named(2, "b")}}, "y:80": {Places: []Place{named(1, "a"), named(2, "b")}}}))
+		Expect(announcement).To(Equal(map[string]Announcement{"x:80": {Places: []Placement{named(1, "a"), named(2, "b")}}, "y:80": {Places: []Placement{named(1, "a"), named(2, "b")}}}))
 		successor.receive(announcement["x:80"])
 		Expect(successor.mustPlace(1, "", "c")).To(Equal(named(1, "a")))
 		Expect(successor.mustPlace(2, "", "c")).To(Equal(named(2, "b")))
@@ -163,7 +165,7 @@
 		for anchor := range uint64(2) {
 			fixture.mustPlace(anchor, "", "a")
 			announcement, _ := fixture.tick(peer("x", "1"))
-			Expect(announcement["x:80"].Places).To(Equal([]Place{named(anchor, "a")}))
+			Expect(announcement["x:80"].Places).To(Equal([]Placement{named(anchor, "a")}))
 			fixture.now += announceInterval
 		}
 		fixture.mustPlace(2, "", "a")
@@ -173,7 +175,7 @@
 		Expect(fixture.Tick(fixture.now, []contract.Member{peer("x", "1")})).To(BeEmpty())
 		fixture.now++
 		announcement, snapshots := fixture.tick(peer("x", "1"))
-		Expect(announcement["x:80"].Places).To(Equal([]Place{named(3, "a")}))
+		Expect(announcement["x:80"].Places).To(Equal([]Placement{named(3, "a")}))
 		Expect(snapshots).To(BeEmpty(), "saving has its own interval")
 	})
 
@@ -190,7 +192,7 @@
 	It("given a peer's announcement, when the interval ends, then it is saved here and not announced further", func() {
 		fixture := newFixture()
 		fixture.Restore(Snapshot{})
-		fixture.receive(Announcement{Places: []Place{named(1, "a")}})
+		fixture.receive(Announcement{Places: []Placement{named(1, "a")}})
 		announcement, snapshots := fixture.tick()
 		Expect(announcement).To(BeEmpty())
 		Expect(snapshots).To(HaveLen(1))
@@ -202,7 +204,7 @@
 	It("given a place that changed elsewhere, when it is announced, then it replaces the one here, which does not move again at once", func() {
 		fixture := newFixture()
 		fixture.mustPlace(1, "", "a")
-		fixture.receive(Announcement{Places: []Place{named(1, "b"), {Key: key(2)}}})
+		fixture.receive(Announcement{Places: []Placement{named(1, "b"), {Key: key(2)}}})
 		Expect(fixture.mustPlace(1, "", "a").Server).To(Equal("b"))
 		_, found := fixture.place(1, "b", "a")
 		Expect(found).To(BeFalse())
@@ -213,9 +215,9 @@
 
 	It("given a disk, when a peer is seen for the first time or with another boot, then it gets a backfill, which only fills gaps", func() {
 		fixture, newcomer := newFixture(), newFixture()
-		fixture.Restore(Snapshot{[]Place{named(1, "a"), named(2, "a")}})
+		fixture.Restore(Snapshot{[]Placement{named(1, "a"), named(2, "a")}})
 		announcement, _ := fixture.tick(peer("x", "1"))
-		Expect(announcement).To(Equal(map[string]Announcement{"x:80": {Places: []Place{named(1, "a"), named(2, "a")}, Backfill: true}}))
+		Expect(announcement).To(Equal(map[string]Announcement{"x:80": {Places: []Placement{named(1, "a"), named(2, "a")}, Backfill: true}}))
 		newcomer.mustPlace(2, "", "own")
 		newcomer.receive(announcement["x:80"])
 		Expect(newcomer.mustPlace(1, "", "c")).To(Equal(named(1, "a")))
@@ -252,7 +254,7 @@
 	})
 
 	It("given a message with more places than it may have, when it comes, then the excess is ignored", func() {
-		fixture, places := newFixture(), []Place{}
+		fixture, places := newFixture(), []Placement{}
 		for anchor := range uint64(maxAnnounced + 5) {
 			places = append(places, named(anchor, "a"))
 		}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -44,8 +44,8 @@
 
 // Judging gives the bounds that the brief sets and a manifest promises, as the checker applies them to so many nodes.
 func Judging(bounds env.Bounds, read manifest.Manifest, nodes int) Bounds {
-	return Bounds{Leave: bounds.Evacuate(), Drain: bounds.Evacuate(), Deliver: bounds.Deliver(), Return: bounds.Return(), Ramp: read.Retirement.Ramp,
-		RepeatPct: float64(read.RepeatPercent), RepeatAtOnce: read.RepeatAtOnce * int64(nodes), Patience: bounds.Deliver()}
+	return Bounds{Leave: bounds.Evacuate(), Drain: bounds.Evacuate(), Deliver: bounds.Deliver(), Return: bounds.Return(), Ramp: read.Retirement.RampDuration,
+		RepeatPct: float64(read.RepeatPercent), RepeatAtOnce: read.RepeatAllowance * int64(nodes), Patience: bounds.Deliver()}
 }
 
 type Breach struct {
--- a/line/line.go
+++ b/line/line.go
@@ -18,14 +18,16 @@
 type Queues struct {
 	routes  []string
 	byRoute map[string]*queue
-	// next is the index of the route that was served last.
-	next int
-	// mean is the moving mean of how long a call runs, by route.
-	mean map[string]time.Duration
+	// lastServed is the index of the route that was served last.
+	lastServed int
+	// meanDuration is the moving mean of how long a call runs, by route.
+	meanDuration map[string]time.Duration
 }
 
 // New returns empty queues.
-func New() *Queues { return &Queues{byRoute: map[string]*queue{}, mean: map[string]time.Duration{}} }
+func New() *Queues {
+	return &Queues{byRoute: map[string]*queue{}, meanDuration: map[string]time.Duration{}}
+}
 
 // Enqueue adds a call at the end of its caller's calls in the queue of a route. When the queue is full, the newest call of the caller with
 // the most calls is displaced, unless the new call's caller would then have as many: the new call is not enqueued in that case. The token of
@@ -93,8 +95,8 @@
 func (queues *Queues) Dispatch(take func(token int64) bool) {
 	refused := 0
 	for refused < len(queues.routes) {
-		queues.next = (queues.next + 1) % len(queues.routes)
-		current := queues.byRoute[queues.routes[queues.next]]
+		queues.lastServed = (queues.lastServed + 1) % len(queues.routes)
+		current := queues.byRoute[queues.routes[queues.lastServed]]
 		if current.length == 0 || !take(current.calls[current.callers[0]][0]) {
 			refused++
 			continue
@@ -108,8 +110,8 @@
 	}
 }
 
-// Ahead returns the number of calls that are served before a new call of a caller.
-func (queues *Queues) Ahead(route, caller string) int {
+// CallsAhead returns the number of calls that are served before a new call of a caller.
+func (queues *Queues) CallsAhead(route, caller string) int {
 	current, found := queues.byRoute[route]
 	if !found {
 		return 0
@@ -138,18 +140,18 @@
 
 // ObserveDuration adds the duration of a call of a route to the moving mean.
 func (queues *Queues) ObserveDuration(route string, duration time.Duration) {
-	former, found := queues.mean[route]
+	former, found := queues.meanDuration[route]
 	if !found {
-		queues.mean[route] = duration
+		queues.meanDuration[route] = duration
 		return
 	}
-	queues.mean[route] = former + (duration-former)/smoothing
+	queues.meanDuration[route] = former + (duration-former)/smoothing
 }
 
 // MeanDuration returns the moving mean of how long calls of a route run, or 0 if none has ended yet.
-func (queues *Queues) MeanDuration(route string) time.Duration { return queues.mean[route] }
+func (queues *Queues) MeanDuration(route string) time.Duration { return queues.meanDuration[route] }
 
 // EstimateWait estimates how long a call waits at a position in the queue, from 0 on, while a number of calls of the route run.
 func (queues *Queues) EstimateWait(route string, position, running int) time.Duration {
-	return queues.mean[route] * time.Duration(position+1) / time.Duration(max(1, running))
+	return queues.meanDuration[route] * time.Duration(position+1) / time.Duration(max(1, running))
 }
--- a/link/loop.go
+++ b/link/loop.go
@@ -1,4 +1,4 @@
-// Package link transports messages between processes and runs the event loop of an owner in one goroutine with a bounded queue.
+// Package link transports messages between processes and runs the event loop of a state machine in one goroutine with a bounded queue.
 package link
 
 import (
@@ -11,9 +11,9 @@
 
 const eventQueueSize = 4096 // events that wait for a loop
 
-// Loop runs an owner: it feeds it events and ticks one at a time and executes the resulting commands. Times are since its start.
+// Loop runs a state machine: it feeds it events and ticks one at a time and executes the resulting commands. Times are since its start.
 type Loop struct {
-	owner          contract.StateMachine
+	stateMachine   contract.StateMachine
 	execute        func(contract.Command) bool // commands that the loop does not know
 	events         chan contract.Event
 	startedAt      time.Time
@@ -26,16 +26,16 @@
 	sender         *Sender
 }
 
-// NewLoop returns the loop of an owner, with a tick at each interval. Run starts it.
-func NewLoop(owner contract.StateMachine, tickInterval time.Duration, sender *Sender, logger log.Logger) *Loop {
-	return &Loop{owner: owner, events: make(chan contract.Event, eventQueueSize), startedAt: time.Now(), tickInterval: tickInterval,
+// NewLoop returns the loop of a state machine, with a tick at each interval. Run starts it.
+func NewLoop(stateMachine contract.StateMachine, tickInterval time.Duration, sender *Sender, logger log.Logger) *Loop {
+	return &Loop{stateMachine: stateMachine, events: make(chan contract.Event, eventQueueSize), startedAt: time.Now(), tickInterval: tickInterval,
 		logger: logger, metrics: newMetrics(), answerHandlers: map[int64]func(contract.Response){}, sender: sender}
 }
 
 // SetExecutor sets what executes commands other than messages, metrics, log lines and answers; it returns false for an unknown command.
 func (loop *Loop) SetExecutor(execute func(contract.Command) bool) { loop.execute = execute }
 
-// Now returns the time since the loop was made, which is what the owner sees.
+// Now returns the time since the loop was made, which is what the state machine sees.
 func (loop *Loop) Now() time.Duration { return time.Since(loop.startedAt) }
 
 // Post queues an event, and waits while the queue is full.
@@ -54,7 +54,7 @@
 
 // Count adds to a counter.
 func (loop *Loop) Count(name string, by int64) {
-	loop.metrics.count(name, by)
+	loop.metrics.addCounter(name, by)
 }
 
 // Counts returns a copy of all counters by their internal names.
@@ -68,8 +68,8 @@
 	return copied
 }
 
-// Token returns a new token for a question; its answer is passed to onAnswer, once.
-func (loop *Loop) Token(onAnswer func(contract.Response)) int64 {
+// RegisterAnswer returns a new token for a question and registers onAnswer, which is called once with the answer.
+func (loop *Loop) RegisterAnswer(onAnswer func(contract.Response)) int64 {
 	loop.lock.Lock()
 	defer loop.lock.Unlock()
 	loop.lastToken++
@@ -112,22 +112,22 @@
 }
 
 func (loop *Loop) handle(event contract.Event) {
-	for _, command := range loop.owner.Handle(loop.Now(), event) {
-		loop.Do(command)
+	for _, command := range loop.stateMachine.Handle(loop.Now(), event) {
+		loop.Execute(command)
 	}
 }
 
-// Do executes one command; it panics if no one knows the command.
-func (loop *Loop) Do(command contract.Command) {
+// Execute executes one command; it panics if no one knows the command.
+func (loop *Loop) Execute(command contract.Command) {
 	switch command := command.(type) {
 	case contract.Send:
 		loop.sender.Send(command)
 	case contract.AddCounter:
 		loop.Count(command.Name, command.Delta)
 	case contract.SetGauge:
-		loop.metrics.gauge(command.Name, command.Value)
+		loop.metrics.setGauge(command.Name, command.Value)
 	case contract.ObserveDuration:
-		loop.metrics.observe(command.Name, command.Class, command.Duration)
+		loop.metrics.observeDuration(command.Name, command.Class, command.Duration)
 	case contract.Log:
 		_ = loop.logger.Log(append([]any{"what", command.Message}, command.Attributes...)...)
 	case contract.Response:
--- a/link/metrics.go
+++ b/link/metrics.go
@@ -87,7 +87,7 @@
 	return strings.ReplaceAll(name, "_", " ")
 }
 
-func (metrics *metrics) count(name string, by int64) {
+func (metrics *metrics) addCounter(name string, by int64) {
 	metrics.lock.Lock()
 	defer metrics.lock.Unlock()
 	metrics.totals[name] += by
@@ -106,7 +106,7 @@
 	vector.WithLabelValues(values...).Add(float64(by))
 }
 
-func (metrics *metrics) gauge(name string, value int64) {
+func (metrics *metrics) setGauge(name string, value int64) {
 	metrics.lock.Lock()
 	defer metrics.lock.Unlock()
 	known, found := metrics.gauges[name]
@@ -124,7 +124,7 @@
 	bucketCount  = 14
 )
 
-func (metrics *metrics) observe(name, class string, took time.Duration) {
+func (metrics *metrics) observeDuration(name, class string, took time.Duration) {
 	metrics.lock.Lock()
 	defer metrics.lock.Unlock()
 	known, found := metrics.histograms[name]
--- a/link/operators.go
+++ b/link/operators.go
@@ -126,7 +126,7 @@
 	return func(ctx context.Context, request any) (any, error) {
 		question := request.(contract.OperatorRequest)
 		answers := make(chan contract.Response, 1)
-		question.Token = api.loop.Token(func(answer contract.Response) { answers <- answer })
+		question.Token = api.loop.RegisterAnswer(func(answer contract.Response) { answers <- answer })
 		defer api.loop.Forget(question.Token)
 		if !api.loop.TryPost(question) {
 			return nil, badRequest{503, "this node is overloaded; nothing was done"}
@@ -189,7 +189,7 @@
 	}
 	startedAt := time.Now()
 	defer func() {
-		api.loop.Do(contract.ObserveDuration{Name: "forward", Class: forward.Request.Verb, Duration: time.Since(startedAt)})
+		api.loop.Execute(contract.ObserveDuration{Name: "forward", Class: forward.Request.Verb, Duration: time.Since(startedAt)})
 	}()
 	response, err := api.client.Do(request)
 	if err != nil {
--- a/link/sender.go
+++ b/link/sender.go
@@ -33,28 +33,28 @@
 
 // Sender has one goroutine and one bounded queue for each address. Messages that do not fit or do not arrive are lost and counted.
 type Sender struct {
-	self   contract.Member
-	client *http.Client
-	faults *Faults
-	count  func(name string, by int64)
-	say    func(contract.Log)
-	lock   sync.Mutex
-	queues map[string]chan contract.Message
-	stop   <-chan struct{}
+	self       contract.Member
+	client     *http.Client
+	faults     *Faults
+	addCounter func(name string, by int64)
+	log        func(contract.Log)
+	lock       sync.Mutex
+	queues     map[string]chan contract.Message
+	stop       <-chan struct{}
 }
 
 // NewSender returns a sender for the member self; timeout bounds each post, and closing stop ends its goroutines.
 func NewSender(self contract.Member, timeout time.Duration, faults *Faults, stop <-chan struct{}) *Sender {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, MaxIdleConns: 256, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
 	return &Sender{self: self, client: &http.Client{Transport: transport, Timeout: timeout}, faults: faults,
-		count: func(string, int64) {}, say: func(contract.Log) {}, queues: map[string]chan contract.Message{}, stop: stop}
+		addCounter: func(string, int64) {}, log: func(contract.Log) {}, queues: map[string]chan contract.Message{}, stop: stop}
 }
 
 // SetCounter sets the function that counts lost messages.
-func (sender *Sender) SetCounter(count func(name string, by int64)) { sender.count = count }
+func (sender *Sender) SetCounter(count func(name string, by int64)) { sender.addCounter = count }
 
 // SetLogger sets the function that logs large bundles.
-func (sender *Sender) SetLogger(say func(contract.Log)) { sender.say = say }
+func (sender *Sender) SetLogger(say func(contract.Log)) { sender.log = say }
 
 // Send queues a message and does not wait; it is dropped and counted if the queue is full.
 func (sender *Sender) Send(command contract.Send) {
@@ -74,7 +74,7 @@
 	select {
 	case queue <- message:
 	default:
-		sender.count("messages_dropped", 1)
+		sender.addCounter("messages_dropped", 1)
 	}
 }
 
@@ -96,16 +96,16 @@
 			bundle.Messages = append(bundle.Messages, message)
 		}
 		if sender.faults.Cut(address) || sender.faults.DropMessage() {
-			sender.count("messages_cut", int64(len(bundle.Messages)))
+			sender.addCounter("messages_cut", int64(len(bundle.Messages)))
 			continue
 		}
 		startedAt := time.Now()
 		_, err := post(context.Background(), bundle)
 		if err != nil {
-			sender.count("messages_lost", int64(len(bundle.Messages)))
+			sender.addCounter("messages_lost", int64(len(bundle.Messages)))
 		}
 		if size >= largeBundleSize {
-			sender.say(contract.Log{Message: "large bundle", Attributes: []any{"to", address, "kind", bundle.Messages[0].Kind, "bytes", size, "ms", time.Since(startedAt).Milliseconds(), "error", err}})
+			sender.log(contract.Log{Message: "large bundle", Attributes: []any{"to", address, "kind", bundle.Messages[0].Kind, "bytes", size, "ms", time.Since(startedAt).Milliseconds(), "error", err}})
 		}
 	}
 }
--- a/listing/platform.go
+++ b/listing/platform.go
@@ -15,9 +15,9 @@
 // maxPrefixes bounds the cached prefixes of a report; further ones are left out.
 const maxPrefixes = 256
 
-// ReadListing parses the listing of a region. Anything that is not complete and well-formed is an error, so that a broken listing is never
+// ParseListing parses the listing of a region. Anything that is not complete and well-formed is an error, so that a broken listing is never
 // taken for an empty one.
-func ReadListing(content []byte, region string) (contract.Listing, error) {
+func ParseListing(content []byte, region string) (contract.Listing, error) {
 	listing := contract.Listing{}
 	tree, err := manifest.ParseObject(content)
 	if err != nil {
@@ -40,7 +40,7 @@
 		}
 		server := contract.ListedServer{Name: reader.Text("name", ""), Address: reader.Text("address", ""), Region: region,
 			Zone: reader.Text("zone", ""), Pool: reader.Text("pool", ""), Incarnation: reader.Text("incarnation", ""),
-			Leaving: reader.Bool("leaving"), Unloaded: reader.Bool("unloaded"), RemainingMs: reader.Number("remainingMs", 0, 0, 1<<40)}
+			Leaving: reader.Bool("leaving"), Unloaded: reader.Bool("unloaded"), RemainingMs: reader.Integer("remainingMs", 0, 0, 1<<40)}
 		if names[server.Name] || server.Name == "" {
 			reader.Errorf("name", "%q is empty or listed twice", server.Name)
 		}
@@ -53,8 +53,8 @@
 	return listing, nil
 }
 
-// ReadReport parses the load report of a server. A report that lacks a figure is returned as not complete.
-func ReadReport(content []byte, server string) (contract.LoadReport, error) {
+// ParseReport parses the load report of a server. A report that lacks a figure is returned as not complete.
+func ParseReport(content []byte, server string) (contract.LoadReport, error) {
 	report := contract.LoadReport{Server: server}
 	tree, err := manifest.ParseObject(content)
 	if err != nil {
@@ -63,10 +63,10 @@
 	reader := manifest.NewReader(tree)
 	reader.Require("incarnation")
 	report.Incarnation = reader.Text("incarnation", "")
-	report.Number = reader.Number("number", 0, 0, 1<<60)
-	report.Running = reader.Number("running", 0, 0, 1<<30)
-	report.Waiting = reader.Number("waiting", 0, 0, 1<<30)
-	report.AgeMs = reader.Number("ageMs", 0, 0, 1<<40)
+	report.Number = reader.Integer("number", 0, 0, 1<<60)
+	report.Running = reader.Integer("running", 0, 0, 1<<30)
+	report.Waiting = reader.Integer("waiting", 0, 0, 1<<30)
+	report.AgeMs = reader.Integer("ageMs", 0, 0, 1<<40)
 	report.Prefixes = reader.Texts("prefixes")
 	if len(report.Prefixes) > maxPrefixes {
 		report.Prefixes = report.Prefixes[:maxPrefixes]
--- a/listing/platform_test.go
+++ b/listing/platform_test.go
@@ -17,7 +17,7 @@
 const report = `{"server":"s","incarnation":"1","number":7,"running":1,"waiting":2,"prefixes":["a"],"complete":true,"ageMs":5}`
 
 var _ = DescribeTable("a broken listing is refused", func(from, to string) {
-	_, err := ReadListing([]byte(strings.Replace(listing, from, to, 1)), "r")
+	_, err := ParseListing([]byte(strings.Replace(listing, from, to, 1)), "r")
 	Expect(err).To(HaveOccurred())
 },
 	Entry("not complete", `"complete":true`, `"complete":false`),
@@ -31,7 +31,7 @@
 )
 
 var _ = DescribeTable("a broken report is refused or not complete", func(from, to string) {
-	read, err := ReadReport([]byte(strings.Replace(report, from, to, 1)), "s")
+	read, err := ParseReport([]byte(strings.Replace(report, from, to, 1)), "s")
 	Expect(err != nil || !read.Complete).To(BeTrue())
 },
 	Entry("running is missing", `"running":1,`, ``),
@@ -44,10 +44,10 @@
 )
 
 var _ = It("reads a whole listing and a whole report", func() {
-	listed, err := ReadListing([]byte(listing), "r")
+	listed, err := ParseListing([]byte(listing), "r")
 	Expect(err).NotTo(HaveOccurred())
 	Expect(listed.Servers[0].RemainingMs).To(Equal(int64(900)))
-	read, err := ReadReport([]byte(report), "s")
+	read, err := ParseReport([]byte(report), "s")
 	Expect(err).NotTo(HaveOccurred())
 	Expect(read.Complete).To(BeTrue())
 	Expect(read.Idle()).To(BeFalse())
@@ -57,7 +57,7 @@
 	f.Add([]byte(listing))
 	f.Add([]byte(`{"region":"r","complete":true,"servers":[{}]}`))
 	f.Fuzz(func(t *testing.T, content []byte) {
-		read, err := ReadListing(content, "r")
+		read, err := ParseListing(content, "r")
 		for _, server := range read.Servers {
 			if err == nil && (server.Name == "" || server.Region != "r") {
 				t.Fatal("a broken listing was accepted")
@@ -70,7 +70,7 @@
 	f.Add([]byte(report))
 	f.Add([]byte(`{"server":"s","incarnation":"1","complete":true}`))
 	f.Fuzz(func(t *testing.T, content []byte) {
-		read, err := ReadReport(content, "s")
+		read, err := ParseReport(content, "s")
 		if err == nil && (read.Running < 0 || read.Waiting < 0) {
 			t.Fatal("a broken report was accepted")
 		}
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -20,9 +20,9 @@
 	// Bounds are the time limits from the settings.
 	Bounds env.Bounds
 	// Neighbours holds the membership of the fleet.
-	Neighbours *neighbour.Owner
+	Neighbours *neighbour.Membership
 	// Feed follows the versions of the manifest and the view of the chain.
-	Feed *feed.Owner
+	Feed *feed.Replicator
 	// Random is the source of all random choices; tests and the emulator seed it.
 	Random   *rand.Rand
 	lastTick time.Duration
--- a/manifest/document.go
+++ b/manifest/document.go
@@ -189,7 +189,7 @@
 		return 0
 	}
 	sectionReader.tree = tree
-	return sectionReader.Number("revision", 0, 0, maxInteger)
+	return sectionReader.Integer("revision", 0, 0, maxInteger)
 }
 
 // GatewayRevision returns the operators' own revision number of a document's gateway section, or 0 if it has none or an invalid one.
--- a/manifest/gateway.go
+++ b/manifest/gateway.go
@@ -74,8 +74,8 @@
 type Engine struct {
 	// Slots is how many calls a server runs in one batch.
 	Slots int64
-	// Tokens is how many tokens of prompts and answers a server's memory holds.
-	Tokens int64
+	// TokenCapacity is how many tokens of prompts and answers a server's memory holds.
+	TokenCapacity int64
 	// TokensPerStep is how many tokens a running call produces in one step of the batch.
 	TokensPerStep int64
 }
@@ -96,24 +96,24 @@
 	}
 	section := reader.Object("gateway")
 	section.AllowOnly("", "revision", "routes", "services", "tenants", "limits", "more")
-	gateway.Revision = section.Number("revision", 0, 0, maxInteger)
+	gateway.Revision = section.Integer("revision", 0, 0, maxInteger)
 	for _, name := range section.Keys("services") {
 		gateway.Services[name] = section.Object("services." + name).service()
 	}
 	section.Keys("routes")
 	section.Keys("tenants")
-	gateway.Limits = Limits{HeaderBytes: section.Number("limits.headerBytes", 0, 0, maxInteger), BodyBytes: section.Number("limits.bodyBytes", 0, 0, maxInteger),
+	gateway.Limits = Limits{HeaderBytes: section.Integer("limits.headerBytes", 0, 0, maxInteger), BodyBytes: section.Integer("limits.bodyBytes", 0, 0, maxInteger),
 		HeaderTimeout: section.duration("limits.headerMs", 0, 0, maxInteger), IdleTimeout: section.duration("limits.idleMs", 0, 0, maxInteger)}
 	return gateway
 }
 
 func (reader *Reader) service() Service {
-	parsed := Service{HealthPath: reader.Text("healthPath", ""), MaxConnections: reader.Number("connections", 0, 0, maxInteger),
+	parsed := Service{HealthPath: reader.Text("healthPath", ""), MaxConnections: reader.Integer("connections", 0, 0, maxInteger),
 		WarmupDuration: time.Duration(reader.Float("warmupS", 0, 0, 1e6) * float64(time.Second)),
 		WarmupRate:     reader.Float("warmupPerS", 0, 0, 1e9)}
 	if _, found := reader.lookup("engine"); found {
 		engine := reader.Object("engine")
-		parsed.Engine = &Engine{Slots: engine.Number("slots", 1, 1, maxInteger), Tokens: engine.Number("tokens", 0, 0, maxInteger), TokensPerStep: engine.Number("stride", 1, 1, maxInteger)}
+		parsed.Engine = &Engine{Slots: engine.Integer("slots", 1, 1, maxInteger), TokenCapacity: engine.Integer("tokens", 0, 0, maxInteger), TokensPerStep: engine.Integer("stride", 1, 1, maxInteger)}
 	}
 	return parsed
 }
@@ -122,7 +122,7 @@
 func (reader *Reader) gatewayRoute(name string, services map[string]Service) GatewayRoute {
 	route := GatewayRoute{Name: name, Host: strings.ToLower(reader.Text("host", "")), Prefix: reader.Text("prefix", ""), Kind: reader.Text("kind", KindMutating),
 		Timeout: reader.duration("timeoutMs", 0, 0, maxInteger), LatencyTarget: reader.duration("aimMs", 0, 0, maxInteger), TokenGap: reader.duration("gapMs", 0, 0, maxInteger),
-		Priority: reader.Number("rank", 0, 0, 1000), MaxAttempts: reader.Number("attempts", 1, 0, 1000), Resumable: reader.Bool("resumable"),
+		Priority: reader.Integer("rank", 0, 0, 1000), MaxAttempts: reader.Integer("attempts", 1, 0, 1000), Resumable: reader.Bool("resumable"),
 		SessionAffinity: reader.Bool("affinity"), Public: reader.Bool("public"), AllowedRegions: reader.Texts("regions")}
 	if route.Kind != KindReadOnly && route.Kind != KindMutating && route.Kind != KindStreaming {
 		reader.Errorf("kind", "want read_only, mutating or streaming, got %q", route.Kind)
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -42,26 +42,26 @@
 	Deadline time.Duration
 	// QueueLimit is how many calls may wait for a server at one node.
 	QueueLimit int64
-	// Tokens is the estimated size of a call that tells no size.
-	Tokens int64
+	// EstimatedTokens is the estimated size of a call that tells no size.
+	EstimatedTokens int64
 	// Pools is the pool that serves the route, by region.
 	Pools map[string]string
 }
 
 // Retirement bounds the removal of a server from service: traffic is withdrawn, running calls finish or are cut, and the server is released.
 type Retirement struct {
-	// Window is the least time after the withdrawal before reports of an idle server count.
-	Window time.Duration
-	// Poll is the time between two reads of the server's report.
-	Poll time.Duration
-	// Hold is how long a scale-down waits for the server to become idle.
-	Hold time.Duration
-	// Drain is how long calls may run on a server that the platform reclaims.
-	Drain time.Duration
-	// Evacuation is how long calls may run on a server of a drained zone before they are no longer waited for.
-	Evacuation time.Duration
-	// Ramp is how long a server that is new, or back in service, takes a growing share of the calls.
-	Ramp time.Duration
+	// SettleTime is the least time after the withdrawal before reports of an idle server count.
+	SettleTime time.Duration
+	// ReportInterval is the time between two reads of the server's report.
+	ReportInterval time.Duration
+	// ScaleDownTimeout is how long a scale-down waits for the server to become idle.
+	ScaleDownTimeout time.Duration
+	// ReclaimTimeout is how long calls may run on a server that the platform reclaims.
+	ReclaimTimeout time.Duration
+	// EvacuationTimeout is how long calls may run on a server of a drained zone before they are no longer waited for.
+	EvacuationTimeout time.Duration
+	// RampDuration is how long a server that is new, or back in service, takes a growing share of the calls.
+	RampDuration time.Duration
 }
 
 // Manifest is the operators' validated configuration. It is immutable; all maps are shared and must not be changed.
@@ -73,10 +73,10 @@
 	// Homes is the region that a caller is bound to, by caller.
 	Homes      map[string]string
 	Retirement Retirement
-	// RepeatPercent of the recent calls, and RepeatAtOnce calls in addition, may be sent to a second server.
-	RepeatPercent int64
-	RepeatAtOnce  int64
-	Gateway       Gateway
+	// RepeatPercent of the recent calls, and RepeatAllowance calls in addition, may be sent to a second server.
+	RepeatPercent   int64
+	RepeatAllowance int64
+	Gateway         Gateway
 }
 
 // Parse reads and validates a whole manifest; see FromDocument.
@@ -107,7 +107,7 @@
 		path := "regions." + name
 		reader.AllowOnly(path, "shards", "machines")
 		reader.Require(path + ".machines")
-		manifest.Regions[name] = Region{Shards: int(reader.Number(path+".shards", 1, 1, 64)), Machines: reader.Texts(path + ".machines")}
+		manifest.Regions[name] = Region{Shards: int(reader.Integer(path+".shards", 1, 1, 64)), Machines: reader.Texts(path + ".machines")}
 	}
 	for _, name := range reader.Keys("zones") {
 		path := "zones." + name
@@ -119,7 +119,7 @@
 		path := "pools." + name
 		reader.AllowOnly(path, "region", "slots", "scale")
 		reader.Require(path + ".region")
-		manifest.Pools[name] = Pool{Region: reader.regionName(path+".region", manifest), Slots: reader.Number(path+".slots", 4, 1, 4096), Scale: reader.Number(path+".scale", -1, 0, 100000)}
+		manifest.Pools[name] = Pool{Region: reader.regionName(path+".region", manifest), Slots: reader.Integer(path+".slots", 4, 1, 4096), Scale: reader.Integer(path+".scale", -1, 0, 100000)}
 	}
 	for _, name := range reader.Keys("routes") {
 		manifest.Routes[name] = reader.route("routes."+name, manifest)
@@ -128,8 +128,8 @@
 		manifest.Homes[name] = reader.regionName("homes."+name, manifest)
 	}
 	reader.AllowOnly("repeats", "share", "atOnce")
-	manifest.RepeatPercent = reader.Number("repeats.share", 5, 0, 20)
-	manifest.RepeatAtOnce = reader.Number("repeats.atOnce", 10, 0, 1000)
+	manifest.RepeatPercent = reader.Integer("repeats.share", 5, 0, 20)
+	manifest.RepeatAllowance = reader.Integer("repeats.atOnce", 10, 0, 1000)
 	manifest.Retirement = reader.retirement()
 	manifest.Gateway = reader.gatewayBase()
 	return manifest
@@ -149,7 +149,7 @@
 	reader.Require(path + ".pools")
 	route := Route{Class: reader.Text(path+".class", ClassShort), Pools: map[string]string{},
 		Deadline:   reader.duration(path+".deadlineMs", 30000, 100, 3600000),
-		QueueLimit: reader.Number(path+".line", 64, 1, 100000), Tokens: reader.Number(path+".tokens", 256, 1, 1000000)}
+		QueueLimit: reader.Integer(path+".line", 64, 1, 100000), EstimatedTokens: reader.Integer(path+".tokens", 256, 1, 1000000)}
 	if route.Class != ClassLong && route.Class != ClassShort && route.Class != ClassLookup {
 		reader.Errorf(path+".class", "want long, short or lookup, got %q", route.Class)
 	}
@@ -168,18 +168,18 @@
 
 // duration reads a whole number of milliseconds.
 func (reader *Reader) duration(path string, fallback, minimum, maximum int64) time.Duration {
-	return time.Duration(reader.Number(path, fallback, minimum, maximum)) * time.Millisecond
+	return time.Duration(reader.Integer(path, fallback, minimum, maximum)) * time.Millisecond
 }
 
 func (reader *Reader) retirement() Retirement {
 	reader.AllowOnly("retirement", "windowMs", "pollMs", "holdMs", "drainMs", "evacuationMs", "rampMs")
 	return Retirement{
-		Window:     reader.duration("retirement.windowMs", 5000, 2000, 600000),
-		Poll:       reader.duration("retirement.pollMs", 1000, 100, 60000),
-		Hold:       reader.duration("retirement.holdMs", 30000, 1000, 3600000),
-		Drain:      reader.duration("retirement.drainMs", 8000, 100, 600000),
-		Evacuation: reader.duration("retirement.evacuationMs", 5000, 1000, 600000),
-		Ramp:       reader.duration("retirement.rampMs", 8000, 100, 600000),
+		SettleTime:        reader.duration("retirement.windowMs", 5000, 2000, 600000),
+		ReportInterval:    reader.duration("retirement.pollMs", 1000, 100, 60000),
+		ScaleDownTimeout:  reader.duration("retirement.holdMs", 30000, 1000, 3600000),
+		ReclaimTimeout:    reader.duration("retirement.drainMs", 8000, 100, 600000),
+		EvacuationTimeout: reader.duration("retirement.evacuationMs", 5000, 1000, 600000),
+		RampDuration:      reader.duration("retirement.rampMs", 8000, 100, 600000),
 	}
 }
 
--- a/manifest/tree.go
+++ b/manifest/tree.go
@@ -191,8 +191,8 @@
 	return boolean
 }
 
-// Number reads an integer within bounds. A number like 4.0 is an integer, too.
-func (reader *Reader) Number(path string, fallback, minimum, maximum int64) int64 {
+// Integer reads an integer within bounds. A number like 4.0 is an integer, too.
+func (reader *Reader) Integer(path string, fallback, minimum, maximum int64) int64 {
 	value, found := reader.lookup(path)
 	if !found {
 		return fallback
@@ -203,8 +203,8 @@
 		return fallback
 	}
 	integer, err := number.Int64()
-	if real, other := number.Float64(); err != nil && other == nil && real == float64(int64(real)) {
-		integer, err = int64(real), nil
+	if float, other := number.Float64(); err != nil && other == nil && float == float64(int64(float)) {
+		integer, err = int64(float), nil
 	}
 	if err != nil {
 		reader.Errorf(path, "want a whole number, got %s", number)
@@ -227,12 +227,12 @@
 		reader.Errorf(path, "want a number")
 		return fallback
 	}
-	real, err := number.Float64()
-	if err != nil || real < minimum || real > maximum {
+	float, err := number.Float64()
+	if err != nil || float < minimum || float > maximum {
 		reader.Errorf(path, "want %v to %v, got %s", minimum, maximum, number)
 		return fallback
 	}
-	return real
+	return float
 }
 
 // Require adds an error if there is no value at a path.
--- a/neighbour/look.go
+++ b/neighbour/look.go
@@ -9,10 +9,10 @@
 )
 
 // Suspected returns the members that are not heard of any more and have not announced that they leave.
-func (owner *Owner) Suspected(now time.Duration) []string {
+func (membership *Membership) Suspected(now time.Duration) []string {
 	names := []string{}
-	for _, name := range owner.names() {
-		if !owner.Alive(now, name) && !owner.table[name].departed {
+	for _, name := range membership.names() {
+		if !membership.Alive(now, name) && !membership.table[name].departed {
 			names = append(names, name)
 		}
 	}
@@ -20,35 +20,37 @@
 }
 
 // ActiveAddresses returns the addresses of the members in the active view.
-func (owner *Owner) ActiveAddresses() []string {
+func (membership *Membership) ActiveAddresses() []string {
 	addresses := []string{}
-	for _, name := range owner.active {
-		addresses = append(addresses, owner.table[name].member.Address)
+	for _, name := range membership.active {
+		addresses = append(addresses, membership.table[name].member.Address)
 	}
 	return addresses
 }
 
 // DirectPeers returns the live members whose own messages arrived here within the suspicion time.
-func (owner *Owner) DirectPeers(now time.Duration) []contract.Member {
-	return owner.Live(now, func(member contract.Member) bool {
-		record, found := owner.table[member.Name]
-		return found && record.heard > 0 && now-record.heard < owner.bounds.SuspicionTimeout()
+func (membership *Membership) DirectPeers(now time.Duration) []contract.Member {
+	return membership.Live(now, func(member contract.Member) bool {
+		record, found := membership.table[member.Name]
+		return found && record.heardAt > 0 && now-record.heardAt < membership.bounds.SuspicionTimeout()
 	})
 }
 
 // mostRecentlyHeard returns the members whose own messages arrived here last, however long ago: an isolated node starts with them.
-func (owner *Owner) mostRecentlyHeard(limit int) []string {
-	names := slices.DeleteFunc(slices.Clone(owner.names()), func(name string) bool { return owner.table[name].heard == 0 })
-	slices.SortStableFunc(names, func(left, right string) int { return cmp.Compare(owner.table[right].heard, owner.table[left].heard) })
+func (membership *Membership) mostRecentlyHeard(limit int) []string {
+	names := slices.DeleteFunc(slices.Clone(membership.names()), func(name string) bool { return membership.table[name].heardAt == 0 })
+	slices.SortStableFunc(names, func(left, right string) int {
+		return cmp.Compare(membership.table[right].heardAt, membership.table[left].heardAt)
+	})
 	return names[:min(limit, len(names))]
 }
 
 // Lookup returns the row of a member, alive or not.
-func (owner *Owner) Lookup(name string) (contract.Member, bool) {
-	if name == owner.self.Name {
-		return owner.self, true
+func (membership *Membership) Lookup(name string) (contract.Member, bool) {
+	if name == membership.self.Name {
+		return membership.self, true
 	}
-	record, found := owner.table[name]
+	record, found := membership.table[name]
 	if !found {
 		return contract.Member{}, false
 	}
@@ -56,19 +58,19 @@
 }
 
 // Isolated reports whether no known member on another machine has been heard for the suspicion time.
-func (owner *Owner) Isolated(now time.Duration) bool {
-	return len(owner.table) > 1 && owner.outsideHeardAt > 0 && now-owner.outsideHeardAt > owner.bounds.SuspicionTimeout()
+func (membership *Membership) Isolated(now time.Duration) bool {
+	return len(membership.table) > 1 && membership.outsideHeardAt > 0 && now-membership.outsideHeardAt > membership.bounds.SuspicionTimeout()
 }
 
 // HasLeft reports whether this node has announced that it leaves.
-func (owner *Owner) HasLeft() bool { return owner.hasLeft }
+func (membership *Membership) HasLeft() bool { return membership.hasLeft }
 
 // Seeds returns the addresses that this node starts from.
-func (owner *Owner) Seeds() []string { return owner.seeds }
+func (membership *Membership) Seeds() []string { return membership.seeds }
 
-// Blind sets whether this node tells the others that it cannot read the platform, which shard owners need.
-func (owner *Owner) Blind(blind bool) {
-	if owner.self.Impaired != blind {
-		owner.self.Impaired, owner.liveMembers = blind, nil
+// SetImpaired sets whether this node tells the others that it cannot read the platform, which shard owners need.
+func (membership *Membership) SetImpaired(blind bool) {
+	if membership.self.Impaired != blind {
+		membership.self.Impaired, membership.liveMembers = blind, nil
 	}
 }
--- a/neighbour/near.go
+++ b/neighbour/near.go
@@ -16,65 +16,67 @@
 
 // chooseActive picks the next active neighbour at random: from the own zone first, then from its region, then from anywhere. Half of
 // the picks prefer members that are heard directly.
-func (owner *Owner) chooseActive(now time.Duration, passive []string) string {
+func (membership *Membership) chooseActive(now time.Duration, passive []string) string {
 	zone, region := 0, 0
-	for _, name := range owner.active {
+	for _, name := range membership.active {
 		switch {
-		case owner.sameZone(name):
+		case membership.sameZone(name):
 			zone++
-		case owner.sameRegion(name):
+		case membership.sameRegion(name):
 			region++
 		}
 	}
 	fitting := passive
-	switch sameRegionOnly := func(name string) bool { return owner.sameRegion(name) && !owner.sameZone(name) }; {
-	case zone < sameZonePeers && slices.ContainsFunc(passive, owner.sameZone):
-		fitting = filter(passive, owner.sameZone)
+	switch sameRegionOnly := func(name string) bool { return membership.sameRegion(name) && !membership.sameZone(name) }; {
+	case zone < sameZonePeers && slices.ContainsFunc(passive, membership.sameZone):
+		fitting = filterNames(passive, membership.sameZone)
 	case region < sameRegionPeers && slices.ContainsFunc(passive, sameRegionOnly):
-		fitting = filter(passive, sameRegionOnly)
+		fitting = filterNames(passive, sameRegionOnly)
 	}
-	heard := filter(fitting, func(name string) bool {
-		record := owner.table[name]
-		return record.heard > 0 && now-record.heard < owner.bounds.SuspicionTimeout()
+	heard := filterNames(fitting, func(name string) bool {
+		record := membership.table[name]
+		return record.heardAt > 0 && now-record.heardAt < membership.bounds.SuspicionTimeout()
 	})
-	if len(heard) > 0 && owner.random.IntN(2) == 0 {
+	if len(heard) > 0 && membership.random.IntN(2) == 0 {
 		fitting = heard
 	}
-	return fitting[owner.random.IntN(len(fitting))]
+	return fitting[membership.random.IntN(len(fitting))]
 }
 
 // pickGossipTarget picks a neighbour to shuffle with. One of another region is mostly skipped, except in small fleets.
-func (owner *Owner) pickGossipTarget() string {
-	name := owner.active[owner.random.IntN(len(owner.active))]
-	if !owner.sameRegion(name) && owner.random.IntN(owner.healOdds()) >= minHealOdds {
-		name = owner.active[owner.random.IntN(len(owner.active))]
+func (membership *Membership) pickGossipTarget() string {
+	name := membership.active[membership.random.IntN(len(membership.active))]
+	if !membership.sameRegion(name) && membership.random.IntN(membership.healOdds()) >= minHealOdds {
+		name = membership.active[membership.random.IntN(len(membership.active))]
 	}
 	return name
 }
 
-func (owner *Owner) sameZone(name string) bool {
-	return owner.table[name].member.Zone == owner.self.Zone
+func (membership *Membership) sameZone(name string) bool {
+	return membership.table[name].member.Zone == membership.self.Zone
 }
-func (owner *Owner) sameRegion(name string) bool {
-	return owner.table[name].member.Region == owner.self.Region
+func (membership *Membership) sameRegion(name string) bool {
+	return membership.table[name].member.Region == membership.self.Region
 }
 
-func filter(names []string, fits func(string) bool) []string {
+func filterNames(names []string, fits func(string) bool) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return !fits(name) })
 }
 
 // healOdds: one gossip in healOdds also goes to a seed, and one to any member, besides the neighbours. It grows with the fleet, so that
 // all nodes together do so about as often in a large fleet as in a small one.
-func (owner *Owner) healOdds() int { return max(minHealOdds, len(owner.table)/membersPerOdds) }
+func (membership *Membership) healOdds() int {
+	return max(minHealOdds, len(membership.table)/membersPerDraw)
+}
 
-const membersPerOdds = 4
+const membersPerDraw = 4
 
 // controlsFirst moves control nodes ahead, up to half of a shuffle, behind those that are sent in full. Data nodes take shard owners from
 // their own view of the live members: a control node that some take for dead would have its shards taken over again and again.
-func (owner *Owner) controlsFirst(names []string) []string {
+func (membership *Membership) controlsFirst(names []string) []string {
 	ahead, behind := slices.Clone(names[:fullRows]), []string{}
 	for _, name := range names[fullRows:] {
-		if len(ahead) < fullRows+shuffleSize/2 && owner.table[name].member.Kind == contract.KindControl {
+		if len(ahead) < fullRows+shuffleSize/2 && membership.table[name].member.Kind == contract.KindControl {
 			ahead = append(ahead, name)
 		} else {
 			behind = append(behind, name)
@@ -85,7 +87,7 @@
 
 // capacityFor returns how many rows the table may have when a member is added: there is an eighth more room for control nodes, so that
 // data nodes cannot fill it.
-func (owner *Owner) capacityFor(member contract.Member) int {
+func (membership *Membership) capacityFor(member contract.Member) int {
 	if member.Kind == contract.KindControl {
 		return tableSize + tableSize/8
 	}
--- a/neighbour/near_test.go
+++ b/neighbour/near_test.go
@@ -17,28 +17,28 @@
 	RunSpecs(t, "neighbour")
 }
 
-// newOwnerWithMembers returns an owner in zone a1 of region a that knows count members in each zone of two regions.
-func newOwnerWithMembers(seed uint64, count int) *Owner {
-	owner := New(contract.Member{Name: "self-data", Zone: "a1", Region: "a", Address: "self"}, []string{"seed"}, env.DefaultBounds(), rand.New(rand.NewPCG(seed, 1)))
+// newMembership returns a membership in zone a1 of region a that knows count members in each zone of two regions.
+func newMembership(seed uint64, count int) *Membership {
+	membership := New(contract.Member{Name: "self-data", Zone: "a1", Region: "a", Address: "self"}, []string{"seed"}, env.DefaultBounds(), rand.New(rand.NewPCG(seed, 1)))
 	for _, zone := range []string{"a1", "a2", "b1", "b2"} {
 		for index := range count {
 			name := fmt.Sprintf("%s-%d-data", zone, index)
-			owner.mergeMember(0, contract.Member{Name: name, Address: name, Zone: zone, Region: zone[:1], Incarnation: 1, Heartbeat: 1})
+			membership.mergeMember(0, contract.Member{Name: name, Address: name, Zone: zone, Region: zone[:1], Incarnation: 1, Heartbeat: 1})
 		}
 	}
-	return owner
+	return membership
 }
 
 // countMessages runs gossip rounds with all members alive and counts the messages to the own zone, the own region, other regions and seeds.
-func countMessages(owner *Owner, rounds int) (zone, region, heartbeatErr, seeds int) {
+func countMessages(membership *Membership, rounds int) (zone, region, heartbeatErr, seeds int) {
 	now := time.Duration(0)
 	for range rounds {
-		now += owner.bounds.GossipInterval()
-		owner.outsideHeardAt = now
-		for _, record := range owner.table {
-			record.heartbeatAt, record.heard = now, now
+		now += membership.bounds.GossipInterval()
+		membership.outsideHeardAt = now
+		for _, record := range membership.table {
+			record.heartbeatAt, record.heardAt = now, now
 		}
-		for _, command := range owner.tick(now) {
+		for _, command := range membership.tick(now) {
 			switch to := command.(contract.Send).To; {
 			case to == "seed":
 				seeds++
@@ -56,7 +56,7 @@
 
 var _ = Describe("the neighbours of a node", func() {
 	It("given a large fleet in two regions, when it gossips, then most messages stay in its zone and some always leave it", func() {
-		zone, region, heartbeatErr, seeds := countMessages(newOwnerWithMembers(1, 25), 4000)
+		zone, region, heartbeatErr, seeds := countMessages(newMembership(1, 25), 4000)
 		all := zone + region + heartbeatErr + seeds
 		Expect(zone).To(BeNumerically(">", all/3))
 		Expect(zone + region).To(BeNumerically(">", all*3/4))
@@ -66,38 +66,38 @@
 	})
 
 	It("given a small fleet, when it gossips, then seeds and random members are contacted at the usual rate", func() {
-		_, _, heartbeatErr, seeds := countMessages(newOwnerWithMembers(1, 4), 4000)
+		_, _, heartbeatErr, seeds := countMessages(newMembership(1, 4), 4000)
 		Expect(seeds).To(BeNumerically(">", 4000/8))
 		Expect(heartbeatErr).To(BeNumerically(">", 4000/4))
 	})
 
 	It("given a node alone in its zone, or in its region, when it gossips, then its active view is full all the same", func() {
 		for _, left := range []string{"b", "a2", ""} {
-			owner := newOwnerWithMembers(2, 6)
-			for name, record := range owner.table {
+			membership := newMembership(2, 6)
+			for name, record := range membership.table {
 				if len(left) == 0 || record.member.Zone[:len(left)] != left {
-					delete(owner.table, name)
+					delete(membership.table, name)
 				}
 			}
-			owner.sortedNames = nil
-			countMessages(owner, 10)
-			Expect(owner.active).To(HaveLen(min(activeSize, len(owner.table))), "only %q left", left)
+			membership.sortedNames = nil
+			countMessages(membership, 10)
+			Expect(membership.active).To(HaveLen(min(activeSize, len(membership.table))), "only %q left", left)
 		}
 	})
 
 	It("given a whole region that is not heard any more, when it gossips, then its members leave the active view", func() {
-		owner := newOwnerWithMembers(3, 6)
-		countMessages(owner, 10)
-		now := 10*owner.bounds.GossipInterval() + owner.bounds.SuspicionTimeout()
-		for _, record := range owner.table {
+		membership := newMembership(3, 6)
+		countMessages(membership, 10)
+		now := 10*membership.bounds.GossipInterval() + membership.bounds.SuspicionTimeout()
+		for _, record := range membership.table {
 			if record.member.Region == "a" {
-				record.heartbeatAt, record.heard = now, now
+				record.heartbeatAt, record.heardAt = now, now
 			}
 		}
-		owner.tick(now)
-		for _, name := range owner.active {
-			Expect(owner.table[name].member.Region).To(Equal("a"))
+		membership.tick(now)
+		for _, name := range membership.active {
+			Expect(membership.table[name].member.Region).To(Equal("a"))
 		}
-		Expect(owner.active).To(HaveLen(activeSize))
+		Expect(membership.active).To(HaveLen(activeSize))
 	})
 })
