--- a/neighbour/neighbour.go
+++ b/neighbour/neighbour.go
@@ -29,14 +29,14 @@
 	heartbeatAt     time.Duration // when its heartbeat last advanced
 	changedAt       time.Duration // when anything but heartbeat and position last changed
 	positionAt      time.Duration // when its position last changed
-	heard           time.Duration // last message received from it directly, 0 for none
+	heardAt         time.Duration // last message received from it directly, 0 for none
 	mergedHeartbeat int64         // heartbeat of the last full row that was merged
 	activeSince     time.Duration // when it entered the active view
 	departed        bool          // it has announced that it leaves
 }
 
-// Owner holds one node's view of the fleet and decides with whom it gossips.
-type Owner struct {
+// Membership holds one node's view of the fleet and decides with whom it gossips.
+type Membership struct {
 	bounds         env.Bounds
 	self           contract.Member
 	seeds          []string
@@ -74,35 +74,35 @@
 )
 
 // New returns the membership of the node self, which first contacts the seed addresses.
-func New(self contract.Member, seeds []string, bounds env.Bounds, random *rand.Rand) *Owner {
+func New(self contract.Member, seeds []string, bounds env.Bounds, random *rand.Rand) *Membership {
 	self.Incarnation = 1
-	return &Owner{bounds: bounds, self: self, seeds: seeds, table: map[string]*memberRecord{}, random: random}
+	return &Membership{bounds: bounds, self: self, seeds: seeds, table: map[string]*memberRecord{}, random: random}
 }
 
 // Self returns this node's own row.
-func (owner *Owner) Self() contract.Member { return owner.self }
+func (membership *Membership) Self() contract.Member { return membership.self }
 
 // SetState sets what the others are told of this node: its position and view, and whether it can serve in the core.
-func (owner *Owner) SetState(position contract.Position, view int64, core bool) {
-	owner.self.Position, owner.self.View, owner.self.Core = position, view, core
-	owner.liveMembers = nil
+func (membership *Membership) SetState(position contract.Position, view int64, core bool) {
+	membership.self.Position, membership.self.View, membership.self.Core = position, view, core
+	membership.liveMembers = nil
 }
 
 // SetIdentity sets the identity of this node's data folder, which the others are told.
-func (owner *Owner) SetIdentity(coreID string) {
-	owner.self.CoreID, owner.liveMembers = coreID, nil
+func (membership *Membership) SetIdentity(coreID string) {
+	membership.self.CoreID, membership.liveMembers = coreID, nil
 }
 
 // Seeds is an event that replaces the addresses that this node was started with.
 type Seeds struct{ Addresses []string }
 
 // Handle processes ticks, messages of the gossip and new Seeds.
-func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
+func (membership *Membership) Handle(now time.Duration, event contract.Event) []contract.Command {
 	switch event := event.(type) {
 	case Seeds:
-		owner.seeds = event.Addresses
+		membership.seeds = event.Addresses
 	case contract.Tick:
-		return owner.tick(now)
+		return membership.tick(now)
 	case contract.Message:
 		switch event.Kind {
 		case MessageShuffle:
@@ -110,12 +110,12 @@
 			if json.Unmarshal(event.Body, &shuffle) != nil {
 				return []contract.Command{contract.AddCounter{Name: "messages_broken", Delta: 1}}
 			}
-			return owner.handleShuffle(now, event.From, shuffle)
+			return membership.handleShuffle(now, event.From, shuffle)
 		case MessageLeave:
 			var leave Leave
 			if json.Unmarshal(event.Body, &leave) == nil {
-				if record, found := owner.table[leave.Name]; found && record.member.Boot == leave.Boot {
-					record.departed, owner.liveMembers = true, nil
+				if record, found := membership.table[leave.Name]; found && record.member.Boot == leave.Boot {
+					record.departed, membership.liveMembers = true, nil
 					record.member.Heartbeat = max(record.member.Heartbeat, leave.Heartbeat)
 					record.mergedHeartbeat = record.member.Heartbeat
 				}
@@ -126,54 +126,54 @@
 }
 
 // ResumeAfterFreeze extends the members' heartbeats by the gap in which this process was frozen and could not hear them.
-func (owner *Owner) ResumeAfterFreeze(now, gap time.Duration) {
-	for _, record := range owner.table {
-		if now-record.heartbeatAt < owner.bounds.SuspicionTimeout()+gap {
+func (membership *Membership) ResumeAfterFreeze(now, gap time.Duration) {
+	for _, record := range membership.table {
+		if now-record.heartbeatAt < membership.bounds.SuspicionTimeout()+gap {
 			record.heartbeatAt = now
 		}
 	}
-	owner.self.Incarnation++
-	owner.liveMembers = nil
+	membership.self.Incarnation++
+	membership.liveMembers = nil
 }
 
 // AnnounceLeave tells all members that this node stops; from then on it gossips no more.
-func (owner *Owner) AnnounceLeave() []contract.Command {
+func (membership *Membership) AnnounceLeave() []contract.Command {
 	commands := []contract.Command{}
-	owner.hasLeft = true
-	for _, name := range owner.names() {
-		commands = append(commands, contract.Send{To: owner.table[name].member.Address, Kind: MessageLeave, Body: Leave{owner.self.Name, owner.self.Boot, owner.self.Heartbeat}})
+	membership.hasLeft = true
+	for _, name := range membership.names() {
+		commands = append(commands, contract.Send{To: membership.table[name].member.Address, Kind: MessageLeave, Body: Leave{membership.self.Name, membership.self.Boot, membership.self.Heartbeat}})
 	}
 	return commands
 }
 
-func (owner *Owner) tick(now time.Duration) []contract.Command {
-	if now < owner.nextGossip || owner.hasLeft {
+func (membership *Membership) tick(now time.Duration) []contract.Command {
+	if now < membership.nextGossip || membership.hasLeft {
 		return nil
 	}
-	owner.nextGossip = now + owner.bounds.GossipInterval()
-	owner.self.Heartbeat++
-	owner.forgetExpired(now)
-	owner.refreshActive(now)
+	membership.nextGossip = now + membership.bounds.GossipInterval()
+	membership.self.Heartbeat++
+	membership.forgetExpired(now)
+	membership.refreshActive(now)
 	targets := map[string]bool{}
-	for index := 0; index < 2 && len(owner.active) > 0; index++ {
-		name := owner.pickGossipTarget()
-		targets[owner.table[name].member.Address] = true
+	for index := 0; index < 2 && len(membership.active) > 0; index++ {
+		name := membership.pickGossipTarget()
+		targets[membership.table[name].member.Address] = true
 	}
-	if len(owner.active) < activeSize || owner.random.IntN(owner.healOdds()) == 0 {
-		if len(owner.seeds) > 0 {
-			targets[owner.seeds[owner.random.IntN(len(owner.seeds))]] = true
+	if len(membership.active) < activeSize || membership.random.IntN(membership.healOdds()) == 0 {
+		if len(membership.seeds) > 0 {
+			targets[membership.seeds[membership.random.IntN(len(membership.seeds))]] = true
 		}
 	}
-	isolated := now-owner.outsideHeardAt > owner.bounds.SuspicionTimeout()/4
-	if names := owner.names(); len(names) > 0 && (isolated || owner.random.IntN(owner.healOdds()) == 0) {
-		targets[owner.table[names[owner.random.IntN(len(names))]].member.Address] = true
+	isolated := now-membership.outsideHeardAt > membership.bounds.SuspicionTimeout()/4
+	if names := membership.names(); len(names) > 0 && (isolated || membership.random.IntN(membership.healOdds()) == 0) {
+		targets[membership.table[names[membership.random.IntN(len(names))]].member.Address] = true
 	}
 	if isolated {
-		for _, name := range owner.mostRecentlyHeard(activeSize) {
-			targets[owner.table[name].member.Address] = true
+		for _, name := range membership.mostRecentlyHeard(activeSize) {
+			targets[membership.table[name].member.Address] = true
 		}
 	}
-	delete(targets, owner.self.Address)
+	delete(targets, membership.self.Address)
 	addresses := make([]string, 0, len(targets))
 	for address := range targets {
 		addresses = append(addresses, address)
@@ -181,62 +181,62 @@
 	sort.Strings(addresses)
 	commands := []contract.Command{}
 	for _, address := range addresses {
-		commands = append(commands, contract.Send{To: address, Kind: MessageShuffle, Body: owner.sample(now, false)})
+		commands = append(commands, contract.Send{To: address, Kind: MessageShuffle, Body: membership.sampleTable(now, false)})
 	}
 	return commands
 }
 
-func (owner *Owner) forgetExpired(now time.Duration) {
-	for name, record := range owner.table {
-		if now-record.heartbeatAt > owner.bounds.MemberExpiry() {
-			delete(owner.table, name)
-			owner.sortedNames = nil
+func (membership *Membership) forgetExpired(now time.Duration) {
+	for name, record := range membership.table {
+		if now-record.heartbeatAt > membership.bounds.MemberExpiry() {
+			delete(membership.table, name)
+			membership.sortedNames = nil
 		}
 	}
 }
 
-func (owner *Owner) refreshActive(now time.Duration) {
-	kept := owner.active[:0]
-	for _, name := range owner.active {
-		if record := owner.table[name]; owner.Alive(now, name) && now-max(record.heard, record.activeSince) < owner.bounds.SuspicionTimeout() {
+func (membership *Membership) refreshActive(now time.Duration) {
+	kept := membership.active[:0]
+	for _, name := range membership.active {
+		if record := membership.table[name]; membership.Alive(now, name) && now-max(record.heardAt, record.activeSince) < membership.bounds.SuspicionTimeout() {
 			kept = append(kept, name)
 		}
 	}
-	owner.active = kept
-	if len(owner.active) == activeSize && owner.random.IntN(renewOdds) == 0 {
-		position := owner.random.IntN(len(owner.active))
-		owner.active = append(owner.active[:position], owner.active[position+1:]...)
+	membership.active = kept
+	if len(membership.active) == activeSize && membership.random.IntN(renewOdds) == 0 {
+		position := membership.random.IntN(len(membership.active))
+		membership.active = append(membership.active[:position], membership.active[position+1:]...)
 	}
 	passive := []string{}
-	for _, name := range owner.names() {
-		if owner.Alive(now, name) && !slices.Contains(owner.active, name) {
+	for _, name := range membership.names() {
+		if membership.Alive(now, name) && !slices.Contains(membership.active, name) {
 			passive = append(passive, name)
 		}
 	}
-	for len(owner.active) < activeSize && len(passive) > 0 {
-		chosen := owner.chooseActive(now, passive)
+	for len(membership.active) < activeSize && len(passive) > 0 {
+		chosen := membership.chooseActive(now, passive)
 		passive = slices.DeleteFunc(passive, func(name string) bool { return name == chosen })
-		owner.active = append(owner.active, chosen)
-		owner.table[chosen].activeSince = now
+		membership.active = append(membership.active, chosen)
+		membership.table[chosen].activeSince = now
 	}
 }
 
-// sample returns a random part of the live members; a newcomer gets full rows only.
-func (owner *Owner) sample(now time.Duration, newcomer bool) Shuffle {
-	shuffle := Shuffle{Members: []contract.Member{owner.self}}
+// sampleTable returns a random part of the live members; a newcomer gets full rows only.
+func (membership *Membership) sampleTable(now time.Duration, newcomer bool) Shuffle {
+	shuffle := Shuffle{Members: []contract.Member{membership.self}}
 	names, heartbeats := []string{}, []string{}
-	for _, name := range owner.names() {
-		if owner.Alive(now, name) {
+	for _, name := range membership.names() {
+		if membership.Alive(now, name) {
 			names = append(names, name)
 		}
 	}
-	owner.random.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
+	membership.random.Shuffle(len(names), func(left, right int) { names[left], names[right] = names[right], names[left] })
 	if len(names) > shuffleSize {
-		names = owner.controlsFirst(names)[:shuffleSize]
+		names = membership.controlsFirst(names)[:shuffleSize]
 	}
 	for position, name := range names {
-		record := owner.table[name]
-		samePosition, recent := record.member.Position == owner.self.Position, owner.bounds.SuspicionTimeout()/2
+		record := membership.table[name]
+		samePosition, recent := record.member.Position == membership.self.Position, membership.bounds.SuspicionTimeout()/2
 		if newcomer || position < fullRows || now-record.changedAt < recent || now-record.positionAt < recent && !samePosition {
 			shuffle.Members = append(shuffle.Members, record.member)
 			continue
@@ -250,10 +250,10 @@
 	return shuffle
 }
 
-func (owner *Owner) handleShuffle(now time.Duration, from string, shuffle Shuffle) []contract.Command {
+func (membership *Membership) handleShuffle(now time.Duration, from string, shuffle Shuffle) []contract.Command {
 	address, boot, newcomer, senderPosition := "", "", true, contract.Position{}
-	if record, found := owner.table[from]; found {
-		newcomer = now-record.changedAt < owner.bounds.SuspicionTimeout()
+	if record, found := membership.table[from]; found {
+		newcomer = now-record.changedAt < membership.bounds.SuspicionTimeout()
 	}
 	for index, member := range shuffle.Members {
 		if index > shuffleSize {
@@ -262,12 +262,12 @@
 		if member.Name == from {
 			address, boot, senderPosition = member.Address, member.Boot, member.Position
 		}
-		owner.mergeMember(now, member)
+		membership.mergeMember(now, member)
 	}
-	if record, found := owner.table[from]; found {
-		record.heard = now
-		if record.member.Zone != owner.self.Zone || contract.MachineOf(from) != contract.MachineOf(owner.self.Name) {
-			owner.outsideHeardAt = now
+	if record, found := membership.table[from]; found {
+		record.heardAt = now
+		if record.member.Zone != membership.self.Zone || contract.MachineOf(from) != contract.MachineOf(membership.self.Name) {
+			membership.outsideHeardAt = now
 		}
 	}
 	for index, heartbeatUpdate := range strings.Split(shuffle.Heartbeats, ";") {
@@ -278,51 +278,51 @@
 		if shuffle.SamePosition>>index&1 == 1 {
 			position = senderPosition
 		}
-		owner.heartbeatUpdate(now, heartbeatUpdate, position)
+		membership.heartbeatUpdate(now, heartbeatUpdate, position)
 	}
-	if shuffle.IsReply || address == "" || owner.hasLeft {
+	if shuffle.IsReply || address == "" || membership.hasLeft {
 		return nil
 	}
-	answer := owner.sample(now, newcomer)
+	answer := membership.sampleTable(now, newcomer)
 	answer.IsReply = true
-	if record, found := owner.table[from]; found && record.member.Boot != boot {
+	if record, found := membership.table[from]; found && record.member.Boot != boot {
 		answer.Members = append(answer.Members, record.member)
 	}
 	return []contract.Command{contract.Send{To: address, Kind: MessageShuffle, Body: answer}}
 }
 
 // heartbeatUpdate advances a member's heartbeat and position. It ignores other incarnations, which must come as full rows first.
-func (owner *Owner) heartbeatUpdate(now time.Duration, text string, position contract.Position) {
+func (membership *Membership) heartbeatUpdate(now time.Duration, text string, position contract.Position) {
 	name, counts, _ := strings.Cut(text, " ")
 	incarnationText, heartbeatText, _ := strings.Cut(counts, " ")
 	incarnation, err := strconv.ParseInt(incarnationText, 10, 64)
 	heartbeat, heartbeatErr := strconv.ParseInt(heartbeatText, 10, 64)
-	record, found := owner.table[name]
+	record, found := membership.table[name]
 	if err != nil || heartbeatErr != nil || !found || record.member.Incarnation != incarnation {
 		return
 	}
 	if record.member.Position.Revision < position.Revision {
-		record.member.Position, record.positionAt, owner.liveMembers = position, now, nil
+		record.member.Position, record.positionAt, membership.liveMembers = position, now, nil
 	}
 	if heartbeat <= record.member.Heartbeat {
 		return
 	}
 	record.member.Heartbeat, record.heartbeatAt, record.departed = heartbeat, now, false
-	owner.liveMembers = nil
+	membership.liveMembers = nil
 }
 
-func (owner *Owner) mergeMember(now time.Duration, member contract.Member) {
-	if member.Name == owner.self.Name {
-		if member.Boot != owner.self.Boot && member.Incarnation >= owner.self.Incarnation {
-			owner.self.Incarnation = member.Incarnation + 1
+func (membership *Membership) mergeMember(now time.Duration, member contract.Member) {
+	if member.Name == membership.self.Name {
+		if member.Boot != membership.self.Boot && member.Incarnation >= membership.self.Incarnation {
+			membership.self.Incarnation = member.Incarnation + 1
 		}
 		return
 	}
-	record, found := owner.table[member.Name]
+	record, found := membership.table[member.Name]
 	if !found {
-		if len(owner.table) < owner.capacityFor(member) && member.Name != "" && member.Address != "" {
-			owner.table[member.Name] = &memberRecord{member: member, heartbeatAt: now, changedAt: now, mergedHeartbeat: member.Heartbeat}
-			owner.liveMembers, owner.sortedNames = nil, nil
+		if len(membership.table) < membership.capacityFor(member) && member.Name != "" && member.Address != "" {
+			membership.table[member.Name] = &memberRecord{member: member, heartbeatAt: now, changedAt: now, mergedHeartbeat: member.Heartbeat}
+			membership.liveMembers, membership.sortedNames = nil, nil
 		}
 		return
 	}
@@ -347,43 +347,43 @@
 	if previous != member {
 		record.changedAt = now
 	}
-	record.member, owner.liveMembers = member, nil
+	record.member, membership.liveMembers = member, nil
 }
 
 // Alive reports whether a member's heartbeat advanced within the suspicion time.
-func (owner *Owner) Alive(now time.Duration, name string) bool {
-	if name == owner.self.Name {
+func (membership *Membership) Alive(now time.Duration, name string) bool {
+	if name == membership.self.Name {
 		return true
 	}
-	record, found := owner.table[name]
-	return found && !record.departed && now-record.heartbeatAt < owner.bounds.SuspicionTimeout()
+	record, found := membership.table[name]
+	return found && !record.departed && now-record.heartbeatAt < membership.bounds.SuspicionTimeout()
 }
 
 // Members returns the live members including this node, in the order of their names.
-func (owner *Owner) Members(now time.Duration) []contract.Member {
-	if owner.liveMembers != nil && owner.cachedAt == now {
-		return owner.liveMembers
-	}
-	members, placed := make([]contract.Member, 0, len(owner.table)+1), false
-	for _, name := range owner.names() {
-		if !placed && owner.self.Name < name {
-			members, placed = append(members, owner.self), true
+func (membership *Membership) Members(now time.Duration) []contract.Member {
+	if membership.liveMembers != nil && membership.cachedAt == now {
+		return membership.liveMembers
+	}
+	members, placed := make([]contract.Member, 0, len(membership.table)+1), false
+	for _, name := range membership.names() {
+		if !placed && membership.self.Name < name {
+			members, placed = append(members, membership.self), true
 		}
-		if owner.Alive(now, name) {
-			members = append(members, owner.table[name].member)
+		if membership.Alive(now, name) {
+			members = append(members, membership.table[name].member)
 		}
 	}
 	if !placed {
-		members = append(members, owner.self)
+		members = append(members, membership.self)
 	}
-	owner.liveMembers, owner.cachedAt = members, now
+	membership.liveMembers, membership.cachedAt = members, now
 	return members
 }
 
 // Live returns the live members that fit a condition.
-func (owner *Owner) Live(now time.Duration, fits func(contract.Member) bool) []contract.Member {
+func (membership *Membership) Live(now time.Duration, fits func(contract.Member) bool) []contract.Member {
 	members := []contract.Member{}
-	for _, member := range owner.Members(now) {
+	for _, member := range membership.Members(now) {
 		if fits(member) {
 			members = append(members, member)
 		}
@@ -392,9 +392,9 @@
 }
 
 // names returns the names of all members in the table, sorted.
-func (owner *Owner) names() []string {
-	if owner.sortedNames == nil {
-		owner.sortedNames = manifest.SortedKeys(owner.table)
+func (membership *Membership) names() []string {
+	if membership.sortedNames == nil {
+		membership.sortedNames = manifest.SortedKeys(membership.table)
 	}
-	return owner.sortedNames
+	return membership.sortedNames
 }
--- a/neighbour/place_test.go
+++ b/neighbour/place_test.go
@@ -9,39 +9,39 @@
 	. "github.com/onsi/gomega"
 )
 
-// receive has an owner process a shuffle as it arrives over a link.
-func receive(owner *Owner, now time.Duration, from string, shuffle Shuffle) {
+// receive has a membership process a shuffle as it arrives over a link.
+func receive(membership *Membership, now time.Duration, from string, shuffle Shuffle) {
 	body, err := json.Marshal(shuffle)
 	Expect(err).NotTo(HaveOccurred())
-	owner.Handle(now, contract.Message{Kind: MessageShuffle, From: from, Body: body})
+	membership.Handle(now, contract.Message{Kind: MessageShuffle, From: from, Body: body})
 }
 
-// setPositions tells an owner that every member of its table, except some, has another revision in force.
-func setPositions(owner *Owner, now time.Duration, revision int64, but ...string) {
+// setPositions tells a membership that every member of its table, except some, has another revision in force.
+func setPositions(membership *Membership, now time.Duration, revision int64, but ...string) {
 	left := map[string]bool{}
 	for _, name := range but {
 		left[name] = true
 	}
-	for _, name := range owner.names() {
-		if record := owner.table[name]; !left[name] {
+	for _, name := range membership.names() {
+		if record := membership.table[name]; !left[name] {
 			member := record.member
 			member.Heartbeat, member.Position = member.Heartbeat+1, contract.Position{View: 1, Revision: revision}
-			owner.mergeMember(now, member)
+			membership.mergeMember(now, member)
 		}
 	}
-	owner.SetState(contract.Position{View: 1, Revision: revision}, 1, false)
+	membership.SetState(contract.Position{View: 1, Revision: revision}, 1, false)
 }
 
-func revisions(owner *Owner) map[string]int64 {
+func revisions(membership *Membership) map[string]int64 {
 	revisions := map[string]int64{}
-	for name, record := range owner.table {
+	for name, record := range membership.table {
 		revisions[name] = record.member.Position.Revision
 	}
 	return revisions
 }
 
 var _ = Describe("positions of members in a shuffle", func() {
-	var sender, reader *Owner
+	var sender, reader *Membership
 	var now time.Duration
 
 	BeforeEach(func() {
@@ -54,7 +54,7 @@
 
 	It("given a change that is in force everywhere, when a shuffle is sampled, then heartbeats carry it, and the reader knows it of all", func() {
 		setPositions(sender, now, 7)
-		shuffle := sender.sample(now, false)
+		shuffle := sender.sampleTable(now, false)
 		Expect(shuffle.Members).To(HaveLen(1 + fullRows))
 		receive(reader, now, "self-data", shuffle)
 		delete(reader.table, "self-data")
@@ -63,14 +63,14 @@
 
 	It("given members that are behind the sender, when a shuffle is sampled, then they are not sent with its position", func() {
 		setPositions(sender, now, 7, "node-0003-data")
-		receive(reader, now, "self-data", sender.sample(now, false))
+		receive(reader, now, "self-data", sender.sampleTable(now, false))
 		Expect(revisions(reader)["node-0003-data"]).To(BeZero())
 	})
 
 	It("given members that are ahead of the sender, when a shuffle is sampled, then their rows are sent in full", func() {
 		setPositions(sender, now, 7)
 		sender.SetState(contract.Position{View: 1, Revision: 6}, 1, false)
-		shuffle := sender.sample(now, false)
+		shuffle := sender.sampleTable(now, false)
 		Expect(shuffle.Members).To(HaveLen(1 + 24))
 		receive(reader, now, "self-data", shuffle)
 		delete(reader.table, "self-data")
@@ -84,7 +84,7 @@
 			for _, name := range sender.names() {
 				sender.table[name].member.Heartbeat += 5
 			}
-			receive(reader, now, "self-data", sender.sample(now, newcomer))
+			receive(reader, now, "self-data", sender.sampleTable(now, newcomer))
 			delete(reader.table, "self-data")
 			Expect(revisions(reader)).To(HaveEach(int64(9)))
 		}
@@ -92,7 +92,7 @@
 
 	It("given a restarted member, when a heartbeat carries the position of its former incarnation, then that is ignored", func() {
 		setPositions(sender, now, 7)
-		shuffle := sender.sample(now, false)
+		shuffle := sender.sampleTable(now, false)
 		record := reader.table["node-0003-data"]
 		record.member.Incarnation, record.member.Boot = 2, "b2"
 		receive(reader, now, "self-data", shuffle)
@@ -101,7 +101,7 @@
 
 	It("given a reader that does not know positions in heartbeats, when it processes a shuffle, then it still reads the heartbeats", func() {
 		setPositions(sender, now, 7)
-		shuffle := sender.sample(now, false)
+		shuffle := sender.sampleTable(now, false)
 		shuffle.SamePosition = 0
 		for _, record := range reader.table {
 			record.heartbeatAt = 0
--- a/retire/retire.go
+++ b/retire/retire.go
@@ -96,22 +96,22 @@
 	retirement.beginAttempt(now)
 	switch cause {
 	case Reclaim:
-		limit := terms.Drain
+		limit := terms.ReclaimTimeout
 		if terms.Remaining > 0 {
 			limit = min(limit, terms.Remaining)
 		}
 		retirement.deadline = now + limit
 	case Drain:
-		retirement.deadline = now + terms.Evacuation
+		retirement.deadline = now + terms.EvacuationTimeout
 	default:
-		retirement.deadline = now + terms.Hold
+		retirement.deadline = now + terms.ScaleDownTimeout
 	}
 	return retirement
 }
 
 // beginAttempt starts the window anew. It lasts at least until a data node that got its lease just before can no longer send a call.
 func (retirement *Retirement) beginAttempt(now time.Duration) {
-	window := max(retirement.terms.Window, retirement.terms.Lease+retirement.terms.MessageMargin)
+	window := max(retirement.terms.SettleTime, retirement.terms.Lease+retirement.terms.MessageMargin)
 	retirement.WithdrawnAt, retirement.WindowEnd, retirement.State = now, now+window, Withdrawn
 	retirement.confirmed, retirement.IdleReports, retirement.lastReport, retirement.readPending = false, 0, 0, false
 	retirement.Attempts++
@@ -143,14 +143,14 @@
 	for _, node := range evidence.Nodes {
 		if node.Calls > 0 && now-node.ReportedAt < retirement.terms.Lease {
 			retirement.hold("a data node has a call there")
-			retirement.nextRead = now + retirement.terms.Poll
+			retirement.nextRead = now + retirement.terms.ReportInterval
 			return false, false
 		}
 	}
 	if retirement.readPending {
 		retirement.hold("the last read had no answer")
 	}
-	retirement.nextRead = now + retirement.terms.Poll
+	retirement.nextRead = now + retirement.terms.ReportInterval
 	retirement.readStartedAt, retirement.readPending = now, true
 	return true, false
 }
@@ -177,7 +177,7 @@
 		return true
 	case ScaleZero:
 		retirement.State, retirement.Reason = Held, "hold budget over; counted, not picked, tried again"
-		retirement.deadline = now + retirement.terms.Hold
+		retirement.deadline = now + retirement.terms.ScaleDownTimeout
 		retirement.beginAttempt(now)
 		retirement.State = Held
 		return false
@@ -187,7 +187,7 @@
 	}
 	if retirement.State != Cutting {
 		retirement.State, retirement.Reason = Cutting, "evacuation time is over; running calls stream on"
-		retirement.deadline = now + retirement.terms.Hold
+		retirement.deadline = now + retirement.terms.ScaleDownTimeout
 		return false
 	}
 	retirement.State, retirement.Reason = Released, "what still runs after evacuation and hold is cut"
--- a/retire/retire_test.go
+++ b/retire/retire_test.go
@@ -18,7 +18,7 @@
 const second = time.Second
 
 func terms() Terms {
-	return Terms{Retirement: manifest.Retirement{Window: 5 * second, Poll: second, Hold: 30 * second, Drain: 8 * second, Evacuation: 5 * second},
+	return Terms{Retirement: manifest.Retirement{SettleTime: 5 * second, ReportInterval: second, ScaleDownTimeout: 30 * second, ReclaimTimeout: 8 * second, EvacuationTimeout: 5 * second},
 		Lease: 1500 * time.Millisecond, MessageMargin: 250 * time.Millisecond}
 }
 
@@ -78,7 +78,7 @@
 
 	It("makes the window at least as long as a lease and a message delay", func() {
 		short := terms()
-		short.Window = second
+		short.SettleTime = second
 		retirement := New(0, "server", "1", ScaleDown, 7, short)
 		Expect(retirement.WindowEnd).To(Equal(1750 * time.Millisecond))
 	})
--- a/serve/callers.go
+++ b/serve/callers.go
@@ -164,15 +164,15 @@
 // decodeOutcomeQuery decodes a caller's question about the outcome of an earlier call.
 func decodeOutcomeQuery(_ context.Context, request *http.Request) (any, error) {
 	parsed, err := commonHeaders(request)
-	return data.Look{Caller: parsed.Caller, Key: request.PathValue("key"), Home: parsed.Home, Forwarded: parsed.Forwarded}, err
+	return data.OutcomeQuery{Caller: parsed.Caller, Key: request.PathValue("key"), Home: parsed.Home, Forwarded: parsed.Forwarded}, err
 }
 
 // query answers questions about the outcome of an earlier call, here or at the call's home region.
 func (process *dataProcess) query() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		query := request.(data.Look)
+		query := request.(data.OutcomeQuery)
 		answers := make(chan contract.Response, 1)
-		query.Token = process.Loop.Token(func(answer contract.Response) { answers <- answer })
+		query.Token = process.Loop.RegisterAnswer(func(answer contract.Response) { answers <- answer })
 		defer process.Loop.Forget(query.Token)
 		if !process.Loop.TryPost(query) {
 			return nil, requestError{status: 503, message: "this node is overloaded", retryAfter: process.Settings.Bounds.Round()}
--- a/serve/control.go
+++ b/serve/control.go
@@ -81,7 +81,7 @@
 		}
 	}
 	process.client = &http.Client{Timeout: settings.Bounds.PlatformPoll(), CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	process.Loop.SetExecutor(process.act)
+	process.Loop.SetExecutor(process.execute)
 	go process.writeLoop()
 	if adapter != nil {
 		process.ReloadSettings = func() (env.Env, error) { return adapter.Settings(contract.KindControl) }
@@ -91,12 +91,12 @@
 	}
 	return process.run(settings.Control, func() {
 		process.Loop.Post(control.Leave{})
-		pause(settings.Bounds.GossipInterval())
+		sleep(settings.Bounds.GossipInterval())
 	})
 }
 
-// act carries out a command of the state machine. It reports whether it knows the command.
-func (process *controlProcess) act(command contract.Command) bool {
+// execute carries out a command of the state machine. It reports whether it knows the command.
+func (process *controlProcess) execute(command contract.Command) bool {
 	switch command := command.(type) {
 	case chain.Persist:
 		process.writes <- command
@@ -154,8 +154,8 @@
 	}
 }
 
-// get fetches a URL and returns the body of a 200 response within the size limit.
-func (process *controlProcess) get(address string) ([]byte, error) {
+// fetch fetches a URL and returns the body of a 200 response within the size limit.
+func (process *controlProcess) fetch(address string) ([]byte, error) {
 	limit := process.Settings.Bounds.ReportBytes
 	encode := func(context.Context, any) (*http.Request, error) {
 		return http.NewRequest(http.MethodGet, address, nil)
@@ -183,9 +183,9 @@
 	var content []byte
 	var err error
 	if process.adapter != nil {
-		result.Listing, err = process.adapter.Listing(process.Settings, process.get)
-	} else if content, err = process.get(process.Settings.Platform + "/servers?region=" + url.QueryEscape(command.Region)); err == nil {
-		result.Listing, err = listing.ReadListing(content, command.Region)
+		result.Listing, err = process.adapter.ReadListing(process.Settings, process.fetch)
+	} else if content, err = process.fetch(process.Settings.Platform + "/servers?region=" + url.QueryEscape(command.Region)); err == nil {
+		result.Listing, err = listing.ParseListing(content, command.Region)
 	}
 	if err != nil {
 		result.Error = err.Error()
@@ -196,12 +196,12 @@
 // readReport reads the load report of one model server.
 func (process *controlProcess) readReport(command shard.ReadReport) {
 	result := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: process.Loop.Now()}}
-	content, err := process.get("http://" + command.Address + "/report")
+	content, err := process.fetch("http://" + command.Address + "/report")
 	switch {
 	case err == nil && process.adapter != nil:
-		result.Report, err = process.adapter.Report(content, command.Server)
+		result.Report, err = process.adapter.ParseReport(content, command.Server)
 	case err == nil:
-		result.Report, err = listing.ReadReport(content, command.Server)
+		result.Report, err = listing.ParseReport(content, command.Server)
 	}
 	if err != nil {
 		result.Error = err.Error()
--- a/serve/data.go
+++ b/serve/data.go
@@ -41,7 +41,7 @@
 	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	process.client = &http.Client{Transport: process.transport(), CheckRedirect: noRedirects}
 	process.recallClient = &http.Client{Timeout: settings.Bounds.Round(), CheckRedirect: noRedirects}
-	process.Loop.SetExecutor(process.act)
+	process.Loop.SetExecutor(process.execute)
 	options := []kithttp.ServerOption{kithttp.ServerErrorEncoder(encodeError)}
 	process.Mux.Handle("POST /v1/chat/completions", kithttp.NewServer(process.serveCall(), process.decodeCall, encodeCall, options...))
 	process.Mux.Handle("GET /v1/lookups/{route}/{key}", kithttp.NewServer(process.serveCall(), process.decodeLookup, encodeCall, options...))
@@ -49,8 +49,8 @@
 	return process.run(settings.Data, func() { process.Loop.Post(data.Shutdown{}) })
 }
 
-// act carries out a command of the state machine. It reports whether it knows the command.
-func (process *dataProcess) act(command contract.Command) bool {
+// execute carries out a command of the state machine. It reports whether it knows the command.
+func (process *dataProcess) execute(command contract.Command) bool {
 	switch command := command.(type) {
 	case data.Dispatch:
 		process.dispatch(command)
--- a/serve/dispatch.go
+++ b/serve/dispatch.go
@@ -21,22 +21,22 @@
 // deadlineIn returns the wall-clock time a duration from now, for deadlines of connections.
 func deadlineIn(duration time.Duration) time.Time { return time.Now().Add(duration) }
 
-// guardKey is the context key of an attempt's guard.
-type guardKey struct{}
+// leaseGuardKey is the context key of an attempt's guard.
+type leaseGuardKey struct{}
 
-// guard allows an attempt to send its first byte only until sendBefore, when the lease expires, and notes whether a byte may have left.
-type guard struct {
+// leaseGuard allows an attempt to send its first byte only until sendBefore, when the lease expires, and notes whether a byte may have left.
+type leaseGuard struct {
 	process    *dataProcess
 	sendBefore time.Duration
 	sent       atomic.Bool
 }
 
-func (guard *guard) expired() bool { return guard.process.Loop.Now() >= guard.sendBefore }
+func (guard *leaseGuard) expired() bool { return guard.process.Loop.Now() >= guard.sendBefore }
 
 // leasedConn is a connection whose first write fails once its guard has expired.
 type leasedConn struct {
 	net.Conn
-	*guard
+	*leaseGuard
 }
 
 func (conn leasedConn) Write(content []byte) (int, error) {
@@ -57,7 +57,7 @@
 		if err != nil {
 			return nil, err
 		}
-		guard, exists := ctx.Value(guardKey{}).(*guard)
+		guard, exists := ctx.Value(leaseGuardKey{}).(*leaseGuard)
 		if !exists {
 			return conn, nil
 		}
@@ -89,8 +89,8 @@
 // runAttempt sends the call to the server and reads the reply.
 func (process *dataProcess) runAttempt(ctx context.Context, session *session, command data.Dispatch) data.AttemptEnded {
 	ended := data.AttemptEnded{Token: command.Token, Attempt: command.Attempt, Result: call.NotSent}
-	guard := &guard{process: process, sendBefore: command.SendBefore}
-	request, err := session.request(context.WithValue(ctx, guardKey{}, guard), command)
+	guard := &leaseGuard{process: process, sendBefore: command.SendBefore}
+	request, err := session.request(context.WithValue(ctx, leaseGuardKey{}, guard), command)
 	if err != nil {
 		ended.Error = err.Error()
 		return ended
@@ -155,7 +155,7 @@
 				process.Loop.Post(data.FirstChunk{Token: command.Token, Attempt: command.Attempt})
 			}
 			ended.Chunks = append(ended.Chunks, piece)
-			if !session.pending.put(replyItem{piece: piece}) {
+			if !session.pending.put(replyItem{chunk: piece}) {
 				ended.Error = "the caller reads too slowly, and too much waits for callers"
 				process.Loop.Count("readers_cut", 1)
 			}
--- a/serve/exchange.go
+++ b/serve/exchange.go
@@ -20,16 +20,16 @@
 // proxyCall is an opaque call that a gateway proxies to one server after the other until one answers. started is set once a part of a
 // streamed answer went to the caller; lastEventID is the ID of the last event that the caller has. The reply fields hold a complete answer.
 type proxyCall struct {
-	process     *gatewayProcess
-	writer      http.ResponseWriter
-	request     *http.Request
-	body        []byte
-	attemptID   string
-	lastEventID string
-	started     bool
-	replyStatus int
-	replyHeader http.Header
-	replyBody   []byte
+	process       *gatewayProcess
+	writer        http.ResponseWriter
+	request       *http.Request
+	body          []byte
+	attemptID     string
+	lastEventID   string
+	answerStarted bool
+	replyStatus   int
+	replyHeader   http.Header
+	replyBody     []byte
 }
 
 // attempt sends the call to one server and returns the state machine's next command for the call.
@@ -41,7 +41,7 @@
 		if command := watchdog.decision(); command != nil {
 			return command
 		}
-		ended.Outcome, ended.AnswerStarted, ended.Reason = outcome, call.started, reason
+		ended.Outcome, ended.AnswerStarted, ended.Reason = outcome, call.answerStarted, reason
 		if ctx.Err() != nil && outcome != gateway.OutcomeComplete {
 			ended.Outcome = gateway.OutcomeCallerLeft
 		}
@@ -73,16 +73,16 @@
 	if err != nil {
 		return lost(err, "no answer")
 	}
-	head := process.adapter.Head(response)
+	head := process.adapter.ReadServerHeaders(response)
 	ended.Load = head.Load
 	if head.AttemptID != "" && head.AttemptID != call.attemptID {
 		return lost(errors.New("another identity"), "the answer is another call's")
 	}
 	watchdog.noteActivity()
-	if head.Moved || head.NotRun {
+	if head.AddressReused || head.NotRun {
 		_, err = io.Copy(io.Discard, io.LimitReader(response.Body, 1<<16))
 		call.returnConn(conn, response, err, dispatch)
-		if head.Moved {
+		if head.AddressReused {
 			return finish(gateway.OutcomeWrongServer, "another server has the address")
 		}
 		return finish(gateway.OutcomeNotRun, "the server did not run it")
@@ -91,7 +91,7 @@
 		return lost(errors.New(response.Status), "not a final answer")
 	}
 	success := response.StatusCode/100 == 2
-	if success && (!head.Sealed || head.AttemptID == "") {
+	if success && (!head.FromServer || head.AttemptID == "") {
 		return lost(errors.New("no mark"), "not a server's answer")
 	}
 	if success && response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
@@ -101,7 +101,7 @@
 	ended.ServerError = response.StatusCode >= 500
 	if success && dispatch.Stream {
 		err = call.relayEvents(response, dispatch, watchdog)
-	} else if call.started {
+	} else if call.answerStarted {
 		return lost(errors.New(response.Status), "no going on")
 	} else {
 		call.replyBody, err = io.ReadAll(http.MaxBytesReader(nil, response.Body, maxReplyBytes))
@@ -186,7 +186,7 @@
 
 // sendReply ends the call with the server's complete answer; a streamed one has been sent already.
 func (call *proxyCall) sendReply() {
-	if call.started {
+	if call.answerStarted {
 		return
 	}
 	call.setReplyHeader(call.replyHeader, len(call.replyBody))
@@ -197,7 +197,7 @@
 // fail ends a call that may have run with an error. If its answer has started, the connection is aborted, so that it can't look complete.
 func (call *proxyCall) fail(fail gateway.Fail) {
 	call.process.Loop.Count("failed", 1)
-	if call.started || call.request.Context().Err() != nil {
+	if call.answerStarted || call.request.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
 	}
 	call.writer.WriteHeader(fail.Status)
--- a/serve/export_test.go
+++ b/serve/export_test.go
@@ -26,7 +26,9 @@
 
 func (test *TestGateway) Handler() http.Handler { return http.HandlerFunc(test.process.serveCall) }
 
-func (test *TestGateway) Apply(event contract.Event) { test.process.act(gateway.Update{Event: event}) }
+func (test *TestGateway) Apply(event contract.Event) {
+	test.process.execute(gateway.Update{Event: event})
+}
 
 // placeForwarder is a node that forwards all queries of the prompt index to one address.
 type placeForwarder struct{ address string }
@@ -47,7 +49,7 @@
 func (test *TestGateway) AskAt(address string, stop chan struct{}) {
 	process := test.process
 	process.Loop = link.NewLoop(placeForwarder{address}, time.Hour, nil, log.NewNopLogger())
-	process.Loop.SetExecutor(process.act)
+	process.Loop.SetExecutor(process.execute)
 	process.operators = link.NewOperatorAPI(process.Loop, 1<<20, 10*time.Second, link.NewFaults("", stop))
 	go process.Loop.Run(stop)
 }
--- a/serve/face.go
+++ b/serve/face.go
@@ -14,38 +14,38 @@
 type Adapter interface {
 	// Settings reads the settings of a process. kind is contract.KindData or contract.KindControl.
 	Settings(kind string) (env.Env, error)
-	// CallArrived reads a caller's call from its headers, including its API key. Token, host, path and size are filled in by the caller of
+	// ReadCallHeaders reads a caller's call from its headers, including its API key. Token, host, path and size are filled in by the caller of
 	// this method. identity is the ID that the caller gave this attempt.
-	CallArrived(request *http.Request) (arrive gateway.CallArrived, identity string)
+	ReadCallHeaders(request *http.Request) (arrive gateway.CallArrived, identity string)
 	// SetServerHeaders sets the headers of a request to a server: the intended server, the tenant in place of the caller's API key, the
 	// time left, and the ID of the last event of a stream that the caller has.
 	SetServerHeaders(header http.Header, dispatch gateway.Dispatch, after string)
-	// Head reads the headers of a server's answer.
-	Head(response *http.Response) Head
-	// After sets the header that tells a refused caller when to retry.
-	After(header http.Header, after time.Duration)
-	// Listing reads the complete list of servers, page by page, with get.
-	Listing(settings env.Env, get func(address string) ([]byte, error)) (contract.Listing, error)
-	// Report parses a server's load report.
-	Report(content []byte, server string) (contract.LoadReport, error)
-	// Lookup parses a caller's question for nodes to call, and Addresses formats the answer, which is valid for life.
-	Lookup(request *http.Request) gateway.Lookup
-	Addresses(found gateway.Addresses, life time.Duration) any
+	// ReadServerHeaders reads the headers of a server's answer.
+	ReadServerHeaders(response *http.Response) ServerReply
+	// SetRetryAfter sets the header that tells a refused caller when to retry.
+	SetRetryAfter(header http.Header, after time.Duration)
+	// ReadListing reads the complete list of servers, page by page, with get.
+	ReadListing(settings env.Env, get func(address string) ([]byte, error)) (contract.Listing, error)
+	// ParseReport parses a server's load report.
+	ParseReport(content []byte, server string) (contract.LoadReport, error)
+	// ParseLookup parses a caller's question for nodes to call, and Addresses formats the answer, which is valid for life.
+	ParseLookup(request *http.Request) gateway.Lookup
+	FormatAddresses(found gateway.Addresses, life time.Duration) any
 	// Paths returns the URL paths of the readiness check and of lookups.
 	Paths() (ready, lookup string)
 	// OperatorEndpoints returns the HTTP endpoints for operators.
 	OperatorEndpoints() []OperatorEndpoint
 }
 
-// Head is what the headers of a server's answer say. AttemptID names the attempt that it answers. Sealed means that the model server
-// itself sent the answer, NotRun that it did not run the call, and Moved that another server has the address now. Load is nil if the
+// ServerReply is what the headers of a server's answer say. AttemptID names the attempt that it answers. FromServer means that the model server
+// itself sent the answer, NotRun that it did not run the call, and AddressReused that another server has the address now. Load is nil if the
 // answer does not report it.
-type Head struct {
-	AttemptID string
-	Sealed    bool
-	NotRun    bool
-	Moved     bool
-	Load      *gateway.Load
+type ServerReply struct {
+	AttemptID     string
+	FromServer    bool
+	NotRun        bool
+	AddressReused bool
+	Load          *gateway.Load
 }
 
 // OperatorEndpoint is one HTTP endpoint for operators: a pattern for http.ServeMux, the parser of its requests, and the formatter of the
--- a/serve/gateway.go
+++ b/serve/gateway.go
@@ -55,7 +55,7 @@
 	process.limits.Store(&manifest.Limits{})
 	node := gateway.NewNode(settings, newBootID(), process, random)
 	process.Process = newProcess(settings, node.Self(), node, "")
-	process.Loop.SetExecutor(process.act)
+	process.Loop.SetExecutor(process.execute)
 	process.ReloadSettings = func() (env.Env, error) { return adapter.Settings(contract.KindData) }
 	ready, lookup := adapter.Paths()
 	checks, lookups := http.NewServeMux(), http.NewServeMux()
@@ -140,8 +140,8 @@
 	return process.traffic.TakePlaceUses()
 }
 
-// act carries out a command of the node. It reports whether it knows the command.
-func (process *gatewayProcess) act(command contract.Command) bool {
+// execute carries out a command of the node. It reports whether it knows the command.
+func (process *gatewayProcess) execute(command contract.Command) bool {
 	switch command := command.(type) {
 	case gateway.Update:
 		process.handle(command.Event)
@@ -161,7 +161,7 @@
 // bounded: a node that does not get ready then refuses calls and names a time to retry.
 func (process *gatewayProcess) awaitReady() {
 	limit := process.Settings.Gateway.Contact * 3 / 20
-	for began := time.Now(); time.Since(began) < limit; pause(limit / 60) {
+	for began := time.Now(); time.Since(began) < limit; sleep(limit / 60) {
 		process.lock.Lock()
 		ready := process.traffic.Ready(process.Loop.Now())
 		process.lock.Unlock()
@@ -192,7 +192,7 @@
 	grace, began := process.Settings.Gateway.Grace, time.Now()
 	traffic.SetKeepAlivesEnabled(false)
 	for time.Since(began) < grace*7/8 {
-		pause(grace / 80)
+		sleep(grace / 80)
 		idleFor := process.Loop.Now() - time.Duration(process.lastCallAt.Load())
 		if time.Since(began) > process.Settings.Gateway.LookupLife*2 && process.inFlight.Load() == 0 && idleFor > process.Settings.Gateway.LookupLife {
 			return
@@ -212,9 +212,9 @@
 
 // lookup tells a caller the addresses of nodes to call.
 func (process *gatewayProcess) lookup(writer http.ResponseWriter, request *http.Request) {
-	query := process.adapter.Lookup(request)
+	query := process.adapter.ParseLookup(request)
 	answers := make(chan contract.Response, 1)
-	query.Token = process.Loop.Token(func(answer contract.Response) { answers <- answer })
+	query.Token = process.Loop.RegisterAnswer(func(answer contract.Response) { answers <- answer })
 	defer process.Loop.Forget(query.Token)
 	if !process.Loop.TryPost(query) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -227,7 +227,7 @@
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		writeJSON(writer, http.StatusOK, process.adapter.Addresses(found, process.Settings.Gateway.LookupLife))
+		writeJSON(writer, http.StatusOK, process.adapter.FormatAddresses(found, process.Settings.Gateway.LookupLife))
 	case <-request.Context().Done():
 	}
 }
@@ -259,7 +259,7 @@
 		}
 		panic(http.ErrAbortHandler)
 	}
-	arrive, attemptID := process.adapter.CallArrived(request)
+	arrive, attemptID := process.adapter.ReadCallHeaders(request)
 	arrive.Token, arrive.Host, arrive.Path, arrive.Size = process.token.Add(1), request.Host, request.URL.EscapedPath(), int64(len(body))
 	if arrive.Timeout > 0 {
 		arrive.Timeout = max(time.Millisecond, arrive.Timeout-time.Since(arrivedAt))
@@ -276,7 +276,7 @@
 			call.sendReply()
 			return
 		case gateway.Refuse:
-			if call.started {
+			if call.answerStarted {
 				panic(http.ErrAbortHandler)
 			}
 			process.refuse(writer, next)
@@ -316,7 +316,7 @@
 func (process *gatewayProcess) refuse(writer http.ResponseWriter, refuse gateway.Refuse) {
 	process.Loop.Count("refused_"+strconv.Itoa(refuse.Status), 1)
 	if refuse.RetryAfter > 0 {
-		process.adapter.After(writer.Header(), refuse.RetryAfter)
+		process.adapter.SetRetryAfter(writer.Header(), refuse.RetryAfter)
 	}
 	writer.WriteHeader(refuse.Status)
 }
--- a/serve/main.go
+++ b/serve/main.go
@@ -56,7 +56,7 @@
 	if given.Env != "" {
 		settings, err = env.Load(given.Env, options...)
 	} else {
-		err = settings.Check()
+		err = settings.Validate()
 	}
 	if err != nil {
 		exit(exitUsage, program+": "+err.Error())
--- a/serve/operate.go
+++ b/serve/operate.go
@@ -32,7 +32,7 @@
 		answered := time.Now()
 		status, answer := endpoint.FormatAnswer(code, body)
 		if process.adapter != nil && after > 0 {
-			process.adapter.After(writer.Header(), after)
+			process.adapter.SetRetryAfter(writer.Header(), after)
 		}
 		writeJSON(writer, status, answer)
 		process.logSlow(operatorRequest, status, len(body), answered.Sub(began), time.Since(answered))
--- a/serve/outbox.go
+++ b/serve/outbox.go
@@ -25,7 +25,7 @@
 func (buffer *replyBuffer) put(item replyItem) bool {
 	buffer.lock.Lock()
 	defer buffer.lock.Unlock()
-	size := int64(len(item.piece))
+	size := int64(len(item.chunk))
 	if buffer.closed {
 		return true
 	}
@@ -50,7 +50,7 @@
 	}
 	item := buffer.waiting[0]
 	buffer.waiting = buffer.waiting[1:]
-	buffer.bufferedBytes.Add(-int64(len(item.piece)))
+	buffer.bufferedBytes.Add(-int64(len(item.chunk)))
 	return item, true
 }
 
@@ -60,7 +60,7 @@
 	defer buffer.lock.Unlock()
 	buffer.closed = true
 	for _, item := range buffer.waiting {
-		buffer.bufferedBytes.Add(-int64(len(item.piece)))
+		buffer.bufferedBytes.Add(-int64(len(item.chunk)))
 	}
 	buffer.waiting = nil
 }
--- a/serve/pass.go
+++ b/serve/pass.go
@@ -114,7 +114,7 @@
 		}
 	}
 	writer.WriteHeader(response.StatusCode)
-	if err = homeRequest.copy(writer, response.Body, until); err != nil {
+	if err = homeRequest.copyBody(writer, response.Body, until); err != nil {
 		return -response.StatusCode, err.Error()
 	}
 	return response.StatusCode, ""
@@ -128,8 +128,8 @@
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-// copy relays the body of the answer. It returns nil only if the complete body was received and written.
-func (homeRequest *homeRequest) copy(writer http.ResponseWriter, from io.Reader, until time.Duration) error {
+// copyBody relays the body of the answer. It returns nil only if the complete body was received and written.
+func (homeRequest *homeRequest) copyBody(writer http.ResponseWriter, from io.Reader, until time.Duration) error {
 	controller, buffer := http.NewResponseController(writer), make([]byte, 16<<10)
 	for {
 		count, err := from.Read(buffer)
--- a/serve/place.go
+++ b/serve/place.go
@@ -15,11 +15,11 @@
 // answer still serves later calls.
 func (process *gatewayProcess) place(ctx context.Context, query gateway.PlaceQuery) contract.Command {
 	placed, answers := gateway.PlaceAnswer{Token: query.Token, TimedOut: true}, make(chan gateway.PlaceAnswer, 1)
-	token := process.Loop.Token(func(answer contract.Response) {
-		var place index.Place
+	token := process.Loop.RegisterAnswer(func(answer contract.Response) {
+		var place index.Placement
 		status, body := link.ForwardedAnswer(answer)
 		if status == 200 && json.Unmarshal(body, &place) == nil && place.Server != "" {
-			process.handle(gateway.PlacesMoved{Places: []index.Place{place}})
+			process.handle(gateway.PlacesMoved{Places: []index.Placement{place}})
 			process.Loop.Count("places_answered", 1)
 			answers <- gateway.PlaceAnswer{Token: query.Token, Place: place}
 			return
--- a/serve/place_test.go
+++ b/serve/place_test.go
@@ -22,20 +22,20 @@
 // indexServer is a control node on a real socket that answers queries of the prompt index as its test says.
 type indexServer struct {
 	lock   sync.Mutex
-	asks   []index.Ask
-	answer func(http.ResponseWriter, index.Ask)
+	asks   []index.PlacementRequest
+	answer func(http.ResponseWriter, index.PlacementRequest)
 }
 
-func (indexServer *indexServer) asked() []index.Ask {
+func (indexServer *indexServer) asked() []index.PlacementRequest {
 	indexServer.lock.Lock()
 	defer indexServer.lock.Unlock()
-	return append([]index.Ask{}, indexServer.asks...)
+	return append([]index.PlacementRequest{}, indexServer.asks...)
 }
 
 func (indexServer *indexServer) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	defer GinkgoRecover()
 	var forwarded contract.OperatorRequest
-	var ask index.Ask
+	var ask index.PlacementRequest
 	content, _ := io.ReadAll(request.Body)
 	Expect(json.Unmarshal(content, &forwarded)).To(Succeed())
 	Expect(forwarded.Verb).To(Equal(contract.VerbPlace))
@@ -49,12 +49,12 @@
 var longPromptHeaders = []string{"X-Token-Usage", "14000,10", "X-Model", "m", "X-Prompt-Prefix", "contract:13000,own:1000"}
 
 // setUpIndex returns a fixture with four model servers, whose node queries an index server.
-func setUpIndex(answer func(http.ResponseWriter, index.Ask)) (*fixture, *indexServer) {
+func setUpIndex(answer func(http.ResponseWriter, index.PlacementRequest)) (*fixture, *indexServer) {
 	GinkgoHelper()
 	return setUpIndexWithContact(4*time.Second, answer)
 }
 
-func setUpIndexWithContact(contact time.Duration, answer func(http.ResponseWriter, index.Ask)) (*fixture, *indexServer) {
+func setUpIndexWithContact(contact time.Duration, answer func(http.ResponseWriter, index.PlacementRequest)) (*fixture, *indexServer) {
 	GinkgoHelper()
 	created, indexServer, stop := setUpWithContact(contact, 4, completeAnswer), &indexServer{answer: answer}, make(chan struct{})
 	controlNode := httptest.NewServer(indexServer)
@@ -65,14 +65,14 @@
 	})
 	created.proxy.AskAt(strings.TrimPrefix(controlNode.URL, "http://"), stop)
 	configured := routes(3)
-	configured.Manifest.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, Tokens: 300000, TokensPerStep: 5}}
+	configured.Manifest.Gateway.Services["s"] = manifest.Service{Engine: &manifest.Engine{Slots: 48, TokenCapacity: 300000, TokensPerStep: 5}}
 	created.proxy.Apply(configured)
 	created.proxy.Apply(gateway.IndexReachability{OwnerKnown: true})
 	return created, indexServer
 }
 
 // knownFlags returns for each query whether it asked for existing entries only.
-func knownFlags(asks []index.Ask) []bool {
+func knownFlags(asks []index.PlacementRequest) []bool {
 	known := []bool{}
 	for _, ask := range asks {
 		known = append(known, ask.Known)
@@ -80,8 +80,8 @@
 	return known
 }
 
-func answerPlace(writer http.ResponseWriter, ask index.Ask, server string) {
-	_ = json.NewEncoder(writer).Encode(index.Place{Key: ask.Key, Server: server})
+func answerPlace(writer http.ResponseWriter, ask index.PlacementRequest, server string) {
+	_ = json.NewEncoder(writer).Encode(index.Placement{Key: ask.Key, Server: server})
 }
 
 func (fixture *fixture) sendComplete(path string) string {
@@ -96,7 +96,7 @@
 var _ = Describe("a call with a long shared prompt", func() {
 	It("given a control node that answers, when calls come, then they go to the place, asked for once", func() {
 		place := ""
-		fixture, indexServer := setUpIndex(func(writer http.ResponseWriter, ask index.Ask) {
+		fixture, indexServer := setUpIndex(func(writer http.ResponseWriter, ask index.PlacementRequest) {
 			place = ask.Candidates[len(ask.Candidates)-1]
 			answerPlace(writer, ask, place)
 		})
@@ -112,7 +112,7 @@
 	})
 
 	It("given a control node that refuses, when calls come, then each goes by the shared order after one question, and is not sent twice", func() {
-		fixture, indexServer := setUpIndex(func(writer http.ResponseWriter, _ index.Ask) { writer.WriteHeader(404) })
+		fixture, indexServer := setUpIndex(func(writer http.ResponseWriter, _ index.PlacementRequest) { writer.WriteHeader(404) })
 		for calls := range 3 {
 			Expect(fixture.sendComplete("/write/x")).To(Equal(indexServer.asked()[0].Candidates[0]))
 			Expect(indexServer.asked()).To(HaveLen(calls + 1))
@@ -123,7 +123,7 @@
 
 	It("given a near replica, when it does not know the prompt, then the owner is asked after it, and when it does, nobody else is", func() {
 		knows := atomic.Bool{}
-		fixture, indexServer := setUpIndexWithContact(10*time.Minute, func(writer http.ResponseWriter, ask index.Ask) {
+		fixture, indexServer := setUpIndexWithContact(10*time.Minute, func(writer http.ResponseWriter, ask index.PlacementRequest) {
 			if ask.Known && !knows.Load() {
 				writer.WriteHeader(404)
 				return
@@ -142,7 +142,7 @@
 
 	It("given a near replica that does not answer, when calls come, then the owner is asked after its patience, and at once by later ones", func() {
 		late := make(chan struct{})
-		fixture, indexServer := setUpIndex(func(writer http.ResponseWriter, ask index.Ask) {
+		fixture, indexServer := setUpIndex(func(writer http.ResponseWriter, ask index.PlacementRequest) {
 			if ask.Known {
 				<-late
 				return
@@ -157,11 +157,11 @@
 		Expect(fixture.proxy.Counts()["places_unanswered"]).To(Equal(int64(1)))
 	})
 
-	for name, answer := range map[string]func(http.ResponseWriter, index.Ask){
-		"fails":                func(writer http.ResponseWriter, _ index.Ask) { writer.WriteHeader(503) },
-		"names no server":      func(writer http.ResponseWriter, _ index.Ask) { _, _ = io.WriteString(writer, "{}") },
-		"says what is no JSON": func(writer http.ResponseWriter, _ index.Ask) { _, _ = io.WriteString(writer, "<html>") },
-		"breaks its answer": func(writer http.ResponseWriter, _ index.Ask) {
+	for name, answer := range map[string]func(http.ResponseWriter, index.PlacementRequest){
+		"fails":                func(writer http.ResponseWriter, _ index.PlacementRequest) { writer.WriteHeader(503) },
+		"names no server":      func(writer http.ResponseWriter, _ index.PlacementRequest) { _, _ = io.WriteString(writer, "{}") },
+		"says what is no JSON": func(writer http.ResponseWriter, _ index.PlacementRequest) { _, _ = io.WriteString(writer, "<html>") },
+		"breaks its answer": func(writer http.ResponseWriter, _ index.PlacementRequest) {
 			conn, _, err := writer.(http.Hijacker).Hijack()
 			Expect(err).NotTo(HaveOccurred())
 			_ = conn.Close()
@@ -180,7 +180,7 @@
 
 	It("given a control node that does not answer, when a call has waited for its patience, then it goes by the shared order", func() {
 		late := make(chan struct{})
-		fixture, indexServer := setUpIndex(func(http.ResponseWriter, index.Ask) { <-late })
+		fixture, indexServer := setUpIndex(func(http.ResponseWriter, index.PlacementRequest) { <-late })
 		defer close(late)
 		Expect(fixture.sendComplete("/write/x")).To(Equal(indexServer.asked()[0].Candidates[0]))
 		Expect(fixture.proxy.Counts()["places_unanswered"]).To(Equal(int64(1)))
@@ -191,7 +191,7 @@
 		asked, late := make(chan struct{}), make(chan struct{})
 		release := sync.OnceFunc(func() { close(late) })
 		defer release()
-		fixture, indexServer := setUpIndex(func(writer http.ResponseWriter, ask index.Ask) {
+		fixture, indexServer := setUpIndex(func(writer http.ResponseWriter, ask index.PlacementRequest) {
 			close(asked)
 			<-late
 			answerPlace(writer, ask, ask.Candidates[2])
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -29,9 +29,9 @@
 		if errors.Is(err, io.EOF) {
 			completeBytes = len(buffered)
 		}
-		if completeBytes > 0 || errors.Is(err, io.EOF) && !call.started {
-			if !call.started {
-				call.started = true
+		if completeBytes > 0 || errors.Is(err, io.EOF) && !call.answerStarted {
+			if !call.answerStarted {
+				call.answerStarted = true
 				call.setReplyHeader(response.Header, -1)
 				call.writer.WriteHeader(response.StatusCode)
 			}
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -65,7 +65,7 @@
 	sender := link.NewSender(self, settings.Bounds.Round(), process.Faults, process.stop)
 	process.Loop = link.NewLoop(stateMachine, settings.Bounds.Tick(), sender, logger)
 	sender.SetCounter(process.Loop.Count)
-	sender.SetLogger(func(line contract.Log) { process.Loop.Do(line) })
+	sender.SetLogger(func(line contract.Log) { process.Loop.Execute(line) })
 	process.operators = link.NewOperatorAPI(process.Loop, settings.Bounds.BodyBytes, settings.Bounds.Deliver()*2, process.Faults)
 	process.operators.Register(process.Mux)
 	process.Mux.Handle("POST "+link.Path, link.Receive(process.Loop))
@@ -151,4 +151,4 @@
 	return count, err
 }
 
-func pause(duration time.Duration) { time.Sleep(duration) }
+func sleep(duration time.Duration) { time.Sleep(duration) }
--- a/serve/serve_test.go
+++ b/serve/serve_test.go
@@ -87,7 +87,7 @@
 var _ = It("a link that was made in time sends nothing when its first byte comes late", func() {
 	local, remote := net.Pipe()
 	process := &dataProcess{Process: &Process{Settings: env.New(), Loop: link.NewLoop(idleMachine{}, time.Hour, nil, log.NewNopLogger())}}
-	late := leasedConn{local, &guard{process: process, sendBefore: 0}}
+	late := leasedConn{local, &leaseGuard{process: process, sendBefore: 0}}
 	_, err := late.Write([]byte("call"))
 	Expect(err).To(HaveOccurred())
 	Expect(late.sent.Load()).To(BeFalse())
@@ -99,9 +99,9 @@
 var _ = It("what a server says to a caller that has gone is not held", func() {
 	bufferedBytes := atomic.Int64{}
 	buffer := newReplyBuffer(&bufferedBytes, 100)
-	Expect(buffer.put(replyItem{piece: "before"})).To(BeTrue())
+	Expect(buffer.put(replyItem{chunk: "before"})).To(BeTrue())
 	buffer.close()
-	Expect(buffer.put(replyItem{piece: "after"})).To(BeTrue())
+	Expect(buffer.put(replyItem{chunk: "after"})).To(BeTrue())
 	Expect(bufferedBytes.Load()).To(BeZero())
 })
 
--- a/serve/session.go
+++ b/serve/session.go
@@ -14,7 +14,7 @@
 
 // replyItem is one thing to write to a caller: the content of a chunk, or the error that ends the reply.
 type replyItem struct {
-	piece     string
+	chunk     string
 	errorText string
 }
 
@@ -39,11 +39,11 @@
 		if deadline := session.callRequest.call.Deadline; deadline > 0 {
 			session.giveUpAt = process.Loop.Now() + deadline + bounds.Round()
 		}
-		session.token = process.Loop.Token(func(answer contract.Response) { session.answer <- answer })
+		session.token = process.Loop.RegisterAnswer(func(answer contract.Response) { session.answer <- answer })
 		process.lock.Lock()
 		process.sessions[session.token] = session
 		process.lock.Unlock()
-		if !process.Loop.TryPost(data.Arrive{Token: session.token, Call: session.callRequest.call}) {
+		if !process.Loop.TryPost(data.CallArrived{Token: session.token, Call: session.callRequest.call}) {
 			session.close()
 			return nil, requestError{status: 503, message: "this node is overloaded", retryAfter: process.Settings.Bounds.Round()}
 		}
@@ -89,18 +89,18 @@
 // writePending writes all buffered items.
 func (out *replyWriter) writePending() error {
 	for next, exists := out.session.pending.take(); exists; next, exists = out.session.pending.take() {
-		if err := out.next(next); err != nil {
+		if err := out.writeItem(next); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (out *replyWriter) next(next replyItem) error {
+func (out *replyWriter) writeItem(next replyItem) error {
 	if next.errorText != "" {
 		out.abort(next.errorText)
 	}
-	return out.piece(next.piece)
+	return out.writeChunk(next.chunk)
 }
 
 // replyWriter writes a session's reply to the caller. chunks counts the chunks that were written.
@@ -155,8 +155,8 @@
 	return out.control.Flush()
 }
 
-// piece writes one chunk with the given content.
-func (out *replyWriter) piece(text string) error {
+// writeChunk writes one chunk with the given content.
+func (out *replyWriter) writeChunk(text string) error {
 	if out.chunks == 0 {
 		out.writer.Header().Set("Content-Type", "text/event-stream")
 		out.writer.Header().Set("Cache-Control", "no-store")
@@ -192,7 +192,7 @@
 		return out.writeUnary(answer, reply)
 	}
 	for out.chunks < int64(len(reply.Chunks)) {
-		if err := out.piece(reply.Chunks[out.chunks]); err != nil {
+		if err := out.writeChunk(reply.Chunks[out.chunks]); err != nil {
 			return err
 		}
 	}
--- a/shard/ages.go
+++ b/shard/ages.go
@@ -25,22 +25,22 @@
 func incarnationKey(name, incarnation string) string { return name + "@" + incarnation }
 
 // requestRampAges asks the region's other control nodes for ramp ages after a start and around a take-over.
-func (owner *Owner) requestRampAges(now time.Duration) {
-	if now-owner.startedAt > owner.bounds.Deliver() && !owner.takingOver(now) || now < owner.nextRampRequest {
+func (manager *Manager) requestRampAges(now time.Duration) {
+	if now-manager.startedAt > manager.bounds.Deliver() && !manager.takingOver(now) || now < manager.nextRampRequest {
 		return
 	}
-	owner.nextRampRequest = now + owner.bounds.Round()/2
-	for _, member := range owner.seen.Members {
-		if member.Kind == contract.KindControl && member.Region == owner.self.Region && member.Name != owner.self.Name {
-			owner.emit(contract.Send{To: member.Address, Kind: MessageRampRequest, Body: RampAges{Address: owner.self.Address}})
+	manager.nextRampRequest = now + manager.bounds.Round()/2
+	for _, member := range manager.clusterState.Members {
+		if member.Kind == contract.KindControl && member.Region == manager.self.Region && member.Name != manager.self.Name {
+			manager.emit(contract.Send{To: member.Address, Kind: MessageRampRequest, Body: RampAges{Address: manager.self.Address}})
 		}
 	}
 }
 
 // takingOver reports whether this node is about to take over a shard or has just done so.
-func (owner *Owner) takingOver(now time.Duration) bool {
-	for _, shard := range owner.shardStates {
-		if shard.preferredSince >= 0 && (!shard.isOwner || now-shard.takenAt < owner.bounds.Lease()) {
+func (manager *Manager) takingOver(now time.Duration) bool {
+	for _, shard := range manager.shardStates {
+		if shard.preferredSince >= 0 && (!shard.isOwner || now-shard.takenAt < manager.bounds.Lease()) {
 			return true
 		}
 	}
@@ -48,15 +48,15 @@
 }
 
 // handleRampAges answers a peer's request for ramp ages, or applies a peer's reply.
-func (owner *Owner) handleRampAges(now time.Duration, message contract.Message) {
+func (manager *Manager) handleRampAges(now time.Duration, message contract.Message) {
 	var rampStarts RampAges
 	if json.Unmarshal(message.Body, &rampStarts) != nil {
 		return
 	}
-	ramp := owner.seen.Manifest.Retirement.Ramp
+	ramp := manager.clusterState.Manifest.Retirement.RampDuration
 	if message.Kind == MessageRampRequest {
 		reply := RampAges{Elapsed: map[string]time.Duration{}}
-		for name, server := range owner.servers {
+		for name, server := range manager.servers {
 			start := server.listedSince
 			if server.ramping {
 				start = max(start, server.rampStart)
@@ -65,22 +65,22 @@
 				reply.Elapsed[incarnationKey(name, server.incarnation)] = now - start
 			}
 		}
-		owner.emit(contract.Send{To: rampStarts.Address, Kind: MessageRampReply, Body: reply})
+		manager.emit(contract.Send{To: rampStarts.Address, Kind: MessageRampReply, Body: reply})
 		return
 	}
 	for _, key := range manifest.SortedKeys(rampStarts.Elapsed) {
-		owner.rampStarts[key] = max(owner.rampStarts[key], now-rampStarts.Elapsed[key])
+		manager.rampStarts[key] = max(manager.rampStarts[key], now-rampStarts.Elapsed[key])
 	}
-	for name := range owner.servers {
-		owner.applyPeerRampStart(now, name)
+	for name := range manager.servers {
+		manager.applyPeerRampStart(now, name)
 	}
 }
 
 // applyPeerRampStart puts a server on the ramp that a peer saw it begin.
-func (owner *Owner) applyPeerRampStart(now time.Duration, name string) {
-	server := owner.servers[name]
-	start, found := owner.rampStarts[incarnationKey(name, server.incarnation)]
-	if !found || now-start >= owner.seen.Manifest.Retirement.Ramp || server.listedSince >= start {
+func (manager *Manager) applyPeerRampStart(now time.Duration, name string) {
+	server := manager.servers[name]
+	start, found := manager.rampStarts[incarnationKey(name, server.incarnation)]
+	if !found || now-start >= manager.clusterState.Manifest.Retirement.RampDuration || server.listedSince >= start {
 		return
 	}
 	server.listedSince = start
--- a/shard/condition.go
+++ b/shard/condition.go
@@ -23,12 +23,12 @@
 const (
 	// recoverySteps is how many steps a resting server takes to return.
 	recoverySteps = 2
-	// badRatio: a server fails if at least one call in badRatio is bad; it rests only if its failure rate is also meanMultiple times
+	// failureRatio: a server fails if at least one call in failureRatio fails; it rests only if its failure rate is also meanMultiple times
 	// the mean of its pool.
-	badRatio     = 5
+	failureRatio = 5
 	meanMultiple = 2
-	// minBadCalls is the least number of bad calls, and minFailedNodes the least number of nodes with failures, that count as evidence.
-	minBadCalls    = 5
+	// minFailedCalls is the least number of failed calls, and minFailedNodes the least number of nodes with failures, that count as evidence.
+	minFailedCalls = 5
 	minFailedNodes = 3
 	// minFleetNodes is the least number of nodes at which a server rests for all of them. In a smaller fleet each node calls a server
 	// often enough to judge it by its own calls, which is more precise.
@@ -37,9 +37,9 @@
 	minWitnesses = 2
 	// untriedMultiple is how many quarantine times a server stays at a step if no node sends it a trial call.
 	untriedMultiple = 4
-	// maxRelapses bounds the doubling of a server's quarantine time; after calmMultiple quarantine times of health it starts over.
-	maxRelapses  = 3
-	calmMultiple = 16
+	// maxRelapses bounds the doubling of a server's quarantine time; after healthyMultiple quarantine times of health it starts over.
+	maxRelapses     = 3
+	healthyMultiple = 16
 )
 
 // evidence is the sum of all nodes' tallies for one server.
@@ -50,12 +50,12 @@
 	failedNodes int                           // nodes with other failures only
 }
 
-// bad reports whether the share of bad calls is that of a failing server.
-func bad(tally contract.CallTally) bool {
-	return tally.Failures() > 0 && tally.Failures()*badRatio >= tally.Total()
+// failing reports whether the share of failed calls is that of a failing server.
+func failing(tally contract.CallTally) bool {
+	return tally.Failures() > 0 && tally.Failures()*failureRatio >= tally.Total()
 }
 
-// failureRate returns the share of bad calls, 0 if there were none.
+// failureRate returns the share of failed calls, 0 if there were none.
 func (evidence *evidence) failureRate() float64 {
 	if evidence == nil || evidence.total.Total() == 0 {
 		return 0
@@ -67,23 +67,23 @@
 func (evidence *evidence) confirmed(nodes, zones int) bool {
 	found := 0
 	for _, tally := range evidence.zones {
-		if bad(tally) {
+		if failing(tally) {
 			found++
 		}
 	}
-	return evidence.total.Failures() >= minBadCalls && bad(evidence.total) && evidence.lostNodes+evidence.failedNodes >= minWitnesses &&
+	return evidence.total.Failures() >= minFailedCalls && failing(evidence.total) && evidence.lostNodes+evidence.failedNodes >= minWitnesses &&
 		found >= min(minWitnesses, zones) && 2*found > len(evidence.zones)
 }
 
 // collectEvidence sums the tallies of the nodes that asked within a lease's time, and counts those nodes and their zones.
-func (owner *Owner) collectEvidence(now time.Duration, shard *shardState) (evidenceByServer map[string]*evidence, nodes, zones int) {
+func (manager *Manager) collectEvidence(now time.Duration, shard *shardState) (evidenceByServer map[string]*evidence, nodes, zones int) {
 	zoneOf, seen := map[string]string{}, map[string]bool{}
-	for _, member := range owner.seen.Members {
+	for _, member := range manager.clusterState.Members {
 		zoneOf[member.Name] = member.Zone
 	}
 	evidenceByServer = map[string]*evidence{}
 	for node, tallies := range shard.tallies {
-		if now-shard.nodeAcks[node].ReportedAt >= owner.bounds.Lease() {
+		if now-shard.nodeAcks[node].ReportedAt >= manager.bounds.Lease() {
 			delete(shard.tallies, node)
 			continue
 		}
@@ -110,14 +110,14 @@
 
 // evaluateHealth updates the health of a shard's servers. One node without a connection makes a server suspected. It rests only in a
 // large fleet, if nodes of several zones agree and it fails at twice the mean rate; at most half of a pool rests at a time.
-func (owner *Owner) evaluateHealth(now time.Duration, shard *shardState) {
+func (manager *Manager) evaluateHealth(now time.Duration, shard *shardState) {
 	if now < shard.nextEvaluation {
 		return
 	}
-	shard.nextEvaluation = now + owner.bounds.LeaseRenewal()
-	evidenceByServer, nodes, zones := owner.collectEvidence(now, shard)
+	shard.nextEvaluation = now + manager.bounds.LeaseRenewal()
+	evidenceByServer, nodes, zones := manager.collectEvidence(now, shard)
 	pools, present := map[string][]contract.ListedServer{}, map[string]bool{}
-	for _, row := range owner.eligibleServers(now, shard) {
+	for _, row := range manager.eligibleServers(now, shard) {
 		pools[row.Pool], present[row.Name] = append(pools[row.Pool], row), true
 		evidence, record := evidenceByServer[row.Name], shard.serverHealth[row.Name]
 		if record != nil && record.incarnation != row.Incarnation {
@@ -134,41 +134,41 @@
 		if now >= record.watchedUntil {
 			record.reportedSince = now
 		}
-		record.watchedUntil = now + owner.bounds.Lease()
+		record.watchedUntil = now + manager.bounds.Lease()
 		if evidence.lostNodes > 0 {
 			record.suspectedUntil = record.watchedUntil
 		}
 	}
 	for name, record := range shard.serverHealth {
-		if !present[name] || now >= record.watchedUntil && record.resting == 0 && now-record.recoveredAt > calmMultiple*owner.quarantineTime(record) {
+		if !present[name] || now >= record.watchedUntil && record.resting == 0 && now-record.recoveredAt > healthyMultiple*manager.quarantineTime(record) {
 			delete(shard.serverHealth, name)
 		}
 	}
 	for _, pool := range manifest.SortedKeys(pools) {
-		owner.evaluatePool(now, shard, pools[pool], evidenceByServer, nodes, zones)
+		manager.evaluatePool(now, shard, pools[pool], evidenceByServer, nodes, zones)
 	}
 }
 
 // quarantineTime is the length of one recovery step, after which tallies from before the step have expired. It doubles with each relapse.
-func (owner *Owner) quarantineTime(record *healthRecord) time.Duration {
-	return (owner.bounds.Withdraw() + owner.bounds.Lease()) << min(record.relapses, maxRelapses)
+func (manager *Manager) quarantineTime(record *healthRecord) time.Duration {
+	return (manager.bounds.Withdraw() + manager.bounds.Lease()) << min(record.relapses, maxRelapses)
 }
 
-// recover moves a resting server one step on if its trial calls succeeded or if no node tried it for long.
-func (owner *Owner) recover(now time.Duration, record *healthRecord, name string, reports *evidence) {
+// advanceRecovery moves a resting server one step on if its trial calls succeeded or if no node tried it for long.
+func (manager *Manager) advanceRecovery(now time.Duration, record *healthRecord, name string, reports *evidence) {
 	passed := now - record.steppedAt
 	switch {
-	case passed < owner.quarantineTime(record):
-	case reports != nil && bad(reports.total):
+	case passed < manager.quarantineTime(record):
+	case reports != nil && failing(reports.total):
 		if record.resting < recoverySteps {
 			record.relapses++
 		}
 		record.resting, record.steppedAt = recoverySteps, now
-	case reports == nil && passed < untriedMultiple*owner.quarantineTime(record):
+	case reports == nil && passed < untriedMultiple*manager.quarantineTime(record):
 	default:
 		record.resting, record.steppedAt, record.recoveredAt = record.resting-1, now, now
 		if record.resting == 0 {
-			owner.emit(contract.Log{Message: "server serves again", Attributes: []any{"server", name}})
+			manager.emit(contract.Log{Message: "server serves again", Attributes: []any{"server", name}})
 		}
 	}
 }
@@ -184,7 +184,7 @@
 }
 
 // evaluatePool decides for the servers of one pool which of them start to rest and which advance in their recovery.
-func (owner *Owner) evaluatePool(now time.Duration, shard *shardState, rows []contract.ListedServer, evidenceByServer map[string]*evidence, nodes, zones int) {
+func (manager *Manager) evaluatePool(now time.Duration, shard *shardState, rows []contract.ListedServer, evidenceByServer map[string]*evidence, nodes, zones int) {
 	mean, resting := 0.0, 0
 	for _, row := range rows {
 		mean += evidenceByServer[row.Name].failureRate() / float64(len(rows))
@@ -197,15 +197,15 @@
 		switch {
 		case record == nil:
 		case record.resting > 0:
-			owner.recover(now, record, row.Name, reports)
-		case reports == nil || now-record.reportedSince < owner.bounds.Lease() || now >= record.watchedUntil:
+			manager.advanceRecovery(now, record, row.Name, reports)
+		case reports == nil || now-record.reportedSince < manager.bounds.Lease() || now >= record.watchedUntil:
 		case nodes >= minFleetNodes && reports.confirmed(nodes, zones) && reports.failureRate() >= meanMultiple*mean && 2*(resting+1) <= len(rows):
 			resting++
 			if record.recoveredAt > 0 {
 				record.relapses++
 			}
 			record.resting, record.steppedAt = recoverySteps, now
-			owner.emit(contract.AddCounter{Name: "servers_rested", Delta: 1},
+			manager.emit(contract.AddCounter{Name: "servers_rested", Delta: 1},
 				contract.Log{Message: "server rests for all", Attributes: []any{"server", row.Name, "bad", reports.total.Failures(), "well", reports.total.Succeeded, "zones", len(reports.zones)}})
 		}
 	}
--- a/shard/condition_test.go
+++ b/shard/condition_test.go
@@ -12,9 +12,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// fixture is the owner of one shard with its own clock, servers s0, s1, ..., and data nodes spread over zones.
+// fixture is the manager of one shard with its own clock, servers s0, s1, ..., and data nodes spread over zones.
 type fixture struct {
-	*Owner
+	*Manager
 	now       time.Duration
 	nodes     []contract.Member
 	listing   contract.Listing
@@ -25,7 +25,7 @@
 
 func newFixture(servers, nodes, zones int) *fixture {
 	self := contract.Member{Name: "east-control", Kind: contract.KindControl, Region: "east", Zone: "zone0", Address: "owner:1"}
-	created := &fixture{Owner: New(self, env.DefaultBounds()), now: time.Second, tallies: map[string]map[string]contract.CallTally{}, leases: map[string]contract.Lease{}}
+	created := &fixture{Manager: New(self, env.DefaultBounds()), now: time.Second, tallies: map[string]map[string]contract.CallTally{}, leases: map[string]contract.Lease{}}
 	created.SetAdvisoryLeases(true)
 	created.nodes = append(created.nodes, self)
 	for node := range nodes {
--- a/shard/duty.go
+++ b/shard/duty.go
@@ -9,10 +9,10 @@
 	"github.com/cedarreel/cedarreel/retire"
 )
 
-const maxFinished = 64 // ended retirements that are kept for operators, per shard
+const maxEndedRetirements = 64 // ended retirements that are kept for operators, per shard
 
-// Retired is a running or ended retirement as operators see it.
-type Retired struct {
+// RetirementStatus is a running or ended retirement as operators see it.
+type RetirementStatus struct {
 	Server string       `json:"server"`
 	Shard  int          `json:"shard"`
 	Region string       `json:"region"`
@@ -26,26 +26,26 @@
 
 // Status is the state of one shard as its owner reports it to operators.
 type Status struct {
-	Region  string    `json:"region"`
-	Shard   int       `json:"shard"`
-	Owner   string    `json:"owner"`
-	Epoch   int64     `json:"epoch"`
-	Number  int64     `json:"number"`  // version of the list within the epoch
-	Servers []string  `json:"servers"` // servers on the list
-	Retired []Retired `json:"retired"` // running retirements, then the latest ended ones
+	Region      string             `json:"region"`
+	Shard       int                `json:"shard"`
+	Owner       string             `json:"owner"`
+	Epoch       int64              `json:"epoch"`
+	ListNumber  int64              `json:"number"`  // version of the list within the epoch
+	Servers     []string           `json:"servers"` // servers on the list
+	Retirements []RetirementStatus `json:"retired"` // running retirements, then the latest ended ones
 }
 
 // surplus returns the loaded servers beyond the scale in the manifest with the cause to retire them, and the unloaded ones to load again.
-func (owner *Owner) surplus() (map[string]retire.Cause, map[string]bool) {
+func (manager *Manager) surplus() (map[string]retire.Cause, map[string]bool) {
 	causes, wanted := map[string]retire.Cause{}, map[string]bool{}
 	pools := map[string][]contract.ListedServer{}
-	for _, row := range owner.listing.Servers {
-		if !row.Leaving && !owner.zoneDrained(row.Zone) {
+	for _, row := range manager.listing.Servers {
+		if !row.Leaving && !manager.zoneDrained(row.Zone) {
 			pools[row.Pool] = append(pools[row.Pool], row)
 		}
 	}
 	for _, name := range manifest.SortedKeys(pools) {
-		pool, found := owner.seen.Manifest.Pools[name]
+		pool, found := manager.clusterState.Manifest.Pools[name]
 		if !found {
 			continue
 		}
@@ -67,37 +67,37 @@
 }
 
 // updateRetirements starts, continues and ends the retirements of a shard's servers.
-func (owner *Owner) updateRetirements(now time.Duration, shard *shardState) {
-	surplus, wanted := owner.surplus()
+func (manager *Manager) updateRetirements(now time.Duration, shard *shardState) {
+	surplus, wanted := manager.surplus()
 	present := map[string]bool{}
-	for _, row := range owner.shardServers(shard) {
+	for _, row := range manager.shardServers(shard) {
 		present[row.Name] = true
 		if wanted[row.Name] {
-			owner.sendOrder(now, shard, row.Name, true)
+			manager.sendOrder(now, shard, row.Name, true)
 			continue
 		}
 		cause, leaving := surplus[row.Name]
-		if owner.zoneDrained(row.Zone) && !row.Unloaded {
+		if manager.zoneDrained(row.Zone) && !row.Unloaded {
 			cause, leaving = retire.Drain, true
 		}
 		if row.Leaving {
 			cause, leaving = retire.Reclaim, true
 		}
-		owner.updateRetirement(now, shard, row, cause, leaving)
+		manager.updateRetirement(now, shard, row, cause, leaving)
 	}
 	for _, name := range manifest.SortedKeys(shard.retirements) {
 		retirement := shard.retirements[name]
 		if !present[name] {
-			owner.endRetirement(now, shard, retirement, "the platform no longer lists it")
+			manager.endRetirement(now, shard, retirement, "the platform no longer lists it")
 			continue
 		}
-		owner.stepRetirement(now, shard, retirement)
+		manager.stepRetirement(now, shard, retirement)
 	}
 }
 
 // updateRetirement starts or ends the retirement of one server as its cause for leaving appears, changes or disappears.
-func (owner *Owner) updateRetirement(now time.Duration, shard *shardState, row contract.ListedServer, cause retire.Cause, leaving bool) {
-	server := owner.servers[row.Name]
+func (manager *Manager) updateRetirement(now time.Duration, shard *shardState, row contract.ListedServer, cause retire.Cause, leaving bool) {
+	server := manager.servers[row.Name]
 	retirement, running := shard.retirements[row.Name]
 	if !leaving || row.Unloaded {
 		delete(shard.abortedScales, row.Name)
@@ -106,41 +106,41 @@
 			server.ramping, server.rampStart = true, now
 		}
 		if running {
-			owner.endRetirement(now, shard, retirement, "its cause is over")
+			manager.endRetirement(now, shard, retirement, "its cause is over")
 			server.ramping, server.rampStart = true, now
 		}
 		return
 	}
 	if shard.released[row.Name] == row.Incarnation {
-		owner.sendOrder(now, shard, row.Name, false)
+		manager.sendOrder(now, shard, row.Name, false)
 		return
 	}
 	remaining := time.Duration(row.RemainingMs) * time.Millisecond
 	if running && retirement.Cause == cause {
 		if remaining > 0 {
-			retirement.ShortenDeadline(owner.listedAt + remaining)
+			retirement.ShortenDeadline(manager.listedAt + remaining)
 		}
 		return
 	}
-	pool := owner.seen.Manifest.Pools[row.Pool]
+	pool := manager.clusterState.Manifest.Pools[row.Pool]
 	if scale, found := shard.abortedScales[row.Name]; found && cause == retire.ScaleDown && scale == pool.Scale {
 		return
 	}
 	if running {
-		owner.endRetirement(now, shard, retirement, "a stronger cause came")
+		manager.endRetirement(now, shard, retirement, "a stronger cause came")
 	}
-	terms := retire.Terms{Retirement: owner.seen.Manifest.Retirement, Lease: owner.bounds.Lease(), MessageMargin: owner.bounds.LeaseRenewal(), Remaining: remaining}
+	terms := retire.Terms{Retirement: manager.clusterState.Manifest.Retirement, Lease: manager.bounds.Lease(), MessageMargin: manager.bounds.LeaseRenewal(), Remaining: remaining}
 	shard.retirements[row.Name] = retire.New(now, row.Name, row.Incarnation, cause, shard.listNumber+1, terms)
-	owner.emit(contract.AddCounter{Name: "retirements", Delta: 1}, contract.Log{Message: "retirement started", Attributes: []any{"server", row.Name, "cause", cause}})
-	owner.refreshList(now, shard)
+	manager.emit(contract.AddCounter{Name: "retirements", Delta: 1}, contract.Log{Message: "retirement started", Attributes: []any{"server", row.Name, "cause", cause}})
+	manager.refreshList(now, shard)
 	shard.retirements[row.Name].ListNumber = shard.listNumber
 }
 
 // stepRetirement advances one retirement by the nodes' latest acknowledgements.
-func (owner *Owner) stepRetirement(now time.Duration, shard *shardState, retirement *retire.Retirement) {
+func (manager *Manager) stepRetirement(now time.Duration, shard *shardState, retirement *retire.Retirement) {
 	progress := retire.Evidence{Nodes: map[string]retire.NodeStatus{}}
 	for node, ack := range shard.nodeAcks {
-		if now-ack.GrantedAt > owner.bounds.Return() {
+		if now-ack.GrantedAt > manager.bounds.Return() {
 			continue
 		}
 		ack.Calls = shard.callsByNode[node][retirement.Server]
@@ -148,78 +148,78 @@
 	}
 	readNow, ended := retirement.Step(now, progress)
 	if ended && retirement.State == retire.Released {
-		owner.releaseServer(now, shard, retirement)
+		manager.releaseServer(now, shard, retirement)
 		return
 	}
 	if ended {
 		pool := ""
-		for _, row := range owner.listing.Servers {
+		for _, row := range manager.listing.Servers {
 			if row.Name == retirement.Server {
 				pool = row.Pool
 			}
 		}
-		shard.abortedScales[retirement.Server] = owner.seen.Manifest.Pools[pool].Scale
-		owner.emit(contract.AddCounter{Name: "retirements_aborted", Delta: 1})
-		owner.endRetirement(now, shard, retirement, retirement.Reason)
+		shard.abortedScales[retirement.Server] = manager.clusterState.Manifest.Pools[pool].Scale
+		manager.emit(contract.AddCounter{Name: "retirements_aborted", Delta: 1})
+		manager.endRetirement(now, shard, retirement, retirement.Reason)
 		return
 	}
-	if server := owner.servers[retirement.Server]; readNow && server != nil {
+	if server := manager.servers[retirement.Server]; readNow && server != nil {
 		server.nextRead = now
 	}
 }
 
 // releaseServer ends a retirement whose server is empty and orders the platform to unload it.
-func (owner *Owner) releaseServer(now time.Duration, shard *shardState, retirement *retire.Retirement) {
+func (manager *Manager) releaseServer(now time.Duration, shard *shardState, retirement *retire.Retirement) {
 	shard.released[retirement.Server] = retirement.Incarnation
-	owner.emit(contract.AddCounter{Name: "retirements_released", Delta: 1})
-	owner.endRetirement(now, shard, retirement, retirement.Reason)
-	owner.sendOrder(now, shard, retirement.Server, false)
+	manager.emit(contract.AddCounter{Name: "retirements_released", Delta: 1})
+	manager.endRetirement(now, shard, retirement, retirement.Reason)
+	manager.sendOrder(now, shard, retirement.Server, false)
 }
 
 // endRetirement removes a retirement and records the reason for operators.
-func (owner *Owner) endRetirement(now time.Duration, shard *shardState, retirement *retire.Retirement, reason string) {
+func (manager *Manager) endRetirement(now time.Duration, shard *shardState, retirement *retire.Retirement, reason string) {
 	delete(shard.retirements, retirement.Server)
-	entry := owner.retirementStatus(now, shard, retirement)
+	entry := manager.retirementStatus(now, shard, retirement)
 	entry.Reason = reason
-	shard.finished = append(shard.finished, entry)
-	if len(shard.finished) > maxFinished {
-		shard.finished = shard.finished[1:]
+	shard.endedRetirements = append(shard.endedRetirements, entry)
+	if len(shard.endedRetirements) > maxEndedRetirements {
+		shard.endedRetirements = shard.endedRetirements[1:]
 	}
-	owner.emit(contract.Log{Message: "retirement ended", Attributes: []any{"server", retirement.Server, "state", retirement.State, "why", reason}})
+	manager.emit(contract.Log{Message: "retirement ended", Attributes: []any{"server", retirement.Server, "state", retirement.State, "why", reason}})
 }
 
 // sendOrder orders the platform to load or unload a server, at most once in two platform polls.
-func (owner *Owner) sendOrder(now time.Duration, shard *shardState, name string, load bool) {
-	server := owner.servers[name]
-	if server == nil || now-server.orderedAt < owner.bounds.PlatformPoll()*2 {
+func (manager *Manager) sendOrder(now time.Duration, shard *shardState, name string, load bool) {
+	server := manager.servers[name]
+	if server == nil || now-server.orderedAt < manager.bounds.PlatformPoll()*2 {
 		return
 	}
 	server.orderedAt = now
-	owner.emit(Order{Server: name, Shard: shard.index, Load: load, Epoch: shard.epoch})
+	manager.emit(Order{Server: name, Shard: shard.index, Load: load, Epoch: shard.epoch})
 }
 
-func (owner *Owner) retirementStatus(now time.Duration, shard *shardState, retirement *retire.Retirement) Retired {
-	return Retired{Server: retirement.Server, Shard: shard.index, Region: owner.self.Region, Cause: retirement.Cause, State: retirement.State,
+func (manager *Manager) retirementStatus(now time.Duration, shard *shardState, retirement *retire.Retirement) RetirementStatus {
+	return RetirementStatus{Server: retirement.Server, Shard: shard.index, Region: manager.self.Region, Cause: retirement.Cause, State: retirement.State,
 		Reason: retirement.Reason, Epoch: shard.epoch.Number, Tries: retirement.Attempts, AgeMs: (now - retirement.WithdrawnAt).Milliseconds()}
 }
 
 // Status returns the state of each shard that this node owns.
-func (owner *Owner) Status(now time.Duration) []Status {
+func (manager *Manager) Status(now time.Duration) []Status {
 	statuses := []Status{}
-	for _, index := range sortedIndexes(owner.shardStates) {
-		shard := owner.shardStates[index]
+	for _, index := range sortedIndexes(manager.shardStates) {
+		shard := manager.shardStates[index]
 		if !shard.isOwner {
 			continue
 		}
-		status := Status{Region: owner.self.Region, Shard: index, Owner: owner.self.Name, Epoch: shard.epoch.Number, Number: shard.listNumber,
-			Servers: []string{}, Retired: []Retired{}}
-		for _, row := range owner.eligibleServers(now, shard) {
+		status := Status{Region: manager.self.Region, Shard: index, Owner: manager.self.Name, Epoch: shard.epoch.Number, ListNumber: shard.listNumber,
+			Servers: []string{}, Retirements: []RetirementStatus{}}
+		for _, row := range manager.eligibleServers(now, shard) {
 			status.Servers = append(status.Servers, row.Name)
 		}
 		for _, name := range manifest.SortedKeys(shard.retirements) {
-			status.Retired = append(status.Retired, owner.retirementStatus(now, shard, shard.retirements[name]))
+			status.Retirements = append(status.Retirements, manager.retirementStatus(now, shard, shard.retirements[name]))
 		}
-		status.Retired = append(status.Retired, shard.finished...)
+		status.Retirements = append(status.Retirements, shard.endedRetirements...)
 		statuses = append(statuses, status)
 	}
 	return statuses
--- a/shard/idle_test.go
+++ b/shard/idle_test.go
@@ -12,7 +12,7 @@
 
 // poller is one of two control nodes of a region with one shard; its reads of the platform are recorded.
 type poller struct {
-	*Owner
+	*Manager
 	now          time.Duration
 	members      []contract.Member
 	pollTimes    []time.Duration
@@ -24,7 +24,7 @@
 		return contract.Member{Name: name, Kind: contract.KindControl, Region: "east", Zone: "zone", Address: name}
 	}
 	both := contract.RendezvousOrder(HashKey("east", 0), []string{"left", "right"})
-	fixture := &poller{Owner: New(member(both[1]), env.DefaultBounds()), now: time.Second, members: []contract.Member{member(both[0]), member(both[1])}}
+	fixture := &poller{Manager: New(member(both[1]), env.DefaultBounds()), now: time.Second, members: []contract.Member{member(both[0]), member(both[1])}}
 	fixture.SetAdvisoryLeases(prompt)
 	return fixture
 }
@@ -52,7 +52,7 @@
 	ginkgo.It("given advisory leases and a node without shards, when time passes, then it polls a third as often as the owner and is not blind", func() {
 		idle := newPoller(true)
 		Expect(idle.advance(30*poll, true)).To(BeNumerically("~", 10, 1))
-		Expect(idle.Blind()).To(BeFalse())
+		Expect(idle.PlatformUnreadable()).To(BeFalse())
 		idle.members = idle.members[1:]
 		Expect(idle.advance(30*poll, true)).To(BeNumerically("~", 30, 2))
 	})
@@ -80,17 +80,17 @@
 	})
 
 	ginkgo.It("given an idle node without answers, when two more of its polls are due, then it is blind, and an owner is sooner", func() {
-		idle, owner := newPoller(true), newPoller(true)
-		owner.members = owner.members[1:]
-		for _, node := range []*poller{idle, owner} {
+		idle, manager := newPoller(true), newPoller(true)
+		manager.members = manager.members[1:]
+		for _, node := range []*poller{idle, manager} {
 			node.advance(3*poll+20*time.Millisecond, true)
 		}
 		last := idle.listedAt
-		owner.advance(owner.listedAt+env.DefaultBounds().Lease()+50*time.Millisecond-owner.now, false)
-		Expect(owner.Blind()).To(BeTrue())
+		manager.advance(manager.listedAt+env.DefaultBounds().Lease()+50*time.Millisecond-manager.now, false)
+		Expect(manager.PlatformUnreadable()).To(BeTrue())
 		idle.advance(last+env.DefaultBounds().Lease()+2*poll-idle.now, false)
-		Expect(idle.Blind()).To(BeFalse())
+		Expect(idle.PlatformUnreadable()).To(BeFalse())
 		idle.advance(50*time.Millisecond, false)
-		Expect(idle.Blind()).To(BeTrue())
+		Expect(idle.PlatformUnreadable()).To(BeTrue())
 	})
 })
--- a/shard/observed.go
+++ b/shard/observed.go
@@ -23,8 +23,8 @@
 	nextMerge time.Duration
 }
 
-// record stores what a node reports of its own calls; an empty report removes it.
-func (all *observations) record(node string, observed contract.CallObservations) {
+// add stores what a node reports of its own calls; an empty report removes it.
+func (all *observations) add(node string, observed contract.CallObservations) {
 	if len(observed.ShortPromptGapMs)+len(observed.PrefillUsPerK) == 0 {
 		delete(all.byNode, node)
 		return
@@ -36,14 +36,14 @@
 }
 
 // mergedObservations merges the reports of the nodes that asked within a lease's time.
-func (owner *Owner) mergedObservations(now time.Duration, shard *shardState) contract.CallObservations {
+func (manager *Manager) mergedObservations(now time.Duration, shard *shardState) contract.CallObservations {
 	all := &shard.observations
 	if now < all.nextMerge {
 		return all.merged
 	}
-	all.nextMerge = now + owner.bounds.Withdraw()/8/mergesPerRequest
+	all.nextMerge = now + manager.bounds.Withdraw()/8/mergesPerRequest
 	for _, node := range slices.Collect(maps.Keys(all.byNode)) {
-		if now-shard.nodeAcks[node].ReportedAt >= owner.bounds.Lease() {
+		if now-shard.nodeAcks[node].ReportedAt >= manager.bounds.Lease() {
 			delete(all.byNode, node)
 		}
 	}
--- a/shard/observed_test.go
+++ b/shard/observed_test.go
@@ -19,7 +19,7 @@
 			fixture.Handle(fixture.now, ListingResult{StartedAt: fixture.now, Listing: fixture.listing})
 			body, err := json.Marshal(request)
 			Expect(err).NotTo(HaveOccurred())
-			fixture.Handle(fixture.now, ClusterState{Members: fixture.nodes, Manifest: fixture.seen.Manifest})
+			fixture.Handle(fixture.now, ClusterState{Members: fixture.nodes, Manifest: fixture.clusterState.Manifest})
 			for _, command := range fixture.Handle(fixture.now, contract.Message{Kind: MessageLeaseRequest, Body: body}) {
 				if lease, found := fixture.lease(command); found {
 					return lease.ShortPromptGapMs
@@ -39,24 +39,24 @@
 	})
 
 	ginkgo.It("given many requests within a moment, when they are answered, then the nodes' reports are merged once", func() {
-		shard, owner := &shardState{nodeAcks: map[string]retire.NodeStatus{}}, newFixture(1, 1, 1)
-		shard.observations.record("node00", contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 5}})
-		shard.nodeAcks["node00"] = retire.NodeStatus{ReportedAt: owner.now}
-		Expect(owner.mergedObservations(owner.now, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 5}))
+		shard, manager := &shardState{nodeAcks: map[string]retire.NodeStatus{}}, newFixture(1, 1, 1)
+		shard.observations.add("node00", contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 5}})
+		shard.nodeAcks["node00"] = retire.NodeStatus{ReportedAt: manager.now}
+		Expect(manager.mergedObservations(manager.now, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 5}))
 		nextMerge := shard.observations.nextMerge
-		Expect(nextMerge).To(BeNumerically(">", owner.now))
-		shard.observations.record("node00", contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 4}})
-		Expect(owner.mergedObservations(nextMerge-1, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 5}))
-		Expect(owner.mergedObservations(nextMerge, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 4}))
+		Expect(nextMerge).To(BeNumerically(">", manager.now))
+		shard.observations.add("node00", contract.CallObservations{ShortPromptGapMs: map[string]int64{"s": 4}})
+		Expect(manager.mergedObservations(nextMerge-1, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 5}))
+		Expect(manager.mergedObservations(nextMerge, shard).ShortPromptGapMs).To(Equal(map[string]int64{"s": 4}))
 	})
 
 	ginkgo.It("given reading times with outliers on both sides, when they are merged, then a low quantile is used", func() {
 		all := &observations{}
 		for place, read := range []int64{90000, 31000, 30000, 1, 32000, 200000, 0} {
-			all.record(string(rune('a'+place)), contract.CallObservations{PrefillUsPerK: map[string]int64{"s": read}, ShortPromptGapMs: map[string]int64{"s": 1}})
+			all.add(string(rune('a'+place)), contract.CallObservations{PrefillUsPerK: map[string]int64{"s": read}, ShortPromptGapMs: map[string]int64{"s": 1}})
 		}
 		Expect(all.readTimes()).To(Equal(map[string]int64{"s": 31000}))
-		all.record("a", contract.CallObservations{})
+		all.add("a", contract.CallObservations{})
 		Expect(all.byNode).To(HaveLen(6))
 	})
 })
--- a/shard/reports.go
+++ b/shard/reports.go
@@ -7,28 +7,28 @@
 )
 
 // handleReport updates a server's state by its report, or forwards the report to the peer that asked for it.
-func (owner *Owner) handleReport(now time.Duration, event ReportResult) {
+func (manager *Manager) handleReport(now time.Duration, event ReportResult) {
 	if event.Request.ReplyTo != "" {
-		owner.emit(contract.Send{To: event.Request.ReplyTo, Kind: MessageReportReply, Body: ReportReply{Server: event.Server, RequestedAt: event.Request.RequestedAt, Report: event.Report, Error: event.Error}})
+		manager.emit(contract.Send{To: event.Request.ReplyTo, Kind: MessageReportReply, Body: ReportReply{Server: event.Server, RequestedAt: event.Request.RequestedAt, Report: event.Report, Error: event.Error}})
 		return
 	}
-	server, found := owner.servers[event.Server]
-	if !found || event.Error != "" && !event.ViaPeer && owner.requestReportFromPeer(now, event.Server) {
+	server, found := manager.servers[event.Server]
+	if !found || event.Error != "" && !event.ViaPeer && manager.requestReportFromPeer(now, event.Server) {
 		return
 	}
 	server.readPending = false
 	if event.Error == "" && !event.Report.Complete {
-		owner.emit(contract.AddCounter{Name: "reports_partial", Delta: 1})
+		manager.emit(contract.AddCounter{Name: "reports_partial", Delta: 1})
 	}
 	if event.Error != "" {
 		server.failures++
-		owner.emit(contract.AddCounter{Name: "reports_broken", Delta: 1})
+		manager.emit(contract.AddCounter{Name: "reports_broken", Delta: 1})
 	} else if event.Report.Incarnation == server.incarnation {
 		if !server.reported {
 			server.reported = true
 			server.ramping = event.Report.Running == 0 && len(event.Report.Prefixes) == 0
 			server.rampStart = now
-			if !server.ramping && server.listedSince >= 0 && now-server.listedSince < owner.seen.Manifest.Retirement.Ramp {
+			if !server.ramping && server.listedSince >= 0 && now-server.listedSince < manager.clusterState.Manifest.Retirement.RampDuration {
 				server.ramping, server.rampStart = true, server.listedSince
 			}
 		}
@@ -40,10 +40,10 @@
 		}
 		server.failures, server.report = 0, event.Report
 	}
-	for _, index := range sortedIndexes(owner.shardStates) {
-		if retirement, found := owner.shardStates[index].retirements[event.Server]; found && owner.shardStates[index].isOwner {
+	for _, index := range sortedIndexes(manager.shardStates) {
+		if retirement, found := manager.shardStates[index].retirements[event.Server]; found && manager.shardStates[index].isOwner {
 			if retirement.Read(now, event.ReadResult) {
-				owner.releaseServer(now, owner.shardStates[index], retirement)
+				manager.releaseServer(now, manager.shardStates[index], retirement)
 			}
 		}
 	}
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -1,4 +1,4 @@
-// Package shard runs the owner of a shard: it polls the platform and server reports and grants server lists as leases under an epoch.
+// Package shard manages the shards that a control node owns: it polls the platform and server reports and grants server lists as leases under an epoch.
 package shard
 
 import (
@@ -104,222 +104,222 @@
 }
 
 type shardState struct {
-	index           int
-	isOwner         bool
-	preferredSince  time.Duration  // since when this node is the preferred owner, -1 if it is not
-	epoch           contract.Epoch // epoch of the leases granted here
-	highestEpoch    contract.Epoch // highest epoch that any node has reported
-	takenAt         time.Duration  // last take-over
-	listNumber      int64          // version of the list within the epoch
-	fingerprint     string         // servers on the list and their condition
-	listRows        []contract.ListedServer
-	listVersion     int64                        // Owner.stateVersion when the list was computed
-	nodeAcks        map[string]retire.NodeStatus // by node: the list that it last confirmed
-	callsByNode     map[string]map[string]int64  // by node and server: running calls
-	lingeringByNode map[string]map[string]int64  // by node and server: abandoned calls that the server may still run
-	rampShares      map[string]map[string]int64  // by server and node: calls granted during the ramp
-	retirements     map[string]*retire.Retirement
-	released        map[string]string // by server: the incarnation whose retirement ended in release
-	abortedScales   map[string]int64  // by server: the pool's scale when its retirement was aborted
-	tallies         map[string]map[string]contract.CallTally
-	serverHealth    map[string]*healthRecord
-	observations    observations
-	nextEvaluation  time.Duration
-	finished        []Retired // the latest ended retirements
+	index            int
+	isOwner          bool
+	preferredSince   time.Duration  // since when this node is the preferred owner, -1 if it is not
+	epoch            contract.Epoch // epoch of the leases granted here
+	highestEpoch     contract.Epoch // highest epoch that any node has reported
+	takenAt          time.Duration  // last take-over
+	listNumber       int64          // version of the list within the epoch
+	fingerprint      string         // servers on the list and their condition
+	listRows         []contract.ListedServer
+	listVersion      int64                        // Manager.stateVersion when the list was computed
+	nodeAcks         map[string]retire.NodeStatus // by node: the list that it last confirmed
+	callsByNode      map[string]map[string]int64  // by node and server: running calls
+	lingeringByNode  map[string]map[string]int64  // by node and server: abandoned calls that the server may still run
+	rampShares       map[string]map[string]int64  // by server and node: calls granted during the ramp
+	retirements      map[string]*retire.Retirement
+	released         map[string]string // by server: the incarnation whose retirement ended in release
+	abortedScales    map[string]int64  // by server: the pool's scale when its retirement was aborted
+	tallies          map[string]map[string]contract.CallTally
+	serverHealth     map[string]*healthRecord
+	observations     observations
+	nextEvaluation   time.Duration
+	endedRetirements []RetirementStatus // the latest ended retirements
 }
 
-// Owner is the control node's part for the shards of its region: it handles events and returns commands, and does no I/O itself.
-type Owner struct {
-	self            contract.Member
-	bounds          env.Bounds
-	seen            ClusterState
-	shardStates     map[int]*shardState
-	listing         contract.Listing
-	hasListing      bool
-	listedAt        time.Duration
-	pollPending     bool // a listing is being read
-	nextPoll        time.Duration
-	servers         map[string]*serverState
-	withdrawnZones  map[string]time.Duration // by zone: until when its servers stay off the lists
-	visibleSince    time.Duration            // since when listings arrive again
-	blind           bool                     // the platform cannot be read from this node
-	nextPeer        int
-	rampStarts      map[string]time.Duration // by incarnationKey: ramp starts learned from peers
-	nextRampRequest time.Duration
-	shardCount      int
-	stateVersion    int64 // counts events that may change a list
-	startedAt       time.Duration
-	hasStarted      bool
-	advisoryLeases  bool
-	out             []contract.Command
+// Manager is the state machine for the shards that a control node owns: it handles events and returns commands, and does no I/O itself.
+type Manager struct {
+	self               contract.Member
+	bounds             env.Bounds
+	clusterState       ClusterState
+	shardStates        map[int]*shardState
+	listing            contract.Listing
+	hasListing         bool
+	listedAt           time.Duration
+	pollPending        bool // a listing is being read
+	nextPoll           time.Duration
+	servers            map[string]*serverState
+	withdrawnZones     map[string]time.Duration // by zone: until when its servers stay off the lists
+	readableSince      time.Duration            // since when listings arrive again
+	platformUnreadable bool                     // the platform cannot be read from this node
+	nextPeer           int
+	rampStarts         map[string]time.Duration // by incarnationKey: ramp starts learned from peers
+	nextRampRequest    time.Duration
+	shardCount         int
+	stateVersion       int64 // counts events that may change a list
+	startedAt          time.Duration
+	hasStarted         bool
+	advisoryLeases     bool
+	out                []contract.Command
 }
 
-// New returns an owner for the control node self that owns no shard yet.
-func New(self contract.Member, bounds env.Bounds) *Owner {
-	return &Owner{self: self, bounds: bounds, shardStates: map[int]*shardState{}, servers: map[string]*serverState{}, withdrawnZones: map[string]time.Duration{}, rampStarts: map[string]time.Duration{}}
+// New returns the manager of the control node self, which owns no shard yet.
+func New(self contract.Member, bounds env.Bounds) *Manager {
+	return &Manager{self: self, bounds: bounds, shardStates: map[int]*shardState{}, servers: map[string]*serverState{}, withdrawnZones: map[string]time.Duration{}, rampStarts: map[string]time.Duration{}}
 }
 
 // SetAdvisoryLeases is set where data nodes use their last list even after its lease expires: a take-over then need not wait for old leases.
-func (owner *Owner) SetAdvisoryLeases(advisoryLeases bool) { owner.advisoryLeases = advisoryLeases }
+func (manager *Manager) SetAdvisoryLeases(enabled bool) { manager.advisoryLeases = enabled }
 
 // Handle processes one event at the time now, on this node's monotonic clock, and returns the resulting commands.
-func (owner *Owner) Handle(now time.Duration, event contract.Event) []contract.Command {
-	if !owner.hasStarted {
-		owner.hasStarted, owner.startedAt = true, now
+func (manager *Manager) Handle(now time.Duration, event contract.Event) []contract.Command {
+	if !manager.hasStarted {
+		manager.hasStarted, manager.startedAt = true, now
 	}
-	owner.out = nil
+	manager.out = nil
 	if message, ok := event.(contract.Message); !ok || message.Kind != MessageLeaseRequest {
-		owner.stateVersion++
+		manager.stateVersion++
 	}
 	switch event := event.(type) {
 	case ClusterState:
-		owner.seen = event
-		owner.tick(now)
+		manager.clusterState = event
+		manager.tick(now)
 	case ListingResult:
-		owner.handleListing(now, event)
+		manager.handleListing(now, event)
 	case ReportResult:
-		owner.handleReport(now, event)
+		manager.handleReport(now, event)
 	case OrderResult:
 		if event.Error != "" {
-			owner.emit(contract.AddCounter{Name: "orders_refused", Delta: 1})
+			manager.emit(contract.AddCounter{Name: "orders_refused", Delta: 1})
 		}
 	case contract.Message:
-		owner.message(now, event)
+		manager.handleMessage(now, event)
 	}
-	out := owner.out
-	owner.out = nil
+	out := manager.out
+	manager.out = nil
 	return out
 }
 
-func (owner *Owner) emit(commands ...contract.Command) { owner.out = append(owner.out, commands...) }
+func (manager *Manager) emit(added ...contract.Command) { manager.out = append(manager.out, added...) }
 
 // ResumeAfterFreeze gives up all shards after this process was frozen, since another node may have taken them over.
-func (owner *Owner) ResumeAfterFreeze(now time.Duration) {
-	for _, shard := range owner.shardStates {
+func (manager *Manager) ResumeAfterFreeze(now time.Duration) {
+	for _, shard := range manager.shardStates {
 		shard.isOwner, shard.preferredSince = false, -1
 	}
-	owner.hasListing, owner.pollPending = false, false
-	for _, server := range owner.servers {
+	manager.hasListing, manager.pollPending = false, false
+	for _, server := range manager.servers {
 		server.readPending = false
 	}
 }
 
-func (owner *Owner) message(now time.Duration, message contract.Message) {
+func (manager *Manager) handleMessage(now time.Duration, message contract.Message) {
 	switch message.Kind {
 	case MessageLeaseRequest:
 		var leaseRequest contract.LeaseRequest
-		if json.Unmarshal(message.Body, &leaseRequest) == nil && leaseRequest.Region == owner.self.Region {
-			owner.leaseRequest(now, leaseRequest)
+		if json.Unmarshal(message.Body, &leaseRequest) == nil && leaseRequest.Region == manager.self.Region {
+			manager.handleLeaseRequest(now, leaseRequest)
 		}
 	case MessageRampRequest, MessageRampReply:
-		owner.handleRampAges(now, message)
+		manager.handleRampAges(now, message)
 	case MessageReportRequest, MessageReportReply:
-		owner.handleReportExchange(now, message)
+		manager.handleReportExchange(now, message)
 	case MessageZoneWithdraw:
 		var order ZoneWithdraw
 		if json.Unmarshal(message.Body, &order) == nil {
-			owner.withdrawZone(now, order)
+			manager.withdrawZone(now, order)
 		}
 	}
 }
 
-func (owner *Owner) preferredOwner(index int) string {
-	return PreferredOwner(owner.seen.Members, owner.self.Region, index)
+func (manager *Manager) preferredOwner(index int) string {
+	return PreferredOwner(manager.clusterState.Members, manager.self.Region, index)
 }
 
 // HashKey is the key under which a shard ranks the control nodes by rendezvous hashing.
 func HashKey(region string, index int) string { return fmt.Sprintf("shard/%s/%d", region, index) }
 
-func (owner *Owner) tick(now time.Duration) {
-	shardCount := owner.seen.Manifest.Regions[owner.self.Region].Shards
+func (manager *Manager) tick(now time.Duration) {
+	shardCount := manager.clusterState.Manifest.Regions[manager.self.Region].Shards
 	for index := 0; index < shardCount; index++ {
-		if _, found := owner.shardStates[index]; !found {
-			owner.shardStates[index] = &shardState{index: index, preferredSince: -1, nodeAcks: map[string]retire.NodeStatus{}, callsByNode: map[string]map[string]int64{}, lingeringByNode: map[string]map[string]int64{},
+		if _, found := manager.shardStates[index]; !found {
+			manager.shardStates[index] = &shardState{index: index, preferredSince: -1, nodeAcks: map[string]retire.NodeStatus{}, callsByNode: map[string]map[string]int64{}, lingeringByNode: map[string]map[string]int64{},
 				retirements: map[string]*retire.Retirement{}, released: map[string]string{}, abortedScales: map[string]int64{},
 				tallies: map[string]map[string]contract.CallTally{}, serverHealth: map[string]*healthRecord{}}
 		}
 	}
-	if owner.shardCount != shardCount {
-		owner.changeShardCount(now, shardCount)
+	if manager.shardCount != shardCount {
+		manager.changeShardCount(now, shardCount)
 	}
-	owner.updateVisibility(now)
-	owner.requestRampAges(now)
-	for zone, until := range owner.withdrawnZones {
+	manager.updatePlatformReadable(now)
+	manager.requestRampAges(now)
+	for zone, until := range manager.withdrawnZones {
 		if now > until {
-			delete(owner.withdrawnZones, zone)
+			delete(manager.withdrawnZones, zone)
 		}
 	}
-	owner.pollPlatform(now)
+	manager.pollPlatform(now)
 	owned := int64(0)
 	for index := 0; index < shardCount; index++ {
-		owner.tickShard(now, owner.shardStates[index])
-		if owner.shardStates[index].isOwner {
+		manager.tickShard(now, manager.shardStates[index])
+		if manager.shardStates[index].isOwner {
 			owned++
 		}
 	}
-	owner.emit(contract.SetGauge{Name: "shards_owned", Value: owned})
+	manager.emit(contract.SetGauge{Name: "shards_owned", Value: owned})
 }
 
-func (owner *Owner) pollPlatform(now time.Duration) {
-	if len(owner.shardStates) == 0 || owner.pollPending && now < owner.nextPoll+owner.bounds.PlatformPoll() || now < owner.nextPoll && !owner.pollOverdue(now) {
+func (manager *Manager) pollPlatform(now time.Duration) {
+	if len(manager.shardStates) == 0 || manager.pollPending && now < manager.nextPoll+manager.bounds.PlatformPoll() || now < manager.nextPoll && !manager.pollOverdue(now) {
 		return
 	}
-	owner.pollPending, owner.nextPoll = true, now+owner.pollInterval()
-	owner.emit(ReadPlatform{Region: owner.self.Region})
+	manager.pollPending, manager.nextPoll = true, now+manager.pollInterval()
+	manager.emit(ReadPlatform{Region: manager.self.Region})
 }
 
-func (owner *Owner) handleListing(now time.Duration, event ListingResult) {
-	if event.Region != "" && event.Region != owner.self.Region {
+func (manager *Manager) handleListing(now time.Duration, event ListingResult) {
+	if event.Region != "" && event.Region != manager.self.Region {
 		return
 	}
-	owner.pollPending = false
+	manager.pollPending = false
 	if event.Error != "" {
-		owner.nextPoll = min(owner.nextPoll, now+owner.bounds.PlatformPoll())
-		owner.emit(contract.AddCounter{Name: "listings_broken", Delta: 1})
+		manager.nextPoll = min(manager.nextPoll, now+manager.bounds.PlatformPoll())
+		manager.emit(contract.AddCounter{Name: "listings_broken", Delta: 1})
 		return
 	}
-	if owner.hasListing && event.StartedAt < owner.listedAt {
+	if manager.hasListing && event.StartedAt < manager.listedAt {
 		return
 	}
-	hadListing := owner.hasListing
-	if !owner.listingFresh(event.StartedAt) {
-		owner.visibleSince = event.StartedAt
+	hadListing := manager.hasListing
+	if !manager.listingFresh(event.StartedAt) {
+		manager.readableSince = event.StartedAt
 	}
-	owner.listing, owner.listedAt = event.Listing, event.StartedAt
-	owner.hasListing = true
+	manager.listing, manager.listedAt = event.Listing, event.StartedAt
+	manager.hasListing = true
 	present := map[string]bool{}
 	for _, row := range event.Listing.Servers {
 		present[row.Name] = true
-		server, found := owner.servers[row.Name]
+		server, found := manager.servers[row.Name]
 		if !found {
-			server = &serverState{incarnation: row.Incarnation, orderedAt: -owner.bounds.Return(), listedSince: -1}
+			server = &serverState{incarnation: row.Incarnation, orderedAt: -manager.bounds.Return(), listedSince: -1}
 			if hadListing {
 				server.listedSince = now
 			}
-			owner.servers[row.Name] = server
+			manager.servers[row.Name] = server
 		}
 		if server.incarnation != row.Incarnation {
 			server.incarnation, server.reported, server.ramping, server.failures = row.Incarnation, false, false, 0
 			server.listedSince = now
 		}
 		server.warmUntil = event.StartedAt + time.Duration(row.WarmupMs)*time.Millisecond
-		owner.applyPeerRampStart(now, row.Name)
+		manager.applyPeerRampStart(now, row.Name)
 	}
-	for name := range owner.servers {
+	for name := range manager.servers {
 		if !present[name] {
-			delete(owner.servers, name)
+			delete(manager.servers, name)
 		}
 	}
 }
 
-func (owner *Owner) listingFresh(now time.Duration) bool {
-	return owner.hasListing && now-owner.listedAt < owner.bounds.PlatformGrace()
+func (manager *Manager) listingFresh(now time.Duration) bool {
+	return manager.hasListing && now-manager.listedAt < manager.bounds.PlatformGrace()
 }
 
-func (owner *Owner) tickShard(now time.Duration, shard *shardState) {
-	if owner.preferredOwner(shard.index) != owner.self.Name {
+func (manager *Manager) tickShard(now time.Duration, shard *shardState) {
+	if manager.preferredOwner(shard.index) != manager.self.Name {
 		if shard.isOwner {
-			owner.emit(contract.Log{Message: "shard ownership released", Attributes: []any{"shard", shard.index}})
+			manager.emit(contract.Log{Message: "shard ownership released", Attributes: []any{"shard", shard.index}})
 		}
 		shard.isOwner, shard.preferredSince = false, -1
 		return
@@ -328,62 +328,62 @@
 		shard.preferredSince = now
 	}
 	if !shard.isOwner {
-		waitedLongEnough := now-owner.startedAt >= owner.bounds.Lease() && now-shard.preferredSince >= owner.bounds.Round()
-		if owner.advisoryLeases {
-			waitedLongEnough = now-shard.preferredSince >= owner.takeOverDelay(now)
+		waitedLongEnough := now-manager.startedAt >= manager.bounds.Lease() && now-shard.preferredSince >= manager.bounds.Round()
+		if manager.advisoryLeases {
+			waitedLongEnough = now-shard.preferredSince >= manager.takeOverDelay(now)
 		}
-		ready := waitedLongEnough && owner.listingFresh(now)
+		ready := waitedLongEnough && manager.listingFresh(now)
 		if !ready {
 			return
 		}
-		owner.takeOver(now, shard)
+		manager.takeOver(now, shard)
 	}
-	owner.requestReports(now, shard)
-	if owner.hasListing {
-		owner.updateRetirements(now, shard)
+	manager.requestReports(now, shard)
+	if manager.hasListing {
+		manager.updateRetirements(now, shard)
 	}
-	owner.evaluateHealth(now, shard)
-	owner.refreshList(now, shard)
+	manager.evaluateHealth(now, shard)
+	manager.refreshList(now, shard)
 }
 
 // takeOverDelay is the wait for reports of a former owner's epoch under advisory leases; it is short while the whole fleet starts.
-func (owner *Owner) takeOverDelay(now time.Duration) time.Duration {
-	if now-owner.startedAt < 2*owner.bounds.Round() {
-		return owner.bounds.Round() / 5
+func (manager *Manager) takeOverDelay(now time.Duration) time.Duration {
+	if now-manager.startedAt < 2*manager.bounds.Round() {
+		return manager.bounds.Round() / 5
 	}
-	return owner.bounds.Round()
+	return manager.bounds.Round()
 }
 
-func (owner *Owner) takeOver(now time.Duration, shard *shardState) {
+func (manager *Manager) takeOver(now time.Duration, shard *shardState) {
 	shard.isOwner, shard.takenAt = true, now
-	shard.epoch = contract.Epoch{Number: shard.highestEpoch.Number + 1, Node: owner.self.Name, Incarnation: owner.self.Boot}
+	shard.epoch = contract.Epoch{Number: shard.highestEpoch.Number + 1, Node: manager.self.Name, Incarnation: manager.self.Boot}
 	shard.highestEpoch, shard.listNumber, shard.fingerprint = shard.epoch, 0, ""
 	shard.nodeAcks, shard.callsByNode, shard.lingeringByNode = map[string]retire.NodeStatus{}, map[string]map[string]int64{}, map[string]map[string]int64{}
 	shard.tallies, shard.serverHealth = map[string]map[string]contract.CallTally{}, map[string]*healthRecord{}
 	shard.rampShares = map[string]map[string]int64{}
 	shard.retirements, shard.released = map[string]*retire.Retirement{}, map[string]string{}
-	owner.emit(contract.AddCounter{Name: "take_overs", Delta: 1}, contract.Log{Message: "shard ownership acquired", Attributes: []any{"shard", shard.index, "epoch", shard.epoch.Number}})
+	manager.emit(contract.AddCounter{Name: "take_overs", Delta: 1}, contract.Log{Message: "shard ownership acquired", Attributes: []any{"shard", shard.index, "epoch", shard.epoch.Number}})
 }
 
-func (owner *Owner) shardServers(shard *shardState) []contract.ListedServer {
+func (manager *Manager) shardServers(shard *shardState) []contract.ListedServer {
 	rows := []contract.ListedServer{}
-	for _, row := range owner.listing.Servers {
-		if contract.ShardOf(row.Name, owner.shardCount) == shard.index {
+	for _, row := range manager.listing.Servers {
+		if contract.ShardOf(row.Name, manager.shardCount) == shard.index {
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-func (owner *Owner) requestReports(now time.Duration, shard *shardState) {
-	for _, row := range owner.shardServers(shard) {
-		server := owner.servers[row.Name]
+func (manager *Manager) requestReports(now time.Duration, shard *shardState) {
+	for _, row := range manager.shardServers(shard) {
+		server := manager.servers[row.Name]
 		_, retiring := shard.retirements[row.Name]
-		if row.Unloaded || row.AssumedReady && !retiring || now < server.nextRead || server.readPending && now < server.nextRead+owner.bounds.Lease() {
+		if row.Unloaded || row.AssumedReady && !retiring || now < server.nextRead || server.readPending && now < server.nextRead+manager.bounds.Lease() {
 			continue
 		}
-		server.readPending, server.nextRead = true, now+owner.bounds.PlatformPoll()
-		owner.emit(ReadReport{Server: row.Name, Address: row.Address})
+		server.readPending, server.nextRead = true, now+manager.bounds.PlatformPoll()
+		manager.emit(ReadReport{Server: row.Name, Address: row.Address})
 	}
 }
 
--- a/shard/sight.go
+++ b/shard/sight.go
@@ -50,56 +50,56 @@
 const idlePollMultiple = 3
 
 // pollInterval is the time between two reads of the platform's listing.
-func (owner *Owner) pollInterval() time.Duration {
-	if !owner.advisoryLeases {
-		return owner.bounds.PlatformPoll()
+func (manager *Manager) pollInterval() time.Duration {
+	if !manager.advisoryLeases {
+		return manager.bounds.PlatformPoll()
 	}
-	for index, shard := range owner.shardStates {
-		if shard.isOwner || owner.preferredOwner(index) == owner.self.Name {
-			return owner.bounds.PlatformPoll()
+	for index, shard := range manager.shardStates {
+		if shard.isOwner || manager.preferredOwner(index) == manager.self.Name {
+			return manager.bounds.PlatformPoll()
 		}
 	}
-	return idlePollMultiple * owner.bounds.PlatformPoll()
+	return idlePollMultiple * manager.bounds.PlatformPoll()
 }
 
 // pollOverdue reports whether a shard is about to be taken over with a listing that was read too long ago while idle.
-func (owner *Owner) pollOverdue(now time.Duration) bool {
-	return owner.pollInterval() == owner.bounds.PlatformPoll() && (!owner.hasListing || now-owner.listedAt > 2*owner.bounds.PlatformPoll()) &&
-		owner.nextPoll-now > owner.bounds.PlatformPoll()
+func (manager *Manager) pollOverdue(now time.Duration) bool {
+	return manager.pollInterval() == manager.bounds.PlatformPoll() && (!manager.hasListing || now-manager.listedAt > 2*manager.bounds.PlatformPoll()) &&
+		manager.nextPoll-now > manager.bounds.PlatformPoll()
 }
 
-// updateVisibility marks this node blind after a lease's time without a good listing. It clears the mark only after a longer
+// updatePlatformReadable marks this node blind after a lease's time without a good listing. It clears the mark only after a longer
 // time with good listings, so that ownership does not flap.
-func (owner *Owner) updateVisibility(now time.Duration) {
-	unreadFor := now - max(owner.listedAt, owner.startedAt)
+func (manager *Manager) updatePlatformReadable(now time.Duration) {
+	unreadFor := now - max(manager.listedAt, manager.startedAt)
 	switch {
-	case !owner.blind && unreadFor > owner.bounds.Lease()+owner.pollInterval()-owner.bounds.PlatformPoll():
-		owner.blind, owner.visibleSince = true, now
-		owner.emit(contract.AddCounter{Name: "blind", Delta: 1}, contract.Log{Message: "the platform cannot be read here"})
-	case owner.blind && owner.listingFresh(now) && now-owner.visibleSince > owner.bounds.RecoveryDelay():
-		owner.blind = false
-		owner.emit(contract.Log{Message: "the platform can be read here again"})
+	case !manager.platformUnreadable && unreadFor > manager.bounds.Lease()+manager.pollInterval()-manager.bounds.PlatformPoll():
+		manager.platformUnreadable, manager.readableSince = true, now
+		manager.emit(contract.AddCounter{Name: "blind", Delta: 1}, contract.Log{Message: "the platform cannot be read here"})
+	case manager.platformUnreadable && manager.listingFresh(now) && now-manager.readableSince > manager.bounds.RecoveryDelay():
+		manager.platformUnreadable = false
+		manager.emit(contract.Log{Message: "the platform can be read here again"})
 	}
 }
 
-// Blind reports whether this node cannot read the platform; the other nodes then prefer other owners.
-func (owner *Owner) Blind() bool { return owner.blind }
+// PlatformUnreadable reports whether this node cannot read the platform; the other nodes then prefer other owners.
+func (manager *Manager) PlatformUnreadable() bool { return manager.platformUnreadable }
 
 // changeShardCount applies a new number of shards: each owned shard starts again under a higher epoch, without its retirements.
-func (owner *Owner) changeShardCount(now time.Duration, shardCount int) {
-	for index := range owner.shardStates {
+func (manager *Manager) changeShardCount(now time.Duration, shardCount int) {
+	for index := range manager.shardStates {
 		if index >= shardCount {
-			delete(owner.shardStates, index)
+			delete(manager.shardStates, index)
 		}
 	}
-	if owner.shardCount > 0 {
-		for _, index := range sortedIndexes(owner.shardStates) {
-			if shard := owner.shardStates[index]; shard.isOwner {
-				owner.takeOver(now, shard)
+	if manager.shardCount > 0 {
+		for _, index := range sortedIndexes(manager.shardStates) {
+			if shard := manager.shardStates[index]; shard.isOwner {
+				manager.takeOver(now, shard)
 			}
 		}
 	}
-	owner.shardCount = shardCount
+	manager.shardCount = shardCount
 }
 
 // ReportReply is what a peer read of a server for an owner that could not; Error is empty if the report was read.
@@ -111,10 +111,10 @@
 }
 
 // requestReportFromPeer asks the region's peers in turn to read a report that this node could not read. It returns false without peers.
-func (owner *Owner) requestReportFromPeer(now time.Duration, server string) bool {
+func (manager *Manager) requestReportFromPeer(now time.Duration, server string) bool {
 	peers := []contract.Member{}
-	for _, member := range owner.seen.Members {
-		if member.Kind == contract.KindControl && member.Region == owner.self.Region && member.Name != owner.self.Name {
+	for _, member := range manager.clusterState.Members {
+		if member.Kind == contract.KindControl && member.Region == manager.self.Region && member.Name != manager.self.Name {
 			peers = append(peers, member)
 		}
 	}
@@ -122,30 +122,30 @@
 		return false
 	}
 	address := ""
-	for _, row := range owner.listing.Servers {
+	for _, row := range manager.listing.Servers {
 		if row.Name == server {
 			address = row.Address
 		}
 	}
-	known := owner.servers[server]
+	known := manager.servers[server]
 	known.failures++
-	owner.nextPeer++
-	owner.emit(contract.AddCounter{Name: "reports_asked_around", Delta: 1}, contract.Send{To: peers[owner.nextPeer%len(peers)].Address, Kind: MessageReportRequest,
-		Body: ReadReport{Server: server, Address: address, ReplyTo: owner.self.Address, RequestedAt: now}})
+	manager.nextPeer++
+	manager.emit(contract.AddCounter{Name: "reports_asked_around", Delta: 1}, contract.Send{To: peers[manager.nextPeer%len(peers)].Address, Kind: MessageReportRequest,
+		Body: ReadReport{Server: server, Address: address, ReplyTo: manager.self.Address, RequestedAt: now}})
 	return true
 }
 
 // handleReportExchange reads a report for a peer, or handles the report that a peer has read.
-func (owner *Owner) handleReportExchange(now time.Duration, message contract.Message) {
+func (manager *Manager) handleReportExchange(now time.Duration, message contract.Message) {
 	if message.Kind == MessageReportRequest {
 		var request ReadReport
 		if json.Unmarshal(message.Body, &request) == nil && request.ReplyTo != "" {
-			owner.emit(request)
+			manager.emit(request)
 		}
 		return
 	}
 	var reply ReportReply
 	if json.Unmarshal(message.Body, &reply) == nil {
-		owner.handleReport(now, ReportResult{Server: reply.Server, ViaPeer: true, ReadResult: retire.ReadResult{StartedAt: reply.RequestedAt, Report: reply.Report, Error: reply.Error}})
+		manager.handleReport(now, ReportResult{Server: reply.Server, ViaPeer: true, ReadResult: retire.ReadResult{StartedAt: reply.RequestedAt, Report: reply.Report, Error: reply.Error}})
 	}
 }
--- a/site/site.go
+++ b/site/site.go
@@ -61,21 +61,21 @@
 	}
 	reader := manifest.NewReader(tree)
 	reader.AllowOnly("", "name", "regionGapMs", "machines", "servers", "callers")
-	site := Site{Name: reader.Text("name", ""), RegionLatencyMs: reader.Number("regionGapMs", 10, 0, 1000)}
+	site := Site{Name: reader.Text("name", ""), RegionLatencyMs: reader.Integer("regionGapMs", 10, 0, 1000)}
 	forEachObject(tree["machines"], func(row *manifest.Reader) {
 		site.Machines = append(site.Machines, Machine{row.Text("name", ""), row.Text("zone", ""), row.Text("region", ""), row.Bool("core")})
 	})
 	forEachObject(tree["servers"], func(row *manifest.Reader) {
 		zones, pool := row.Texts("zones"), row.Text("pool", "")
-		for index := int64(0); index < row.Number("count", 1, 1, 1000) && len(zones) > 0; index++ {
+		for index := int64(0); index < row.Integer("count", 1, 1, 1000) && len(zones) > 0; index++ {
 			site.Servers = append(site.Servers, Server{Name: fmt.Sprintf("%s-%02d", pool, index+1), Zone: zones[index%int64(len(zones))],
-				Region: row.Text("region", ""), Pool: pool, Kind: row.Text("kind", "model"), Slots: row.Number("slots", 4, 1, 1000)})
+				Region: row.Text("region", ""), Pool: pool, Kind: row.Text("kind", "model"), Slots: row.Integer("slots", 4, 1, 1000)})
 		}
 	})
 	forEachObject(tree["callers"], func(row *manifest.Reader) {
 		site.Callers = append(site.Callers, Caller{Route: row.Text("route", ""), Class: row.Text("class", ""), Kind: row.Text("kind", ""),
-			PerSecond: row.Number("perSecond", 1, 0, 10000), Pieces: row.Number("pieces", 1, 1, 10000), Tokens: row.Number("tokens", 1, 1, 1000000),
-			Prefixes: row.Number("prefixes", 0, 0, 1000), DeadlineMs: row.Number("deadlineMs", 10000, 1, 3600000), Unary: row.Bool("unary")})
+			PerSecond: row.Integer("perSecond", 1, 0, 10000), Pieces: row.Integer("pieces", 1, 1, 10000), Tokens: row.Integer("tokens", 1, 1, 1000000),
+			Prefixes: row.Integer("prefixes", 0, 0, 1000), DeadlineMs: row.Integer("deadlineMs", 10000, 1, 3600000), Unary: row.Bool("unary")})
 	})
 	if err = reader.Err(); err != nil {
 		return Site{}, err
--- a/stories/zones/retire_test.go
+++ b/stories/zones/retire_test.go
@@ -15,15 +15,15 @@
 	. "github.com/onsi/gomega"
 )
 
-func retirements(played *fleet.Fleet) []shard.Retired {
+func retirements(played *fleet.Fleet) []shard.RetirementStatus {
 	answer := played.Operate(played.Machines[2], contract.OperatorRequest{Verb: contract.VerbRetirements})
 	body, _ := answer.Body.(map[string]any)
-	rows, _ := body["retirements"].([]shard.Retired)
+	rows, _ := body["retirements"].([]shard.RetirementStatus)
 	return rows
 }
 
 func retired(played *fleet.Fleet, server string, state retire.State) bool {
-	return slices.ContainsFunc(retirements(played), func(row shard.Retired) bool { return row.Server == server && row.State == state })
+	return slices.ContainsFunc(retirements(played), func(row shard.RetirementStatus) bool { return row.Server == server && row.State == state })
 }
 
 func scaled(played *fleet.Fleet, count string) fleet.Written {
