--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -69,8 +69,8 @@
 
 // BoundsFor derives the limits from the environment's bounds and the manifest; the retry burst grows with the number of nodes.
 func BoundsFor(bounds env.Bounds, read manifest.Manifest, nodes int) Bounds {
-	return Bounds{LeavingServer: bounds.Evacuate(), ZoneDrain: bounds.Evacuate(), ManifestDelivery: bounds.Deliver(), Recovery: bounds.Return(), Ramp: read.Retirement.Ramp,
-		RetryPercent: float64(read.RepeatPercent), RetryBurst: read.RepeatAtOnce * int64(nodes), AnswerGrace: bounds.Deliver()}
+	return Bounds{LeavingServer: bounds.Evacuate(), ZoneDrain: bounds.Evacuate(), ManifestDelivery: bounds.Deliver(), Recovery: bounds.Return(), Ramp: read.Retirement.RampDuration,
+		RetryPercent: float64(read.RepeatPercent), RetryBurst: read.RepeatAllowance * int64(nodes), AnswerGrace: bounds.Deliver()}
 }
 
 // Violation is one breach of a rule. Results encode the fields under their Go names.
