--- a/cmd/cedarrig/load.go
+++ b/cmd/cedarrig/load.go
@@ -17,11 +17,11 @@
 		return false, err
 	}
 	clean := true
-	for _, name := range fleet.SceneNames() {
+	for _, name := range fleet.ScenarioNames() {
 		sum, hits, asked, turns, kept, breaches := ledger.NewStats(), 0, 0, 0, 0, 0
-		for _, one := range beside(given, given.Load, func(seed uint64) fleet.Loaded { return fleet.Load(described, seed, name) }) {
-			sum.Add(one.Figures)
-			hits, asked, turns, kept, breaches = hits+one.Hits, asked+one.Asked, turns+one.Turns, kept+one.Kept, breaches+len(one.Breaches)
+		for _, one := range beside(given, given.Load, func(seed uint64) fleet.LoadResult { return fleet.Load(described, seed, name) }) {
+			sum.Add(one.Stats)
+			hits, asked, turns, kept, breaches = hits+one.PrefixHits, asked+one.PrefixCalls, turns+one.SessionTurns, kept+one.SameServerTurns, breaches+len(one.Violations)
 		}
 		fmt.Printf("%s: %d seeds from %d, prefixes held %d of %d, sessions kept %d of %d, breaches %d\n%s\n", name, given.Load, given.Seed, hits, asked, kept, turns, breaches, sum.Summary())
 		clean = clean && breaches == 0
--- a/cmd/cedarrig/retire.go
+++ b/cmd/cedarrig/retire.go
@@ -19,7 +19,7 @@
 		return false, err
 	}
 	clean := true
-	for _, cause := range fleet.Causes {
+	for _, cause := range fleet.RetirementCauses {
 		for _, ordinary := range []bool{false, true} {
 			if ordinary && (cause == "scale-down" || cause == "scale-to-zero") {
 				continue
@@ -33,14 +33,14 @@
 func measured(given arguments, described site.Site, cause string, ordinary bool) bool {
 	options := []fleet.Option{}
 	if ordinary {
-		options = append(options, fleet.WithOrdinary())
+		options = append(options, fleet.WithoutEarlyWithdrawal())
 	}
-	all := beside(given, given.Retire, func(seed uint64) fleet.Retired { return fleet.Retire(described, seed, cause, options...) })
+	all := beside(given, given.Retire, func(seed uint64) fleet.RetirementResult { return fleet.Retire(described, seed, cause, options...) })
 	took, turns, ends, states := []time.Duration{}, []time.Duration{}, map[string]int{}, map[string]int{}
 	recalled, hits, asked, breaches := int64(0), 0, 0, 0
 	for _, one := range all {
-		took, turns = append(took, one.Took), append(turns, one.NextTurn...)
-		for end, count := range one.Ends {
+		took, turns = append(took, one.Duration), append(turns, one.NextTurnDelays...)
+		for end, count := range one.Outcomes {
 			ends[end] += count
 		}
 		for state, held := range map[string]bool{"released": one.Released, "held": one.Held, "aborted": one.Aborted} {
@@ -48,7 +48,7 @@
 				states[state]++
 			}
 		}
-		recalled, hits, asked, breaches = recalled+one.Recalled, hits+one.Hits, asked+one.Asked, breaches+one.Breaches
+		recalled, hits, asked, breaches = recalled+one.Recalled, hits+one.PrefixHits, asked+one.PrefixCalls, breaches+one.Violations
 	}
 	path := "as shipped"
 	if ordinary {
--- a/cmd/cedarrig/sweep.go
+++ b/cmd/cedarrig/sweep.go
@@ -34,10 +34,10 @@
 	Records  int64              `json:"records"`
 }
 
-func rowOf(round fleet.Round) row {
-	kept := row{Seed: round.Seed, Clean: round.Clean(), Ready: round.Ready, Serves: round.Serves, Faults: round.Faults, Breaches: round.Breaches,
-		Worst: round.Figures, Outcomes: map[string]int{}, Hits: round.Hits, Asked: round.Asked, Turns: round.Turns, Kept: round.Kept, Records: round.Records}
-	for _, class := range round.Figures.Classes {
+func rowOf(round fleet.DayResult) row {
+	kept := row{Seed: round.Seed, Clean: round.Clean(), Ready: round.Ready, Serves: round.Serves, Faults: round.Faults, Breaches: round.Violations,
+		Worst: round.Stats, Outcomes: map[string]int{}, Hits: round.PrefixHits, Asked: round.PrefixCalls, Turns: round.SessionTurns, Kept: round.SameServerTurns, Records: round.Records}
+	for _, class := range round.Stats.Classes {
 		for outcome, count := range class.Outcomes {
 			kept.Outcomes[outcome] += count
 		}
@@ -64,8 +64,8 @@
 	for _, kept := range rows {
 		known[kept.Seed] = true
 	}
-	plan := fleet.Plan{Span: time.Duration(given.Span) * time.Second, Rate: given.Rate, Faults: given.Faults, Name: given.Fault}
-	seeds, rounds := make(chan uint64), make(chan fleet.Round)
+	plan := fleet.DayPlan{Span: time.Duration(given.Span) * time.Second, Rate: given.Rate, Faults: given.Faults, Name: given.Fault}
+	seeds, rounds := make(chan uint64), make(chan fleet.DayResult)
 	group := sync.WaitGroup{}
 	for range given.Beside {
 		group.Add(1)
@@ -88,7 +88,7 @@
 	}()
 	for round := range rounds {
 		if given.Sweep == 1 {
-			fmt.Println(round.Figures.Summary())
+			fmt.Println(round.Stats.Summary())
 		}
 		kept := rowOf(round)
 		kept.tell(given)
@@ -117,10 +117,10 @@
 	return rows, file, lines.Err()
 }
 
-func day(given arguments, described site.Site, seed uint64, plan fleet.Plan) fleet.Round {
+func day(given arguments, described site.Site, seed uint64, plan fleet.DayPlan) fleet.DayResult {
 	options := []fleet.Option{}
 	if given.Tell {
-		options = append(options, fleet.WithTell(func(text string) { fmt.Print(text) }))
+		options = append(options, fleet.WithLogSink(func(text string) { fmt.Print(text) }))
 	}
 	return fleet.Day(described, seed, plan, options...)
 }
--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -6,18 +6,19 @@
 	"github.com/cedarreel/cedarreel/virtual"
 )
 
-// Disk is a core machine's folder, which may also turn slow: docs/notes/emulator.md.
+// Disk is the data folder of a core machine. ExtraLatency slows each sync down.
 type Disk struct {
 	*virtual.Disk
-	Slow time.Duration
+	ExtraLatency time.Duration
 }
 
-const syncBase = 2 * time.Millisecond
+// syncLatency is the shortest time of a sync; the longest is twice as long.
+const syncLatency = 2 * time.Millisecond
 
 func newDisk(world *World) *Disk {
 	made := &Disk{}
-	made.Disk = virtual.NewDisk(&world.Scheduler, virtual.DiskOptions{LosesUnsynced: true, Serial: true, StallRetryInterval: syncBase, Latency: func() time.Duration {
-		return syncBase + time.Duration(world.Random.Int64N(int64(syncBase))) + made.Slow
+	made.Disk = virtual.NewDisk(&world.Scheduler, virtual.DiskOptions{LosesUnsynced: true, Serial: true, StallRetryInterval: syncLatency, Latency: func() time.Duration {
+		return syncLatency + time.Duration(world.Random.Int64N(int64(syncLatency))) + made.ExtraLatency
 	}})
 	return made
 }
--- a/fleet/faults.go
+++ b/fleet/faults.go
@@ -10,7 +10,7 @@
 	"github.com/cedarreel/cedarreel/site"
 )
 
-// KillFor kills machines at once and starts them again later.
+// KillFor kills machines at once and starts them again after the span.
 func (fleet *Fleet) KillFor(machines []*Machine, span time.Duration) {
 	killed := []*Machine{}
 	for _, machine := range machines {
@@ -28,22 +28,23 @@
 	})
 }
 
+// FreezeFor suspends the machines that are up and resumes them after the span.
 func (fleet *Fleet) FreezeFor(machines []*Machine, span time.Duration) {
-	thaws := []func(){}
+	thawFuncs := []func(){}
 	for _, machine := range machines {
 		if machine.Up() {
-			thaws = append(thaws, machine.Freeze())
+			thawFuncs = append(thawFuncs, machine.Freeze())
 		}
 	}
 	fleet.World.After(span, func() {
-		for _, thaw := range thaws {
+		for _, thaw := range thawFuncs {
 			thaw()
 		}
 	})
 }
 
-// around gives all that stands in the zones or regions of machines besides the machines: servers, platform, callers.
-func (fleet *Fleet) around(machines []*Machine) []string {
+// surroundings returns the names of the machines together with the servers and clients of their zones and the platforms of their regions.
+func (fleet *Fleet) surroundings(machines []*Machine) []string {
 	names, zones, regions := Names(machines), map[string]bool{}, map[string]bool{}
 	for _, machine := range machines {
 		zones[machine.Zone], regions[machine.Region] = true, true
@@ -62,18 +63,19 @@
 	return names
 }
 
-func (fleet *Fleet) everything() []string {
-	return fleet.around(fleet.Machines)
+// allEndpoints returns the names of everything that links connect.
+func (fleet *Fleet) allEndpoints() []string {
+	return fleet.surroundings(fleet.Machines)
 }
 
-// CutFor cuts a group off from all others for a while; with its surroundings when it is a whole region.
+// CutFor cuts the links from a group of names to all others for a span, and with bothWays also the links back.
 func (fleet *Fleet) CutFor(group []string, span time.Duration, bothWays bool) {
 	inside := map[string]bool{}
 	for _, name := range group {
 		inside[name] = true
 	}
 	others := []string{}
-	for _, name := range fleet.everything() {
+	for _, name := range fleet.allEndpoints() {
 		if !inside[name] {
 			others = append(others, name)
 		}
@@ -84,63 +86,67 @@
 	}
 }
 
+// InRegion returns the machines of a region.
 func (fleet *Fleet) InRegion(region string) []*Machine {
-	return fleet.Pick(func(machine *Machine) bool { return machine.Region == region })
+	return fleet.MachinesWhere(func(machine *Machine) bool { return machine.Region == region })
 }
 
+// InZone returns the machines of a zone.
 func (fleet *Fleet) InZone(zone string) []*Machine {
-	return fleet.Pick(func(machine *Machine) bool { return machine.Zone == zone })
+	return fleet.MachinesWhere(func(machine *Machine) bool { return machine.Zone == zone })
 }
 
+// Cores returns the machines that hold the replicated manifest.
 func (fleet *Fleet) Cores() []*Machine {
-	return fleet.Pick(func(machine *Machine) bool { return machine.Core })
+	return fleet.MachinesWhere(func(machine *Machine) bool { return machine.Core })
 }
 
-// KillRegion kills a region and says to the ledger when it is back.
+// KillRegion kills all machines of a region for a span and then expects the region to serve again within the recovery bound.
 func (fleet *Fleet) KillRegion(region string, span time.Duration) {
 	fleet.KillFor(fleet.InRegion(region), span)
-	delete(fleet.awaiting, region)
+	delete(fleet.recovering, region)
 	fleet.World.After(span, func() {
 		if !slices.ContainsFunc(fleet.InRegion(region), func(machine *Machine) bool { return !machine.Up() }) {
-			fleet.Returned(region)
+			fleet.RegionReturned(region)
 		}
 	})
 }
 
-// Swap takes a core machine away for good and puts an empty one at a new address; the rosters follow by a patch.
-func (fleet *Fleet) Swap(old *Machine) *Machine {
+// ReplaceCore removes a core machine for good and starts an empty one under a new name and address. The manifest still lists the old
+// machine until RosterPatch is written.
+func (fleet *Fleet) ReplaceCore(old *Machine) *Machine {
 	if old.Up() {
 		old.Kill()
 	}
-	fresh := fleet.NewMachine(site.Machine{Name: fmt.Sprintf("m%02d", len(fleet.Machines)+1), Zone: old.Zone, Region: old.Region, Core: true})
-	for place, machine := range fleet.Machines {
+	replacement := fleet.NewMachine(site.Machine{Name: fmt.Sprintf("m%02d", len(fleet.Machines)+1), Zone: old.Zone, Region: old.Region, Core: true})
+	for index, machine := range fleet.Machines {
 		if machine == old {
-			fleet.Machines[place] = fresh
+			fleet.Machines[index] = replacement
 		}
 	}
-	fleet.gone = append(fleet.gone, old)
-	fresh.env.Control, fresh.env.Data = fmt.Sprintf("10.0.2.%d:7400", len(fleet.gone)), fmt.Sprintf("10.0.2.%d:7500", len(fleet.gone))
-	fresh.Name = fmt.Sprintf("m%d", 90+len(fleet.gone))
-	fresh.env.Name = fresh.Name
-	fresh.env.Seeds = nil
+	fleet.removed = append(fleet.removed, old)
+	replacement.env.Control, replacement.env.Data = fmt.Sprintf("10.0.2.%d:7400", len(fleet.removed)), fmt.Sprintf("10.0.2.%d:7500", len(fleet.removed))
+	replacement.Name = fmt.Sprintf("m%d", 90+len(fleet.removed))
+	replacement.env.Name = replacement.Name
+	replacement.env.Seeds = nil
 	for _, machine := range fleet.Machines {
-		if machine.Up() && len(fresh.env.Seeds) < 3 {
-			fresh.env.Seeds = append(fresh.env.Seeds, machine.env.Control)
+		if machine.Up() && len(replacement.env.Seeds) < 3 {
+			replacement.env.Seeds = append(replacement.env.Seeds, machine.env.Control)
 		}
 	}
-	fresh.Start()
-	return fresh
+	replacement.Start()
+	return replacement
 }
 
-// Roster patches a region's machines to those that stand now.
-func (fleet *Fleet) Roster(region string) contract.OperatorRequest {
+// RosterPatch is a write that sets the machines of a region in the manifest to the present ones.
+func (fleet *Fleet) RosterPatch(region string) contract.OperatorRequest {
 	names := Names(fleet.InRegion(region))
-	body := content(map[string]any{"regions": map[string]any{region: map[string]any{"machines": names}}})
+	body := mustMarshal(map[string]any{"regions": map[string]any{region: map[string]any{"machines": names}}})
 	return contract.OperatorRequest{Verb: contract.VerbPatch, Body: body, Operation: fmt.Sprintf("roster-%d", fleet.World.Now)}
 }
 
-// WipeAndReturn restarts a core machine with an empty folder at its old address.
-func (fleet *Fleet) WipeAndReturn(machine *Machine, span time.Duration) {
+// WipeAndRestart kills a core machine, empties its disk and starts it at the same address after the span.
+func (fleet *Fleet) WipeAndRestart(machine *Machine, span time.Duration) {
 	if !machine.Up() {
 		return
 	}
@@ -153,8 +159,8 @@
 	})
 }
 
-// Patch makes an ask that changes something harmless, so that each one is its own.
-func (fleet *Fleet) Patch(number int) contract.OperatorRequest {
-	body := content(map[string]any{"homes": map[string]any{fmt.Sprintf("guest-%d", number%20): fleet.Site.Regions()[number%2]}})
+// HarmlessPatch is a write that only changes the home of one of 20 guests; each has an operation key of its own.
+func (fleet *Fleet) HarmlessPatch(number int) contract.OperatorRequest {
+	body := mustMarshal(map[string]any{"homes": map[string]any{fmt.Sprintf("guest-%d", number%20): fleet.Site.Regions()[number%2]}})
 	return contract.OperatorRequest{Verb: contract.VerbPatch, Body: body, Operation: fmt.Sprintf("patch-%d-%d", number, fleet.World.Now)}
 }
--- a/fleet/losses.go
+++ b/fleet/losses.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// loseServers crashes servers and puts fresh ones in their place later, all at one moment.
-func (fleet *Fleet) loseServers(fits func(*Server) bool, span time.Duration) {
+// loseServers crashes the matching servers at once and replaces them by cold ones after the span.
+func (fleet *Fleet) loseServers(matches func(*Server) bool, span time.Duration) {
 	lost := []*Server{}
 	for _, server := range fleet.Servers {
-		if fits(server) {
+		if matches(server) {
 			server.Crash()
 			lost = append(lost, server)
 		}
@@ -20,23 +20,24 @@
 	})
 }
 
-// loseZone loses all that stands in a zone: machines and servers.
+// loseZone loses the machines and servers of a random zone.
 func loseZone(fleet *Fleet, span time.Duration) {
-	zone := one(fleet, fleet.zones())
+	zone := randomItem(fleet, fleet.zones())
 	fleet.KillFor(fleet.InZone(zone), span)
 	fleet.loseServers(func(server *Server) bool { return server.Zone == zone }, span)
 }
 
+// loseRegion loses the machines and servers of a random region.
 func loseRegion(fleet *Fleet, span time.Duration) {
-	region := one(fleet, fleet.Site.Regions())
+	region := randomItem(fleet, fleet.Site.Regions())
 	fleet.KillRegion(region, span)
 	fleet.loseServers(func(server *Server) bool { return server.Region == region }, span)
 }
 
-// zonesApart cuts the machines of two zones of one region from each other, while both hear of each other from elsewhere.
-func zonesApart(fleet *Fleet, span time.Duration) {
+// cutZones cuts the machines of two zones of a region from each other; both can still communicate with the rest.
+func cutZones(fleet *Fleet, span time.Duration) {
 	zones := map[string][]*Machine{}
-	region := one(fleet, fleet.Site.Regions())
+	region := randomItem(fleet, fleet.Site.Regions())
 	for _, machine := range fleet.InRegion(region) {
 		zones[machine.Zone] = append(zones[machine.Zone], machine)
 	}
@@ -47,43 +48,45 @@
 		}
 	}
 	if len(names) < 2 {
-		zonesApart(fleet, span)
+		cutZones(fleet, span)
 		return
 	}
 	fleet.World.After(span, fleet.World.CutBoth(Names(zones[names[0]]), Names(zones[names[1]])))
 }
 
-func serversCrash(fleet *Fleet, span time.Duration) {
+// crashServers crashes up to five random servers at once.
+func crashServers(fleet *Fleet, span time.Duration) {
 	chosen := map[*Server]bool{}
 	for range 2 + fleet.World.Random.IntN(4) {
-		chosen[one(fleet, fleet.Servers)] = true
+		chosen[randomItem(fleet, fleet.Servers)] = true
 	}
 	fleet.loseServers(func(server *Server) bool { return chosen[server] }, span)
 }
 
-func serversDark(fleet *Fleet, span time.Duration) {
-	zone := one(fleet, fleet.zones())
+// silenceServers makes all servers of a random zone stop answering.
+func silenceServers(fleet *Fleet, span time.Duration) {
+	zone := randomItem(fleet, fleet.zones())
 	for _, server := range fleet.Servers {
 		if server.Zone == zone {
-			overlap(fleet, &server.Mode, "dark", span, nil)
+			overlayField(fleet, &server.FaultMode, "dark", span, nil)
 		}
 	}
 }
 
-// replaceSome replaces servers within the same moment: they are cold, and nobody saw them gone.
-func (fleet *Fleet) replaceSome(most int) {
-	for range most {
-		one(fleet, fleet.Servers).Replace()
+// replaceRandomServers replaces servers instantly: they are cold, and no listing ever showed them missing.
+func (fleet *Fleet) replaceRandomServers(count int) {
+	for range count {
+		randomItem(fleet, fleet.Servers).Replace()
 	}
 }
 
-// manyReclaims marks servers one after the other, each with less time than the one before.
-func manyReclaims(fleet *Fleet, span time.Duration) {
+// reclaimServers marks servers as leaving one after the other, each with a shorter notice than the one before.
+func reclaimServers(fleet *Fleet, span time.Duration) {
 	for index := range 5 {
 		fleet.World.After(span*time.Duration(index)/5, func() {
-			server := one(fleet, fleet.Servers)
+			server := randomItem(fleet, fleet.Servers)
 			if !server.leaving && !server.gone {
-				server.Mark(2 * time.Second / time.Duration(index+1))
+				server.MarkLeaving(2 * time.Second / time.Duration(index+1))
 				fleet.World.After(span, server.Replace)
 			}
 		})
--- a/fleet/operate.go
+++ b/fleet/operate.go
@@ -10,37 +10,37 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// Written is an operator's write and the answer it got.
-type Written struct {
-	Ask      contract.OperatorRequest
-	Status   int
-	Accepted contract.WriteResult
-	At       time.Duration
+// WriteRecord is an operator's write and its answer; a zero Status means that no answer came.
+type WriteRecord struct {
+	Request contract.OperatorRequest
+	Status  int
+	Result  contract.WriteResult
+	At      time.Duration
 }
 
-// Operate asks a node and waits in virtual time for the answer.
-func (fleet *Fleet) Operate(machine *Machine, ask contract.OperatorRequest) contract.Response {
-	var given *contract.Response
-	machine.Control.Ask(ask, func(answer contract.Response) { given = &answer })
-	fleet.Until(10*time.Second, func() bool { return given != nil })
-	if given == nil {
+// Operate sends an operator's request to a node and waits up to 10 s of virtual time; without an answer the status is 0.
+func (fleet *Fleet) Operate(machine *Machine, request contract.OperatorRequest) contract.Response {
+	var response *contract.Response
+	machine.Control.Ask(request, func(answer contract.Response) { response = &answer })
+	fleet.RunUntil(10*time.Second, func() bool { return response != nil })
+	if response == nil {
 		return contract.Response{Status: 0}
 	}
-	return *given
+	return *response
 }
 
-// Write sends a write and notes its answer when it comes; the ledger judges it from then on.
-func (fleet *Fleet) Write(machine *Machine, ask contract.OperatorRequest, then func(Written)) {
+// Write sends a write without waiting. The answer goes to the ledger, to Writes and to then, which may be nil.
+func (fleet *Fleet) Write(machine *Machine, request contract.OperatorRequest, then func(WriteRecord)) {
 	sent := fleet.World.Now
-	machine.Control.Ask(ask, func(answer contract.Response) {
-		written := Written{Ask: ask, Status: answer.Status, At: fleet.World.Now}
-		_ = json.Unmarshal(content(answer.Body), &written.Accepted)
+	machine.Control.Ask(request, func(answer contract.Response) {
+		written := WriteRecord{Request: request, Status: answer.Status, At: fleet.World.Now}
+		_ = json.Unmarshal(mustMarshal(answer.Body), &written.Result)
 		fleet.Writes = append(fleet.Writes, written)
 		if answer.Status == 200 || answer.Status == 202 {
-			fleet.accepted(ask, written)
+			fleet.recordAccepted(request, written)
 		}
-		if ask.Verb == contract.VerbUndrain {
-			fleet.Ledger.ZoneUndrained(ask.Subject, sent)
+		if request.Verb == contract.VerbUndrain {
+			fleet.Ledger.ZoneUndrained(request.Subject, sent)
 		}
 		if then != nil {
 			then(written)
@@ -48,46 +48,47 @@
 	})
 }
 
-func (fleet *Fleet) accepted(ask contract.OperatorRequest, written Written) {
+// recordAccepted tells the ledger of an accepted write, with the digest as a live node holds it.
+func (fleet *Fleet) recordAccepted(request contract.OperatorRequest, written WriteRecord) {
 	digest := ""
 	for _, machine := range fleet.Machines {
 		if machine.Control == nil || !machine.Control.Up {
 			continue
 		}
-		if version, there := fleet.held(machine, written.Accepted.Revision); there {
+		if version, found := fleet.keptVersion(machine, written.Result.Revision); found {
 			digest = version.Digest
 		}
 	}
-	fleet.Ledger.ManifestAccepted(written.Accepted.Revision, digest, fleet.World.Now)
-	if ask.Verb == contract.VerbUndrain {
-		fleet.undrained[ask.Subject] = max(fleet.undrained[ask.Subject], written.Accepted.Revision)
+	fleet.Ledger.ManifestAccepted(written.Result.Revision, digest, fleet.World.Now)
+	if request.Verb == contract.VerbUndrain {
+		fleet.undrainRevisions[request.Subject] = max(fleet.undrainRevisions[request.Subject], written.Result.Revision)
 	}
-	if ask.Verb == contract.VerbDrain && written.Accepted.Revision > fleet.undrained[ask.Subject] {
-		fleet.Ledger.ZoneDrained(ask.Subject, fleet.World.Now)
+	if request.Verb == contract.VerbDrain && written.Result.Revision > fleet.undrainRevisions[request.Subject] {
+		fleet.Ledger.ZoneDrained(request.Subject, fleet.World.Now)
 	}
 }
 
-// Do writes and waits for the answer.
-func (fleet *Fleet) Do(machine *Machine, ask contract.OperatorRequest) Written {
-	var done *Written
-	if ask.Operation == "" {
-		ask.Operation = fmt.Sprintf("operation-%d", fleet.World.Now)
+// WriteAndWait sends a write and waits up to 15 s of virtual time for its answer.
+func (fleet *Fleet) WriteAndWait(machine *Machine, request contract.OperatorRequest) WriteRecord {
+	var result *WriteRecord
+	if request.Operation == "" {
+		request.Operation = fmt.Sprintf("operation-%d", fleet.World.Now)
 	}
-	if ask.Verb == contract.VerbUndrain {
-		fleet.Ledger.ZoneUndrained(ask.Subject, fleet.World.Now)
+	if request.Verb == contract.VerbUndrain {
+		fleet.Ledger.ZoneUndrained(request.Subject, fleet.World.Now)
 	}
-	fleet.Write(machine, ask, func(written Written) { done = &written })
-	fleet.Until(15*time.Second, func() bool { return done != nil })
-	if done == nil {
-		return Written{Ask: ask}
+	fleet.Write(machine, request, func(written WriteRecord) { result = &written })
+	fleet.RunUntil(15*time.Second, func() bool { return result != nil })
+	if result == nil {
+		return WriteRecord{Request: request}
 	}
-	return *done
+	return *result
 }
 
-// Adopt writes the site's manifest once the core is founded.
-func (fleet *Fleet) Adopt() bool {
-	for ends := fleet.World.Now + 20*time.Second; fleet.World.Now < ends; {
-		written := fleet.Do(fleet.Machines[len(fleet.Machines)-1], contract.OperatorRequest{Verb: contract.VerbPut, HasBaseRevision: true, Body: fleet.Site.Manifest, Operation: "first"})
+// PutSiteManifest writes the manifest of the site, retrying for 20 s until the core accepts it.
+func (fleet *Fleet) PutSiteManifest() bool {
+	for deadline := fleet.World.Now + 20*time.Second; fleet.World.Now < deadline; {
+		written := fleet.WriteAndWait(fleet.Machines[len(fleet.Machines)-1], contract.OperatorRequest{Verb: contract.VerbPut, HasBaseRevision: true, Body: fleet.Site.Manifest, Operation: "first"})
 		if written.Status == 200 {
 			return true
 		}
@@ -96,14 +97,14 @@
 	return false
 }
 
-// Ready starts a fleet and brings it to where it serves.
-func (fleet *Fleet) Ready() bool {
+// StartAndServe starts the fleet, writes the manifest and returns whether the fleet serves within the recovery bound.
+func (fleet *Fleet) StartAndServe() bool {
 	fleet.Start()
-	return fleet.Adopt() && fleet.Until(fleet.Bounds.Return(), fleet.Serves)
+	return fleet.PutSiteManifest() && fleet.RunUntil(fleet.Bounds.Return(), fleet.Serving)
 }
 
-// Serves holds when every live data node can pick from every shard of its region.
-func (fleet *Fleet) Serves() bool {
+// Serving tells whether each live data node has a manifest and a valid lease for every shard of its region.
+func (fleet *Fleet) Serving() bool {
 	for _, machine := range fleet.Machines {
 		if machine.Up() && (machine.Data.Gauges["shards_lapsed"] > 0 || machine.Data.Gauges["manifest_revision"] == 0) {
 			return false
@@ -112,26 +113,27 @@
 	return true
 }
 
-// held looks up an accepted version through the tail, as an operator's read would.
-func (fleet *Fleet) held(machine *Machine, revision int64) (contract.Version, bool) {
-	owner, fine := machine.Control.owner.(interface {
+// keptVersion returns a revision from the history that a machine's control process keeps.
+func (fleet *Fleet) keptVersion(machine *Machine, revision int64) (contract.Version, bool) {
+	owner, ok := machine.Control.owner.(interface {
 		Kept(int64) (contract.Version, bool)
 	})
-	if !fine {
+	if !ok {
 		return contract.Version{}, false
 	}
 	return owner.Kept(revision)
 }
 
-// Manifest is what the newest read through a node gives.
+// Manifest reads the newest manifest through a node, with its revision.
 func (fleet *Fleet) Manifest(machine *Machine) (manifest.Manifest, int64) {
 	answer := fleet.Operate(machine, contract.OperatorRequest{Verb: contract.VerbGet})
 	version, _ := answer.Body.(contract.Version)
-	read, _ := manifest.FromDocument(version.Document())
-	return read, version.Position.Revision
+	parsed, _ := manifest.FromDocument(version.Document())
+	return parsed, version.Position.Revision
 }
 
-func statuses(body map[string]any) []shard.Status {
-	read, _ := body["shards"].([]shard.Status)
-	return read
+// shardStatuses extracts the shards from the answer to a status request.
+func shardStatuses(body map[string]any) []shard.Status {
+	parsed, _ := body["shards"].([]shard.Status)
+	return parsed
 }
--- a/fleet/overlap.go
+++ b/fleet/overlap.go
@@ -2,54 +2,55 @@
 
 import "time"
 
-// overlay is what lies over one field: faults that overlap end only themselves, and the newest that still lasts counts.
-type overlay struct {
-	live  []*func()
-	reset func()
+// fieldOverlay holds the faults that set one field. Overlapping faults end independently, and the latest active one determines the value.
+type fieldOverlay struct {
+	active []*func()
+	reset  func()
 }
 
-// overlap lays a value over a field for a while; then, if given, follows every end.
-func overlap[Value any](fleet *Fleet, field *Value, value Value, span time.Duration, then func()) {
-	known, there := fleet.overlays[field]
-	if !there {
+// overlayField sets a field to a value for a span; onEnd, unless nil, runs after the overlay has ended.
+func overlayField[Value any](fleet *Fleet, field *Value, value Value, span time.Duration, onEnd func()) {
+	existing, found := fleet.overlays[field]
+	if !found {
 		base := *field
-		known = &overlay{reset: func() { *field = base }}
-		fleet.overlays[field] = known
+		existing = &fieldOverlay{reset: func() { *field = base }}
+		fleet.overlays[field] = existing
 	}
 	apply := func() { *field = value }
-	known.live = append(known.live, &apply)
+	existing.active = append(existing.active, &apply)
 	apply()
 	fleet.World.After(span, func() {
-		if fleet.overlays[field] != known {
+		if fleet.overlays[field] != existing {
 			return
 		}
-		known.drop(&apply)
-		if len(known.live) == 0 {
+		existing.remove(&apply)
+		if len(existing.active) == 0 {
 			delete(fleet.overlays, field)
 		}
-		if then != nil {
-			then()
+		if onEnd != nil {
+			onEnd()
 		}
 	})
 }
 
-func (overlay *overlay) drop(ended *func()) {
-	for place, apply := range overlay.live {
+// remove ends one fault and restores the value of the latest remaining one, or the original.
+func (overlay *fieldOverlay) remove(ended *func()) {
+	for index, apply := range overlay.active {
 		if apply == ended {
-			overlay.live = append(overlay.live[:place:place], overlay.live[place+1:]...)
+			overlay.active = append(overlay.active[:index:index], overlay.active[index+1:]...)
 			break
 		}
 	}
 	overlay.reset()
-	if count := len(overlay.live); count > 0 {
-		(*overlay.live[count-1])()
+	if count := len(overlay.active); count > 0 {
+		(*overlay.active[count-1])()
 	}
 }
 
-// liftAll ends every overlay at once.
-func (fleet *Fleet) liftAll() {
-	for _, known := range fleet.overlays {
-		known.reset()
+// removeOverlays ends all overlays and restores the original values.
+func (fleet *Fleet) removeOverlays() {
+	for _, existing := range fleet.overlays {
+		existing.reset()
 	}
-	fleet.overlays = map[any]*overlay{}
+	fleet.overlays = map[any]*fieldOverlay{}
 }
--- a/fleet/passage.go
+++ b/fleet/passage.go
@@ -6,102 +6,103 @@
 	"github.com/cedarreel/cedarreel/data"
 )
 
-// pass carries a call on to a node of its home, to the next one only while nothing of it can have reached one.
-func (session *session) pass(pass data.HomeForward, nodes []string) {
-	process, fleet, asked := session.process, session.process.machine.fleet, session.asked
+// forwardHome forwards a call to a node of its home region. It tries the next node only while the call cannot have reached one.
+func (session *session) forwardHome(forward data.HomeForward, nodes []string) {
+	process, fleet, request := session.process, session.process.machine.fleet, session.request
 	if len(nodes) == 0 {
 		process.handle(data.HomeForwardEnded{Token: session.token, Error: "no node of the home was reached"})
 		refusal := contract.ErrorBody{Outcome: string(call.NotRun), Error: "no node of the call's home was reached"}
-		session.towards(func() { session.try.refused(503, refusal, process.machine.env.Bounds.Round()) })
+		session.sendToCaller(func() { session.client.refused(503, refusal, process.machine.env.Bounds.Round()) })
 		session.close()
 		return
 	}
-	asked.Forwarded, asked.Deadline = true, pass.Timeout
-	reached, given := false, false
-	next := func() {
+	request.Forwarded, request.Deadline = true, forward.Timeout
+	reached, handedOn := false, false
+	tryNext := func() {
 		process.Run(func() {
-			if !reached && !given && !session.over {
-				given = true
-				session.pass(pass, nodes[1:])
+			if !reached && !handedOn && !session.ended {
+				handedOn = true
+				session.forwardHome(forward, nodes[1:])
 			}
 		})
 	}
-	process.after(process.machine.env.Bounds.Round(), next)
-	process.after(pass.Timeout+process.machine.env.Bounds.Round()/2, func() { process.Run(session.lost) })
+	process.after(process.machine.env.Bounds.Round(), tryNext)
+	process.after(forward.Timeout+process.machine.env.Bounds.Round()/2, func() { process.Run(session.forwardLost) })
 	target := fleet.processes[nodes[0]]
-	fleet.World.travel(process.machine.place(), target.machine.place(), false, func() {
+	fleet.World.deliver(process.machine.location(), target.machine.location(), false, func() {
 		if !target.Up {
-			fleet.World.travel(target.machine.place(), process.machine.place(), false, next)
+			fleet.World.deliver(target.machine.location(), process.machine.location(), false, tryNext)
 			return
 		}
-		if given || session.over {
+		if handedOn || session.ended {
 			return
 		}
 		reached = true
-		target.Run(func() { session.inner = target.open(session.try, asked, session) })
+		target.Run(func() { session.forwarded = target.open(session.client, request, session) })
 	})
 }
 
-// outwards brings something from the home's node to the node that passed the call on, in order, and on to the caller.
-func (session *session) outwards(then func()) {
-	world, here, there := session.process.machine.fleet.World, session.process.machine.place(), session.outer.process.machine.place()
-	if session.stuck = session.stuck || world.broken(here, there); session.stuck {
+// sendToForwarder delivers an answer, in order, to the node that forwarded the call, and from there to the client.
+func (session *session) sendToForwarder(action func()) {
+	world, here, there := session.process.machine.fleet.World, session.process.machine.location(), session.forwarder.process.machine.location()
+	if session.linkCut = session.linkCut || world.isCut(here, there); session.linkCut {
 		return
 	}
-	outer := session.outer
-	session.last = max(session.last, world.Now+world.delay(here, there))
-	world.At(session.last, func() {
-		outer.process.Run(func() {
-			if !outer.over {
-				outer.written++
-				outer.towards(then)
+	forwarder := session.forwarder
+	session.lastDelivery = max(session.lastDelivery, world.Now+world.delay(here, there))
+	world.At(session.lastDelivery, func() {
+		forwarder.process.Run(func() {
+			if !forwarder.ended {
+				forwarder.chunksSent++
+				forwarder.sendToCaller(action)
 			}
 		})
 	})
 }
 
-// inform ends the passing node's part once the home has given its whole answer.
-func (session *session) inform(status int) {
-	if outer := session.outer; outer != nil {
-		session.outwards(func() {})
-		session.process.machine.fleet.World.At(session.last, func() {
-			outer.process.Run(func() {
-				if !outer.over && !session.stuck {
-					outer.process.handle(data.HomeForwardEnded{Token: outer.token, Node: session.process.machine.Name, Status: status})
-					outer.close()
+// reportForwardEnd ends the session at the forwarding node after the home node has sent its whole answer.
+func (session *session) reportForwardEnd(status int) {
+	if forwarder := session.forwarder; forwarder != nil {
+		session.sendToForwarder(func() {})
+		session.process.machine.fleet.World.At(session.lastDelivery, func() {
+			forwarder.process.Run(func() {
+				if !forwarder.ended && !session.linkCut {
+					forwarder.process.handle(data.HomeForwardEnded{Token: forwarder.token, Node: session.process.machine.Name, Status: status})
+					forwarder.close()
 				}
 			})
 		})
 	}
 }
 
-// lost is the end of a passed call whose answer does not come, or breaks: it may have run.
-func (session *session) lost() {
-	outer := session
-	if session.outer != nil {
-		outer = session.outer
+// forwardLost ends a forwarded call whose answer is missing or broken; the call may have run, so its outcome is
+// unknown, or broken if chunks have been sent.
+func (session *session) forwardLost() {
+	forwarder := session
+	if session.forwarder != nil {
+		forwarder = session.forwarder
 		world := session.process.machine.fleet.World
-		world.travel(session.process.machine.place(), outer.process.machine.place(), false, func() { outer.process.Run(outer.lost) })
+		world.deliver(session.process.machine.location(), forwarder.process.machine.location(), false, func() { forwarder.process.Run(forwarder.forwardLost) })
 		return
 	}
-	if outer.over {
+	if forwarder.ended {
 		return
 	}
-	outer.process.handle(data.HomeForwardEnded{Token: outer.token, Status: 502, Error: "the home's answer was lost"})
-	if outer.written > 0 {
-		outer.towards(outer.try.broke)
+	forwarder.process.handle(data.HomeForwardEnded{Token: forwarder.token, Status: 502, Error: "the home's answer was lost"})
+	if forwarder.chunksSent > 0 {
+		forwarder.sendToCaller(forwarder.client.connectionBroken)
 	} else {
-		outer.towards(func() { outer.try.refused(502, contract.ErrorBody{Outcome: string(call.Unknown)}, 0) })
+		forwarder.sendToCaller(func() { forwarder.client.refused(502, contract.ErrorBody{Outcome: string(call.Unknown)}, 0) })
 	}
-	outer.close()
+	forwarder.close()
 }
 
-// leave follows a caller, or the node that passed the call on, that went away.
-func (session *session) leave() {
-	world, outer := session.process.machine.fleet.World, session.outer
-	world.travel(outer.process.machine.place(), session.process.machine.place(), false, func() {
+// callerLeft ends a forwarded call after the client, or the forwarding node, closed its connection.
+func (session *session) callerLeft() {
+	world, forwarder := session.process.machine.fleet.World, session.forwarder
+	world.deliver(forwarder.process.machine.location(), session.process.machine.location(), false, func() {
 		session.process.Run(func() {
-			if !session.over {
+			if !session.ended {
 				session.process.handle(data.CallerLeft{Token: session.token})
 				session.close()
 			}
--- a/fleet/platform.go
+++ b/fleet/platform.go
@@ -11,37 +11,42 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// Platform stands in for the outside platform.
+// Platform simulates the cloud platform that lists the servers and carries out load and unload orders. Broken makes listings
+// incomplete, Down makes them fail; StaleOrders counts orders refused because of an old epoch.
 type Platform struct {
-	fleet  *Fleet
+	fleet *Fleet
+	// epochs holds the highest epoch of each shard's orders.
 	epochs map[string]contract.Epoch
 	Broken bool
 	Down   bool
-	Orders []string
-	Stale  int
+	// AcceptedOrders are the orders carried out, as "load NAME" or "unload NAME".
+	AcceptedOrders []string
+	StaleOrders    int
 }
 
+// listing encodes the servers of a region as the platform's API does.
 func (platform *Platform) listing(region string) []byte {
-	rows := []any{}
+	servers := []any{}
 	for _, server := range platform.fleet.Servers {
 		if server.Region != region || server.gone {
 			continue
 		}
-		row := map[string]any{"name": server.Name, "address": server.Name, "zone": server.Zone, "pool": server.Pool,
+		entry := map[string]any{"name": server.Name, "address": server.Name, "zone": server.Zone, "pool": server.Pool,
 			"incarnation": fmt.Sprint(server.incarnation), "leaving": server.leaving, "unloaded": server.unloaded}
-		if server.leaving && server.ends > 0 {
-			row["remainingMs"] = max(1, (server.ends - platform.fleet.World.Now).Milliseconds())
+		if server.leaving && server.leavesAt > 0 {
+			entry["remainingMs"] = max(1, (server.leavesAt - platform.fleet.World.Now).Milliseconds())
 		}
-		rows = append(rows, row)
+		servers = append(servers, entry)
 	}
-	content, _ := json.Marshal(map[string]any{"region": region, "complete": !platform.Broken, "servers": rows})
+	content, _ := json.Marshal(map[string]any{"region": region, "complete": !platform.Broken, "servers": servers})
 	return content
 }
 
+// order carries an order out, and returns false if its epoch is older than one that the shard has used.
 func (platform *Platform) order(order shard.Order, region string) bool {
 	subject := fmt.Sprintf("%s/%d", region, order.Shard)
 	if order.Epoch.Before(platform.epochs[subject]) {
-		platform.Stale++
+		platform.StaleOrders++
 		return false
 	}
 	platform.epochs[subject] = order.Epoch
@@ -50,27 +55,27 @@
 	if order.Load {
 		verb = "load"
 	}
-	platform.Orders = append(platform.Orders, verb+" "+order.Server)
+	platform.AcceptedOrders = append(platform.AcceptedOrders, verb+" "+order.Server)
 	if server.unloaded != order.Load {
 		return true
 	}
 	server.unloaded = !order.Load
 	if order.Load {
-		server.Return()
+		server.StartCold()
 	} else {
 		server.Crash()
 	}
 	return true
 }
 
-// outside carries out what a control process asks of the platform and of the servers' reports.
-func (process *Process) outside(command contract.Command) {
-	fleet, here := process.machine.fleet, process.machine.place()
+// callExternal executes the commands that read the platform or a server's report, or order a load or unload.
+func (process *Process) callExternal(command contract.Command) {
+	fleet, here := process.machine.fleet, process.machine.location()
 	world, began, limit := fleet.World, process.now(), process.machine.env.Bounds.PlatformPoll()
 	switch command := command.(type) {
 	case shard.ReadPlatform:
-		there := place{"platform-" + command.Region, "", command.Region}
-		fleet.question(process, there, limit, func() []byte {
+		there := location{"platform-" + command.Region, "", command.Region}
+		fleet.queryExternal(process, there, limit, func() []byte {
 			if fleet.Platform.Down {
 				return nil
 			}
@@ -85,7 +90,7 @@
 		})
 	case shard.ReadReport:
 		server := fleet.Server(command.Server)
-		fleet.question(process, server.place(), limit, server.report, func(content []byte) {
+		fleet.queryExternal(process, server.location(), limit, server.report, func(content []byte) {
 			read := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: began}}
 			var err error
 			if read.Report, err = listing.ReadReport(content, command.Server); err != nil {
@@ -94,7 +99,7 @@
 			process.handle(read)
 		})
 	case shard.Order:
-		world.travel(here, place{"platform-" + process.machine.Region, "", process.machine.Region}, false, func() {
+		world.deliver(here, location{"platform-" + process.machine.Region, "", process.machine.Region}, false, func() {
 			err := ""
 			if !fleet.Platform.order(command, process.machine.Region) {
 				err = "stale epoch"
@@ -106,21 +111,21 @@
 	}
 }
 
-// question asks something outside and takes its answer, or nothing when the limit is over.
-func (fleet *Fleet) question(process *Process, there place, limit time.Duration, look func() []byte, take func([]byte)) {
-	world, here, done := fleet.World, process.machine.place(), false
-	end := func(content []byte) {
+// queryExternal reads something over the network and passes on the content, or nil when the limit is over.
+func (fleet *Fleet) queryExternal(process *Process, there location, limit time.Duration, read func() []byte, receive func([]byte)) {
+	world, here, done := fleet.World, process.machine.location(), false
+	finish := func(content []byte) {
 		if !done {
 			done = true
-			process.Run(func() { take(content) })
+			process.Run(func() { receive(content) })
 		}
 	}
-	process.after(limit, func() { end(nil) })
-	world.travel(here, there, false, func() {
-		content := look()
+	process.after(limit, func() { finish(nil) })
+	world.deliver(here, there, false, func() {
+		content := read()
 		if content == nil {
 			return
 		}
-		world.travel(there, here, false, func() { end(content) })
+		world.deliver(there, here, false, func() { finish(content) })
 	})
 }
--- a/fleet/probe.go
+++ b/fleet/probe.go
@@ -9,100 +9,102 @@
 	"github.com/cedarreel/cedarreel/site"
 )
 
-// Probe is one call that a story sends by hand.
+// Probe is a single call that a test sends and inspects.
 type Probe struct {
-	*visit
+	*clientCall
 }
 
-// Probe makes a call of a class, bound to a home, that is not repeated by itself.
+// Probe makes a call of a class and a home region that is never retried automatically.
 func (fleet *Fleet) Probe(class, home string) *Probe {
-	made := fleet.Visit(fleet.Kind(class))
-	made.home, made.tries = home, callerTries
-	return &Probe{visit: made}
+	call := fleet.NewCall(fleet.CallerProfile(class))
+	call.home, call.attempts = home, maxClientAttempts
+	return &Probe{clientCall: call}
 }
 
-// With changes the kind of the call.
-func (probe *Probe) With(change func(*site.Caller)) *Probe {
-	change(&probe.kind)
+// WithProfile changes the client profile of the call.
+func (probe *Probe) WithProfile(change func(*site.Caller)) *Probe {
+	change(&probe.profile)
 	return probe
 }
 
-// Hurried sends a call to any node of its home, for a caller that goes away after a while.
-func (fleet *Fleet) Hurried(class, home string, patience time.Duration) {
+// SendAndHangUp sends a call to a random node of its home region; the client leaves after the given time.
+func (fleet *Fleet) SendAndHangUp(class, home string, patience time.Duration) {
 	probe := fleet.Probe(class, home)
-	probe.leaves = patience
-	probe.Send(one(fleet, fleet.InRegion(home)))
+	probe.hangsUpAfter = patience
+	probe.Send(randomItem(fleet, fleet.InRegion(home)))
 }
 
-// Took is how long the last answer took.
-func (probe *Probe) Took() time.Duration { return probe.took }
+// Duration is the time that the last answer took.
+func (probe *Probe) Duration() time.Duration { return probe.duration }
 
-// Of makes it the call of another caller.
-func (probe *Probe) Of(desk string) *Probe {
-	probe.desk = desk
+// WithCaller makes it the call of another caller.
+func (probe *Probe) WithCaller(caller string) *Probe {
+	probe.caller = caller
 	return probe
 }
 
-func (probe *Probe) Key() string { return probe.scoped }
+// Key is the idempotency key of the call.
+func (probe *Probe) Key() string { return probe.key }
 
-// Send sends it to a node; a second time it is a marked repeat.
+// Send sends the call to a node; from the second time on it is marked as a retry.
 func (probe *Probe) Send(machine *Machine) *Probe {
-	probe.Ended = ""
-	if probe.first > 0 {
-		probe.repeat = true
+	probe.Result = ""
+	if probe.firstSentAt > 0 {
+		probe.isRetry = true
 	}
 	probe.sendTo(machine)
-	probe.tries = callerTries
+	probe.attempts = maxClientAttempts
 	return probe
 }
 
-// Again sends it once more without the mark of a repeat, as a careless caller does.
-func (probe *Probe) Again(machine *Machine) *Probe {
-	probe.Ended, probe.repeat = "", false
+// SendUnmarked sends the call again without marking it as a retry, as a faulty client does.
+func (probe *Probe) SendUnmarked(machine *Machine) *Probe {
+	probe.Result, probe.isRetry = "", false
 	probe.sendTo(machine)
-	probe.tries = callerTries
+	probe.attempts = maxClientAttempts
 	return probe
 }
 
+// Outcome waits up to the limit for the outcome; it is empty if there is none yet.
 func (probe *Probe) Outcome(limit time.Duration) string {
-	probe.fleet.Until(limit, func() bool { return probe.Ended != "" })
-	return probe.Ended
+	probe.fleet.RunUntil(limit, func() bool { return probe.Result != "" })
+	return probe.Result
 }
 
-// Arrive puts a call of any shape to a data node and gives its answer.
-func (fleet *Fleet) Arrive(machine *Machine, asked call.Call) contract.Response {
-	given := contract.Response{}
+// SubmitCall passes a call of any form to a data node and returns its answer, or a zero response after 5 s.
+func (fleet *Fleet) SubmitCall(machine *Machine, request call.Call) contract.Response {
+	response := contract.Response{}
 	process := machine.Data
 	process.token++
 	token := process.token
-	process.asks[token] = func(answer contract.Response) { given = answer }
-	process.handle(data.Arrive{Token: token, Call: asked})
-	fleet.Until(5*time.Second, func() bool { return given.Status != 0 || given.Body != nil })
-	return given
+	process.pending[token] = func(answer contract.Response) { response = answer }
+	process.handle(data.Arrive{Token: token, Call: request})
+	fleet.RunUntil(5*time.Second, func() bool { return response.Status != 0 || response.Body != nil })
+	return response
 }
 
-// Look asks a data node what became of a call.
-func (fleet *Fleet) Look(machine *Machine, caller, key, home string) contract.Response {
-	given := contract.Response{}
+// Lookup asks a data node for the outcome of a call, and follows a forward to the home region.
+func (fleet *Fleet) Lookup(machine *Machine, caller, key, home string) contract.Response {
+	response := contract.Response{}
 	process := machine.Data
 	process.token++
 	token := process.token
-	process.asks[token] = func(answer contract.Response) { given = answer }
+	process.pending[token] = func(answer contract.Response) { response = answer }
 	process.handle(data.Look{Token: token, Caller: caller, Key: key, Home: home})
-	fleet.Until(5*time.Second, func() bool { return given.Status != 0 || given.Body != nil })
-	if pass, away := given.Body.(data.HomeForward); away {
-		process = fleet.processes[pass.Nodes[0]]
-		given = contract.Response{}
+	fleet.RunUntil(5*time.Second, func() bool { return response.Status != 0 || response.Body != nil })
+	if forward, outsideHome := response.Body.(data.HomeForward); outsideHome {
+		process = fleet.processes[forward.Nodes[0]]
+		response = contract.Response{}
 		process.token++
-		process.asks[process.token] = func(answer contract.Response) { given = answer }
-		process.handle(data.Look{Token: process.token, Caller: caller, Key: key, Home: pass.Home, Forwarded: true})
-		fleet.Until(5*time.Second, func() bool { return given.Status != 0 })
+		process.pending[process.token] = func(answer contract.Response) { response = answer }
+		process.handle(data.Look{Token: process.token, Caller: caller, Key: key, Home: forward.Home, Forwarded: true})
+		fleet.RunUntil(5*time.Second, func() bool { return response.Status != 0 })
 	}
-	return given
+	return response
 }
 
-// Running gives the servers that run something now.
-func (fleet *Fleet) Running() []*Server {
+// BusyServers returns the servers that are running a call.
+func (fleet *Fleet) BusyServers() []*Server {
 	busy := []*Server{}
 	for _, server := range fleet.Servers {
 		if len(server.running) > 0 {
@@ -112,15 +114,17 @@
 	return busy
 }
 
+// Unloaded tells whether an order has unloaded the server.
 func (server *Server) Unloaded() bool { return server.unloaded }
 
-func (server *Server) Busy() int { return len(server.running) }
+// RunningCount is the number of calls that the server is running.
+func (server *Server) RunningCount() int { return len(server.running) }
 
-// Owner gives the machine whose control process owns a shard of a region now, as the region's nodes tell.
+// Owner returns the machine whose control process owns a shard of a region, according to a random node; nil if there is none.
 func (fleet *Fleet) Owner(region string, index int) *Machine {
 	answer := fleet.Operate(fleet.anyNode(), contract.OperatorRequest{Verb: contract.VerbShards})
 	body, _ := answer.Body.(map[string]any)
-	for _, status := range statuses(body) {
+	for _, status := range shardStatuses(body) {
 		if status.Region == region && status.Shard == index {
 			for _, machine := range fleet.Machines {
 				if machine.Name+"-control" == status.Owner {
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -16,7 +16,7 @@
 	"github.com/cedarreel/cedarreel/virtual"
 )
 
-// Machine runs a control and a data process; a core machine has a disk.
+// Machine runs a control and a data process. Only a core machine has a disk.
 type Machine struct {
 	site.Machine
 	fleet   *Fleet
@@ -24,34 +24,37 @@
 	Data    *Process
 	Disk    *Disk
 	env     env.Env
-	boots   int
-	freezes int
-	illAt   time.Duration
-	clock   clock
+	// boots counts the starts, freezes the freezes that have not ended.
+	boots       int
+	freezes     int
+	lastFaultAt time.Duration
+	clock       clock
 }
 
-func (machine *Machine) place() place {
-	return place{machine.Name, machine.Zone, machine.Region}
+func (machine *Machine) location() location {
+	return location{machine.Name, machine.Zone, machine.Region}
 }
 
-// Process is one life of a program.
+// Process is one run of a program, from start to kill. Counts and Gauges hold its metrics by name.
 type Process struct {
 	virtual.Process
-	machine  *Machine
-	owner    contract.StateMachine
-	kind     string
-	boot     string
-	began    time.Duration
-	asks     map[int64]func(contract.Response)
+	machine   *Machine
+	owner     contract.StateMachine
+	kind      string
+	bootID    string
+	startedAt time.Duration
+	// pending holds the receivers of operators' answers by token.
+	pending  map[int64]func(contract.Response)
 	token    int64
 	sessions map[int64]*session
 	Counts   map[string]int64
 	Gauges   map[string]int64
 }
 
+// Start boots the machine: both processes start fresh, and a core machine recovers from its disk.
 func (machine *Machine) Start() {
 	machine.boots++
-	machine.ill()
+	machine.recordFault()
 	machine.Control = machine.process(contract.KindControl)
 	machine.Data = machine.process(contract.KindData)
 	fleet := machine.fleet
@@ -64,17 +67,18 @@
 		}
 		recovered = &loaded
 	}
-	machine.Control.owner = control.New(machine.env, machine.Control.boot, recovered, seed())
-	machine.Data.owner = data.New(machine.env, machine.Data.boot, seed())
+	machine.Control.owner = control.New(machine.env, machine.Control.bootID, recovered, seed())
+	machine.Data.owner = data.New(machine.env, machine.Data.bootID, seed())
 	for _, process := range []*Process{machine.Control, machine.Data} {
 		fleet.processes[process.address()] = process
 		fleet.World.After(time.Duration(fleet.World.Random.Int64N(int64(machine.env.Bounds.Tick()))), process.tick)
 	}
 }
 
+// process makes a process of a kind that has not been given its state machine yet.
 func (machine *Machine) process(kind string) *Process {
-	return &Process{machine: machine, kind: kind, boot: fmt.Sprintf("b%d", machine.boots), began: machine.read(), Process: virtual.Process{Up: true},
-		asks: map[int64]func(contract.Response){}, sessions: map[int64]*session{}, Counts: map[string]int64{}, Gauges: map[string]int64{}}
+	return &Process{machine: machine, kind: kind, bootID: fmt.Sprintf("b%d", machine.boots), startedAt: machine.localTime(), Process: virtual.Process{Up: true},
+		pending: map[int64]func(contract.Response){}, sessions: map[int64]*session{}, Counts: map[string]int64{}, Gauges: map[string]int64{}}
 }
 
 func (process *Process) address() string {
@@ -94,18 +98,18 @@
 	process.after(process.machine.env.Bounds.Tick(), process.tick)
 }
 
-func (process *Process) now() time.Duration { return process.machine.read() - process.began }
+func (process *Process) now() time.Duration { return process.machine.localTime() - process.startedAt }
 
-// Event brings an event to the owner and carries out its commands.
+// Event passes an event to the state machine and executes the resulting commands, or queues it while the process is frozen.
 func (process *Process) Event(event contract.Event) { process.Run(func() { process.handle(event) }) }
 
 func (process *Process) handle(event contract.Event) {
 	for _, command := range process.owner.Handle(process.now(), event) {
-		process.carryOut(command)
+		process.execute(command)
 	}
 }
 
-func (process *Process) carryOut(command contract.Command) {
+func (process *Process) execute(command contract.Command) {
 	fleet := process.machine.fleet
 	switch command := command.(type) {
 	case contract.Send:
@@ -116,7 +120,7 @@
 		process.Gauges[command.Name] = command.Value
 	case contract.ObserveDuration:
 	case contract.Log:
-		fleet.say(process, command)
+		fleet.writeLog(process, command)
 	case contract.Response:
 		process.answer(command)
 	case contract.Forward:
@@ -130,23 +134,23 @@
 	case chain.Persist:
 		process.persist(command)
 	default:
-		process.outside(command)
+		process.callExternal(command)
 	}
 }
 
 func (process *Process) send(command contract.Send) {
 	fleet := process.machine.fleet
-	command = fleet.plain(command)
-	target, there := fleet.processes[command.To]
-	if !there {
+	command = fleet.stripWithdrawal(command)
+	target, found := fleet.processes[command.To]
+	if !found {
 		return
 	}
 	body, err := json.Marshal(command.Body)
 	if err != nil {
 		panic(err)
 	}
-	message := contract.Message{Kind: command.Kind, From: process.machine.Name + "-" + process.kind, Boot: process.boot, Body: body}
-	fleet.World.travel(process.machine.place(), target.machine.place(), true, func() {
+	message := contract.Message{Kind: command.Kind, From: process.machine.Name + "-" + process.kind, Boot: process.bootID, Body: body}
+	fleet.World.deliver(process.machine.location(), target.machine.location(), true, func() {
 		if current := fleet.processes[command.To]; current != nil {
 			current.Event(message)
 		}
@@ -154,56 +158,57 @@
 }
 
 func (process *Process) answer(answer contract.Response) {
-	if session, there := process.sessions[answer.Token]; there {
+	if session, found := process.sessions[answer.Token]; found {
 		session.answered(answer)
 		return
 	}
-	take := process.asks[answer.Token]
-	delete(process.asks, answer.Token)
-	if take != nil {
-		take(answer)
+	receive := process.pending[answer.Token]
+	delete(process.pending, answer.Token)
+	if receive != nil {
+		receive(answer)
 	}
 }
 
-// Ask puts an operator's question to this process.
-func (process *Process) Ask(ask contract.OperatorRequest, take func(contract.Response)) {
+// Ask sends an operator's request to this process; receive gets the answer.
+func (process *Process) Ask(request contract.OperatorRequest, receive func(contract.Response)) {
 	process.Run(func() {
 		process.token++
-		ask.Token = process.token
-		process.asks[ask.Token] = take
-		process.handle(ask)
+		request.Token = process.token
+		process.pending[request.Token] = receive
+		process.handle(request)
 	})
 }
 
-// forward carries an ask to the authority as the links do; a lost answer is unknown.
+// forward carries an operator's request to the authority over the network; if no answer comes, the outcome is unknown.
 func (process *Process) forward(forward contract.Forward) {
-	fleet, token, given := process.machine.fleet, forward.Request.Token, false
-	give := func(answer contract.Response) {
-		if !given {
-			given = true
+	fleet, token, answered := process.machine.fleet, forward.Request.Token, false
+	respond := func(answer contract.Response) {
+		if !answered {
+			answered = true
 			answer.Token = token
 			process.Run(func() { process.answer(answer) })
 		}
 	}
 	lost := contract.Response{Status: 504, Body: contract.WriteResult{Outcome: "unknown", Operation: forward.Request.Operation}}
-	fleet.World.After(process.machine.env.Bounds.Deliver()*2, func() { give(lost) })
-	target, there := fleet.processes[forward.Address]
-	if !there {
+	fleet.World.After(process.machine.env.Bounds.Deliver()*2, func() { respond(lost) })
+	target, found := fleet.processes[forward.Address]
+	if !found {
 		return
 	}
-	fleet.World.travel(process.machine.place(), target.machine.place(), false, func() {
+	fleet.World.deliver(process.machine.location(), target.machine.location(), false, func() {
 		if target != fleet.processes[forward.Address] || !target.Up {
-			fleet.World.travel(target.machine.place(), process.machine.place(), false, func() {
-				give(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", process.machine.env.Bounds.Round()))
+			fleet.World.deliver(target.machine.location(), process.machine.location(), false, func() {
+				respond(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", process.machine.env.Bounds.Round()))
 			})
 			return
 		}
 		target.Ask(forward.Request, func(answer contract.Response) {
-			fleet.World.travel(target.machine.place(), process.machine.place(), false, func() { give(answer) })
+			fleet.World.deliver(target.machine.location(), process.machine.location(), false, func() { respond(answer) })
 		})
 	})
 }
 
+// persist saves chain state to the disk and reports the result to the state machine.
 func (process *Process) persist(work chain.Persist) {
 	disk := process.machine.Disk
 	disk.Save(func() {
@@ -219,35 +224,36 @@
 	})
 }
 
-// Kill ends both processes; what the disk only said it kept may go with them.
+// Kill ends both processes and cuts the power of the disk. A faulty disk may then lose writes that it reported as synced.
 func (machine *Machine) Kill() {
 	for _, process := range []*Process{machine.Control, machine.Data} {
 		process.Kill()
 		for _, session := range process.sortedSessions() {
-			session.broken()
+			session.connectionBroken()
 		}
 	}
 	if machine.Disk != nil {
 		machine.Disk.LosePower()
 	}
 	machine.freezes = 0
-	machine.ill()
+	machine.recordFault()
 	machine.fleet.Ledger.NodeRestarted(machine.Name + "-data")
 	machine.fleet.Ledger.NodeRestarted(machine.Name + "-control")
 }
 
+// Up tells whether the machine runs, frozen or not.
 func (machine *Machine) Up() bool { return machine.Control != nil && machine.Control.Up }
 
-// illSince tells whether a machine was dead or frozen at any time since a moment; a cut of its links is no illness.
-func (machine *Machine) illSince(moment time.Duration) bool {
-	return machine.illAt >= moment || machine.freezes > 0 || !machine.Up()
+// faultySince tells whether the machine was down or frozen at any time since then; a cut of its links does not count.
+func (machine *Machine) faultySince(since time.Duration) bool {
+	return machine.lastFaultAt >= since || machine.freezes > 0 || !machine.Up()
 }
 
-func (machine *Machine) ill() { machine.illAt = machine.fleet.World.Now }
+func (machine *Machine) recordFault() { machine.lastFaultAt = machine.fleet.World.Now }
 
-// Freeze stops a machine; the end of one freeze wakes it only if no other lasts.
+// Freeze suspends a machine. It resumes when all overlapping freezes have ended.
 func (machine *Machine) Freeze() (thaw func()) {
-	machine.ill()
+	machine.recordFault()
 	machine.Control.Frozen, machine.Data.Frozen = true, true
 	machine.freezes++
 	boots := machine.boots
@@ -260,15 +266,16 @@
 	}
 }
 
+// Wake resumes a machine and ends all its freezes.
 func (machine *Machine) Wake() {
-	machine.ill()
+	machine.recordFault()
 	machine.freezes = 0
 	for _, process := range []*Process{machine.Control, machine.Data} {
 		process.Thaw()
 	}
 }
 
-// Plant puts another owner in the place of this process's, for the stories that test the checker.
-func (process *Process) Plant(change func(contract.StateMachine) contract.StateMachine) {
+// ReplaceOwner wraps or replaces the state machine of the process; tests inject faults this way to verify the checks.
+func (process *Process) ReplaceOwner(change func(contract.StateMachine) contract.StateMachine) {
 	process.owner = change(process.owner)
 }
--- a/fleet/readback.go
+++ b/fleet/readback.go
@@ -10,10 +10,10 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// readBack asks the fleet for every accepted revision that must still be kept (the last ones up to the newest, which an operator who
-// got no answer may have written), and compares it with what its operator sent.
+// readBack reads every accepted revision that must still be in the history, and compares it with what its operator sent. The history
+// counts back from the newest revision, which may stem from a write whose answer was lost.
 func (fleet *Fleet) readBack() {
-	live := fleet.Pick(func(machine *Machine) bool { return machine.Up() && !machine.Control.Frozen })
+	live := fleet.MachinesWhere(func(machine *Machine) bool { return machine.Up() && !machine.Control.Frozen })
 	if len(live) == 0 {
 		return
 	}
@@ -38,57 +38,57 @@
 			trees[revision] = tree
 		}
 	}
-	for _, written := range fleet.Writes {
-		fleet.judgeWritten(written, trees)
+	for _, record := range fleet.Writes {
+		fleet.checkWrite(record, trees)
 	}
 }
 
-// judgeWritten wants in an accepted revision what its operator sent, laid over the revision before where that is known too, and
-// nothing else.
-func (fleet *Fleet) judgeWritten(written Written, trees map[int64]map[string]any) {
-	tree, there := trees[written.Accepted.Revision]
-	if !there || written.Status != 200 && written.Status != 202 {
+// checkWrite requires that an accepted revision is exactly the previous one, if known, with the operator's change applied.
+func (fleet *Fleet) checkWrite(record WriteRecord, trees map[int64]map[string]any) {
+	tree, found := trees[record.Result.Revision]
+	if !found || record.Status != 200 && record.Status != 202 {
 		return
 	}
-	sent := sentBy(written.Ask)
-	want := lay(tree, sent)
-	if former, known := trees[written.Accepted.Revision-1]; known {
-		want = lay(former, sent)
+	sent := requestedTree(record.Request)
+	expected := mergeTree(tree, sent)
+	if previous, hasPrevious := trees[record.Result.Revision-1]; hasPrevious {
+		expected = mergeTree(previous, sent)
 	}
-	if written.Ask.Verb == contract.VerbPut {
-		want = sent
+	if record.Request.Verb == contract.VerbPut {
+		expected = sent
 	}
-	if !reflect.DeepEqual(want, tree) {
-		fleet.Ledger.ManifestAltered(written.Accepted.Revision, fmt.Sprintf("%s %s %s", written.Ask.Verb, written.Ask.Subject, written.Ask.Body), fleet.World.Now)
+	if !reflect.DeepEqual(expected, tree) {
+		fleet.Ledger.ManifestAltered(record.Result.Revision, fmt.Sprintf("%s %s %s", record.Request.Verb, record.Request.Subject, record.Request.Body), fleet.World.Now)
 	}
 }
 
-func sentBy(ask contract.OperatorRequest) map[string]any {
+// requestedTree returns the part of the manifest that a request sets.
+func requestedTree(request contract.OperatorRequest) map[string]any {
 	under := func(kind, field string, value any) map[string]any {
-		return map[string]any{kind: map[string]any{ask.Subject: map[string]any{field: value}}}
+		return map[string]any{kind: map[string]any{request.Subject: map[string]any{field: value}}}
 	}
-	switch ask.Verb {
+	switch request.Verb {
 	case contract.VerbDrain, contract.VerbUndrain:
-		return under("zones", "drained", ask.Verb == contract.VerbDrain)
+		return under("zones", "drained", request.Verb == contract.VerbDrain)
 	case contract.VerbScale:
-		return under("pools", "scale", json.Number(strings.TrimSpace(string(ask.Body))))
+		return under("pools", "scale", json.Number(strings.TrimSpace(string(request.Body))))
 	}
-	tree, _ := manifest.ParseObject(ask.Body)
+	tree, _ := manifest.ParseObject(request.Body)
 	return tree
 }
 
-// lay puts what was sent over what was there; the operators of the fleet take nothing away.
-func lay(there, sent map[string]any) map[string]any {
-	laid := map[string]any{}
-	for name, value := range there {
-		laid[name] = value
+// mergeTree applies a change to a tree; the fleet's operators never remove anything.
+func mergeTree(base, sent map[string]any) map[string]any {
+	merged := map[string]any{}
+	for name, value := range base {
+		merged[name] = value
 	}
 	for name, value := range sent {
-		below, fine := value.(map[string]any)
-		if former, both := laid[name].(map[string]any); fine && both {
-			value = lay(former, below)
+		child, isObject := value.(map[string]any)
+		if previous, wasObject := merged[name].(map[string]any); isObject && wasObject {
+			value = mergeTree(previous, child)
 		}
-		laid[name] = value
+		merged[name] = value
 	}
-	return laid
+	return merged
 }
--- a/fleet/retirement.go
+++ b/fleet/retirement.go
@@ -10,30 +10,32 @@
 	"github.com/cedarreel/cedarreel/site"
 )
 
-// Causes are the triggers of a retirement that are measured.
-var Causes = []string{"scale-down", "scale-to-zero", "reclaim", "short reclaim", "drain"}
+// RetirementCauses are the triggers of a retirement that Retire measures.
+var RetirementCauses = []string{"scale-down", "scale-to-zero", "reclaim", "short reclaim", "drain"}
 
-// Retired is what one measured retirement came to: the time until the server was let go, the ends of the calls that it ran or
-// that waited at it, how many were recalled, and how soon the sessions' next turns began elsewhere.
-type Retired struct {
-	Cause    string
-	Took     time.Duration
-	Released bool
-	Held     bool
-	Aborted  bool
-	Ends     map[string]int
-	Recalled int64
-	NextTurn []time.Duration
-	Hits     int
-	Asked    int
-	Breaches int
+// RetirementResult is the result of one retirement: the time until the server was released, the outcomes of the calls that it ran or
+// queued, how many were recalled, and the delays until the next turns of their sessions started elsewhere.
+type RetirementResult struct {
+	Cause          string
+	Duration       time.Duration
+	Released       bool
+	Held           bool
+	Aborted        bool
+	Outcomes       map[string]int
+	Recalled       int64
+	NextTurnDelays []time.Duration
+	PrefixHits     int
+	PrefixCalls    int
+	Violations     int
 }
 
-// WithOrdinary takes the exceptions away, for comparison alone: sessions are not moved and nothing is recalled.
-func WithOrdinary() Option { return func(fleet *Fleet) { fleet.ordinary = true } }
+// WithoutEarlyWithdrawal removes the early withdrawal of sessions and the recall of queued calls from all leases, as a baseline for
+// comparison.
+func WithoutEarlyWithdrawal() Option { return func(fleet *Fleet) { fleet.noEarlyWithdrawal = true } }
 
-func (fleet *Fleet) plain(command contract.Send) contract.Send {
-	if lease, fine := command.Body.(contract.Lease); fine && fleet.ordinary {
+// stripWithdrawal applies WithoutEarlyWithdrawal to a message.
+func (fleet *Fleet) stripWithdrawal(command contract.Send) contract.Send {
+	if lease, ok := command.Body.(contract.Lease); ok && fleet.noEarlyWithdrawal {
 		lease.Withdraw, lease.Recall = nil, nil
 		command.Body = lease
 	}
@@ -41,18 +43,20 @@
 }
 
 const (
-	laden    = 12
-	ladenFor = 500
-	reclaims = 8 * time.Second
-	tooShort = 2 * time.Second
+	// targetCalls is how many calls the target gets, each with targetCallChunks chunks.
+	targetCalls      = 12
+	targetCallChunks = 500
+	// reclaimNotice is enough time for a normal retirement, shortReclaimNotice is not.
+	reclaimNotice      = 8 * time.Second
+	shortReclaimNotice = 2 * time.Second
 )
 
-// Retire loads one server with running and waiting calls, retires it, and tells what became of them.
-func Retire(described site.Site, seed uint64, cause string, options ...Option) Retired {
-	fleet := New(described, seed, options...)
-	retired := Retired{Cause: cause, Ends: map[string]int{}}
-	if !fleet.Ready() {
-		return retired
+// Retire fills a server with running and queued calls, retires it for the given cause and returns what became of them.
+func Retire(deployment site.Site, seed uint64, cause string, options ...Option) RetirementResult {
+	fleet := New(deployment, seed, options...)
+	result := RetirementResult{Cause: cause, Outcomes: map[string]int{}}
+	if !fleet.StartAndServe() {
+		return result
 	}
 	fleet.Run(trafficStarts - fleet.World.Now)
 	region := fleet.Site.Regions()[0]
@@ -63,49 +67,49 @@
 		}
 	}
 	target := pool[len(pool)-1]
-	probes := fleet.load(region, target, pool)
-	began, asked, hits := fleet.World.Now, 0, 0
+	probes := fleet.loadServer(region, target, pool)
+	began, prefixCalls, prefixHits := fleet.World.Now, 0, 0
 	for _, server := range fleet.Servers {
-		asked, hits = asked+server.PrefixAsked, hits+server.PrefixHits
+		prefixCalls, prefixHits = prefixCalls+server.PrefixCalls, prefixHits+server.PrefixHits
 	}
 	fleet.Traffic(40*time.Second, 0.3)
-	fleet.trigger(cause, target, len(pool))
+	fleet.startRetirement(cause, target, len(pool))
 	fleet.World.After(time.Second, func() {
-		for index := range laden / 2 {
+		for index := range targetCalls / 2 {
 			next := fleet.Probe("short", region)
 			next.session = probes[index].session
 			sent := fleet.World.Now
 			next.Send(fleet.InRegion(region)[index%4])
-			next.first = sent
-			next.told = func() { retired.NextTurn = append(retired.NextTurn, fleet.World.Now-sent) }
+			next.firstSentAt = sent
+			next.onFirstChunk = func() { result.NextTurnDelays = append(result.NextTurnDelays, fleet.World.Now-sent) }
 		}
 	})
-	fleet.Until(70*time.Second, func() bool { return target.unloaded || target.gone })
-	retired.Took = fleet.World.Now - began
+	fleet.RunUntil(70*time.Second, func() bool { return target.unloaded || target.gone })
+	result.Duration = fleet.World.Now - began
 	fleet.Run(time.Second)
 	for _, row := range fleet.retirements() {
 		if row.Server == target.Name {
-			retired.Released = retired.Released || row.State == retire.Released
-			retired.Held = retired.Held || row.State == retire.Held
-			retired.Aborted = retired.Aborted || row.State == retire.Aborted
+			result.Released = result.Released || row.State == retire.Released
+			result.Held = result.Held || row.State == retire.Held
+			result.Aborted = result.Aborted || row.State == retire.Aborted
 		}
 	}
 	for _, probe := range probes {
-		retired.Ends[probe.Outcome(40*time.Second)]++
+		result.Outcomes[probe.Outcome(40*time.Second)]++
 	}
 	for _, machine := range fleet.Machines {
-		retired.Recalled += machine.Data.Counts["attempts_recalled_before_start"]
+		result.Recalled += machine.Data.Counts["attempts_recalled_before_start"]
 	}
 	for _, server := range fleet.Servers {
-		retired.Asked, retired.Hits = retired.Asked+server.PrefixAsked, retired.Hits+server.PrefixHits
+		result.PrefixCalls, result.PrefixHits = result.PrefixCalls+server.PrefixCalls, result.PrefixHits+server.PrefixHits
 	}
-	retired.Asked, retired.Hits = retired.Asked-asked, retired.Hits-hits
-	retired.Breaches = len(fleet.Close())
-	return retired
+	result.PrefixCalls, result.PrefixHits = result.PrefixCalls-prefixCalls, result.PrefixHits-prefixHits
+	result.Violations = len(fleet.Close())
+	return result
 }
 
-// load gives the target calls that run for ten seconds, and as many that wait there behind them.
-func (fleet *Fleet) load(region string, target *Server, pool []*Server) []*Probe {
+// loadServer gives the target calls that run for ten seconds, and as many that are queued behind them.
+func (fleet *Fleet) loadServer(region string, target *Server, pool []*Server) []*Probe {
 	for _, server := range pool {
 		if server != target {
 			server.Crash()
@@ -113,8 +117,8 @@
 	}
 	fleet.Run(3 * time.Second)
 	probes := []*Probe{}
-	for index := range laden {
-		probe := fleet.Probe("short", region).With(func(kind *site.Caller) { kind.Pieces = ladenFor })
+	for index := range targetCalls {
+		probe := fleet.Probe("short", region).WithProfile(func(profile *site.Caller) { profile.Pieces = targetCallChunks })
 		probe.session = fmt.Sprintf("laden-%d", index)
 		probes = append(probes, probe.Send(fleet.InRegion(region)[index%len(fleet.InRegion(region))]))
 	}
@@ -128,21 +132,23 @@
 	return probes
 }
 
-func (fleet *Fleet) trigger(cause string, target *Server, count int) {
+// startRetirement triggers the retirement of the target; count is the size of its pool.
+func (fleet *Fleet) startRetirement(cause string, target *Server, count int) {
 	switch cause {
 	case "scale-down":
-		fleet.Write(fleet.Machines[3], fleet.scale(target.Pool, count-1), nil)
+		fleet.Write(fleet.Machines[3], fleet.scaleRequest(target.Pool, count-1), nil)
 	case "scale-to-zero":
-		fleet.Write(fleet.Machines[3], fleet.scale(target.Pool, 0), nil)
+		fleet.Write(fleet.Machines[3], fleet.scaleRequest(target.Pool, 0), nil)
 	case "reclaim":
-		target.Mark(reclaims)
+		target.MarkLeaving(reclaimNotice)
 	case "short reclaim":
-		target.Mark(tooShort)
+		target.MarkLeaving(shortReclaimNotice)
 	case "drain":
 		fleet.Write(fleet.Machines[3], contract.OperatorRequest{Verb: contract.VerbDrain, Subject: target.Zone, Operation: "drain"}, nil)
 	}
 }
 
+// retirements reads the current retirements through a random node.
 func (fleet *Fleet) retirements() []shard.Retired {
 	answer := fleet.Operate(fleet.anyNode(), contract.OperatorRequest{Verb: contract.VerbRetirements})
 	body, _ := answer.Body.(map[string]any)
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -11,77 +11,86 @@
 	"github.com/cedarreel/cedarreel/site"
 )
 
-// Server stands in for a model, sync or refund server.
+// Server simulates a model or lookup server. Started, PrefixHits and PrefixCalls count its runs, those that found their prefix cached,
+// and those that had a prefix.
 type Server struct {
 	site.Server
 	fleet       *Fleet
 	incarnation int
-	number      int64
-	up          bool
-	gone        bool
-	Mode        string
-	ReportLag   time.Duration
-	running     map[string]*run
-	waiting     []*run
-	prefixes    []string
-	recalled    map[string]bool
-	leaving     bool
-	ends        time.Duration
-	unloaded    bool
-	lastReport  []byte
-	lastAt      time.Duration
-	Taken       int
-	PrefixHits  int
-	PrefixAsked int
+	// reportNumber counts the reports of this incarnation.
+	reportNumber int64
+	up           bool
+	// gone means that the platform no longer lists the server.
+	gone bool
+	// FaultMode is empty, or one of: dark (no answers), refuse, cut (connections break in the middle), truncate (replies lack their end),
+	// wrong (replies with another ID), partial or garbled (reports).
+	FaultMode string
+	// ReportLag makes the server repeat a report for this long.
+	ReportLag time.Duration
+	running   map[string]*serverRun
+	waiting   []*serverRun
+	// prefixes are the cached prefixes, oldest first.
+	prefixes []string
+	recalled map[string]bool
+	leaving  bool
+	// leavesAt is when the platform ends a leaving server; zero if it gave no time.
+	leavesAt     time.Duration
+	unloaded     bool
+	lastReport   []byte
+	lastReportAt time.Duration
+	Started      int
+	PrefixHits   int
+	PrefixCalls  int
 }
 
-type run struct {
-	attempt  *attempt
-	identity string
-	scoped   string
-	told     []string
+// serverRun is one call on a server; chunks are those produced so far.
+type serverRun struct {
+	attempt *serverAttempt
+	id      string
+	key     string
+	chunks  []string
 }
 
-func (server *Server) place() place { return place{server.Name, server.Zone, server.Region} }
+func (server *Server) location() location { return location{server.Name, server.Zone, server.Region} }
 
-// Return brings the server up cold, under a new incarnation.
-func (server *Server) Return() {
+// StartCold brings the server up with an empty cache under a new incarnation.
+func (server *Server) StartCold() {
 	server.incarnation++
-	server.up, server.number, server.prefixes, server.lastReport = true, 0, nil, nil
-	server.running, server.waiting, server.recalled = map[string]*run{}, nil, map[string]bool{}
+	server.up, server.reportNumber, server.prefixes, server.lastReport = true, 0, nil, nil
+	server.running, server.waiting, server.recalled = map[string]*serverRun{}, nil, map[string]bool{}
 	server.fleet.Ledger.ServerCold(server.Name, server.fleet.World.Now)
 }
 
-// Crash ends everything on the server at once; those who wait for it see their links break.
+// Crash ends all calls on the server; their connections break.
 func (server *Server) Crash() {
 	server.up = false
-	for _, identity := range sortedRuns(server.running) {
-		run := server.running[identity]
-		server.fleet.Ledger.RunEnded(identity, run.told, false)
-		run.attempt.linkBroke()
+	for _, id := range sortedRuns(server.running) {
+		run := server.running[id]
+		server.fleet.Ledger.RunEnded(id, run.chunks, false)
+		run.attempt.connectionBroken()
 	}
 	for _, run := range server.waiting {
-		run.attempt.linkBroke()
+		run.attempt.connectionBroken()
 	}
-	server.running, server.waiting = map[string]*run{}, nil
+	server.running, server.waiting = map[string]*serverRun{}, nil
 }
 
-func sortedRuns(runs map[string]*run) []string {
-	identities := []string{}
-	for identity := range runs {
-		identities = append(identities, identity)
+func sortedRuns(runs map[string]*serverRun) []string {
+	ids := []string{}
+	for id := range runs {
+		ids = append(ids, id)
 	}
-	slices.Sort(identities)
-	return identities
+	slices.Sort(ids)
+	return ids
 }
 
-// Mark says that the server is leaving; with time left, the platform ends it when that is over.
-func (server *Server) Mark(remaining time.Duration) {
+// MarkLeaving marks the server as leaving. If remaining is positive, the platform ends it after that time.
+func (server *Server) MarkLeaving(remaining time.Duration) {
 	fleet := server.fleet
 	server.leaving = true
 	fleet.Ledger.ServerLeaving(server.Name, fleet.World.Now)
 	if remaining > 0 {
-		server.ends = fleet.World.Now + remaining
+		server.leavesAt = fleet.World.Now + remaining
 		incarnation := server.incarnation
 		fleet.World.After(remaining, func() {
 			if server.incarnation == incarnation && server.leaving {
@@ -92,177 +101,180 @@
 	}
 }
 
-// Replace puts a fresh server in the place of one that left.
+// Replace puts a new, cold server of the same name in its place.
 func (server *Server) Replace() {
 	server.Crash()
-	server.leaving, server.gone, server.ends, server.unloaded = false, false, 0, false
+	server.leaving, server.gone, server.leavesAt, server.unloaded = false, false, 0, false
 	server.fleet.Ledger.ServerStaying(server.Name)
-	server.Return()
+	server.StartCold()
 }
 
+// report encodes the status report of the server, or nil if it does not answer.
 func (server *Server) report() []byte {
 	now := server.fleet.World.Now
-	if !server.up || server.Mode == "dark" {
+	if !server.up || server.FaultMode == "dark" {
 		return nil
 	}
-	if server.lastReport != nil && now-server.lastAt < server.ReportLag {
+	if server.lastReport != nil && now-server.lastReportAt < server.ReportLag {
 		return server.lastReport
 	}
-	server.number++
-	report := map[string]any{"server": server.Name, "incarnation": fmt.Sprint(server.incarnation), "number": server.number, "running": len(server.running),
-		"waiting": len(server.waiting), "prefixes": append([]string{}, server.prefixes...), "complete": server.Mode != "partial", "ageMs": 0}
-	if server.Mode == "partial" {
+	server.reportNumber++
+	report := map[string]any{"server": server.Name, "incarnation": fmt.Sprint(server.incarnation), "number": server.reportNumber, "running": len(server.running),
+		"waiting": len(server.waiting), "prefixes": append([]string{}, server.prefixes...), "complete": server.FaultMode != "partial", "ageMs": 0}
+	if server.FaultMode == "partial" {
 		delete(report, "waiting")
 	}
 	content, _ := json.Marshal(report)
-	if server.Mode == "garbled" {
+	if server.FaultMode == "garbled" {
 		content = content[:len(content)/2]
 	}
-	server.lastReport, server.lastAt = content, now
+	server.lastReport, server.lastReportAt = content, now
 	return content
 }
 
-// take is a call arriving at the server.
-func (server *Server) take(attempt *attempt) {
-	fleet, visit := server.fleet, attempt.session.try.visit
+// accept takes a call that arrives at the server.
+func (server *Server) accept(attempt *serverAttempt) {
+	fleet, call := server.fleet, attempt.session.client.call
 	if !server.up {
-		attempt.refusedLink()
+		attempt.connectionRefused()
 		return
 	}
-	switch server.Mode {
+	switch server.FaultMode {
 	case "dark":
 		return
 	case "refuse":
-		fleet.Ledger.CallRefused(visit.scoped, fleet.World.Now)
-		attempt.turnedAway()
+		fleet.Ledger.CallRefused(call.key, fleet.World.Now)
+		attempt.callRefused()
 		return
 	}
 	if attempt.command.Server.Incarnation != fmt.Sprint(server.incarnation) {
-		fleet.Ledger.CallRefused(visit.scoped, fleet.World.Now)
-		attempt.turnedAway()
+		fleet.Ledger.CallRefused(call.key, fleet.World.Now)
+		attempt.callRefused()
 		return
 	}
-	next := &run{attempt: attempt, identity: attempt.command.AttemptID, scoped: visit.scoped}
-	server.waiting = append(server.waiting, next)
-	server.start()
+	run := &serverRun{attempt: attempt, id: attempt.command.AttemptID, key: call.key}
+	server.waiting = append(server.waiting, run)
+	server.startWaiting()
 }
 
-func (server *Server) start() {
+// startWaiting starts queued calls while there are free slots.
+func (server *Server) startWaiting() {
 	for len(server.waiting) > 0 && int64(len(server.running)) < server.Slots {
-		next := server.waiting[0]
+		run := server.waiting[0]
 		server.waiting = server.waiting[1:]
-		if server.recalled[next.identity] || next.attempt.closed {
+		if server.recalled[run.id] || run.attempt.closed {
 			continue
 		}
-		server.begin(next)
+		server.startRun(run)
 	}
 }
 
-func (server *Server) begin(next *run) {
-	fleet, visit := server.fleet, next.attempt.session.try.visit
-	server.running[next.identity] = next
-	server.Taken++
-	fleet.Ledger.RunStarted(next.scoped, next.identity, server.Name, fleet.World.Now)
-	if visit.kind.Class == "lookup" {
-		fleet.World.After(site.LookupDuration, func() { server.finishLookup(next) })
+func (server *Server) startRun(run *serverRun) {
+	fleet, call := server.fleet, run.attempt.session.client.call
+	server.running[run.id] = run
+	server.Started++
+	fleet.Ledger.RunStarted(run.key, run.id, server.Name, fleet.World.Now)
+	if call.profile.Class == "lookup" {
+		fleet.World.After(site.LookupDuration, func() { server.finishLookup(run) })
 		return
 	}
-	if former, there := fleet.lastTurn[visit.session]; there && visit.session != "" {
-		fleet.Turns++
-		if former == server.Name {
-			fleet.Kept++
+	if previous, found := fleet.lastServer[call.session]; found && call.session != "" {
+		fleet.SessionTurns++
+		if previous == server.Name {
+			fleet.SameServerTurns++
 		}
 	}
-	fleet.lastTurn[visit.session] = server.Name
-	span := time.Duration(visit.kind.Tokens) * site.PrefillTimePerToken
-	if visit.prefix != "" {
-		server.PrefixAsked++
-		if slices.Contains(server.prefixes, visit.prefixName()) {
+	fleet.lastServer[call.session] = server.Name
+	span := time.Duration(call.profile.Tokens) * site.PrefillTimePerToken
+	if call.prefix != "" {
+		server.PrefixCalls++
+		if slices.Contains(server.prefixes, call.prefixDigest()) {
 			server.PrefixHits++
 			span /= site.CachedPrefixSpeedup
-		} else if server.prefixes = append(server.prefixes, visit.prefixName()); len(server.prefixes) > site.CachedPrefixes {
+		} else if server.prefixes = append(server.prefixes, call.prefixDigest()); len(server.prefixes) > site.CachedPrefixes {
 			server.prefixes = server.prefixes[1:]
 		}
 	}
-	fleet.World.After(span+site.DecodeTimePerPiece, func() { server.decode(next) })
+	fleet.World.After(span+site.DecodeTimePerPiece, func() { server.decode(run) })
 }
 
-func (server *Server) live(next *run) bool { return server.running[next.identity] == next }
+func (server *Server) isRunning(run *serverRun) bool { return server.running[run.id] == run }
 
-func (server *Server) stop(next *run, whole bool) {
-	delete(server.running, next.identity)
-	server.fleet.Ledger.RunEnded(next.identity, next.told, whole)
-	server.start()
+// endRun frees the slot of a run; complete means that the run produced its whole reply.
+func (server *Server) endRun(run *serverRun, complete bool) {
+	delete(server.running, run.id)
+	server.fleet.Ledger.RunEnded(run.id, run.chunks, complete)
+	server.startWaiting()
 }
 
-func (server *Server) decode(next *run) {
-	if !server.live(next) {
+func (server *Server) decode(run *serverRun) {
+	if !server.isRunning(run) {
 		return
 	}
-	if next.attempt.closed {
-		server.stop(next, false)
+	if run.attempt.closed {
+		server.endRun(run, false)
 		return
 	}
-	visit, place := next.attempt.session.try.visit, len(next.told)
-	if server.Mode == "cut" && place >= int(visit.kind.Pieces)/2 {
-		server.stop(next, false)
-		next.attempt.linkBroke()
+	call, position := run.attempt.session.client.call, len(run.chunks)
+	if server.FaultMode == "cut" && position >= int(call.profile.Pieces)/2 {
+		server.endRun(run, false)
+		run.attempt.connectionBroken()
 		return
 	}
-	id := next.identity
-	if server.Mode == "wrong" {
+	id := run.id
+	if server.FaultMode == "wrong" {
 		id = "another"
 	}
-	piece := ledger.ChunkText(next.identity, next.scoped, place)
-	next.told = append(next.told, piece)
-	if !visit.kind.Unary {
-		chunk := map[string]any{"id": id, "number": place, "choices": []any{map[string]any{"delta": map[string]any{"content": piece}, "finish_reason": nil}}}
-		content, _ := json.Marshal(chunk)
-		next.attempt.bytes(fmt.Sprintf("data: %s\n\n", content))
+	chunk := ledger.ChunkText(run.id, run.key, position)
+	run.chunks = append(run.chunks, chunk)
+	if !call.profile.Unary {
+		event := map[string]any{"id": id, "number": position, "choices": []any{map[string]any{"delta": map[string]any{"content": chunk}, "finish_reason": nil}}}
+		content, _ := json.Marshal(event)
+		run.attempt.receiveStream(fmt.Sprintf("data: %s\n\n", content))
 	}
-	if len(next.told) < int(visit.kind.Pieces) {
-		server.fleet.World.After(site.DecodeTimePerPiece, func() { server.decode(next) })
+	if len(run.chunks) < int(call.profile.Pieces) {
+		server.fleet.World.After(site.DecodeTimePerPiece, func() { server.decode(run) })
 		return
 	}
-	server.finish(next, id)
+	server.finish(run, id)
 }
 
-func (server *Server) finish(next *run, id string) {
-	server.stop(next, true)
-	if next.attempt.session.try.visit.kind.Unary {
+func (server *Server) finish(run *serverRun, id string) {
+	server.endRun(run, true)
+	if run.attempt.session.client.call.profile.Unary {
 		content, _ := json.Marshal(map[string]any{"id": id, "choices": []any{map[string]any{
-			"message": map[string]any{"content": strings.Join(next.told, "")}, "finish_reason": "stop"}}})
-		if server.Mode == "truncate" {
+			"message": map[string]any{"content": strings.Join(run.chunks, "")}, "finish_reason": "stop"}}})
+		if server.FaultMode == "truncate" {
 			content = content[:len(content)-3]
 		}
-		next.attempt.body(content)
+		run.attempt.receiveBody(content)
 		return
 	}
-	if server.Mode == "truncate" {
-		next.attempt.linkBroke()
+	if server.FaultMode == "truncate" {
+		run.attempt.connectionBroken()
 		return
 	}
-	next.attempt.bytes(fmt.Sprintf("data: {\"id\":%q,\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", id))
+	run.attempt.receiveStream(fmt.Sprintf("data: {\"id\":%q,\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", id))
 }
 
-func (server *Server) finishLookup(next *run) {
-	if !server.live(next) {
+func (server *Server) finishLookup(run *serverRun) {
+	if !server.isRunning(run) {
 		return
 	}
-	server.stop(next, true)
-	content, _ := json.Marshal(map[string]any{"id": next.identity, "key": next.scoped, "value": "free"})
-	next.attempt.body(content)
+	server.endRun(run, true)
+	content, _ := json.Marshal(map[string]any{"id": run.id, "key": run.key, "value": "free"})
+	run.attempt.receiveBody(content)
 }
 
-// recall gives a call back that has not started; it never will.
-func (server *Server) recall(identity string) bool {
-	if _, started := server.running[identity]; started || !server.up || server.Mode == "dark" {
+// recall removes a queued call that has not started and guarantees that it never will; false if that is not possible.
+func (server *Server) recall(id string) bool {
+	if _, started := server.running[id]; started || !server.up || server.FaultMode == "dark" {
 		return false
 	}
-	for place, next := range server.waiting {
-		if next.identity == identity {
-			server.waiting = append(server.waiting[:place:place], server.waiting[place+1:]...)
-			server.recalled[identity] = true
+	for position, run := range server.waiting {
+		if run.id == id {
+			server.waiting = append(server.waiting[:position:position], server.waiting[position+1:]...)
+			server.recalled[id] = true
 			return true
 		}
 	}
--- a/fleet/session.go
+++ b/fleet/session.go
@@ -11,256 +11,263 @@
 	"github.com/cedarreel/cedarreel/stream"
 )
 
-// session is one caller's connection to a data process.
+// session is one client connection at a data process, or a call that another node forwarded to it.
 type session struct {
 	process  *Process
-	try      *try
-	asked    call.Call
+	client   *clientAttempt
+	request  call.Call
 	token    int64
-	attempts map[int]*attempt
-	written  int
-	over     bool
-	last     time.Duration
-	until    time.Duration
-	outer    *session
-	inner    *session
-	stuck    bool
+	attempts map[int]*serverAttempt
+	// chunksSent counts the chunks sent to the client, or through this node.
+	chunksSent int
+	ended      bool
+	// lastDelivery is when the latest delivery arrives; later ones arrive no earlier.
+	lastDelivery time.Duration
+	// sendDeadline is when the node closes the connection of a client that reads too slowly.
+	sendDeadline time.Duration
+	// forwarder is the session at the node that forwarded the call here; forwarded the one that this node forwarded to.
+	forwarder *session
+	forwarded *session
+	// linkCut means that a cut link stopped the answer; nothing more is sent.
+	linkCut bool
 }
 
-// attempt is one call at one server, over a link of its own.
-type attempt struct {
-	session *session
-	command data.Dispatch
-	server  *Server
-	relay   *stream.Parser
-	pieces  []string
-	closed  bool
-	stuck   bool
-	last    time.Duration
+// serverAttempt is one dispatch of a call to a server over a connection of its own.
+type serverAttempt struct {
+	session      *session
+	command      data.Dispatch
+	server       *Server
+	parser       *stream.Parser
+	chunks       []string
+	closed       bool
+	linkCut      bool
+	lastDelivery time.Duration
 }
 
 func (process *Process) sortedSessions() []*session {
 	sessions := []*session{}
-	for _, open := range process.sessions {
-		sessions = append(sessions, open)
+	for _, opened := range process.sessions {
+		sessions = append(sessions, opened)
 	}
 	slices.SortFunc(sessions, func(left, right *session) int { return int(left.token - right.token) })
 	return sessions
 }
 
-func (process *Process) arrive(try *try, asked call.Call) {
-	try.session = process.open(try, asked, nil)
+func (process *Process) accept(client *clientAttempt, request call.Call) {
+	client.session = process.open(client, request, nil)
 }
 
-func (process *Process) open(try *try, asked call.Call, outer *session) *session {
+func (process *Process) open(client *clientAttempt, request call.Call, forwarder *session) *session {
 	process.token++
-	open := &session{process: process, try: try, asked: asked, outer: outer, token: process.token, attempts: map[int]*attempt{},
-		until: process.machine.fleet.World.Now + asked.Deadline + process.machine.env.Bounds.Round()}
-	process.sessions[open.token] = open
-	if outer == nil {
-		try.session = open
+	opened := &session{process: process, client: client, request: request, forwarder: forwarder, token: process.token, attempts: map[int]*serverAttempt{},
+		sendDeadline: process.machine.fleet.World.Now + request.Deadline + process.machine.env.Bounds.Round()}
+	process.sessions[opened.token] = opened
+	if forwarder == nil {
+		client.session = opened
 	} else {
-		outer.inner = open
+		forwarder.forwarded = opened
 	}
-	process.handle(data.Arrive{Token: open.token, Call: asked})
-	return open
+	process.handle(data.Arrive{Token: opened.token, Call: request})
+	return opened
 }
 
-// towards sends something to the caller, in order, unless the link is cut.
-func (session *session) towards(then func()) {
-	world, here, there := session.process.machine.fleet.World, session.process.machine.place(), session.try.visit.place()
-	if session.outer != nil {
-		session.outwards(then)
+// sendToCaller delivers something to the client, in order, unless the link is cut.
+func (session *session) sendToCaller(action func()) {
+	world, here, there := session.process.machine.fleet.World, session.process.machine.location(), session.client.call.location()
+	if session.forwarder != nil {
+		session.sendToForwarder(action)
 		return
 	}
-	if world.broken(here, there) {
-		session.try.stuck = true
+	if world.isCut(here, there) {
+		session.client.linkCut = true
 	}
-	if session.try.stuck {
+	if session.client.linkCut {
 		return
 	}
-	session.last = max(session.last+session.try.visit.pace, world.Now+world.delay(here, there))
-	if session.until > 0 && session.last > session.until {
-		session.try.stuck = true
-		world.At(session.until, session.try.broke)
+	session.lastDelivery = max(session.lastDelivery+session.client.call.readDelay, world.Now+world.delay(here, there))
+	if session.sendDeadline > 0 && session.lastDelivery > session.sendDeadline {
+		session.client.linkCut = true
+		world.At(session.sendDeadline, session.client.connectionBroken)
 		return
 	}
-	world.At(session.last, then)
+	world.At(session.lastDelivery, action)
 }
 
 func (session *session) close() {
-	session.over = true
+	session.ended = true
 	delete(session.process.sessions, session.token)
-	for _, open := range session.attempts {
-		open.close()
+	for _, opened := range session.attempts {
+		opened.close()
 	}
-	if inner := session.inner; inner != nil && !inner.over {
-		inner.leave()
+	if forwarded := session.forwarded; forwarded != nil && !forwarded.ended {
+		forwarded.callerLeft()
 	}
 }
 
-// broken is the end of a connection without an answer.
-func (session *session) broken() {
+// connectionBroken ends a session whose node died before the answer.
+func (session *session) connectionBroken() {
 	session.close()
-	if session.outer != nil {
-		session.lost()
+	if session.forwarder != nil {
+		session.forwardLost()
 		return
 	}
-	session.towards(func() { session.try.broke() })
+	session.sendToCaller(func() { session.client.connectionBroken() })
 }
 
-func (session *session) piece(text string) {
-	number := int64(session.written)
-	session.written++
-	session.towards(func() { session.try.piece(text, number) })
+func (session *session) sendChunk(text string) {
+	number := int64(session.chunksSent)
+	session.chunksSent++
+	session.sendToCaller(func() { session.client.receiveChunk(text, number) })
 }
 
+// answered handles the answer of the data process: a forward, an error or a complete reply.
 func (session *session) answered(answer contract.Response) {
-	if pass, away := answer.Body.(data.HomeForward); away {
-		session.pass(pass, pass.Nodes)
+	if forward, outsideHome := answer.Body.(data.HomeForward); outsideHome {
+		session.forwardHome(forward, forward.Nodes)
 		return
 	}
-	reply, whole := answer.Body.(data.Reply)
+	reply, complete := answer.Body.(data.Reply)
 	defer session.close()
-	defer session.inform(answer.Status)
-	if !whole {
-		trouble, _ := answer.Body.(contract.ErrorBody)
-		if session.written > 0 {
-			session.towards(func() { session.try.err() })
+	defer session.reportForwardEnd(answer.Status)
+	if !complete {
+		errorBody, _ := answer.Body.(contract.ErrorBody)
+		if session.chunksSent > 0 {
+			session.sendToCaller(func() { session.client.interrupted() })
 			return
 		}
-		session.towards(func() { session.try.refused(answer.Status, trouble, answer.RetryAfter) })
+		session.sendToCaller(func() { session.client.refused(answer.Status, errorBody, answer.RetryAfter) })
 		return
 	}
-	for session.written < len(reply.Chunks) && session.try.visit.kind.Class != "lookup" {
-		session.piece(reply.Chunks[session.written])
+	for session.chunksSent < len(reply.Chunks) && session.client.call.profile.Class != "lookup" {
+		session.sendChunk(reply.Chunks[session.chunksSent])
 	}
-	session.towards(func() { session.try.finished() })
+	session.sendToCaller(func() { session.client.receiveEnd() })
 }
 
+// dispatch connects to a server and hands the call over, with time limits for the connection and for the reply.
 func (process *Process) dispatch(command data.Dispatch) {
-	fleet, open := process.machine.fleet, process.sessions[command.Token]
-	if open == nil {
+	fleet, opened := process.machine.fleet, process.sessions[command.Token]
+	if opened == nil {
 		return
 	}
-	next := &attempt{session: open, command: command, server: fleet.Server(command.Server.Name), relay: stream.NewParser(command.AttemptID, process.machine.env.Bounds.ReplyBytes)}
-	open.attempts[command.Attempt] = next
+	attempt := &serverAttempt{session: opened, command: command, server: fleet.Server(command.Server.Name), parser: stream.NewParser(command.AttemptID, process.machine.env.Bounds.ReplyBytes)}
+	opened.attempts[command.Attempt] = attempt
 	connected := false
 	process.after(command.Timeout, func() {
-		proof := call.NotSent
+		result := call.NotSent
 		if connected {
-			proof = call.NoReply
+			result = call.NoReply
 		}
-		process.Run(func() { next.end(proof, "cut at its deadline") })
+		process.Run(func() { attempt.end(result, "cut at its deadline") })
 	})
 	process.after(process.machine.env.Bounds.Round(), func() {
 		if !connected {
-			process.Run(func() { next.end(call.NotSent, "no link could be made") })
+			process.Run(func() { attempt.end(call.NotSent, "no link could be made") })
 		}
 	})
-	fleet.World.travel(process.machine.place(), next.server.place(), false, func() {
-		if next.closed {
+	fleet.World.deliver(process.machine.location(), attempt.server.location(), false, func() {
+		if attempt.closed {
 			return
 		}
 		connected = true
-		next.server.take(next)
+		attempt.server.accept(attempt)
 	})
 }
 
-func (attempt *attempt) close() { attempt.closed = true }
+func (attempt *serverAttempt) close() { attempt.closed = true }
 
-// end is the last word of an attempt; once a piece has come it can only be whole or broken.
-func (attempt *attempt) end(proof call.Result, err string) {
+// end reports the result of an attempt. After a first chunk it can only be a complete or a broken reply.
+func (attempt *serverAttempt) end(result call.Result, err string) {
 	if attempt.closed {
 		return
 	}
 	attempt.close()
-	if proof != call.CompleteReply && len(attempt.pieces) > 0 {
-		proof = call.BrokenReply
+	if result != call.CompleteReply && len(attempt.chunks) > 0 {
+		result = call.BrokenReply
 	}
-	process, open := attempt.session.process, attempt.session
-	process.handle(data.AttemptEnded{Token: open.token, Attempt: attempt.command.Attempt, Result: proof, Chunks: attempt.pieces, Error: err})
-	if proof == call.BrokenReply {
-		open.towards(func() { open.try.err() })
-		open.inform(502)
-		open.close()
+	process, opened := attempt.session.process, attempt.session
+	process.handle(data.AttemptEnded{Token: opened.token, Attempt: attempt.command.Attempt, Result: result, Chunks: attempt.chunks, Error: err})
+	if result == call.BrokenReply {
+		opened.sendToCaller(func() { opened.client.interrupted() })
+		opened.reportForwardEnd(502)
+		opened.close()
 	}
 }
 
-// back carries something from the server over the attempt's link, in order; after a cut nothing more comes.
-func (attempt *attempt) back(then func()) {
+// deliver brings something from the server to the node, in order; after a cut of the link nothing more arrives.
+func (attempt *serverAttempt) deliver(action func()) {
 	process := attempt.session.process
-	world, here, there := process.machine.fleet.World, attempt.server.place(), process.machine.place()
-	if world.broken(here, there) {
-		attempt.stuck = true
+	world, here, there := process.machine.fleet.World, attempt.server.location(), process.machine.location()
+	if world.isCut(here, there) {
+		attempt.linkCut = true
 	}
-	if attempt.stuck {
+	if attempt.linkCut {
 		return
 	}
-	attempt.last = max(attempt.last, world.Now+world.delay(here, there))
-	world.At(attempt.last, func() { process.Run(then) })
+	attempt.lastDelivery = max(attempt.lastDelivery, world.Now+world.delay(here, there))
+	world.At(attempt.lastDelivery, func() { process.Run(action) })
 }
 
-func (attempt *attempt) refusedLink() {
-	attempt.back(func() { attempt.end(call.NotSent, "connection refused") })
+func (attempt *serverAttempt) connectionRefused() {
+	attempt.deliver(func() { attempt.end(call.NotSent, "connection refused") })
 }
 
-func (attempt *attempt) turnedAway() {
-	attempt.back(func() { attempt.end(call.Refused, "the server refused the call") })
+func (attempt *serverAttempt) callRefused() {
+	attempt.deliver(func() { attempt.end(call.Refused, "the server refused the call") })
 }
 
-func (attempt *attempt) linkBroke() {
-	attempt.back(func() { attempt.end(call.NoReply, "the link broke") })
+func (attempt *serverAttempt) connectionBroken() {
+	attempt.deliver(func() { attempt.end(call.NoReply, "the link broke") })
 }
 
-func (attempt *attempt) bytes(content string) {
-	attempt.back(func() {
+func (attempt *serverAttempt) receiveStream(content string) {
+	attempt.deliver(func() {
 		if attempt.closed {
 			return
 		}
-		for _, piece := range attempt.relay.Feed([]byte(content)) {
-			if len(attempt.pieces) == 0 {
+		for _, chunk := range attempt.parser.Feed([]byte(content)) {
+			if len(attempt.chunks) == 0 {
 				attempt.session.process.handle(data.FirstChunk{Token: attempt.session.token, Attempt: attempt.command.Attempt})
 			}
-			attempt.pieces = append(attempt.pieces, piece)
-			attempt.session.piece(piece)
+			attempt.chunks = append(attempt.chunks, chunk)
+			attempt.session.sendChunk(chunk)
 		}
-		if attempt.relay.Finished() {
+		if attempt.parser.Finished() {
 			attempt.end(call.CompleteReply, "")
-		} else if attempt.relay.Err() != nil {
-			attempt.end(call.NoReply, attempt.relay.Err().Error())
+		} else if attempt.parser.Err() != nil {
+			attempt.end(call.NoReply, attempt.parser.Err().Error())
 		}
 	})
 }
 
-func (attempt *attempt) body(content []byte) {
-	attempt.back(func() {
+func (attempt *serverAttempt) receiveBody(content []byte) {
+	attempt.deliver(func() {
 		if attempt.closed {
 			return
 		}
-		if attempt.session.try.visit.kind.Class == "lookup" {
+		if attempt.session.client.call.profile.Class == "lookup" {
 			var read struct{ ID, Key string }
-			if json.Unmarshal(content, &read) != nil || read.ID != attempt.command.AttemptID || read.Key != attempt.session.try.visit.scoped {
+			if json.Unmarshal(content, &read) != nil || read.ID != attempt.command.AttemptID || read.Key != attempt.session.client.call.key {
 				attempt.end(call.NoReply, "another lookup's reply")
 				return
 			}
-			attempt.pieces = []string{string(content)}
+			attempt.chunks = []string{string(content)}
 			attempt.end(call.CompleteReply, "")
 			return
 		}
-		pieces, err := stream.CompleteReply(content, attempt.command.AttemptID)
+		chunks, err := stream.CompleteReply(content, attempt.command.AttemptID)
 		if err != nil {
 			attempt.end(call.NoReply, err.Error())
 			return
 		}
-		attempt.pieces = pieces
+		attempt.chunks = chunks
 		attempt.end(call.CompleteReply, "")
 	})
 }
 
 func (process *Process) cancel(command data.CancelAttempt) {
-	if open := process.sessions[command.Token]; open != nil {
-		if attempt := open.attempts[command.Attempt]; attempt != nil {
+	if opened := process.sessions[command.Token]; opened != nil {
+		if attempt := opened.attempts[command.Attempt]; attempt != nil {
 			attempt.close()
 		}
 	}
@@ -268,9 +275,9 @@
 
 func (process *Process) recall(command data.RecallAttempt) {
 	fleet, server := process.machine.fleet, process.machine.fleet.Server(command.Server.Name)
-	fleet.World.travel(process.machine.place(), server.place(), false, func() {
+	fleet.World.deliver(process.machine.location(), server.location(), false, func() {
 		never := server.recall(command.AttemptID)
-		fleet.World.travel(server.place(), process.machine.place(), false, func() {
+		fleet.World.deliver(server.location(), process.machine.location(), false, func() {
 			process.Event(data.RecallAnswered{Token: command.Token, Attempt: command.Attempt, Confirmed: never})
 		})
 	})
--- a/fleet/sweep.go
+++ b/fleet/sweep.go
@@ -7,71 +7,73 @@
 	"github.com/cedarreel/cedarreel/site"
 )
 
-// Round is one seeded day of trouble.
-type Round struct {
-	Seed     uint64
-	Faults   []string
-	Breaches []ledger.Violation
-	Figures  ledger.Stats
-	Ready    bool
-	Serves   bool
-	Hits     int
-	Asked    int
-	Turns    int
-	Kept     int
-	Records  int64
+// DayResult is the result of one seeded day; the counters are those of LoadResult, and Records is the highest record count of a node.
+type DayResult struct {
+	Seed            uint64
+	Faults          []string
+	Violations      []ledger.Violation
+	Stats           ledger.Stats
+	Ready           bool
+	Serves          bool
+	PrefixHits      int
+	PrefixCalls     int
+	SessionTurns    int
+	SameServerTurns int
+	Records         int64
 }
 
-// Plan is what a day is: its span, its part of the site's traffic, and how many faults of which name, or of any.
-type Plan struct {
+// DayPlan describes a day: its span, the share of the site's traffic, and the number of faults. An empty Name means random faults.
+type DayPlan struct {
 	Span   time.Duration
 	Rate   float64
 	Faults int
 	Name   string
 }
 
-// Usual is a short day at the site's full rates.
-func Usual(faults int, name string) Plan {
-	return Plan{Span: 50 * time.Second, Rate: 1, Faults: faults, Name: name}
+// DefaultPlan is a short day at the full rates of the site.
+func DefaultPlan(faults int, name string) DayPlan {
+	return DayPlan{Span: 50 * time.Second, Rate: 1, Faults: faults, Name: name}
 }
 
 const (
-	// trafficStarts is the brief's "about 10 seconds after the machines do".
+	// trafficStarts is the time at which clients start: about 10 s after the machines.
 	trafficStarts = 10 * time.Second
 )
 
-// Day plays a seeded day: traffic all along, faults in the middle, all mended, and serving wanted again at the end. The last
-// event of every third day wipes the folders of all core machines.
-func Day(described site.Site, seed uint64, plan Plan, options ...Option) Round {
-	fleet := New(described, seed, options...)
-	round := Round{Seed: seed, Ready: fleet.Ready()}
-	if !round.Ready {
-		return round
+// Day runs a seeded day: traffic all the time, faults in the middle, then repair, after which the fleet has to serve again. With every
+// third seed the last event wipes the disks of all core machines.
+func Day(deployment site.Site, seed uint64, plan DayPlan, options ...Option) DayResult {
+	fleet := New(deployment, seed, options...)
+	result := DayResult{Seed: seed, Ready: fleet.StartAndServe()}
+	if !result.Ready {
+		return result
 	}
 	fleet.Run(trafficStarts - fleet.World.Now)
 	fleet.Traffic(plan.Span+fleet.Bounds.Return()*2, plan.Rate)
-	round.Faults = fleet.Trouble(plan.Span, plan.Faults, plan.Name)
+	result.Faults = fleet.ScheduleFaults(plan.Span, plan.Faults, plan.Name)
 	fleet.Run(plan.Span)
 	if seed%3 == 0 {
-		round.Faults = append(round.Faults, "all core folders wiped as the last event")
+		result.Faults = append(result.Faults, "all core folders wiped as the last event")
 		fleet.wipeCores()
 	}
-	fleet.Mend()
+	fleet.RepairAll()
 	fleet.Run(fleet.Bounds.Return())
-	round.Serves = fleet.Until(fleet.Bounds.Return(), fleet.Serves)
-	round.Breaches = fleet.Close()
-	round.Figures = fleet.Ledger.Stats
+	result.Serves = fleet.RunUntil(fleet.Bounds.Return(), fleet.Serving)
+	result.Violations = fleet.Close()
+	result.Stats = fleet.Ledger.Stats
 	for _, machine := range fleet.Machines {
 		if machine.Up() {
-			round.Records = max(round.Records, machine.Data.Gauges["records"])
+			result.Records = max(result.Records, machine.Data.Gauges["records"])
 		}
 	}
-	round.Turns, round.Kept = fleet.Turns, fleet.Kept
+	result.SessionTurns, result.SameServerTurns = fleet.SessionTurns, fleet.SameServerTurns
 	for _, server := range fleet.Servers {
-		round.Hits, round.Asked = round.Hits+server.PrefixHits, round.Asked+server.PrefixAsked
+		result.PrefixHits, result.PrefixCalls = result.PrefixHits+server.PrefixHits, result.PrefixCalls+server.PrefixCalls
 	}
-	return round
+	return result
 }
 
-// Clean tells whether nothing was wrong.
-func (round Round) Clean() bool { return round.Ready && round.Serves && len(round.Breaches) == 0 }
+// Clean tells whether the fleet served at the start and at the end, and no rule was violated.
+func (result DayResult) Clean() bool {
+	return result.Ready && result.Serves && len(result.Violations) == 0
+}
--- a/fleet/watch.go
+++ b/fleet/watch.go
@@ -4,20 +4,21 @@
 	"time"
 )
 
+// watchPeriod is the interval at which manifests are checked.
 const watchPeriod = 100 * time.Millisecond
 
-// watch notes what each process has in force. A node is behind from the moment on when a node that it can speak with, over
-// any number of others, holds more; only a node that is dead or frozen, or in no touch with one that knows, is not judged.
-func (fleet *Fleet) watch() {
+// watchManifests reports the revision of each process to the ledger. A node is behind from the time at which a node that it can reach,
+// directly or through others, has a newer revision. Nodes that are down or frozen are not checked.
+func (fleet *Fleet) watchManifests() {
 	behind := map[string]time.Duration{}
-	var look func()
-	look = func() {
-		fleet.await()
-		groups := fleet.groups()
+	var observe func()
+	observe = func() {
+		fleet.restartRecoveryTimers()
+		groups := fleet.connectedGroups()
 		newest := map[int]int64{}
 		for _, machine := range fleet.Machines {
 			for _, process := range machine.processes() {
-				if process.well() {
+				if process.healthy() {
 					newest[groups[machine]] = max(newest[groups[machine]], process.Gauges["manifest_revision"])
 				}
 			}
@@ -25,33 +26,33 @@
 		for _, machine := range fleet.Machines {
 			for _, process := range machine.processes() {
 				name, revision := machine.Name+"-"+process.kind, process.Gauges["manifest_revision"]
-				since, there := behind[name]
+				since, found := behind[name]
 				switch {
-				case !process.well() || revision >= newest[groups[machine]]:
+				case !process.healthy() || revision >= newest[groups[machine]]:
 					delete(behind, name)
-				case !there:
+				case !found:
 					behind[name] = fleet.World.Now
 				}
-				if process.well() && revision > 0 {
-					late := time.Duration(0)
-					if there && revision < newest[groups[machine]] {
-						late = fleet.World.Now - since
+				if process.healthy() && revision > 0 {
+					delay := time.Duration(0)
+					if found && revision < newest[groups[machine]] {
+						delay = fleet.World.Now - since
 					}
-					fleet.Ledger.ManifestHeld(name, revision, fleet.World.Now, late)
+					fleet.Ledger.ManifestHeld(name, revision, fleet.World.Now, delay)
 				}
 			}
 		}
-		fleet.World.After(watchPeriod, look)
+		fleet.World.After(watchPeriod, observe)
 	}
-	look()
+	observe()
 }
 
-// await lets the time of a region's return begin anew while nobody could serve there: the platform cannot be read, so a server
-// might be leaving, or neither a majority of the core nor any node of another region is up to tell the manifest.
-func (fleet *Fleet) await() {
-	for region := range fleet.awaiting {
-		others := fleet.Pick(func(machine *Machine) bool { return machine.Region != region && machine.Up() && machine.freezes == 0 })
-		cores := fleet.Pick(func(machine *Machine) bool { return machine.Core && machine.Up() && machine.freezes == 0 })
+// restartRecoveryTimers restarts the recovery bound of a region while it cannot serve: the platform cannot be read, so that any server
+// might be leaving, or neither a core majority nor a node of another region is up to provide the manifest.
+func (fleet *Fleet) restartRecoveryTimers() {
+	for region := range fleet.recovering {
+		others := fleet.MachinesWhere(func(machine *Machine) bool { return machine.Region != region && machine.Up() && machine.freezes == 0 })
+		cores := fleet.MachinesWhere(func(machine *Machine) bool { return machine.Core && machine.Up() && machine.freezes == 0 })
 		cause := ""
 		if fleet.Platform.Broken || fleet.Platform.Down {
 			cause = "a look at a region that returned while the platform could not be read"
@@ -59,13 +60,14 @@
 			cause = "a look at a region that returned while no node knew the manifest"
 		}
 		if cause != "" {
-			fleet.awaiting[region] = fleet.World.Now
+			fleet.recovering[region] = fleet.World.Now
 			fleet.Ledger.Excuse(cause)
 		}
 	}
 }
 
-func (process *Process) well() bool { return process.Up && !process.Frozen }
+// healthy tells whether the process is up and not frozen.
+func (process *Process) healthy() bool { return process.Up && !process.Frozen }
 
 func (machine *Machine) processes() []*Process {
 	if machine.Control == nil {
@@ -74,23 +76,24 @@
 	return []*Process{machine.Control, machine.Data}
 }
 
-// groups numbers the sets of machines that are in touch with each other, over links that are open both ways.
-func (fleet *Fleet) groups() map[*Machine]int {
+// connectedGroups numbers the sets of machines that can communicate over links open in both directions.
+func (fleet *Fleet) connectedGroups() map[*Machine]int {
 	groups := map[*Machine]int{}
-	for place, machine := range fleet.Machines {
+	for index, machine := range fleet.Machines {
 		if groups[machine] == 0 {
-			fleet.spread(machine, place+1, groups)
+			fleet.assignGroup(machine, index+1, groups)
 		}
 	}
 	return groups
 }
 
-func (fleet *Fleet) spread(machine *Machine, group int, groups map[*Machine]int) {
+// assignGroup adds a machine and all that it can reach to a group.
+func (fleet *Fleet) assignGroup(machine *Machine, group int, groups map[*Machine]int) {
 	groups[machine] = group
 	for _, other := range fleet.Machines {
-		open := len(fleet.World.cut) == 0 || !fleet.World.broken(machine.place(), other.place()) && !fleet.World.broken(other.place(), machine.place())
-		if groups[other] == 0 && open && machine.Up() && other.Up() && machine.freezes == 0 && other.freezes == 0 {
-			fleet.spread(other, group, groups)
+		connected := len(fleet.World.cut) == 0 || !fleet.World.isCut(machine.location(), other.location()) && !fleet.World.isCut(other.location(), machine.location())
+		if groups[other] == 0 && connected && machine.Up() && other.Up() && machine.freezes == 0 && other.freezes == 0 {
+			fleet.assignGroup(other, group, groups)
 		}
 	}
 }
--- a/stories/calls/apart_test.go
+++ b/stories/calls/apart_test.go
@@ -40,8 +40,8 @@
 				played.Run(8 * time.Second)
 				left, right, mend := apart(played)
 				played.Run(3 * time.Second)
-				probe := played.Probe("short", harness.Home(played)).With(slowly).Send(left[int(seed)%len(left)])
-				Expect(played.Until(5*time.Second, func() bool { return len(played.Running()) == 1 })).To(BeTrue(), "the call runs")
+				probe := played.Probe("short", harness.Home(played)).WithProfile(slowly).Send(left[int(seed)%len(left)])
+				Expect(played.RunUntil(5*time.Second, func() bool { return len(played.BusyServers()) == 1 })).To(BeTrue(), "the call runs")
 				if seed != 372 {
 					mend()
 				}
@@ -50,7 +50,7 @@
 				}
 				ends := map[string]int{}
 				for _, node := range right {
-					ends[probe.Again(node).Outcome(40*time.Second)]++
+					ends[probe.SendUnmarked(node).Outcome(40*time.Second)]++
 					ends[probe.Send(node).Outcome(40*time.Second)]++
 				}
 				Expect(ends).NotTo(HaveKey("silence"))
@@ -69,14 +69,14 @@
 				left, right, mend := apart(played)
 				mend()
 				island := []*fleet.Machine{left[0], right[0]}
-				rest := played.Pick(func(machine *fleet.Machine) bool { return machine != left[0] && machine != right[0] })
+				rest := played.MachinesWhere(func(machine *fleet.Machine) bool { return machine != left[0] && machine != right[0] })
 				mend = played.World.CutBoth(fleet.Names(island), fleet.Names(rest))
 				played.Run(4 * time.Second)
-				probe := played.Probe("short", harness.Home(played)).With(slowly).Send(left[1])
-				Expect(played.Until(5*time.Second, func() bool { return len(played.Running()) == 1 })).To(BeTrue(), "the call runs")
+				probe := played.Probe("short", harness.Home(played)).WithProfile(slowly).Send(left[1])
+				Expect(played.RunUntil(5*time.Second, func() bool { return len(played.BusyServers()) == 1 })).To(BeTrue(), "the call runs")
 				mend()
 				played.Run(time.Duration(seed%3) * 30 * time.Millisecond)
-				probe.Again(island[int(seed)%2])
+				probe.SendUnmarked(island[int(seed)%2])
 				played.Run(5 * time.Second)
 				harness.NothingWrong(played)
 			}
--- a/stories/calls/calls_test.go
+++ b/stories/calls/calls_test.go
@@ -23,8 +23,8 @@
 		It("in "+name+", when its node dies in the middle and it is repeated at every other node", func() {
 			played := harness.Given(name, 31)
 			nodes := played.InRegion(harness.Home(played))
-			probe := played.Probe("short", harness.Home(played)).With(slowly).Send(nodes[0])
-			Expect(played.Until(8*time.Second, func() bool { return len(played.Running()) == 1 })).To(BeTrue())
+			probe := played.Probe("short", harness.Home(played)).WithProfile(slowly).Send(nodes[0])
+			Expect(played.RunUntil(8*time.Second, func() bool { return len(played.BusyServers()) == 1 })).To(BeTrue())
 			nodes[0].Kill()
 			Expect(probe.Outcome(time.Second)).To(Equal("broken"))
 			for _, node := range nodes[1:] {
@@ -40,8 +40,8 @@
 		nodes := played.InRegion(harness.Home(played))
 		for index := range 40 {
 			probe := played.Probe("short", harness.Home(played))
-			probe.Again(nodes[index%8])
-			probe.Again(nodes[(index+3)%8])
+			probe.SendUnmarked(nodes[index%8])
+			probe.SendUnmarked(nodes[(index+3)%8])
 			played.Run(300 * time.Millisecond)
 		}
 		harness.NothingWrong(played)
@@ -54,14 +54,14 @@
 		probe := played.Probe("short", harness.Home(played)).Send(nodes[0])
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
 		Expect(probe.Send(nodes[5]).Outcome(5 * time.Second)).To(Equal("done"))
-		Expect(played.Look(nodes[6], "desk", probe.Key(), harness.Home(played)).Body).To(HaveKeyWithValue("outcome", call.Done))
+		Expect(played.Lookup(nodes[6], "desk", probe.Key(), harness.Home(played)).Body).To(HaveKeyWithValue("outcome", call.Done))
 		harness.NothingWrong(played)
 	})
 
 	It("and a repeat is told unknown when all who could know have restarted", func() {
 		played := harness.Given("brazos", 34)
 		nodes := played.InRegion(harness.Home(played))
-		probe := played.Probe("short", harness.Home(played)).With(slowly).Send(nodes[0])
+		probe := played.Probe("short", harness.Home(played)).WithProfile(slowly).Send(nodes[0])
 		played.Run(time.Second)
 		played.KillFor(nodes, 500*time.Millisecond)
 		played.Run(8 * time.Second)
@@ -90,7 +90,7 @@
 		played := harness.Given("brazos", 41)
 		for _, server := range played.Servers {
 			if server.Kind == "model" {
-				server.Mode = "refuse"
+				server.FaultMode = "refuse"
 			}
 		}
 		probe := played.Probe("short", harness.Home(played)).Send(played.InRegion(harness.Home(played))[0])
@@ -102,7 +102,7 @@
 		for _, mode := range []string{"cut", "truncate", "wrong"} {
 			played := harness.Given("seri", 42)
 			for _, server := range played.Servers {
-				server.Mode = mode
+				server.FaultMode = mode
 			}
 			for _, class := range []string{"long", "short"} {
 				probe := played.Probe(class, harness.Home(played)).Send(played.InRegion(harness.Home(played))[0])
@@ -146,7 +146,7 @@
 		played := harness.Given("brazos", 45)
 		asked := call.Call{Key: "k", Caller: "desk", Route: "replies", Home: harness.Home(played), Digest: "d"}
 		change(&asked)
-		answer := played.Arrive(played.InRegion(harness.Home(played))[0], asked)
+		answer := played.SubmitCall(played.InRegion(harness.Home(played))[0], asked)
 		Expect(answer.Status).To(Equal(status))
 		Expect(trouble(answer).Outcome).To(Equal(string(call.NotRun)))
 	},
@@ -161,9 +161,9 @@
 		nodes := played.InRegion(harness.Home(played))
 		probe := played.Probe("short", harness.Home(played)).Send(nodes[0])
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
-		answer := played.Arrive(nodes[4], call.Call{Key: probe.Key(), Caller: "desk", Route: "replies", Digest: "another"})
+		answer := played.SubmitCall(nodes[4], call.Call{Key: probe.Key(), Caller: "desk", Route: "replies", Digest: "another"})
 		Expect(answer.Status).To(Equal(422))
-		other := played.Arrive(nodes[4], call.Call{Key: probe.Key(), Caller: "someone else", Route: "nowhere", Digest: "another"})
+		other := played.SubmitCall(nodes[4], call.Call{Key: probe.Key(), Caller: "someone else", Route: "nowhere", Digest: "another"})
 		Expect(other.Status).To(Equal(404), "keys are scoped by caller")
 	})
 })
@@ -209,7 +209,7 @@
 			played.Traffic(25*time.Second, 0.6)
 			for place, server := range played.Servers {
 				if place%2 == 0 {
-					server.Mode = "refuse"
+					server.FaultMode = "refuse"
 				}
 			}
 			played.Run(25 * time.Second)
--- a/stories/calls/repeats_test.go
+++ b/stories/calls/repeats_test.go
@@ -14,8 +14,8 @@
 	GinkgoHelper()
 	played := harness.Given(name, seed)
 	nodes := played.InRegion(harness.Home(played))
-	probe := played.Probe("short", harness.Home(played)).With(slowly).Send(nodes[int(seed)%len(nodes)])
-	Expect(played.Until(8*time.Second, func() bool { return len(played.Running()) == 1 })).To(BeTrue(), "the call runs")
+	probe := played.Probe("short", harness.Home(played)).WithProfile(slowly).Send(nodes[int(seed)%len(nodes)])
+	Expect(played.RunUntil(8*time.Second, func() bool { return len(played.BusyServers()) == 1 })).To(BeTrue(), "the call runs")
 	happens(played, nodes)
 	ends := map[string]int{}
 	for _, node := range nodes {
@@ -28,7 +28,7 @@
 	return ends
 }
 
-func unmarked(probe *fleet.Probe, node *fleet.Machine) { probe.Again(node) }
+func unmarked(probe *fleet.Probe, node *fleet.Machine) { probe.SendUnmarked(node) }
 
 var _ = Describe("a repeat that is not marked as one never runs a second time", func() {
 	for _, name := range harness.Sites {
--- a/stories/core/chain_test.go
+++ b/stories/core/chain_test.go
@@ -18,7 +18,7 @@
 			before := harness.ChainView(played, played.Machines[3])
 			for index := range 120 {
 				played.World.After(time.Duration(index)*20*time.Millisecond, func() {
-					played.Write(played.Machines[index%12], played.Patch(index), nil)
+					played.Write(played.Machines[index%12], played.HarmlessPatch(index), nil)
 				})
 			}
 			played.Run(10 * time.Second)
@@ -40,10 +40,10 @@
 				played := harness.Given(name, seed)
 				for index := range 120 {
 					played.World.After(time.Duration(index)*12*time.Millisecond, func() {
-						played.Write(played.Machines[index%12], played.Patch(index), nil)
+						played.Write(played.Machines[index%12], played.HarmlessPatch(index), nil)
 					})
 				}
-				played.World.After(200*time.Millisecond, func() { played.WipeAndReturn(played.Cores()[int(seed)%3], 2*time.Second) })
+				played.World.After(200*time.Millisecond, func() { played.WipeAndRestart(played.Cores()[int(seed)%3], 2*time.Second) })
 				played.Run(12 * time.Second)
 				settled := harness.ChainView(played, played.Machines[3])
 				Expect(settled.Chain).To(HaveLen(3))
@@ -60,7 +60,7 @@
 			disk := played.Cores()[int(seed)%3].Disk
 			disk.Full = true
 			for index := range 8 {
-				played.World.After(time.Duration(index)*300*time.Millisecond, func() { played.Write(played.Machines[3], played.Patch(index), nil) })
+				played.World.After(time.Duration(index)*300*time.Millisecond, func() { played.Write(played.Machines[3], played.HarmlessPatch(index), nil) })
 			}
 			played.Run(6 * time.Second)
 			disk.Full = false
@@ -94,15 +94,15 @@
 		played.Run(12 * time.Second)
 		_, after := played.Manifest(played.Machines[2])
 		Expect(after).To(Equal(newest))
-		Expect(harness.Patched(played, played.Machines[2], 9).Accepted.Revision).To(BeNumerically(">", newest))
+		Expect(harness.Patched(played, played.Machines[2], 9).Result.Revision).To(BeNumerically(">", newest))
 	})
 
 	It("puts an empty machine at a new address in the place of a core machine, several times in a row", func() {
 		played := harness.Given("seri", 4)
 		for index := range 3 {
 			Expect(harness.Patched(played, played.Machines[1], index).Status).To(BeElementOf(200, 202))
-			fresh := played.Swap(played.Cores()[index])
-			Expect(played.Until(20*time.Second, func() bool {
+			fresh := played.ReplaceCore(played.Cores()[index])
+			Expect(played.RunUntil(20*time.Second, func() bool {
 				view := harness.ChainView(played, played.Machines[1])
 				for _, identity := range view.Chain {
 					if len(view.Chain) == 3 && identity == fresh.Name+"-control#b1" {
@@ -123,7 +123,7 @@
 		played.Run(5 * time.Second)
 		written := harness.Patched(played, played.Machines[1], 1)
 		Expect(written.Status).To(Equal(202))
-		Expect(written.Accepted.MissingNodes).To(ContainElement(cores[0].Name + "-control"))
+		Expect(written.Result.MissingNodes).To(ContainElement(cores[0].Name + "-control"))
 		cores[1].Kill()
 		played.Run(5 * time.Second)
 		refused := harness.Patched(played, played.Machines[1], 2)
@@ -146,7 +146,7 @@
 		played.Run(8 * time.Second)
 		Expect(harness.Patched(played, played.Machines[1], 1).Status).To(BeElementOf(200, 202))
 		head.Wake()
-		late := played.Do(head, played.Patch(2))
+		late := played.WriteAndWait(head, played.HarmlessPatch(2))
 		Expect(late.Status).NotTo(BeZero())
 		played.Run(5 * time.Second)
 		Expect(cores).To(HaveLen(3))
@@ -155,13 +155,13 @@
 
 	It("answers an operator who asks again with the same key as it did at first", func() {
 		played := harness.Given("brazos", 7)
-		ask := played.Patch(1)
-		first, second := played.Do(played.Machines[1], ask), played.Do(played.Machines[9], ask)
+		ask := played.HarmlessPatch(1)
+		first, second := played.WriteAndWait(played.Machines[1], ask), played.WriteAndWait(played.Machines[9], ask)
 		Expect(second.Status).To(Equal(200))
-		Expect(second.Accepted.Revision).To(Equal(first.Accepted.Revision))
-		other := played.Patch(2)
+		Expect(second.Result.Revision).To(Equal(first.Result.Revision))
+		other := played.HarmlessPatch(2)
 		other.Operation = ask.Operation
-		Expect(played.Do(played.Machines[2], other).Status).To(Equal(422))
+		Expect(played.WriteAndWait(played.Machines[2], other).Status).To(Equal(422))
 		asked := played.Operate(played.Machines[7], contract.OperatorRequest{Verb: contract.VerbOperation, Subject: ask.Operation})
 		Expect(asked.Status).To(Equal(200))
 		harness.NothingWrong(played)
@@ -170,7 +170,7 @@
 	It("never founds a second core beside one that works", func() {
 		played := harness.Given("brazos", 8)
 		machine := played.Cores()[1]
-		played.WipeAndReturn(machine, time.Second)
+		played.WipeAndRestart(machine, time.Second)
 		played.Run(10 * time.Second)
 		view := harness.ChainView(played, played.Machines[2])
 		Expect(view.Chain).To(HaveLen(3))
@@ -200,7 +200,7 @@
 		cores := played.Cores()
 		played.KillFor(cores[:1], 5*time.Second)
 		played.Run(4900 * time.Millisecond)
-		played.Swap(cores[2])
+		played.ReplaceCore(cores[2])
 		played.Run(20 * time.Second)
 		Expect(harness.ChainView(played, played.Machines[1]).Chain).To(HaveLen(3))
 		Expect(harness.Patched(played, played.Machines[1], 2).Status).To(BeElementOf(200, 202))
@@ -217,9 +217,9 @@
 		played.Run(4 * time.Second)
 		Expect(harness.Patched(played, played.Machines[1], 2).Status).To(Equal(202))
 		cores[0].Disk.Full = true
-		played.Write(played.Machines[1], played.Patch(3), nil)
+		played.Write(played.Machines[1], played.HarmlessPatch(3), nil)
 		played.Run(5 * time.Second)
-		played.WipeAndReturn(cores[1], 2*time.Second)
+		played.WipeAndRestart(cores[1], 2*time.Second)
 		played.Run(4 * time.Second)
 		cores[0].Disk.Full = false
 		played.Run(15 * time.Second)
@@ -231,8 +231,8 @@
 		played := harness.Given("seri", 14)
 		Expect(harness.Patched(played, played.Machines[1], 1).Status).To(Equal(200))
 		cores := played.Cores()
-		played.Swap(cores[0])
-		played.Swap(cores[1])
+		played.ReplaceCore(cores[0])
+		played.ReplaceCore(cores[1])
 		played.Run(15 * time.Second)
 		Expect(played.Operate(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbGet}).Status).To(BeElementOf(503, 504))
 		Expect(played.Operate(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbGone, Subject: cores[2].Name}).Status).To(Equal(409))
--- a/stories/core/links_test.go
+++ b/stories/core/links_test.go
@@ -34,14 +34,14 @@
 						lift()
 					}
 				})
-				asker := played.Pick(func(machine *fleet.Machine) bool { return !machine.Core })[0]
+				asker := played.MachinesWhere(func(machine *fleet.Machine) bool { return !machine.Core })[0]
 				began := played.World.Now
-				Expect(played.Until(12*time.Second, func() bool {
+				Expect(played.RunUntil(12*time.Second, func() bool {
 					status := harness.Patched(played, asker, 1).Status
 					return status == 200 || status == 202
 				})).To(BeTrue(), "a write is acknowledged during the cut")
 				Expect(played.World.Now - began).To(BeNumerically("<", 12*time.Second))
-				Expect(played.Until(4*time.Second, func() bool {
+				Expect(played.RunUntil(4*time.Second, func() bool {
 					return played.Operate(asker, contract.OperatorRequest{Verb: contract.VerbGet}).Status == 200
 				})).To(BeTrue(), "a read is answered during the cut")
 				number := harness.ChainView(played, asker).Number
--- a/stories/core/recovery_test.go
+++ b/stories/core/recovery_test.go
@@ -25,12 +25,12 @@
 		before, began := harness.ChainView(played, played.Machines[1]).Number, played.World.Now
 		trouble(played)
 		played.Run(50 * time.Millisecond)
-		asker := played.Pick(func(machine *fleet.Machine) bool { return machine.Up() && !machine.Core })[0]
-		Expect(played.Until(30*time.Second, func() bool {
+		asker := played.MachinesWhere(func(machine *fleet.Machine) bool { return machine.Up() && !machine.Core })[0]
+		Expect(played.RunUntil(30*time.Second, func() bool {
 			return played.Operate(asker, contract.OperatorRequest{Verb: contract.VerbGet}).Status == 200
 		})).To(BeTrue(), "%s: read, seed %d", name, seed)
 		reads = append(reads, played.World.Now-began)
-		Expect(played.Until(30*time.Second, func() bool {
+		Expect(played.RunUntil(30*time.Second, func() bool {
 			status := harness.Patched(played, asker, 2).Status
 			return status == 200 || status == 202
 		})).To(BeTrue(), "%s: write, seed %d", name, seed)
@@ -69,7 +69,7 @@
 	It("after a replacement that is followed by a second loss", func() {
 		recovery("a machine replaced, another killed 2 s later for 3 s", func(played *fleet.Fleet) {
 			cores := played.Cores()
-			played.Swap(cores[0])
+			played.ReplaceCore(cores[0])
 			played.Run(2 * time.Second)
 			played.KillFor(cores[1:2], 3*time.Second)
 		})
--- a/stories/core/worst_test.go
+++ b/stories/core/worst_test.go
@@ -13,7 +13,7 @@
 
 // based gives a patch that builds on a revision.
 func based(played *fleet.Fleet, number int, revision int64) contract.OperatorRequest {
-	ask := played.Patch(number)
+	ask := played.HarmlessPatch(number)
 	ask.BaseRevision, ask.HasBaseRevision = revision, true
 	return ask
 }
@@ -26,11 +26,11 @@
 		head = played.Machine(harness.ChainView(played, played.Machines[1]).Chain[0][:3])
 		played.CutFor([]string{head.Name}, 20*time.Second, bothWays)
 		played.Run(5 * time.Second)
-		others := played.Pick(func(machine *fleet.Machine) bool { return machine != head })
+		others := played.MachinesWhere(func(machine *fleet.Machine) bool { return machine != head })
 		for number := range 2 {
 			written := harness.Patched(played, others[number], number)
 			Expect(written.Status).To(BeElementOf(200, 202))
-			newest = written.Accepted.Revision
+			newest = written.Result.Revision
 		}
 		return played, head, newest
 	}
@@ -38,7 +38,7 @@
 	for _, bothWays := range []bool{true, false} {
 		It(fmt.Sprintf("neither refuses nor confirms an order that builds on what the others accepted meanwhile (cut both ways: %v)", bothWays), func() {
 			played, head, newest := apart(301, bothWays)
-			written := played.Do(head, based(played, 7, newest))
+			written := played.WriteAndWait(head, based(played, 7, newest))
 			Expect(written.Status).To(BeElementOf(503, 504), "an order on top of revision %d", newest)
 			played.Run(20 * time.Second)
 			harness.NothingWrong(played)
@@ -56,12 +56,12 @@
 		It(fmt.Sprintf("does not confirm a drain that it believes to stand (cut both ways: %v)", bothWays), func() {
 			played := harness.Given("brazos", 303)
 			zone := played.Site.Machines[0].Zone
-			Expect(played.Do(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone}).Status).To(BeElementOf(200, 202))
+			Expect(played.WriteAndWait(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone}).Status).To(BeElementOf(200, 202))
 			head := played.Machine(harness.ChainView(played, played.Machines[1]).Chain[0][:3])
 			played.CutFor([]string{head.Name}, 20*time.Second, bothWays)
 			played.Run(5 * time.Second)
-			others := played.Pick(func(machine *fleet.Machine) bool { return machine != head })
-			Expect(played.Do(others[0], contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone}).Status).To(BeElementOf(200, 202))
+			others := played.MachinesWhere(func(machine *fleet.Machine) bool { return machine != head })
+			Expect(played.WriteAndWait(others[0], contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone}).Status).To(BeElementOf(200, 202))
 			drain := contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone, Operation: "again", ReplyOnCommit: true}
 			Expect(played.Operate(head, drain).Status).To(BeElementOf(503, 504))
 			played.Run(20 * time.Second)
@@ -78,7 +78,7 @@
 		head := played.Machine(harness.ChainView(played, played.Machines[1]).Chain[0][:3])
 		played.FreezeFor([]*fleet.Machine{head}, 20*time.Second)
 		played.Run(5 * time.Second)
-		others := played.Pick(func(machine *fleet.Machine) bool { return machine != head })
+		others := played.MachinesWhere(func(machine *fleet.Machine) bool { return machine != head })
 		ask := meanwhile(played, others[1])
 		played.Run(15*time.Second - played.World.Now%time.Millisecond)
 		head.Wake()
@@ -93,7 +93,7 @@
 			answer := woken(seed, func(played *fleet.Fleet, other *fleet.Machine) contract.OperatorRequest {
 				written := harness.Patched(played, other, 1)
 				Expect(written.Status).To(BeElementOf(200, 202))
-				ask := based(played, 2, written.Accepted.Revision)
+				ask := based(played, 2, written.Result.Revision)
 				ask.ReplyOnCommit = true
 				return ask
 			})
@@ -104,8 +104,8 @@
 	It("does not confirm a drain that was withdrawn meanwhile", func() {
 		answer := woken(315, func(played *fleet.Fleet, other *fleet.Machine) contract.OperatorRequest {
 			zone := played.Site.Machines[0].Zone
-			Expect(played.Do(other, contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone}).Status).To(BeElementOf(200, 202))
-			Expect(played.Do(other, contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone}).Status).To(BeElementOf(200, 202))
+			Expect(played.WriteAndWait(other, contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone}).Status).To(BeElementOf(200, 202))
+			Expect(played.WriteAndWait(other, contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone}).Status).To(BeElementOf(200, 202))
 			return contract.OperatorRequest{Verb: contract.VerbUndrain, Subject: zone, Operation: "again", ReplyOnCommit: true}
 		})
 		Expect(answer.Status).To(BeElementOf(200, 503, 504))
@@ -122,7 +122,7 @@
 				Expect(harness.Patched(played, played.Machines[1], number).Status).To(BeElementOf(200, 202))
 			}
 			cores := played.Cores()
-			played.Swap(cores[0])
+			played.ReplaceCore(cores[0])
 			played.Run(span)
 			played.KillFor(cores[1:2], 2*time.Second)
 			played.Run(20 * time.Second)
@@ -142,17 +142,17 @@
 		played.Run(4 * time.Second)
 		for number := range 320 {
 			played.World.After(time.Duration(number)*60*time.Millisecond, func() {
-				played.Write(played.Machines[1+number%8], played.Patch(number), nil)
+				played.Write(played.Machines[1+number%8], played.HarmlessPatch(number), nil)
 			})
 		}
 		played.Run(22 * time.Second)
 		member.Start()
-		Expect(played.Until(10*time.Second, func() bool {
+		Expect(played.RunUntil(10*time.Second, func() bool {
 			view := harness.ChainView(played, played.Machines[1])
 			return len(view.Chain) == 3 && view.ChainIndex(identity) >= 0
 		})).To(BeTrue(), "the same member is back in the chain")
 		newest := int64(0)
-		Expect(played.Until(4*time.Second, func() bool {
+		Expect(played.RunUntil(4*time.Second, func() bool {
 			_, newest = played.Manifest(played.Machines[2])
 			return newest > 0
 		})).To(BeTrue(), "the new tail answers")
@@ -181,7 +181,7 @@
 		cores := played.Cores()
 		played.KillFor(cores[:1], 20*time.Second)
 		played.KillFor(cores[1:], time.Second)
-		Expect(played.Until(8*time.Second, func() bool {
+		Expect(played.RunUntil(8*time.Second, func() bool {
 			return played.Operate(played.Machines[5], contract.OperatorRequest{Verb: contract.VerbGet}).Status == 200
 		})).To(BeTrue(), "two of three serve the configuration")
 		Expect(harness.Patched(played, played.Machines[5], 2).Status).To(BeElementOf(200, 202))
@@ -200,12 +200,12 @@
 		for round := range 12 {
 			for place, order := range orders {
 				played.World.After(time.Duration(round*700+place*3)*time.Millisecond, func() {
-					played.Write(played.Machines[(place*4+round)%12], order, func(written fleet.Written) {
+					played.Write(played.Machines[(place*4+round)%12], order, func(written fleet.WriteRecord) {
 						if written.Status == 200 || written.Status == 202 {
 							if accepted[order.Operation] == nil {
 								accepted[order.Operation] = map[int64]bool{}
 							}
-							accepted[order.Operation][written.Accepted.Revision] = true
+							accepted[order.Operation][written.Result.Revision] = true
 						} else if accepted[order.Operation] != nil {
 							Expect(written.Status).To(BeElementOf(503, 504), "no refusal of what was accepted")
 						}
--- a/stories/days/planted_test.go
+++ b/stories/days/planted_test.go
@@ -51,7 +51,7 @@
 var _ = Describe("an excuse for ill nodes cannot hide a breach by one that is well", func() {
 	It("when it gives no answer", func() {
 		played := troubled(131)
-		played.Machine("m02").Data.Plant(func(owner contract.StateMachine) contract.StateMachine {
+		played.Machine("m02").Data.ReplaceOwner(func(owner contract.StateMachine) contract.StateMachine {
 			return faulty{StateMachine: owner, says: func(command contract.Command) bool {
 				_, answer := command.(contract.Response)
 				return !answer
@@ -64,7 +64,7 @@
 
 	It("when it stays behind, with links of its own cut", func() {
 		played := troubled(132)
-		played.Machine("m02").Data.Plant(func(owner contract.StateMachine) contract.StateMachine {
+		played.Machine("m02").Data.ReplaceOwner(func(owner contract.StateMachine) contract.StateMachine {
 			return faulty{StateMachine: owner, hears: func(event contract.Event) bool {
 				message, fine := event.(contract.Message)
 				return !fine || message.Kind != feed.MessageDelivery
@@ -82,7 +82,7 @@
 		Expect(harness.Patched(played, played.Machines[3], 1).Status).To(Equal(200))
 		Expect(harness.Patched(played, played.Machines[5], 2).Status).To(Equal(200))
 		last := &played.Writes[len(played.Writes)-1]
-		last.Ask.Body = []byte(strings.Replace(string(last.Ask.Body), "guest-2", "guest-3", 1))
+		last.Request.Body = []byte(strings.Replace(string(last.Request.Body), "guest-2", "guest-3", 1))
 		Expect(found(played, ledger.LostManifest)).To(BeTrue())
 	})
 })
--- a/stories/days/regions_test.go
+++ b/stories/days/regions_test.go
@@ -34,14 +34,14 @@
 			played.Run(5 * time.Second)
 			played.World.CutBoth(fleet.Names(played.InRegion(regions[1])), fleet.Names(played.InRegion(regions[0])))
 			played.Run(10 * time.Second)
-			Expect(played.Serves()).To(BeTrue())
+			Expect(played.Serving()).To(BeTrue())
 			written := harness.Patched(played, played.InRegion(regions[0])[1], 1)
 			Expect(written.Status).To(Equal(202))
-			Expect(written.Accepted.MissingNodes).NotTo(BeEmpty())
+			Expect(written.Result.MissingNodes).NotTo(BeEmpty())
 			played.World.Heal()
 			played.Run(6 * time.Second)
 			_, revision := played.Manifest(played.InRegion(regions[1])[3])
-			Expect(revision).To(Equal(written.Accepted.Revision))
+			Expect(revision).To(Equal(written.Result.Revision))
 			harness.NothingWrong(played)
 		})
 	}
@@ -56,7 +56,7 @@
 		played.KillFor(played.Machines, 2*time.Second)
 		played.World.After(2*time.Second, func() {
 			for _, region := range played.Site.Regions() {
-				played.Returned(region)
+				played.RegionReturned(region)
 			}
 		})
 		played.Run(30 * time.Second)
@@ -71,12 +71,12 @@
 		played.Run(5 * time.Second)
 		played.FreezeFor(played.Machines, 3*time.Hour)
 		server := harness.ModelPool(played)[0]
-		played.World.After(2*time.Hour, func() { server.Mark(0) })
+		played.World.After(2*time.Hour, func() { server.MarkLeaving(0) })
 		played.Run(3*time.Hour + time.Millisecond)
-		before := server.Taken
+		before := server.Started
 		played.Traffic(15*time.Second, 1)
 		played.Run(15 * time.Second)
-		Expect(server.Taken).To(Equal(before))
+		Expect(server.Started).To(Equal(before))
 		harness.NothingWrong(played)
 	})
 
@@ -85,7 +85,7 @@
 		for _, machine := range played.Cores() {
 			machine.Kill()
 		}
-		rest := played.Pick((*fleet.Machine).Up)
+		rest := played.MachinesWhere((*fleet.Machine).Up)
 		played.World.CutBoth(fleet.Names(rest[:4]), fleet.Names(rest[4:]))
 		played.Run(20 * time.Second)
 		played.World.Heal()
@@ -135,10 +135,10 @@
 	for _, name := range harness.Sites {
 		It("is in force everywhere in "+name+" in time: idle, in a storm, on slow and lossy links", func() {
 			played := harness.Given(name, 121)
-			played.World.Loss, played.World.Slow = 0.05, 100*time.Millisecond
+			played.World.Loss, played.World.ExtraLatency = 0.05, 100*time.Millisecond
 			for index := range 40 {
 				played.World.After(time.Duration(index)*100*time.Millisecond, func() {
-					played.Write(played.Machines[index%12], played.Patch(index), nil)
+					played.Write(played.Machines[index%12], played.HarmlessPatch(index), nil)
 				})
 			}
 			played.Run(12 * time.Second)
@@ -147,7 +147,7 @@
 				statuses[written.Status]++
 			}
 			Expect(statuses[200] + statuses[202]).To(BeNumerically(">", 30))
-			played.World.Loss, played.World.Slow = 0, 0
+			played.World.Loss, played.World.ExtraLatency = 0, 0
 			harness.NothingWrong(played)
 		})
 	}
@@ -156,13 +156,13 @@
 		for seed := uint64(123); seed < 131; seed++ {
 			played := harness.Given("brazos", seed)
 			lone, friend := played.Machine("m12"), played.Machine("m11")
-			others := fleet.Names(played.Pick(func(machine *fleet.Machine) bool { return machine != lone && machine != friend }))
+			others := fleet.Names(played.MachinesWhere(func(machine *fleet.Machine) bool { return machine != lone && machine != friend }))
 			played.World.CutBoth([]string{"m12"}, others)
 			played.Run(5 * time.Second)
 			written := harness.Patched(played, played.Machines[0], 1)
 			Expect(written.Status).To(BeElementOf(200, 202))
-			Expect(played.Until(3*time.Second, func() bool {
-				return lone.Data.Gauges["manifest_revision"] == written.Accepted.Revision
+			Expect(played.RunUntil(3*time.Second, func() bool {
+				return lone.Data.Gauges["manifest_revision"] == written.Result.Revision
 			})).To(BeTrue(), "seed %d", seed)
 			harness.NothingWrong(played)
 		}
@@ -174,7 +174,7 @@
 		played.Run(4 * time.Second)
 		written := harness.Patched(played, played.Machines[0], 1)
 		Expect(written.Status).To(Equal(202))
-		Expect(written.Accepted.MissingNodes).To(ContainElements("m12-control", "m12-data"))
+		Expect(written.Result.MissingNodes).To(ContainElements("m12-control", "m12-data"))
 		alone := played.Operate(played.Machine("m12"), contract.OperatorRequest{Verb: contract.VerbPatch, Body: []byte(`{}`), Operation: "alone"})
 		Expect(alone.Status).To(Equal(504))
 		harness.NothingWrong(played)
@@ -187,17 +187,17 @@
 // cleanDays plays seeded days of a site side by side and wants nothing wrong in any.
 func cleanDays(name string, seeds []uint64) {
 	GinkgoHelper()
-	described, rounds, group := harness.SiteOf(name), make([]fleet.Round, len(seeds)), sync.WaitGroup{}
+	described, rounds, group := harness.SiteOf(name), make([]fleet.DayResult, len(seeds)), sync.WaitGroup{}
 	for place, seed := range seeds {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			rounds[place] = fleet.Day(described, seed, fleet.Usual(6, ""))
+			rounds[place] = fleet.Day(described, seed, fleet.DefaultPlan(6, ""))
 		}()
 	}
 	group.Wait()
 	for _, round := range rounds {
-		Expect(round.Breaches).To(BeEmpty(), "seed %d: %v", round.Seed, round.Faults)
+		Expect(round.Violations).To(BeEmpty(), "seed %d: %v", round.Seed, round.Faults)
 		Expect(round.Clean()).To(BeTrue(), "seed %d: %v", round.Seed, round.Faults)
 	}
 }
@@ -221,8 +221,8 @@
 
 	It("are the same day for the same seed", func() {
 		described := harness.SiteOf("brazos")
-		first, second := fleet.Day(described, 77, fleet.Usual(6, "")), fleet.Day(described, 77, fleet.Usual(6, ""))
-		Expect(first.Figures.Summary()).To(Equal(second.Figures.Summary()))
+		first, second := fleet.Day(described, 77, fleet.DefaultPlan(6, "")), fleet.Day(described, 77, fleet.DefaultPlan(6, ""))
+		Expect(first.Stats.Summary()).To(Equal(second.Stats.Summary()))
 		Expect(first.Faults).To(Equal(second.Faults))
 	})
 })
--- a/stories/harness/harness.go
+++ b/stories/harness/harness.go
@@ -37,7 +37,7 @@
 func Given(name string, seed uint64, options ...fleet.Option) *fleet.Fleet {
 	GinkgoHelper()
 	started := fleet.New(SiteOf(name), seed, options...)
-	Expect(started.Ready()).To(BeTrue(), "the fleet serves")
+	Expect(started.StartAndServe()).To(BeTrue(), "the fleet serves")
 	return started
 }
 
@@ -69,15 +69,15 @@
 
 func Home(played *fleet.Fleet) string { return played.Site.Regions()[0] }
 
-func Patched(played *fleet.Fleet, machine *fleet.Machine, number int) fleet.Written {
-	return played.Do(machine, played.Patch(number))
+func Patched(played *fleet.Fleet, machine *fleet.Machine, number int) fleet.WriteRecord {
+	return played.WriteAndWait(machine, played.HarmlessPatch(number))
 }
 
 // ChainView asks the authority for the core's view, as long as it takes for one to answer.
 func ChainView(played *fleet.Fleet, machine *fleet.Machine) contract.View {
 	GinkgoHelper()
 	var answer contract.Response
-	Expect(played.Until(30*time.Second, func() bool {
+	Expect(played.RunUntil(30*time.Second, func() bool {
 		answer = played.Operate(machine, contract.OperatorRequest{Verb: contract.VerbChain})
 		return answer.Status == 200
 	})).To(BeTrue(), "an authority answers")
--- a/stories/sight/sight_test.go
+++ b/stories/sight/sight_test.go
@@ -50,7 +50,7 @@
 var _ = Describe("a data node and an owner that each reach their own zone alone", func() {
 	// outside gives all machines but those of a zone.
 	outside := func(played *fleet.Fleet, zone string) []string {
-		return fleet.Names(played.Pick(func(machine *fleet.Machine) bool { return machine.Zone != zone }))
+		return fleet.Names(played.MachinesWhere(func(machine *fleet.Machine) bool { return machine.Zone != zone }))
 	}
 	for _, name := range harness.Sites {
 		It("in "+name+", are brought together by two relays, so that the node goes on to pick", func() {
@@ -58,12 +58,12 @@
 			for seed := uint64(701); seed < 704; seed++ {
 				played := harness.Given(name, seed)
 				owner := played.Owner(harness.Home(played), 0)
-				asker := played.Pick(func(machine *fleet.Machine) bool { return machine.Region == owner.Region && machine.Zone != owner.Zone })[0]
+				asker := played.MachinesWhere(func(machine *fleet.Machine) bool { return machine.Region == owner.Region && machine.Zone != owner.Zone })[0]
 				played.Traffic(20*time.Second, 0.3)
 				played.Run(3 * time.Second)
 				ways(played, 2, []string{asker.Name}, outside(played, asker.Zone))
 				ways(played, 2, []string{owner.Name}, outside(played, owner.Zone))
-				without := played.Pick(func(machine *fleet.Machine) bool { return machine != asker })
+				without := played.MachinesWhere(func(machine *fleet.Machine) bool { return machine != asker })
 				Expect(gap(played, 12*time.Second, without...)).To(BeNumerically("<=", patience), "seed %d", seed)
 				Expect(owner.Control.Gauges["shards_owned"]).To(BeNumerically(">", 0), "the owner stays: others reach it")
 				played.World.Heal()
@@ -117,9 +117,9 @@
 				played.Run(9 * time.Second)
 				ways(played, way, []string{owner.Name}, []string{server.Name})
 				played.Run(4 * time.Second)
-				before := server.Taken
+				before := server.Started
 				played.Run(8 * time.Second)
-				Expect(server.Taken).To(BeNumerically(">", before), "way %d", way)
+				Expect(server.Started).To(BeNumerically(">", before), "way %d", way)
 				played.World.Heal()
 				harness.NothingWrong(played)
 			}
@@ -143,17 +143,17 @@
 			played.Traffic(50*time.Second, 1)
 			played.Run(10 * time.Second)
 			scale := contract.OperatorRequest{Verb: contract.VerbScale, Subject: pool[0].Pool, Body: fmt.Appendf(nil, "%d", len(pool)-2)}
-			Expect(played.Do(played.Machines[5], scale).Status).To(Equal(200))
+			Expect(played.WriteAndWait(played.Machines[5], scale).Status).To(Equal(200))
 			played.Run(4 * time.Second)
 			for _, shards := range []int{3, 1, 4} {
 				body := fmt.Appendf(nil, `{"regions":{%q:{"shards":%d}}}`, region, shards)
-				Expect(played.Do(played.Machines[4], contract.OperatorRequest{Verb: contract.VerbPatch, Body: body}).Status).To(Equal(200))
+				Expect(played.WriteAndWait(played.Machines[4], contract.OperatorRequest{Verb: contract.VerbPatch, Body: body}).Status).To(Equal(200))
 				Expect(gap(played, 4*time.Second)).To(BeNumerically("<=", 500*time.Millisecond), "%d shards", shards)
 				Expect(harness.Unloaded(pool)).To(BeZero(), "each division starts the window again")
 			}
 			played.Run(15 * time.Second)
 			Expect(harness.Unloaded(pool)).To(Equal(2))
-			Expect(played.Platform.Stale).To(BeZero())
+			Expect(played.Platform.StaleOrders).To(BeZero())
 			harness.NothingWrong(played)
 		})
 	}
--- a/stories/zones/drain_test.go
+++ b/stories/zones/drain_test.go
@@ -20,15 +20,15 @@
 	return zones
 }
 
-func drain(played *fleet.Fleet, machine *fleet.Machine, verb, zone string) fleet.Written {
-	return played.Do(machine, contract.OperatorRequest{Verb: verb, Subject: zone})
+func drain(played *fleet.Fleet, machine *fleet.Machine, verb, zone string) fleet.WriteRecord {
+	return played.WriteAndWait(machine, contract.OperatorRequest{Verb: verb, Subject: zone})
 }
 
 func taken(played *fleet.Fleet, zone string) int {
 	count := 0
 	for _, server := range played.Servers {
 		if server.Zone == zone {
-			count += server.Taken
+			count += server.Started
 		}
 	}
 	return count
@@ -59,7 +59,7 @@
 			statuses := map[string]int{}
 			for index, zone := range zones[:2] {
 				ask := contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone, Operation: "drain-" + zone}
-				played.Write(played.Machines[index*5], ask, func(written fleet.Written) { statuses[zone] = written.Status })
+				played.Write(played.Machines[index*5], ask, func(written fleet.WriteRecord) { statuses[zone] = written.Status })
 			}
 			played.Run(5 * time.Second)
 			Expect(statuses).To(Equal(map[string]int{zones[0]: 200, zones[1]: 200}))
@@ -105,7 +105,7 @@
 			for index, verb := range []string{contract.VerbDrain, contract.VerbUndrain, contract.VerbDrain, contract.VerbUndrain} {
 				ask := contract.OperatorRequest{Verb: verb, Subject: "prairie-b", Operation: verb + string(rune('a'+index))}
 				played.World.After(time.Duration(played.World.Random.IntN(60))*time.Millisecond, func() {
-					played.Write(played.Machines[index*3], ask, func(written fleet.Written) { words[written.Accepted.Revision] = verb })
+					played.Write(played.Machines[index*3], ask, func(written fleet.WriteRecord) { words[written.Result.Revision] = verb })
 				})
 			}
 			played.Run(8 * time.Second)
@@ -121,7 +121,7 @@
 		_, base := played.Manifest(played.Machines[0])
 		Expect(drain(played, played.Machines[1], contract.VerbDrain, "prairie-a").Status).To(Equal(200))
 		whole := contract.OperatorRequest{Verb: contract.VerbPut, HasBaseRevision: true, BaseRevision: base, Body: played.Site.Manifest}
-		Expect(played.Do(played.Machines[2], whole).Status).To(Equal(409))
+		Expect(played.WriteAndWait(played.Machines[2], whole).Status).To(Equal(409))
 		harness.NothingWrong(played)
 	})
 })
--- a/stories/zones/ramp_test.go
+++ b/stories/zones/ramp_test.go
@@ -33,7 +33,7 @@
 			}
 			for index := range 600 {
 				played.World.After(time.Duration(index)*10*time.Millisecond, func() {
-					played.Hurried("long", harness.Home(played), 60*time.Millisecond)
+					played.SendAndHangUp("long", harness.Home(played), 60*time.Millisecond)
 				})
 			}
 			played.Run(12 * time.Second)
--- a/stories/zones/retire_test.go
+++ b/stories/zones/retire_test.go
@@ -26,8 +26,8 @@
 	return slices.ContainsFunc(retirements(played), func(row shard.Retired) bool { return row.Server == server && row.State == state })
 }
 
-func scaled(played *fleet.Fleet, count string) fleet.Written {
-	return played.Do(played.Machines[5], contract.OperatorRequest{Verb: contract.VerbScale, Subject: played.Servers[0].Pool, Body: []byte(count)})
+func scaled(played *fleet.Fleet, count string) fleet.WriteRecord {
+	return played.WriteAndWait(played.Machines[5], contract.OperatorRequest{Verb: contract.VerbScale, Subject: played.Servers[0].Pool, Body: []byte(count)})
 }
 
 func longRuns(kind *site.Caller) { kind.Pieces = 600 }
@@ -60,7 +60,7 @@
 		played.Run(10 * time.Second)
 		probes := []*fleet.Probe{}
 		for index := range 12 {
-			probes = append(probes, played.Probe("short", harness.Home(played)).With(longRuns).Send(played.InRegion(harness.Home(played))[index%8]))
+			probes = append(probes, played.Probe("short", harness.Home(played)).WithProfile(longRuns).Send(played.InRegion(harness.Home(played))[index%8]))
 		}
 		Expect(scaled(played, "1").Status).To(Equal(200))
 		played.Run(20 * time.Second)
@@ -74,7 +74,7 @@
 		played := harness.Given("brazos", 63)
 		pool := harness.ModelPool(played)
 		for _, server := range pool {
-			server.Mode = "partial"
+			server.FaultMode = "partial"
 		}
 		Expect(scaled(played, "9").Status).To(Equal(200))
 		last := pool[len(pool)-1]
@@ -90,13 +90,13 @@
 	It("to zero holds what is not shown empty, and never picks it again", func() {
 		played := harness.Given("brazos", 64)
 		pool := harness.ModelPool(played)
-		pool[0].Mode = "partial"
+		pool[0].FaultMode = "partial"
 		Expect(scaled(played, "0").Status).To(Equal(200))
 		played.Run(70 * time.Second)
 		Expect(harness.Unloaded(pool)).To(Equal(len(pool) - 1))
 		Expect(retired(played, pool[0].Name, retire.Held)).To(BeTrue())
 		Expect(listed(played, pool[0].Name)).To(BeFalse())
-		pool[0].Mode = ""
+		pool[0].FaultMode = ""
 		played.Run(20 * time.Second)
 		Expect(harness.Unloaded(pool)).To(Equal(len(pool)))
 		harness.NothingWrong(played)
@@ -112,11 +112,11 @@
 		played.Run(4 * time.Second)
 		owner.Freeze()
 		taken := played.World.Now
-		Expect(played.Until(30*time.Second, last.Unloaded)).To(BeTrue())
+		Expect(played.RunUntil(30*time.Second, last.Unloaded)).To(BeTrue())
 		Expect(played.World.Now - taken).To(BeNumerically(">=", 7*time.Second))
 		owner.Wake()
 		played.Run(5 * time.Second)
-		Expect(played.Platform.Stale).To(BeZero())
+		Expect(played.Platform.StaleOrders).To(BeZero())
 		harness.NothingWrong(played)
 	})
 })
@@ -126,7 +126,7 @@
 		for _, cause := range []string{"scale-down", "scale-to-zero"} {
 			retired := fleet.Retire(harness.SiteOf("brazos"), 1, cause)
 			Expect(retired.Released).To(BeTrue(), "%s: %+v", cause, retired)
-			Expect(retired.Breaches).To(BeZero())
+			Expect(retired.Violations).To(BeZero())
 		}
 	})
 })
@@ -155,7 +155,7 @@
 				case 2:
 					played.CutFor([]string{owner.Name}, 9*time.Second, false)
 				}
-				server.Mark(20 * time.Second)
+				server.MarkLeaving(20 * time.Second)
 				played.Run(15 * time.Second)
 				played.World.Heal()
 				played.World.After(20*time.Second, server.Replace)
@@ -169,10 +169,10 @@
 		played := harness.Given("seri", 77)
 		played.Run(10 * time.Second)
 		node := played.InRegion(harness.Home(played))[0]
-		probe := played.Probe("short", harness.Home(played)).With(longRuns).Send(node)
+		probe := played.Probe("short", harness.Home(played)).WithProfile(longRuns).Send(node)
 		played.Run(time.Second)
-		server := played.Running()[0]
-		server.Mark(4 * time.Second)
+		server := played.BusyServers()[0]
+		server.MarkLeaving(4 * time.Second)
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("interrupted"))
 		next := played.Probe("short", harness.Home(played)).Send(node)
 		Expect(next.Outcome(10 * time.Second)).To(Equal("done"))
@@ -191,7 +191,7 @@
 		probes := []*fleet.Probe{}
 		for _, at := range played.InRegion(harness.Home(played)) {
 			for range 3 {
-				probes = append(probes, played.Probe("short", harness.Home(played)).With(longRuns).Send(at))
+				probes = append(probes, played.Probe("short", harness.Home(played)).WithProfile(longRuns).Send(at))
 			}
 		}
 		played.Run(time.Second)
@@ -199,7 +199,7 @@
 			server.Replace()
 		}
 		played.Run(4 * time.Second)
-		pool[0].Mark(6 * time.Second)
+		pool[0].MarkLeaving(6 * time.Second)
 		done := 0
 		for _, probe := range probes {
 			if probe.Outcome(60*time.Second) == "done" {
@@ -219,11 +219,11 @@
 		played.Run(5 * time.Second)
 		played.Platform.Broken = true
 		played.Run(1500 * time.Millisecond)
-		Expect(played.Serves()).To(BeTrue())
+		Expect(played.Serving()).To(BeTrue())
 		played.Run(4 * time.Second)
-		Expect(played.Serves()).To(BeFalse(), "a server could be leaving and nobody would know")
+		Expect(played.Serving()).To(BeFalse(), "a server could be leaving and nobody would know")
 		played.Platform.Broken = false
-		Expect(played.Until(3*time.Second, played.Serves)).To(BeTrue())
+		Expect(played.RunUntil(3*time.Second, played.Serving)).To(BeTrue())
 		harness.NothingWrong(played)
 	})
 })
