--- a/cmd/cedarrig/load.go
+++ b/cmd/cedarrig/load.go
@@ -17,11 +17,11 @@
 		return false, err
 	}
 	clean := true
-	for _, name := range fleet.SceneNames() {
+	for _, name := range fleet.ScenarioNames() {
 		figures, prefixHits, prefixLookups, turns, sessionsKept, breaches := ledger.NewStats(), 0, 0, 0, 0, 0
-		for _, result := range runParallel(args, args.LoadSeeds, func(seed uint64) fleet.Loaded { return fleet.Load(deployment, seed, name) }) {
-			figures.Add(result.Figures)
-			prefixHits, prefixLookups, turns, sessionsKept, breaches = prefixHits+result.Hits, prefixLookups+result.Asked, turns+result.Turns, sessionsKept+result.Kept, breaches+len(result.Breaches)
+		for _, result := range runParallel(args, args.LoadSeeds, func(seed uint64) fleet.LoadResult { return fleet.Load(deployment, seed, name) }) {
+			figures.Add(result.Stats)
+			prefixHits, prefixLookups, turns, sessionsKept, breaches = prefixHits+result.PrefixHits, prefixLookups+result.PrefixCalls, turns+result.SessionTurns, sessionsKept+result.SameServerTurns, breaches+len(result.Violations)
 		}
 		fmt.Printf("%s: %d seeds from %d, prefixes held %d of %d, sessions kept %d of %d, breaches %d\n%s\n", name, args.LoadSeeds, args.Seed, prefixHits, prefixLookups, sessionsKept, turns, breaches, figures.Summary())
 		clean = clean && breaches == 0
--- a/cmd/cedarrig/retire.go
+++ b/cmd/cedarrig/retire.go
@@ -19,7 +19,7 @@
 		return false, err
 	}
 	clean := true
-	for _, cause := range fleet.Causes {
+	for _, cause := range fleet.RetirementCauses {
 		for _, ordinaryOnly := range []bool{false, true} {
 			if ordinaryOnly && (cause == "scale-down" || cause == "scale-to-zero") {
 				continue
@@ -34,14 +34,14 @@
 func measureCause(args arguments, deployment site.Site, cause string, ordinaryOnly bool) bool {
 	options := []fleet.Option{}
 	if ordinaryOnly {
-		options = append(options, fleet.WithOrdinary())
+		options = append(options, fleet.WithoutEarlyWithdrawal())
 	}
-	results := runParallel(args, args.Retirements, func(seed uint64) fleet.Retired { return fleet.Retire(deployment, seed, cause, options...) })
+	results := runParallel(args, args.Retirements, func(seed uint64) fleet.RetirementResult { return fleet.Retire(deployment, seed, cause, options...) })
 	durations, nextTurns, ends, states := []time.Duration{}, []time.Duration{}, map[string]int{}, map[string]int{}
 	recalled, prefixHits, prefixLookups, breaches := int64(0), 0, 0, 0
 	for _, result := range results {
-		durations, nextTurns = append(durations, result.Took), append(nextTurns, result.NextTurn...)
-		for end, count := range result.Ends {
+		durations, nextTurns = append(durations, result.Duration), append(nextTurns, result.NextTurnDelays...)
+		for end, count := range result.Outcomes {
 			ends[end] += count
 		}
 		for state, reached := range map[string]bool{"released": result.Released, "held": result.Held, "aborted": result.Aborted} {
@@ -49,7 +49,7 @@
 				states[state]++
 			}
 		}
-		recalled, prefixHits, prefixLookups, breaches = recalled+result.Recalled, prefixHits+result.Hits, prefixLookups+result.Asked, breaches+result.Breaches
+		recalled, prefixHits, prefixLookups, breaches = recalled+result.Recalled, prefixHits+result.PrefixHits, prefixLookups+result.PrefixCalls, breaches+result.Violations
 	}
 	path := "as shipped"
 	if ordinaryOnly {
--- a/cmd/cedarrig/sweep.go
+++ b/cmd/cedarrig/sweep.go
@@ -40,10 +40,10 @@
 }
 
 // newDayRecord summarises one day: outcomes are added up over all call classes, whose own figures are dropped.
-func newDayRecord(round fleet.Round) dayRecord {
-	record := dayRecord{Seed: round.Seed, Clean: round.Clean(), Ready: round.Ready, ServesAgain: round.Serves, Faults: round.Faults, Breaches: round.Breaches,
-		Worst: round.Figures, Outcomes: map[string]int{}, PrefixHits: round.Hits, PrefixLookups: round.Asked, SessionTurns: round.Turns, SessionsKept: round.Kept, Records: round.Records}
-	for _, class := range round.Figures.Classes {
+func newDayRecord(round fleet.DayResult) dayRecord {
+	record := dayRecord{Seed: round.Seed, Clean: round.Clean(), Ready: round.Ready, ServesAgain: round.Serves, Faults: round.Faults, Breaches: round.Violations,
+		Worst: round.Stats, Outcomes: map[string]int{}, PrefixHits: round.PrefixHits, PrefixLookups: round.PrefixCalls, SessionTurns: round.SessionTurns, SessionsKept: round.SameServerTurns, Records: round.Records}
+	for _, class := range round.Stats.Classes {
 		for outcome, count := range class.Outcomes {
 			record.Outcomes[outcome] += count
 		}
@@ -70,8 +70,8 @@
 	for _, record := range records {
 		recordedSeeds[record.Seed] = true
 	}
-	plan := fleet.Plan{Span: time.Duration(args.SpanSeconds) * time.Second, Rate: args.Rate, Faults: args.FaultCount, Name: args.FaultName}
-	seeds, rounds := make(chan uint64), make(chan fleet.Round)
+	plan := fleet.DayPlan{Span: time.Duration(args.SpanSeconds) * time.Second, Rate: args.Rate, Faults: args.FaultCount, Name: args.FaultName}
+	seeds, rounds := make(chan uint64), make(chan fleet.DayResult)
 	group := sync.WaitGroup{}
 	for range args.Parallel {
 		group.Add(1)
@@ -94,7 +94,7 @@
 	}()
 	for round := range rounds {
 		if args.SweepDays == 1 {
-			fmt.Println(round.Figures.Summary())
+			fmt.Println(round.Stats.Summary())
 		}
 		record := newDayRecord(round)
 		record.print(args)
@@ -125,10 +125,10 @@
 }
 
 // runSweepDay runs one day in memory, printing state changes if asked to.
-func runSweepDay(args arguments, deployment site.Site, seed uint64, plan fleet.Plan) fleet.Round {
+func runSweepDay(args arguments, deployment site.Site, seed uint64, plan fleet.DayPlan) fleet.DayResult {
 	options := []fleet.Option{}
 	if args.Trace {
-		options = append(options, fleet.WithTell(func(text string) { fmt.Print(text) }))
+		options = append(options, fleet.WithLogSink(func(text string) { fmt.Print(text) }))
 	}
 	return fleet.Day(deployment, seed, plan, options...)
 }
