--- a/data/data.go
+++ b/data/data.go
@@ -122,9 +122,9 @@
 	backoffs         map[string]backoff
 	searches         map[int64]*recordSearch
 	nextLeaseRequest time.Duration
-	// exported holds the members that sent this node their records, with the process start that they did so for.
-	exported   map[string]string
-	nextExport time.Duration
+	// importedFrom holds the members that sent this node their records, with the process start that they did so for.
+	importedFrom map[string]string
+	nextExport   time.Duration
 	// lastSearchToken numbers the searches.
 	lastSearchToken int64
 	stopping        bool
@@ -135,7 +135,7 @@
 func New(settings env.Env, boot string, random *rand.Rand) *Router {
 	bounds := settings.Bounds
 	return &Router{Node: machine.New(settings, contract.KindData, boot, random), settings: settings,
-		shardLeases: map[int]*shardLease{}, jobs: map[int64]*job{}, searches: map[int64]*recordSearch{}, backoffs: map[string]backoff{}, exported: map[string]string{}, queues: line.New(), usages: map[string]pick.Usage{},
+		shardLeases: map[int]*shardLease{}, jobs: map[int64]*job{}, searches: map[int64]*recordSearch{}, backoffs: map[string]backoff{}, importedFrom: map[string]string{}, queues: line.New(), usages: map[string]pick.Usage{},
 		table:      call.NewTable(bounds.RecordRetention(), bounds.Records, bounds.ReplyBytes*maxKeptReplies),
 		affinities: newAffinity(maxAffinityEntries), traces: newTraces(maxTraces)}
 }
@@ -291,7 +291,7 @@
 
 func (router *Router) reportGauges() {
 	_, lapsed := router.candidates(router.nextLeaseRequest)
-	for name, value := range map[string]int{"calls_now": len(router.jobs), "calls_in_line": router.queues.Total(), "records": router.table.Len(), "shards_lapsed": len(lapsed)} {
+	for name, value := range map[string]int{"calls_now": len(router.jobs), "calls_in_line": router.queues.TotalWaiting(), "records": router.table.Len(), "shards_lapsed": len(lapsed)} {
 		router.emit(contract.SetGauge{Name: name, Value: int64(value)})
 	}
 }
--- a/data/find.go
+++ b/data/find.go
@@ -33,7 +33,7 @@
 	search := &recordSearch{token: router.lastSearchToken, scopedKey: scopedKey, until: now + router.Bounds.ReplicationTimeout(), voters: voters, complete: complete,
 		waiting: mapset.NewThreadUnsafeSet[string](), confirmed: mapset.NewThreadUnsafeSet[string](), witness: mapset.NewThreadUnsafeSet[string]()}
 	router.searches[router.lastSearchToken] = search
-	ask := Find{Token: router.lastSearchToken, ScopedKey: scopedKey, Age: age, Address: router.Self().Address}
+	find := Find{Token: router.lastSearchToken, ScopedKey: scopedKey, Age: age, Address: router.Self().Address}
 	for _, name := range voters {
 		if name == router.Self().Name {
 			if router.table.CoversAge(now, age) {
@@ -43,24 +43,24 @@
 		}
 		if member, exists := router.Neighbours.Lookup(name); exists {
 			search.waiting.Add(name)
-			router.emit(contract.Send{To: member.Address, Kind: MessageFind, Body: ask})
+			router.emit(contract.Send{To: member.Address, Kind: MessageFind, Body: find})
 		}
 	}
 	witness := router.witnessNodes()
 	for _, name := range manifest.SortedKeys(witness) {
 		search.witness.Add(name)
-		router.emit(contract.Send{To: witness[name].Address, Kind: MessageFind, Body: ask})
+		router.emit(contract.Send{To: witness[name].Address, Kind: MessageFind, Body: find})
 	}
 	router.concludeSearch(now, search)
 }
 
 // handleFind answers a peer's search.
-func (router *Router) handleFind(now time.Duration, ask Find) {
-	found := FindReply{Token: ask.Token, CoversAge: router.table.CoversAge(now, ask.Age)}
-	if record, exists := router.table.Find(now, ask.ScopedKey); exists {
+func (router *Router) handleFind(now time.Duration, request Find) {
+	found := FindReply{Token: request.Token, CoversAge: router.table.CoversAge(now, request.Age)}
+	if record, exists := router.table.Find(now, request.ScopedKey); exists {
 		found.Record = &record
 	}
-	router.emit(contract.Send{To: ask.Address, Kind: MessageFindReply, Body: found})
+	router.emit(contract.Send{To: request.Address, Kind: MessageFindReply, Body: found})
 }
 
 // handleFindReply handles an answer to a search of this node. A record with a final outcome takes precedence over a running one.
--- a/data/handover.go
+++ b/data/handover.go
@@ -36,15 +36,15 @@
 	router.nextExport = now + router.Bounds.Round()
 	for _, member := range router.Neighbours.Members(now) {
 		if router.mayOweRecords(member) {
-			ask := Export{Address: router.Self().Address, Region: router.Self().Region, AllRegions: member.Region == router.Self().Region}
-			router.emit(contract.Send{To: member.Address, Kind: MessageExport, Body: ask})
+			export := Export{Address: router.Self().Address, Region: router.Self().Region, AllRegions: member.Region == router.Self().Region}
+			router.emit(contract.Send{To: member.Address, Kind: MessageExport, Body: export})
 		}
 	}
 }
 
 // mayOweRecords reports whether a member may have records for this node and has not exported them since its last start.
 func (router *Router) mayOweRecords(member contract.Member) bool {
-	return member.Kind == contract.KindData && member.Name != router.Self().Name && router.exported[member.Name] != member.Boot
+	return member.Kind == contract.KindData && member.Name != router.Self().Name && router.importedFrom[member.Name] != member.Boot
 }
 
 // caughtUp reports whether this node has received its peers' records after its start, or has waited long enough for them. Until
@@ -64,11 +64,11 @@
 }
 
 // handleExport sends a peer the records that it asks for, in batches. An empty result is sent too, as the last batch.
-func (router *Router) handleExport(now time.Duration, ask Export) {
-	records := router.table.Export(now, ask.Region, ask.AllRegions, maxExportedRecords)
+func (router *Router) handleExport(now time.Duration, request Export) {
+	records := router.table.Export(now, request.Region, request.AllRegions, maxExportedRecords)
 	for first := true; first || len(records) > 0; first = false {
 		count := min(exportBatchSize, len(records))
-		router.emit(contract.Send{To: ask.Address, Kind: MessageExportReply, Body: ExportReply{Records: records[:count], Last: count == len(records)}})
+		router.emit(contract.Send{To: request.Address, Kind: MessageExportReply, Body: ExportReply{Records: records[:count], Last: count == len(records)}})
 		records = records[count:]
 	}
 }
@@ -79,6 +79,6 @@
 	}
 	router.emit(contract.AddCounter{Name: "records_handed_over", Delta: int64(len(exported.Records))})
 	if exported.Last {
-		router.exported[message.From] = message.Boot
+		router.importedFrom[message.From] = message.Boot
 	}
 }
--- a/data/job.go
+++ b/data/job.go
@@ -42,7 +42,7 @@
 // job is a call that this node is handling. Its claim is described by voters, the nodes whose grants count; replicas, those of them
 // that are alive; remoteReplicas, addresses in other regions that store a copy; and witnesses, the nodes of the witness region, if they
 // were asked. granted and witnessed are the nodes that granted the claim, refusals counts voters without room for the record, and
-// contested is set while another node's claim stands in the way. replicas is nil once the record has been released or has its outcome.
+// hasConflict is set while another node's claim stands in the way. replicas is nil once the record has been released or has its outcome.
 type job struct {
 	token          int64
 	call           call.Call
@@ -57,7 +57,7 @@
 	witnessed      map[string]bool
 	granted        map[string]bool
 	voters         []string
-	contested      bool
+	hasConflict    bool
 	refusals       int
 	attempts       map[int]*attempt
 	attemptCount   int
@@ -216,7 +216,7 @@
 
 // dispatchQueued sends queued calls to servers while there are servers for them.
 func (router *Router) dispatchQueued(now time.Duration) {
-	if router.queues.Total() == 0 {
+	if router.queues.TotalWaiting() == 0 {
 		return
 	}
 	candidates, lapsed := router.candidates(now)
@@ -293,7 +293,7 @@
 		switch {
 		case job.phase == phaseClaiming && now-job.claimedAt > router.Bounds.ReplicationTimeout():
 			router.refuse(now, job, 503, "too few keepers answered; the call did not run", router.jitter(router.Bounds.Round()))
-		case job.phase == phaseClaiming && job.contested:
+		case job.phase == phaseClaiming && job.hasConflict:
 			router.claimAgain(job)
 		case job.phase == phaseClaiming:
 			router.checkClaim(now, job)
--- a/data/keep.go
+++ b/data/keep.go
@@ -118,7 +118,7 @@
 
 // claimAgain repeats a contested claim at the replicas that have not granted it.
 func (router *Router) claimAgain(job *job) {
-	job.contested = false
+	job.hasConflict = false
 	claim := Claim{Record: router.newRecord(job), Address: router.Self().Address}
 	for _, name := range manifest.SortedKeys(job.replicas) {
 		if !job.granted[name] {
@@ -171,7 +171,7 @@
 		}
 		router.checkClaim(now, job)
 	case router.takesPrecedence(now, job, claimReply.Record):
-		job.contested = true
+		job.hasConflict = true
 	default:
 		router.releaseClaim(job)
 		router.answerFromRecord(now, job, claimReply.Record)
@@ -191,10 +191,10 @@
 func (router *Router) checkClaim(now time.Duration, job *job) {
 	all := len(job.granted)+job.refusals >= len(job.replicas)
 	half := len(job.granted)*2 >= len(job.voters) && len(job.granted) > 0
-	if job.contested || !half || !all && now-job.claimedAt < router.Bounds.ReplicationTimeout()/4 {
+	if job.hasConflict || !half || !all && now-job.claimedAt < router.Bounds.ReplicationTimeout()/4 {
 		return
 	}
-	if !router.quorum(job) {
+	if !router.hasQuorum(job) {
 		router.askWitnesses(job)
 		return
 	}
--- a/data/outer.go
+++ b/data/outer.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// quorum reports whether more than half of the voters granted the claim, or exactly half of them and a majority of the witness region.
+// hasQuorum reports whether more than half of the voters granted the claim, or exactly half of them and a majority of the witness region.
 // Any two such sets share a node, so a second claim of the same call reaches a node that knows of the first.
-func (router *Router) quorum(job *job) bool {
+func (router *Router) hasQuorum(job *job) bool {
 	granted := len(job.granted) * 2
 	return granted > len(job.voters) || granted == len(job.voters) && router.witnessMajority(len(job.witnessed))
 }
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -68,12 +68,12 @@
 
 // Replicator is one node's part of the feed: its current version and view, and the older versions that it keeps for others.
 type Replicator struct {
-	bounds  env.Bounds
-	address string
-	version contract.Version
-	parsed  manifest.Manifest
-	view    contract.View
-	history map[int64]contract.Version
+	bounds         env.Bounds
+	address        string
+	version        contract.Version
+	parsedManifest manifest.Manifest
+	view           contract.View
+	history        map[int64]contract.Version
 	// historyStart is the revision below which nothing is kept, since the versions from it on fill the allowed bytes of changes.
 	historyStart       int64
 	historyBytes       int64
@@ -84,9 +84,9 @@
 	historyGained      bool          // the last history request filled gaps
 	// wantsFullVersion is set when a received version could not be reconstructed: the next request is for a whole one.
 	wantsFullVersion bool
-	// packed has, by base version, the compressed records that lead to the newest version, which is packedOf.
-	packed   map[contract.Position][]byte
-	packedOf contract.Position
+	// compressedRecords has, by base version, the compressed records that lead to the newest version, which is compressedPosition.
+	compressedRecords  map[contract.Position][]byte
+	compressedPosition contract.Position
 }
 
 // New returns the feed of the node at an address, without any version.
@@ -98,7 +98,7 @@
 func (replicator *Replicator) Version() contract.Version { return replicator.version }
 
 // Manifest returns the parsed manifest of the version in force.
-func (replicator *Replicator) Manifest() manifest.Manifest { return replicator.parsed }
+func (replicator *Replicator) Manifest() manifest.Manifest { return replicator.parsedManifest }
 
 // View returns the newest view of the core that is known here.
 func (replicator *Replicator) View() contract.View { return replicator.view }
@@ -292,7 +292,7 @@
 	if version.Base != replicator.version.Position {
 		change = document.Diff(replicator.version.Document(), version.Document())
 	}
-	return replicator.parsed.Next(version.Document(), change)
+	return replicator.parsedManifest.Next(version.Document(), change)
 }
 
 // store keeps a version, unless one with its revision is kept already.
@@ -350,7 +350,7 @@
 		for revision := replicator.version.Position.Revision; revision < version.Position.Revision; revision++ {
 			replicator.drop(revision + 1 - replicator.bounds.History)
 		}
-		replicator.version, replicator.parsed, changed = version, parsed, true
+		replicator.version, replicator.parsedManifest, changed = version, parsed, true
 		replicator.trim()
 		commands = append(commands, contract.VersionAdopted{Version: version})
 		break
--- a/feed/tell.go
+++ b/feed/tell.go
@@ -47,10 +47,10 @@
 
 // fillDelivery puts the versions after a base into a delivery, or the newest version whole if there is no base; large records are packed.
 func (replicator *Replicator) fillDelivery(delivery *Delivery, base contract.Version) {
-	if replicator.packedOf != replicator.version.Position {
-		replicator.packed, replicator.packedOf = map[contract.Position][]byte{}, replicator.version.Position
+	if replicator.compressedPosition != replicator.version.Position {
+		replicator.compressedRecords, replicator.compressedPosition = map[contract.Position][]byte{}, replicator.version.Position
 	}
-	if packed, found := replicator.packed[base.Position]; found {
+	if packed, found := replicator.compressedRecords[base.Position]; found {
 		delivery.Packed, delivery.PackedOf = packed, replicator.version.Position
 		return
 	}
@@ -63,8 +63,8 @@
 		return
 	}
 	packed := compress(records)
-	if len(replicator.packed) < maxPackedBases {
-		replicator.packed[base.Position] = packed
+	if len(replicator.compressedRecords) < maxPackedBases {
+		replicator.compressedRecords[base.Position] = packed
 	}
 	delivery.Packed, delivery.PackedOf = packed, replicator.version.Position
 }
--- a/index/checks.go
+++ b/index/checks.go
@@ -137,7 +137,7 @@
 }
 
 // recordUse adds a use to the checks of its server and returns the updated place.
-func (cacheIndex *CacheIndex) recordUse(now time.Duration, place entry, use Use) entry {
+func (cacheIndex *CacheIndex) recordUse(now time.Duration, place placeEntry, use Use) placeEntry {
 	began := use.At - time.Duration(max(0, use.Took))*time.Millisecond
 	stats := cacheIndex.checksOf(use.Key, use.Server)
 	slack, late := use.Verdict.MissSlack(use.At - began)
@@ -306,24 +306,24 @@
 	views := map[string]CacheStatus{}
 	for _, key := range cacheIndex.places.Keys() {
 		place, _ := cacheIndex.places.Peek(key)
-		view := views[place.server]
-		view.Service = key.service()
-		view.Placed++
-		views[place.server] = view
+		status := views[place.server]
+		status.Service = key.service()
+		status.Placed++
+		views[place.server] = status
 	}
 	for _, server := range cacheIndex.checks.Keys() {
 		stats, _ := cacheIndex.checks.Peek(server)
-		view := views[server]
-		view.Service, view.Kept, view.Missed, view.Checked = stats.service, stats.kept, stats.missed, stats.kept+stats.missed
+		status := views[server]
+		status.Service, status.Kept, status.Missed, status.Checked = stats.service, stats.kept, stats.missed, stats.kept+stats.missed
 		if now < stats.doubtedUntil {
-			view.DoubtedMs = (now - stats.doubtedSince).Milliseconds()
+			status.DoubtedMs = (now - stats.doubtedSince).Milliseconds()
 		}
-		views[server] = view
+		views[server] = status
 	}
 	all := make([]CacheStatus, 0, len(views))
-	for server, view := range views {
-		view.Server, view.Share = server, cacheIndex.workShare(server)
-		all = append(all, view)
+	for server, status := range views {
+		status.Server, status.Share = server, cacheIndex.workShare(server)
+		all = append(all, status)
 	}
 	return MergeStatus(all)
 }
@@ -332,18 +332,18 @@
 // since most nodes know the same ones.
 func MergeStatus(views []CacheStatus) []CacheStatus {
 	sums := map[string]CacheStatus{}
-	for _, view := range views {
-		if view.Server == "" {
+	for _, status := range views {
+		if status.Server == "" {
 			continue
 		}
-		sum, found := sums[view.Server]
+		sum, found := sums[status.Server]
 		if !found {
-			sum = CacheStatus{Server: view.Server, Share: 1}
+			sum = CacheStatus{Server: status.Server, Share: 1}
 		}
-		sum.Service = max(sum.Service, view.Service)
-		sum.Placed, sum.DoubtedMs, sum.Share = max(sum.Placed, view.Placed), max(sum.DoubtedMs, view.DoubtedMs), min(sum.Share, view.Share)
-		sum.Checked, sum.Kept, sum.Missed = sum.Checked+view.Checked, sum.Kept+view.Kept, sum.Missed+view.Missed
-		sums[view.Server] = sum
+		sum.Service = max(sum.Service, status.Service)
+		sum.Placed, sum.DoubtedMs, sum.Share = max(sum.Placed, status.Placed), max(sum.DoubtedMs, status.DoubtedMs), min(sum.Share, status.Share)
+		sum.Checked, sum.Kept, sum.Missed = sum.Checked+status.Checked, sum.Kept+status.Kept, sum.Missed+status.Missed
+		sums[status.Server] = sum
 	}
 	merged := make([]CacheStatus, 0, len(sums))
 	for _, sum := range sums {
--- a/index/index.go
+++ b/index/index.go
@@ -47,8 +47,8 @@
 	RootWork   int64    `json:"rootWork,omitempty"`
 }
 
-// rootOnServer records that a prompt with a root was placed on a server.
-type rootOnServer struct {
+// rootPlacement records that a prompt with a root was placed on a server.
+type rootPlacement struct {
 	Key
 	server string
 }
@@ -91,18 +91,18 @@
 type CacheIndex struct {
 	halfLife      time.Duration
 	cooldown      time.Duration // time in which a moved place does not move again and a lost server gets no place
-	places        *lru.LRU[Key, entry]
+	places        *lru.LRU[Key, placeEntry]
 	loads         *lru.LRU[string, load]
-	roots         *lru.LRU[rootOnServer, struct{}] // roots that a server has read
+	roots         *lru.LRU[rootPlacement, struct{}] // roots that a server has read
 	checks        *lru.LRU[string, *cacheChecks]
 	pendingChecks []pendingCheck // misses that wait for a decision
 	replication
 }
 
-// entry is a place. A confirmed one was assigned by this index or used by a node; others come from peers and the first use decides.
+// placeEntry is a place. A confirmed one was assigned by this index or used by a node; others come from peers and the first use decides.
 // read is when the first reported call had read the prompt there, used the last use, missed the last cache miss. A leaving entry
 // stays until it is asked for with other candidates.
-type entry struct {
+type placeEntry struct {
 	server             string
 	moved              time.Duration // last move
 	confirmed, leaving bool
@@ -110,7 +110,7 @@
 }
 
 // announcedServer is the server that nodes and peers are told, empty for a leaving place.
-func (place entry) announcedServer() string {
+func (place placeEntry) announcedServer() string {
 	if place.leaving {
 		return ""
 	}
@@ -128,8 +128,8 @@
 // New returns an empty index. A server's work decays by half in halfLife; cooldown is how long a moved place stays put and a lost
 // server gets no place.
 func New(halfLife, cooldown time.Duration) *CacheIndex {
-	return &CacheIndex{halfLife: halfLife, cooldown: cooldown, places: newLRU[Key, entry](maxPlaces), loads: newLRU[string, load](maxServers),
-		roots:       newLRU[rootOnServer, struct{}](maxPlaces),
+	return &CacheIndex{halfLife: halfLife, cooldown: cooldown, places: newLRU[Key, placeEntry](maxPlaces), loads: newLRU[string, load](maxServers),
+		roots:       newLRU[rootPlacement, struct{}](maxPlaces),
 		checks:      newLRU[string, *cacheChecks](maxServers),
 		replication: replication{changed: newLRU[Key, struct{}](MaxSaved)}}
 }
@@ -145,8 +145,8 @@
 // Len returns the number of places.
 func (cacheIndex *CacheIndex) Len() int { return cacheIndex.places.Len() }
 
-// work returns a server's decayed work in milliseconds.
-func (cacheIndex *CacheIndex) work(now time.Duration, server string) float64 {
+// currentWork returns a server's decayed work in milliseconds.
+func (cacheIndex *CacheIndex) currentWork(now time.Duration, server string) float64 {
 	serverLoad, found := cacheIndex.loads.Peek(server)
 	if !found {
 		return 0
@@ -156,7 +156,7 @@
 
 func (cacheIndex *CacheIndex) addWork(now time.Duration, server string, work int64) {
 	serverLoad, _ := cacheIndex.loads.Peek(server)
-	cacheIndex.loads.Add(server, load{cacheIndex.work(now, server) + float64(work), now, serverLoad.lost, serverLoad.busyUntil})
+	cacheIndex.loads.Add(server, load{cacheIndex.currentWork(now, server) + float64(work), now, serverLoad.lost, serverLoad.busyUntil})
 }
 
 // queueRead adds the reading of a prompt to a server's work, after the prompts it was given before.
@@ -176,12 +176,12 @@
 // markLost records a report that a server is lost; nothing is placed there during the cooldown.
 func (cacheIndex *CacheIndex) markLost(now time.Duration, server string) {
 	if server != "" {
-		cacheIndex.loads.Add(server, load{work: cacheIndex.work(now, server), updatedAt: now, lost: now + cacheIndex.cooldown})
+		cacheIndex.loads.Add(server, load{work: cacheIndex.currentWork(now, server), updatedAt: now, lost: now + cacheIndex.cooldown})
 	}
 }
 
-// lost reports whether a server was reported lost within the cooldown.
-func (cacheIndex *CacheIndex) lost(now time.Duration, server string) bool {
+// isLost reports whether a server was reported lost within the cooldown.
+func (cacheIndex *CacheIndex) isLost(now time.Duration, server string) bool {
 	serverLoad, found := cacheIndex.loads.Peek(server)
 	return found && now < serverLoad.lost
 }
@@ -201,19 +201,19 @@
 		return Placement{}, false
 	}
 	candidates := slices.DeleteFunc(slices.Clone(request.Candidates), func(name string) bool {
-		return cacheIndex.lost(now, name) || existing.leaving && name == existing.server
+		return cacheIndex.isLost(now, name) || existing.leaving && name == existing.server
 	})
 	if len(candidates) == 0 {
 		if !existing.leaving || existing.server == request.Lost {
 			return Placement{}, false
 		}
 		existing.leaving, existing.missed, existing.moved = false, 0, now
-		cacheIndex.store(request.Key, existing)
+		cacheIndex.storePlace(request.Key, existing)
 		return Placement{Key: request.Key, Server: existing.server}, true
 	}
 	chosen := cacheIndex.chooseServer(now, candidates, request)
-	cacheIndex.store(request.Key, entry{server: chosen, moved: now, confirmed: true})
-	cacheIndex.queueRead(now, chosen, cacheIndex.unread(request, chosen))
+	cacheIndex.storePlace(request.Key, placeEntry{server: chosen, moved: now, confirmed: true})
+	cacheIndex.queueRead(now, chosen, cacheIndex.unreadWork(request, chosen))
 	if request.Root != 0 {
 		cacheIndex.roots.Add(request.rootOnServer(chosen), struct{}{})
 	}
@@ -223,19 +223,19 @@
 // existingPlacement answers a request from existing places only, for a node that has a replica nearer than the owner.
 func (cacheIndex *CacheIndex) existingPlacement(now time.Duration, request PlacementRequest) (Placement, bool) {
 	existing, found := cacheIndex.places.Peek(request.Key)
-	if !found || existing.leaving || existing.server == request.Lost || cacheIndex.lost(now, existing.server) {
+	if !found || existing.leaving || existing.server == request.Lost || cacheIndex.isLost(now, existing.server) {
 		return Placement{}, false
 	}
 	cacheIndex.places.Get(request.Key)
 	return Placement{Key: request.Key, Server: existing.server}, true
 }
 
-func (request PlacementRequest) rootOnServer(server string) rootOnServer {
-	return rootOnServer{Key{Scope: request.Scope, Anchor: request.Root}, server}
+func (request PlacementRequest) rootOnServer(server string) rootPlacement {
+	return rootPlacement{Key{Scope: request.Scope, Anchor: request.Root}, server}
 }
 
-// unread is the work of reading a prompt on a server; the root is not read again where a prompt with it was placed.
-func (cacheIndex *CacheIndex) unread(request PlacementRequest, server string) int64 {
+// unreadWork is the work of reading a prompt on a server; the root is not read again where a prompt with it was placed.
+func (cacheIndex *CacheIndex) unreadWork(request PlacementRequest, server string) int64 {
 	if request.Root != 0 && cacheIndex.roots.Contains(request.rootOnServer(server)) {
 		return max(0, request.Work-request.RootWork)
 	}
@@ -248,18 +248,18 @@
 func (cacheIndex *CacheIndex) chooseServer(now time.Duration, candidates []string, request PlacementRequest) string {
 	totalWork, totalShare := float64(max(0, request.Work)), 0.0
 	for _, name := range candidates {
-		totalWork += cacheIndex.work(now, name)
+		totalWork += cacheIndex.currentWork(now, name)
 		totalShare += cacheIndex.workShare(name)
 	}
 	withinShare := slices.DeleteFunc(slices.Clone(candidates), func(name string) bool {
-		return cacheIndex.work(now, name)+float64(cacheIndex.unread(request, name)) > capacityFactor*totalWork*cacheIndex.workShare(name)/totalShare
+		return cacheIndex.currentWork(now, name)+float64(cacheIndex.unreadWork(request, name)) > capacityFactor*totalWork*cacheIndex.workShare(name)/totalShare
 	})
 	finishTime := func(name string) float64 {
-		unread := cacheIndex.unread(request, name)
+		unread := cacheIndex.unreadWork(request, name)
 		return (float64(cacheIndex.backlog(now, name).Milliseconds()) + float64(unread)) / cacheIndex.workShare(name)
 	}
 	relativeWork := func(name string) float64 {
-		return (cacheIndex.work(now, name) + float64(cacheIndex.unread(request, name))) / cacheIndex.workShare(name)
+		return (cacheIndex.currentWork(now, name) + float64(cacheIndex.unreadWork(request, name))) / cacheIndex.workShare(name)
 	}
 	if len(withinShare) == 0 {
 		least := slices.MinFunc(candidates, func(left, right string) int { return cmp.Compare(relativeWork(left), relativeWork(right)) })
@@ -271,8 +271,8 @@
 	return slices.MinFunc(withinShare, func(left, right string) int { return cmp.Compare(finishTime(left), finishTime(right)) })
 }
 
-// store sets a new or moved place and marks it to be announced and saved.
-func (cacheIndex *CacheIndex) store(key Key, place entry) {
+// storePlace sets a new or moved place and marks it to be announced and saved.
+func (cacheIndex *CacheIndex) storePlace(key Key, place placeEntry) {
 	cacheIndex.places.Add(key, place)
 	cacheIndex.changed.Add(key, struct{}{})
 	cacheIndex.dirty = true
@@ -303,7 +303,7 @@
 	if json.Unmarshal(message.Body, &usage) != nil {
 		return malformedMessage
 	}
-	moved, kept := PlacementUpdate{}, int64(0)
+	update, keptCount := PlacementUpdate{}, int64(0)
 	for number, use := range usage.Uses[:min(len(usage.Uses), MaxUses)] {
 		if use.Server == "" {
 			continue
@@ -313,24 +313,24 @@
 		existing, found := cacheIndex.places.Get(use.Key)
 		switch {
 		case !found || !existing.confirmed && existing.server != use.Server:
-			cacheIndex.store(use.Key, cacheIndex.recordUse(now, entry{server: use.Server, moved: now, confirmed: true}, use))
+			cacheIndex.storePlace(use.Key, cacheIndex.recordUse(now, placeEntry{server: use.Server, moved: now, confirmed: true}, use))
 		case existing.server == use.Server:
 			existing.confirmed = true
 			cacheIndex.places.Add(use.Key, cacheIndex.recordUse(now, existing, use))
 		}
 		if found && existing.announcedServer() != use.Server && existing.confirmed {
-			moved.Places = append(moved.Places, Placement{Key: use.Key, Server: existing.announcedServer()})
+			update.Places = append(update.Places, Placement{Key: use.Key, Server: existing.announcedServer()})
 		}
 		if use.Verdict == Kept {
-			kept++
+			keptCount++
 		}
 	}
 	commands := []contract.Command{}
-	if kept > 0 {
-		commands = append(commands, contract.AddCounter{Name: "index_checked", Delta: kept})
+	if keptCount > 0 {
+		commands = append(commands, contract.AddCounter{Name: "index_checked", Delta: keptCount})
 	}
-	if len(moved.Places) > 0 {
-		commands = append(commands, contract.Send{To: usage.Address, Kind: MessageMoved, Body: moved})
+	if len(update.Places) > 0 {
+		commands = append(commands, contract.Send{To: usage.Address, Kind: MessageMoved, Body: update})
 	}
 	return commands
 }
--- a/index/index_test.go
+++ b/index/index_test.go
@@ -137,7 +137,7 @@
 		}
 		fixture.reportUses("n", Use{Key: key(50), Server: "a", Took: 160000})
 		Expect(ask(1)).To(Equal("b"))
-		Expect(fixture.work(fixture.now+halfLife, "a")).To(BeNumerically("~", 80000, 1))
+		Expect(fixture.currentWork(fixture.now+halfLife, "a")).To(BeNumerically("~", 80000, 1))
 		fixture.now += 20 * halfLife
 		Expect(ask(2)).To(Equal("a"))
 	})
@@ -153,7 +153,7 @@
 		_, found := fixture.Place(fixture.now, PlacementRequest{Key: key(1), Candidates: []string{"a"}, Work: -500})
 		Expect(found).To(BeTrue())
 		fixture.reportUses("n", Use{Key: key(1), Server: "a", Took: -500})
-		Expect(fixture.work(fixture.now, "a")).To(BeZero())
+		Expect(fixture.currentWork(fixture.now, "a")).To(BeZero())
 		fixture.reportUses("n", Use{Key: key(2), Server: "a", Took: 100})
 		place, _ := fixture.Place(fixture.now, PlacementRequest{Key: key(3), Candidates: []string{"a", "b"}, Work: -500})
 		Expect(place.Server).To(Equal("b"))
@@ -193,7 +193,7 @@
 		fixture.now += cooldown
 		fixture.mustPlace(1, "a", "a", "b")
 		fixture.reportUses("n", Use{Key: key(9), Server: "a", Took: 1})
-		Expect(fixture.lost(fixture.now, "a")).To(BeTrue())
+		Expect(fixture.isLost(fixture.now, "a")).To(BeTrue())
 	})
 })
 
@@ -221,8 +221,8 @@
 			Expect(found).To(BeTrue())
 			Expect(place).To(Equal(named(anchor, server)))
 		}
-		Expect(fixture.work(fixture.now, "a")).To(BeNumerically("==", 100))
-		Expect(fixture.work(fixture.now, "b")).To(BeZero())
+		Expect(fixture.currentWork(fixture.now, "a")).To(BeNumerically("==", 100))
+		Expect(fixture.currentWork(fixture.now, "b")).To(BeZero())
 	})
 
 	It("given a place that the asker lost, when it is asked, then there is none, and the server does not count as lost here", func() {
@@ -231,7 +231,7 @@
 		fixture.now += cooldown
 		_, found := known(fixture, 1, "a")
 		Expect(found).To(BeFalse())
-		Expect(fixture.lost(fixture.now, "a")).To(BeFalse())
+		Expect(fixture.isLost(fixture.now, "a")).To(BeFalse())
 		Expect(fixture.mustPlace(1, "", "b")).To(Equal(named(1, "a")))
 		place, found := known(fixture, 1, "b")
 		Expect(found).To(BeTrue())
@@ -288,7 +288,7 @@
 		fixture := newFixture()
 		Expect(fixture.reportUses("n:1", Use{Key: key(1), Server: "c", Took: 30})).To(BeEmpty())
 		Expect(fixture.mustPlace(1, "", "a", "b", "c")).To(Equal(Placement{Key: key(1), Server: "c"}))
-		Expect(fixture.work(fixture.now, "c")).To(BeNumerically("==", 30))
+		Expect(fixture.currentWork(fixture.now, "c")).To(BeNumerically("==", 30))
 	})
 
 	It("given a node that uses another place, when it reports, then the correction goes to its address and only names what is wrong", func() {
--- a/index/replication.go
+++ b/index/replication.go
@@ -53,7 +53,7 @@
 	cacheIndex.hasDisk = true
 	for _, place := range snapshot.Places[max(0, len(snapshot.Places)-MaxSaved):] {
 		if place.Server != "" {
-			cacheIndex.places.Add(place.Key, entry{server: place.Server, moved: -cacheIndex.cooldown})
+			cacheIndex.places.Add(place.Key, placeEntry{server: place.Server, moved: -cacheIndex.cooldown})
 		}
 	}
 }
@@ -83,15 +83,15 @@
 
 // backfillNewPeers sends the latest places to peers that were not there before, if this node has a disk.
 func (cacheIndex *CacheIndex) backfillNewPeers(peers []contract.Member) []contract.Command {
-	commands, knownPeers, kept := []contract.Command{}, make(map[string]bool, len(peers)), []Placement{}
+	commands, knownPeers, backfill := []contract.Command{}, make(map[string]bool, len(peers)), []Placement{}
 	for _, peer := range peers {
 		incarnation := peer.Name + "#" + peer.Boot
 		knownPeers[incarnation] = true
 		if cacheIndex.hasDisk && !cacheIndex.knownPeers[incarnation] && cacheIndex.Len() > 0 {
-			if len(kept) == 0 {
-				kept = cacheIndex.latestPlaces(maxAnnounced)
+			if len(backfill) == 0 {
+				backfill = cacheIndex.latestPlaces(maxAnnounced)
 			}
-			commands = append(commands, contract.Send{To: peer.Address, Kind: MessageAnnouncement, Body: Announcement{kept, true}})
+			commands = append(commands, contract.Send{To: peer.Address, Kind: MessageAnnouncement, Body: Announcement{backfill, true}})
 		}
 	}
 	cacheIndex.knownPeers = knownPeers
@@ -155,7 +155,7 @@
 		if place.Server == "" || found && (announcement.Backfill || existing.server == place.Server) {
 			continue
 		}
-		cacheIndex.places.Add(place.Key, entry{server: place.Server, moved: moved})
+		cacheIndex.places.Add(place.Key, placeEntry{server: place.Server, moved: moved})
 		cacheIndex.dirty = true
 	}
 	return nil
--- a/line/line.go
+++ b/line/line.go
@@ -126,8 +126,8 @@
 	return ahead
 }
 
-// Total returns the number of waiting calls of all routes.
-func (queues *Queues) Total() int {
+// TotalWaiting returns the number of waiting calls of all routes.
+func (queues *Queues) TotalWaiting() int {
 	total := int64(0)
 	for _, current := range queues.byRoute {
 		total += current.length
--- a/neighbour/look.go
+++ b/neighbour/look.go
@@ -12,7 +12,7 @@
 func (membership *Membership) Suspected(now time.Duration) []string {
 	names := []string{}
 	for _, name := range membership.names() {
-		if !membership.Alive(now, name) && !membership.table[name].departed {
+		if !membership.Alive(now, name) && !membership.table[name].hasLeft {
 			names = append(names, name)
 		}
 	}
--- a/neighbour/near.go
+++ b/neighbour/near.go
@@ -33,12 +33,12 @@
 	case region < sameRegionPeers && slices.ContainsFunc(passive, sameRegionOnly):
 		fitting = filterNames(passive, sameRegionOnly)
 	}
-	heard := filterNames(fitting, func(name string) bool {
+	recentlyHeard := filterNames(fitting, func(name string) bool {
 		record := membership.table[name]
 		return record.heardAt > 0 && now-record.heardAt < membership.bounds.SuspicionTimeout()
 	})
-	if len(heard) > 0 && membership.random.IntN(2) == 0 {
-		fitting = heard
+	if len(recentlyHeard) > 0 && membership.random.IntN(2) == 0 {
+		fitting = recentlyHeard
 	}
 	return fitting[membership.random.IntN(len(fitting))]
 }
--- a/neighbour/neighbour.go
+++ b/neighbour/neighbour.go
@@ -32,7 +32,7 @@
 	heardAt         time.Duration // last message received from it directly, 0 for none
 	mergedHeartbeat int64         // heartbeat of the last full row that was merged
 	activeSince     time.Duration // when it entered the active view
-	departed        bool          // it has announced that it leaves
+	hasLeft         bool          // it has announced that it leaves
 }
 
 // Membership holds one node's view of the fleet and decides with whom it gossips.
@@ -115,7 +115,7 @@
 			var leave Leave
 			if json.Unmarshal(event.Body, &leave) == nil {
 				if record, found := membership.table[leave.Name]; found && record.member.Boot == leave.Boot {
-					record.departed, membership.liveMembers = true, nil
+					record.hasLeft, membership.liveMembers = true, nil
 					record.member.Heartbeat = max(record.member.Heartbeat, leave.Heartbeat)
 					record.mergedHeartbeat = record.member.Heartbeat
 				}
@@ -196,13 +196,13 @@
 }
 
 func (membership *Membership) refreshActive(now time.Duration) {
-	kept := membership.active[:0]
+	remaining := membership.active[:0]
 	for _, name := range membership.active {
 		if record := membership.table[name]; membership.Alive(now, name) && now-max(record.heardAt, record.activeSince) < membership.bounds.SuspicionTimeout() {
-			kept = append(kept, name)
+			remaining = append(remaining, name)
 		}
 	}
-	membership.active = kept
+	membership.active = remaining
 	if len(membership.active) == activeSize && membership.random.IntN(renewOdds) == 0 {
 		position := membership.random.IntN(len(membership.active))
 		membership.active = append(membership.active[:position], membership.active[position+1:]...)
@@ -307,7 +307,7 @@
 	if heartbeat <= record.member.Heartbeat {
 		return
 	}
-	record.member.Heartbeat, record.heartbeatAt, record.departed = heartbeat, now, false
+	record.member.Heartbeat, record.heartbeatAt, record.hasLeft = heartbeat, now, false
 	membership.liveMembers = nil
 }
 
@@ -332,7 +332,7 @@
 	}
 	record.mergedHeartbeat = member.Heartbeat
 	if !same || member.Heartbeat > record.member.Heartbeat {
-		record.heartbeatAt, record.departed = now, false
+		record.heartbeatAt, record.hasLeft = now, false
 	} else {
 		member.Heartbeat = record.member.Heartbeat
 	}
@@ -356,7 +356,7 @@
 		return true
 	}
 	record, found := membership.table[name]
-	return found && !record.departed && now-record.heartbeatAt < membership.bounds.SuspicionTimeout()
+	return found && !record.hasLeft && now-record.heartbeatAt < membership.bounds.SuspicionTimeout()
 }
 
 // Members returns the live members including this node, in the order of their names.
--- a/serve/exchange.go
+++ b/serve/exchange.go
@@ -32,20 +32,20 @@
 	replyBody     []byte
 }
 
-// attempt sends the call to one server and returns the state machine's next command for the call.
-func (call *proxyCall) attempt(dispatch gateway.Dispatch) contract.Command {
+// sendAttempt sends the call to one server and returns the state machine's next command for the call.
+func (call *proxyCall) sendAttempt(dispatch gateway.Dispatch) contract.Command {
 	ctx, process := call.request.Context(), call.process
 	ended := gateway.DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt}
 	var watchdog *watchdog
 	finish := func(outcome gateway.Outcome, reason string) contract.Command {
-		if command := watchdog.decision(); command != nil {
+		if command := watchdog.nextCommand(); command != nil {
 			return command
 		}
 		ended.Outcome, ended.AnswerStarted, ended.Reason = outcome, call.answerStarted, reason
 		if ctx.Err() != nil && outcome != gateway.OutcomeComplete {
 			ended.Outcome = gateway.OutcomeCallerLeft
 		}
-		return process.decide(ended)
+		return process.nextCommand(ended)
 	}
 	deadline := time.Now().Add(dispatch.Timeout)
 	conn, err := process.dial(ctx, dispatch)
@@ -249,7 +249,7 @@
 		watchdog.timer.Reset(remaining)
 		return
 	}
-	command := watchdog.call.process.decide(gateway.ServerSilent{Token: watchdog.dispatch.Token, Attempt: watchdog.dispatch.Attempt})
+	command := watchdog.call.process.nextCommand(gateway.ServerSilent{Token: watchdog.dispatch.Token, Attempt: watchdog.dispatch.Attempt})
 	if wait, ok := command.(gateway.Wait); ok {
 		if watchdog.timeout = wait.SilenceTimeout; wait.SilenceTimeout > 0 {
 			watchdog.lastActivity = time.Now()
@@ -261,8 +261,8 @@
 	watchdog.interrupt()
 }
 
-// decision ends the watch and returns the command that the state machine gave instead of more waiting, if it did.
-func (watchdog *watchdog) decision() contract.Command {
+// nextCommand ends the watch and returns the command that the state machine gave instead of more waiting, if it did.
+func (watchdog *watchdog) nextCommand() contract.Command {
 	if watchdog == nil {
 		return nil
 	}
--- a/serve/face.go
+++ b/serve/face.go
@@ -16,7 +16,7 @@
 	Settings(kind string) (env.Env, error)
 	// ReadCallHeaders reads a caller's call from its headers, including its API key. Token, host, path and size are filled in by the caller of
 	// this method. identity is the ID that the caller gave this attempt.
-	ReadCallHeaders(request *http.Request) (arrive gateway.CallArrived, identity string)
+	ReadCallHeaders(request *http.Request) (arrived gateway.CallArrived, identity string)
 	// SetServerHeaders sets the headers of a request to a server: the intended server, the tenant in place of the caller's API key, the
 	// time left, and the ID of the last event of a stream that the caller has.
 	SetServerHeaders(header http.Header, dispatch gateway.Dispatch, after string)
@@ -28,7 +28,7 @@
 	ReadListing(settings env.Env, get func(address string) ([]byte, error)) (contract.Listing, error)
 	// ParseReport parses a server's load report.
 	ParseReport(content []byte, server string) (contract.LoadReport, error)
-	// ParseLookup parses a caller's question for nodes to call, and Addresses formats the answer, which is valid for life.
+	// ParseLookup parses a caller's question for nodes to call, and FormatAddresses formats the answer, which is valid for life.
 	ParseLookup(request *http.Request) gateway.Lookup
 	FormatAddresses(found gateway.Addresses, life time.Duration) any
 	// Paths returns the URL paths of the readiness check and of lookups.
--- a/serve/gateway.go
+++ b/serve/gateway.go
@@ -96,8 +96,8 @@
 	return process.traffic.Handle(process.Loop.Now(), event)
 }
 
-// decide passes an event of a call to the traffic state machine and returns the one command that it answers with.
-func (process *gatewayProcess) decide(event contract.Event) contract.Command {
+// nextCommand passes an event of a call to the traffic state machine and returns the one command that it answers with.
+func (process *gatewayProcess) nextCommand(event contract.Event) contract.Command {
 	commands := process.handle(event)
 	if len(commands) != 1 {
 		panic("an event of a call wants one command")
@@ -259,17 +259,17 @@
 		}
 		panic(http.ErrAbortHandler)
 	}
-	arrive, attemptID := process.adapter.ReadCallHeaders(request)
-	arrive.Token, arrive.Host, arrive.Path, arrive.Size = process.token.Add(1), request.Host, request.URL.EscapedPath(), int64(len(body))
-	if arrive.Timeout > 0 {
-		arrive.Timeout = max(time.Millisecond, arrive.Timeout-time.Since(arrivedAt))
+	arrived, attemptID := process.adapter.ReadCallHeaders(request)
+	arrived.Token, arrived.Host, arrived.Path, arrived.Size = process.token.Add(1), request.Host, request.URL.EscapedPath(), int64(len(body))
+	if arrived.Timeout > 0 {
+		arrived.Timeout = max(time.Millisecond, arrived.Timeout-time.Since(arrivedAt))
 	}
-	call := &proxyCall{process: process, writer: writer, request: request, body: body, attemptID: attemptID, lastEventID: arrive.LastEventID}
-	command := process.decide(arrive)
+	call := &proxyCall{process: process, writer: writer, request: request, body: body, attemptID: attemptID, lastEventID: arrived.LastEventID}
+	command := process.nextCommand(arrived)
 	for command != nil {
 		switch next := command.(type) {
 		case gateway.Dispatch:
-			command = call.attempt(next)
+			command = call.sendAttempt(next)
 		case gateway.PlaceQuery:
 			command = process.place(request.Context(), next)
 		case gateway.PassAnswer:
--- a/serve/place.go
+++ b/serve/place.go
@@ -28,16 +28,16 @@
 	})
 	if !process.Loop.TryPost(gateway.AskPlace{Token: token, Ask: query.Ask}) {
 		process.Loop.Forget(token)
-		return process.decide(placed)
+		return process.nextCommand(placed)
 	}
 	timer := time.NewTimer(query.Timeout)
 	defer timer.Stop()
 	select {
 	case placed = <-answers:
 	case <-ctx.Done():
-		return process.decide(gateway.DispatchEnded{Token: query.Token, Outcome: gateway.OutcomeCallerLeft})
+		return process.nextCommand(gateway.DispatchEnded{Token: query.Token, Outcome: gateway.OutcomeCallerLeft})
 	case <-timer.C:
 		process.Loop.Count("places_unanswered", 1)
 	}
-	return process.decide(placed)
+	return process.nextCommand(placed)
 }
--- a/shard/ages.go
+++ b/shard/ages.go
@@ -26,7 +26,7 @@
 
 // requestRampAges asks the region's other control nodes for ramp ages after a start and around a take-over.
 func (manager *Manager) requestRampAges(now time.Duration) {
-	if now-manager.startedAt > manager.bounds.Deliver() && !manager.takingOver(now) || now < manager.nextRampRequest {
+	if now-manager.startedAt > manager.bounds.Deliver() && !manager.isTakingOver(now) || now < manager.nextRampRequest {
 		return
 	}
 	manager.nextRampRequest = now + manager.bounds.Round()/2
@@ -37,8 +37,8 @@
 	}
 }
 
-// takingOver reports whether this node is about to take over a shard or has just done so.
-func (manager *Manager) takingOver(now time.Duration) bool {
+// isTakingOver reports whether this node is about to take over a shard or has just done so.
+func (manager *Manager) isTakingOver(now time.Duration) bool {
 	for _, shard := range manager.shardStates {
 		if shard.preferredSince >= 0 && (!shard.isOwner || now-shard.takenAt < manager.bounds.Lease()) {
 			return true
--- a/shard/duty.go
+++ b/shard/duty.go
@@ -35,8 +35,8 @@
 	Retirements []RetirementStatus `json:"retired"` // running retirements, then the latest ended ones
 }
 
-// surplus returns the loaded servers beyond the scale in the manifest with the cause to retire them, and the unloaded ones to load again.
-func (manager *Manager) surplus() (map[string]retire.Cause, map[string]bool) {
+// scaleChanges returns the loaded servers beyond the scale in the manifest with the cause to retire them, and the unloaded ones to load again.
+func (manager *Manager) scaleChanges() (map[string]retire.Cause, map[string]bool) {
 	causes, wanted := map[string]retire.Cause{}, map[string]bool{}
 	pools := map[string][]contract.ListedServer{}
 	for _, row := range manager.listing.Servers {
@@ -68,7 +68,7 @@
 
 // updateRetirements starts, continues and ends the retirements of a shard's servers.
 func (manager *Manager) updateRetirements(now time.Duration, shard *shardState) {
-	surplus, wanted := manager.surplus()
+	surplus, wanted := manager.scaleChanges()
 	present := map[string]bool{}
 	for _, row := range manager.shardServers(shard) {
 		present[row.Name] = true
@@ -101,8 +101,8 @@
 	retirement, running := shard.retirements[row.Name]
 	if !leaving || row.Unloaded {
 		delete(shard.abortedScales, row.Name)
-		if shard.released[row.Name] == row.Incarnation && !row.Unloaded {
-			delete(shard.released, row.Name)
+		if shard.releasedServers[row.Name] == row.Incarnation && !row.Unloaded {
+			delete(shard.releasedServers, row.Name)
 			server.ramping, server.rampStart = true, now
 		}
 		if running {
@@ -111,7 +111,7 @@
 		}
 		return
 	}
-	if shard.released[row.Name] == row.Incarnation {
+	if shard.releasedServers[row.Name] == row.Incarnation {
 		manager.sendOrder(now, shard, row.Name, false)
 		return
 	}
@@ -170,7 +170,7 @@
 
 // releaseServer ends a retirement whose server is empty and orders the platform to unload it.
 func (manager *Manager) releaseServer(now time.Duration, shard *shardState, retirement *retire.Retirement) {
-	shard.released[retirement.Server] = retirement.Incarnation
+	shard.releasedServers[retirement.Server] = retirement.Incarnation
 	manager.emit(contract.AddCounter{Name: "retirements_released", Delta: 1})
 	manager.endRetirement(now, shard, retirement, retirement.Reason)
 	manager.sendOrder(now, shard, retirement.Server, false)
--- a/shard/list.go
+++ b/shard/list.go
@@ -18,7 +18,7 @@
 		_, retiring := shard.retirements[row.Name]
 		_, inPool := manager.clusterState.Manifest.Pools[row.Pool]
 		_, serves := manager.clusterState.Manifest.Gateway.Services[row.Pool]
-		released := shard.released[row.Name] == row.Incarnation
+		released := shard.releasedServers[row.Name] == row.Incarnation
 		if row.Leaving || row.Unloaded || retiring || released || !inPool && !serves || manager.zoneDrained(row.Zone) {
 			continue
 		}
--- a/shard/shard.go
+++ b/shard/shard.go
@@ -119,7 +119,7 @@
 	lingeringByNode  map[string]map[string]int64  // by node and server: abandoned calls that the server may still run
 	rampShares       map[string]map[string]int64  // by server and node: calls granted during the ramp
 	retirements      map[string]*retire.Retirement
-	released         map[string]string // by server: the incarnation whose retirement ended in release
+	releasedServers  map[string]string // by server: the incarnation whose retirement ended in release
 	abortedScales    map[string]int64  // by server: the pool's scale when its retirement was aborted
 	tallies          map[string]map[string]contract.CallTally
 	serverHealth     map[string]*healthRecord
@@ -235,7 +235,7 @@
 	for index := 0; index < shardCount; index++ {
 		if _, found := manager.shardStates[index]; !found {
 			manager.shardStates[index] = &shardState{index: index, preferredSince: -1, nodeAcks: map[string]retire.NodeStatus{}, callsByNode: map[string]map[string]int64{}, lingeringByNode: map[string]map[string]int64{},
-				retirements: map[string]*retire.Retirement{}, released: map[string]string{}, abortedScales: map[string]int64{},
+				retirements: map[string]*retire.Retirement{}, releasedServers: map[string]string{}, abortedScales: map[string]int64{},
 				tallies: map[string]map[string]contract.CallTally{}, serverHealth: map[string]*healthRecord{}}
 		}
 	}
@@ -361,7 +361,7 @@
 	shard.nodeAcks, shard.callsByNode, shard.lingeringByNode = map[string]retire.NodeStatus{}, map[string]map[string]int64{}, map[string]map[string]int64{}
 	shard.tallies, shard.serverHealth = map[string]map[string]contract.CallTally{}, map[string]*healthRecord{}
 	shard.rampShares = map[string]map[string]int64{}
-	shard.retirements, shard.released = map[string]*retire.Retirement{}, map[string]string{}
+	shard.retirements, shard.releasedServers = map[string]*retire.Retirement{}, map[string]string{}
 	manager.emit(contract.AddCounter{Name: "take_overs", Delta: 1}, contract.Log{Message: "shard ownership acquired", Attributes: []any{"shard", shard.index, "epoch", shard.epoch.Number}})
 }
 
