--- a/stories/calls/calls_test.go
+++ b/stories/calls/calls_test.go
@@ -19,11 +19,11 @@
 func slowly(kind *site.Caller) { kind.Pieces = 200 }
 
 var _ = Describe("a call runs at most once", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("in "+name+", when its node dies in the middle and it is repeated at every other node", func() {
-			played := harness.Given(name, 31)
-			nodes := played.InRegion(harness.Home(played))
-			probe := played.Probe("short", harness.Home(played)).With(slowly).Send(nodes[0])
+			played := harness.StartReadyFleet(name, 31)
+			nodes := played.InRegion(harness.HomeRegion(played))
+			probe := played.Probe("short", harness.HomeRegion(played)).With(slowly).Send(nodes[0])
 			Expect(played.Until(8*time.Second, func() bool { return len(played.Running()) == 1 })).To(BeTrue())
 			nodes[0].Kill()
 			Expect(probe.Outcome(time.Second)).To(Equal("broken"))
@@ -31,95 +31,95 @@
 				Expect(probe.Send(node).Outcome(5 * time.Second)).To(BeElementOf("running", "unknown"))
 			}
 			Expect(probe.Send(nodes[1]).Outcome(5 * time.Second)).To(Equal("unknown"))
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 	}
 
 	It("while it is sent to two nodes at the same moment by a careless caller", func() {
-		played := harness.Given("brazos", 32)
-		nodes := played.InRegion(harness.Home(played))
+		played := harness.StartReadyFleet("brazos", 32)
+		nodes := played.InRegion(harness.HomeRegion(played))
 		for index := range 40 {
-			probe := played.Probe("short", harness.Home(played))
+			probe := played.Probe("short", harness.HomeRegion(played))
 			probe.Again(nodes[index%8])
 			probe.Again(nodes[(index+3)%8])
 			played.Run(300 * time.Millisecond)
 		}
-		harness.NothingWrong(played)
-		Expect(harness.Outcomes(played, "short")["done"]).To(BeNumerically(">", 20))
+		harness.ExpectNoBreaches(played)
+		Expect(harness.OutcomeCounts(played, "short")["done"]).To(BeNumerically(">", 20))
 	})
 
 	It("and a repeat gets the finished reply as long as it is kept", func() {
-		played := harness.Given("seri", 33)
-		nodes := played.InRegion(harness.Home(played))
-		probe := played.Probe("short", harness.Home(played)).Send(nodes[0])
+		played := harness.StartReadyFleet("seri", 33)
+		nodes := played.InRegion(harness.HomeRegion(played))
+		probe := played.Probe("short", harness.HomeRegion(played)).Send(nodes[0])
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
 		Expect(probe.Send(nodes[5]).Outcome(5 * time.Second)).To(Equal("done"))
-		Expect(played.Look(nodes[6], "desk", probe.Key(), harness.Home(played)).Body).To(HaveKeyWithValue("outcome", call.Done))
-		harness.NothingWrong(played)
+		Expect(played.Look(nodes[6], "desk", probe.Key(), harness.HomeRegion(played)).Body).To(HaveKeyWithValue("outcome", call.Done))
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("and a repeat is told unknown when all who could know have restarted", func() {
-		played := harness.Given("brazos", 34)
-		nodes := played.InRegion(harness.Home(played))
-		probe := played.Probe("short", harness.Home(played)).With(slowly).Send(nodes[0])
+		played := harness.StartReadyFleet("brazos", 34)
+		nodes := played.InRegion(harness.HomeRegion(played))
+		probe := played.Probe("short", harness.HomeRegion(played)).With(slowly).Send(nodes[0])
 		played.Run(time.Second)
 		played.KillFor(nodes, 500*time.Millisecond)
 		played.Run(8 * time.Second)
 		Expect(probe.Send(nodes[2]).Outcome(5 * time.Second)).To(Equal("unknown"))
-		Expect(played.Probe("short", harness.Home(played)).Send(nodes[3]).Outcome(10 * time.Second)).To(Equal("done"))
-		harness.NothingWrong(played)
+		Expect(played.Probe("short", harness.HomeRegion(played)).Send(nodes[3]).Outcome(10 * time.Second)).To(Equal("done"))
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("when its node is frozen at any moment of it and woken after it was repeated elsewhere", func() {
 		for moment := range 24 {
-			played := harness.Given("brazos", 35)
-			nodes := played.InRegion(harness.Home(played))
-			probe := played.Probe("short", harness.Home(played)).Send(nodes[0])
+			played := harness.StartReadyFleet("brazos", 35)
+			nodes := played.InRegion(harness.HomeRegion(played))
+			probe := played.Probe("short", harness.HomeRegion(played)).Send(nodes[0])
 			played.Run(time.Duration(moment) * 400 * time.Microsecond)
 			played.FreezeFor(nodes[:1], 6*time.Second)
 			played.Run(3 * time.Second)
 			probe.Send(nodes[1])
 			played.Run(8 * time.Second)
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		}
 	})
 })
 
 var _ = Describe("what a caller is told", func() {
 	It("is not run only when the call can never run: a line that is full, a server that refuses", func() {
-		played := harness.Given("brazos", 41)
+		played := harness.StartReadyFleet("brazos", 41)
 		for _, server := range played.Servers {
 			if server.Kind == "model" {
 				server.Mode = "refuse"
 			}
 		}
-		probe := played.Probe("short", harness.Home(played)).Send(played.InRegion(harness.Home(played))[0])
+		probe := played.Probe("short", harness.HomeRegion(played)).Send(played.InRegion(harness.HomeRegion(played))[0])
 		Expect(probe.Outcome(30 * time.Second)).To(Equal("not_run"))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("is unknown, not a success, for a reply that is cut, truncated or another's", func() {
 		for _, mode := range []string{"cut", "truncate", "wrong"} {
-			played := harness.Given("seri", 42)
+			played := harness.StartReadyFleet("seri", 42)
 			for _, server := range played.Servers {
 				server.Mode = mode
 			}
 			for _, class := range []string{"long", "short"} {
-				probe := played.Probe(class, harness.Home(played)).Send(played.InRegion(harness.Home(played))[0])
+				probe := played.Probe(class, harness.HomeRegion(played)).Send(played.InRegion(harness.HomeRegion(played))[0])
 				Expect(probe.Outcome(40*time.Second)).To(BeElementOf("unknown", "interrupted"), mode+" "+class)
 			}
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		}
 	})
 
 	It("is its final answer at once, with when to come back, when it is given up on", func() {
-		played := harness.Given("brazos", 43)
+		played := harness.StartReadyFleet("brazos", 43)
 		played.Traffic(15*time.Second, 12)
 		played.Run(15 * time.Second)
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 		refused, worst := 0, time.Duration(0)
 		for _, class := range []string{"long", "short", "lookup"} {
-			refused += harness.Outcomes(played, class)["not_run"]
+			refused += harness.OutcomeCounts(played, class)["not_run"]
 			worst = max(worst, played.Ledger.Stats.Classes[class].Refused)
 		}
 		Expect(refused).To(BeNumerically(">", 100))
@@ -128,25 +128,25 @@
 	})
 
 	It("is refused at its own home when its home is down, and never sent elsewhere", func() {
-		played := harness.Given("seri", 44)
+		played := harness.StartReadyFleet("seri", 44)
 		away := played.Site.Regions()[1]
 		for _, server := range played.Servers {
-			if server.Region == harness.Home(played) {
+			if server.Region == harness.HomeRegion(played) {
 				server.Crash()
 			}
 		}
-		here := played.Probe("short", harness.Home(played)).Send(played.InRegion(harness.Home(played))[0])
+		here := played.Probe("short", harness.HomeRegion(played)).Send(played.InRegion(harness.HomeRegion(played))[0])
 		Expect(here.Outcome(40 * time.Second)).To(Equal("not_run"))
-		there := played.Probe("short", harness.Home(played)).Send(played.InRegion(away)[0])
+		there := played.Probe("short", harness.HomeRegion(played)).Send(played.InRegion(away)[0])
 		Expect(there.Outcome(40 * time.Second)).To(Equal("not_run"))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	DescribeTable("is the right status for bad input", func(status int, change func(*call.Call)) {
-		played := harness.Given("brazos", 45)
-		asked := call.Call{Key: "k", Caller: "desk", Route: "replies", Home: harness.Home(played), Digest: "d"}
+		played := harness.StartReadyFleet("brazos", 45)
+		asked := call.Call{Key: "k", Caller: "desk", Route: "replies", Home: harness.HomeRegion(played), Digest: "d"}
 		change(&asked)
-		answer := played.Arrive(played.InRegion(harness.Home(played))[0], asked)
+		answer := played.Arrive(played.InRegion(harness.HomeRegion(played))[0], asked)
 		Expect(answer.Status).To(Equal(status))
 		Expect(trouble(answer).Outcome).To(Equal(string(call.NotRun)))
 	},
@@ -157,9 +157,9 @@
 	)
 
 	It("is a refusal when a key is used with another body", func() {
-		played := harness.Given("brazos", 46)
-		nodes := played.InRegion(harness.Home(played))
-		probe := played.Probe("short", harness.Home(played)).Send(nodes[0])
+		played := harness.StartReadyFleet("brazos", 46)
+		nodes := played.InRegion(harness.HomeRegion(played))
+		probe := played.Probe("short", harness.HomeRegion(played)).Send(nodes[0])
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
 		answer := played.Arrive(nodes[4], call.Call{Key: probe.Key(), Caller: "desk", Route: "replies", Digest: "another"})
 		Expect(answer.Status).To(Equal(422))
@@ -170,13 +170,13 @@
 
 var _ = Describe("why", func() {
 	It("tells from any node where a call went and why", func() {
-		played := harness.Given("brazos", 51)
-		probe := played.Probe("short", harness.Home(played)).Send(played.InRegion(harness.Home(played))[0])
+		played := harness.StartReadyFleet("brazos", 51)
+		probe := played.Probe("short", harness.HomeRegion(played)).Send(played.InRegion(harness.HomeRegion(played))[0])
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
 		for _, machine := range played.Machines {
 			answer := played.Operate(machine, contract.OperatorRequest{Verb: contract.VerbWhy, Subject: probe.Key()})
 			Expect(answer.Status).To(Equal(200))
-			told := string(harness.Text(answer.Body))
+			told := string(harness.EncodeJSON(answer.Body))
 			for _, word := range []string{"chosen: ", "epoch", "number", `"revision":1`, `"outcome":"done"`, `"proof":"whole"`} {
 				Expect(told).To(ContainSubstring(word))
 			}
@@ -186,11 +186,11 @@
 })
 
 var _ = It("a repeat on the heels of the reply gets it, even at a keeper that the end did not reach", func() {
-	played := harness.Given("seri", 36)
-	nodes := played.InRegion(harness.Home(played))
+	played := harness.StartReadyFleet("seri", 36)
+	nodes := played.InRegion(harness.HomeRegion(played))
 	for index := range 21 {
 		other := nodes[1+index%7]
-		probe := played.Probe("short", harness.Home(played)).Send(nodes[0])
+		probe := played.Probe("short", harness.HomeRegion(played)).Send(nodes[0])
 		played.Run(300 * time.Millisecond)
 		played.World.Cut([]string{nodes[0].Name}, []string{other.Name})
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
@@ -198,13 +198,13 @@
 		played.World.Heal()
 		played.Run(time.Second)
 	}
-	harness.NothingWrong(played)
+	harness.ExpectNoBreaches(played)
 })
 
 var _ = Describe("repeats", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("stay a small share in "+name+" while half of the servers of each kind turn calls away", func() {
-			played := harness.Given(name, 131)
+			played := harness.StartReadyFleet(name, 131)
 			played.Run(10 * time.Second)
 			played.Traffic(25*time.Second, 0.6)
 			for place, server := range played.Servers {
@@ -213,7 +213,7 @@
 				}
 			}
 			played.Run(25 * time.Second)
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 			GinkgoWriter.Println(played.Ledger.Stats.Summary())
 		})
 	}
--- a/stories/calls/fair_test.go
+++ b/stories/calls/fair_test.go
@@ -10,11 +10,11 @@
 )
 
 var _ = Describe("a caller that sends far more than all others", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("does not keep a small one of the same route from being served in "+name, func() {
-			played := harness.Given(name, 381)
+			played := harness.StartReadyFleet(name, 381)
 			played.Run(8 * time.Second)
-			home := harness.Home(played)
+			home := harness.HomeRegion(played)
 			nodes := played.InRegion(home)
 			small := []*fleet.Probe{}
 			for index := range 6000 {
@@ -35,7 +35,7 @@
 			}
 			Expect(ends["done"]).To(Equal(len(small)), "%v, slowest %v", ends, slowest)
 			Expect(slowest).To(BeNumerically("<", 8*time.Second))
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 	}
 })
--- a/stories/calls/repeats_test.go
+++ b/stories/calls/repeats_test.go
@@ -12,9 +12,9 @@
 // repeated sends one call that goes on for seconds, lets something happen, and sends it again at every node of its home.
 func repeated(name string, seed uint64, send func(*fleet.Probe, *fleet.Machine), happens func(*fleet.Fleet, []*fleet.Machine)) map[string]int {
 	GinkgoHelper()
-	played := harness.Given(name, seed)
-	nodes := played.InRegion(harness.Home(played))
-	probe := played.Probe("short", harness.Home(played)).With(slowly).Send(nodes[int(seed)%len(nodes)])
+	played := harness.StartReadyFleet(name, seed)
+	nodes := played.InRegion(harness.HomeRegion(played))
+	probe := played.Probe("short", harness.HomeRegion(played)).With(slowly).Send(nodes[int(seed)%len(nodes)])
 	Expect(played.Until(8*time.Second, func() bool { return len(played.Running()) == 1 })).To(BeTrue(), "the call runs")
 	happens(played, nodes)
 	ends := map[string]int{}
@@ -24,14 +24,14 @@
 			ends[probe.Outcome(40*time.Second)]++
 		}
 	}
-	harness.NothingWrong(played)
+	harness.ExpectNoBreaches(played)
 	return ends
 }
 
 func unmarked(probe *fleet.Probe, node *fleet.Machine) { probe.Again(node) }
 
 var _ = Describe("a repeat that is not marked as one never runs a second time", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("in "+name+", after the loss and return of any two nodes", func() {
 			for seed := uint64(301); seed < 305; seed++ {
 				repeated(name, seed, unmarked, func(played *fleet.Fleet, nodes []*fleet.Machine) {
@@ -84,11 +84,11 @@
 })
 
 var _ = Describe("a marked repeat of a call that no node saw", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("runs in "+name+" while a zone is away, and after two machines of it are gone", func() {
 			for seed := uint64(361); seed < 363; seed++ {
-				played := harness.Given(name, seed)
-				nodes := played.InRegion(harness.Home(played))
+				played := harness.StartReadyFleet(name, seed)
+				nodes := played.InRegion(harness.HomeRegion(played))
 				played.Run(10 * time.Second)
 				lost := played.InZone(nodes[len(nodes)-1].Zone)
 				if seed%2 == 0 {
@@ -98,10 +98,10 @@
 					machine.Kill()
 				}
 				played.Run(5 * time.Second)
-				probe := played.Probe("short", harness.Home(played)).Send(lost[0])
+				probe := played.Probe("short", harness.HomeRegion(played)).Send(lost[0])
 				Expect(probe.Outcome(time.Second)).To(Equal("not_run"), "it was sent to a dead node")
 				Expect(probe.Send(nodes[0]).Outcome(10 * time.Second)).To(Equal("done"))
-				harness.NothingWrong(played)
+				harness.ExpectNoBreaches(played)
 			}
 		})
 	}
--- a/stories/core/links_test.go
+++ b/stories/core/links_test.go
@@ -16,7 +16,7 @@
 	for rank := range 3 {
 		for _, bothWays := range []bool{true, false} {
 			It(fmt.Sprintf("does not hold up writes and reads for long (place %d in the chain, cut both ways: %v)", rank, bothWays), func() {
-				played := harness.Given("seri", uint64(380+rank))
+				played := harness.StartReadyFleet("seri", uint64(380+rank))
 				view := harness.ChainView(played, played.Machines[1])
 				member := view.Chain[rank][:3]
 				others := []string{}
@@ -37,7 +37,7 @@
 				asker := played.Pick(func(machine *fleet.Machine) bool { return !machine.Core })[0]
 				began := played.World.Now
 				Expect(played.Until(12*time.Second, func() bool {
-					status := harness.Patched(played, asker, 1).Status
+					status := harness.SendPatch(played, asker, 1).Status
 					return status == 200 || status == 202
 				})).To(BeTrue(), "a write is acknowledged during the cut")
 				Expect(played.World.Now - began).To(BeNumerically("<", 12*time.Second))
@@ -49,7 +49,7 @@
 				Expect(harness.ChainView(played, asker).Number).To(BeNumerically("<=", number+1), "the view rests during the cut")
 				played.Run(20 * time.Second)
 				Expect(harness.ChainView(played, asker).Chain).To(HaveLen(3), "all are back after it")
-				harness.NothingWrong(played)
+				harness.ExpectNoBreaches(played)
 			})
 		}
 	}
--- a/stories/core/recovery_test.go
+++ b/stories/core/recovery_test.go
@@ -20,8 +20,8 @@
 	GinkgoHelper()
 	reads, writes, views := []time.Duration{}, []time.Duration{}, []int64{}
 	for seed := uint64(370); seed < 370+recoverySeeds; seed++ {
-		played := harness.Given("brazos", seed)
-		Expect(harness.Patched(played, played.Machines[1], 1).Status).To(BeElementOf(200, 202))
+		played := harness.StartReadyFleet("brazos", seed)
+		Expect(harness.SendPatch(played, played.Machines[1], 1).Status).To(BeElementOf(200, 202))
 		before, began := harness.ChainView(played, played.Machines[1]).Number, played.World.Now
 		trouble(played)
 		played.Run(50 * time.Millisecond)
@@ -31,7 +31,7 @@
 		})).To(BeTrue(), "%s: read, seed %d", name, seed)
 		reads = append(reads, played.World.Now-began)
 		Expect(played.Until(30*time.Second, func() bool {
-			status := harness.Patched(played, asker, 2).Status
+			status := harness.SendPatch(played, asker, 2).Status
 			return status == 200 || status == 202
 		})).To(BeTrue(), "%s: write, seed %d", name, seed)
 		writes = append(writes, played.World.Now-began)
@@ -39,7 +39,7 @@
 		view := harness.ChainView(played, asker)
 		Expect(view.Chain).To(HaveLen(3), "%s: whole again, seed %d", name, seed)
 		views = append(views, view.Number-before)
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	}
 	slices.Sort(reads)
 	slices.Sort(writes)
--- a/stories/core/worst_test.go
+++ b/stories/core/worst_test.go
@@ -22,13 +22,13 @@
 	// apart cuts the head from all others and lets those change the configuration twice, for twenty seconds in all.
 	apart := func(seed uint64, bothWays bool) (played *fleet.Fleet, head *fleet.Machine, newest int64) {
 		GinkgoHelper()
-		played = harness.Given("brazos", seed)
+		played = harness.StartReadyFleet("brazos", seed)
 		head = played.Machine(harness.ChainView(played, played.Machines[1]).Chain[0][:3])
 		played.CutFor([]string{head.Name}, 20*time.Second, bothWays)
 		played.Run(5 * time.Second)
 		others := played.Pick(func(machine *fleet.Machine) bool { return machine != head })
 		for number := range 2 {
-			written := harness.Patched(played, others[number], number)
+			written := harness.SendPatch(played, others[number], number)
 			Expect(written.Status).To(BeElementOf(200, 202))
 			newest = written.Accepted.Revision
 		}
@@ -41,7 +41,7 @@
 			written := played.Do(head, based(played, 7, newest))
 			Expect(written.Status).To(BeElementOf(503, 504), "an order on top of revision %d", newest)
 			played.Run(20 * time.Second)
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 
 		It(fmt.Sprintf("does not hand out the configuration that it had, and says so at once (cut both ways: %v)", bothWays), func() {
@@ -50,11 +50,11 @@
 			Expect(played.Operate(head, contract.OperatorRequest{Verb: contract.VerbGet}).Status).To(BeElementOf(503, 504))
 			Expect(played.World.Now - asked).To(BeNumerically("<", 8*time.Second))
 			played.Run(20 * time.Second)
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 
 		It(fmt.Sprintf("does not confirm a drain that it believes to stand (cut both ways: %v)", bothWays), func() {
-			played := harness.Given("brazos", 303)
+			played := harness.StartReadyFleet("brazos", 303)
 			zone := played.Site.Machines[0].Zone
 			Expect(played.Do(played.Machines[1], contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone}).Status).To(BeElementOf(200, 202))
 			head := played.Machine(harness.ChainView(played, played.Machines[1]).Chain[0][:3])
@@ -65,7 +65,7 @@
 			drain := contract.OperatorRequest{Verb: contract.VerbDrain, Subject: zone, Operation: "again", ReplyOnCommit: true}
 			Expect(played.Operate(head, drain).Status).To(BeElementOf(503, 504))
 			played.Run(20 * time.Second)
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 	}
 })
@@ -74,7 +74,7 @@
 	// woken freezes the head while the others change the configuration, and gives it the moment that it wakes.
 	woken := func(seed uint64, meanwhile func(*fleet.Fleet, *fleet.Machine) contract.OperatorRequest) contract.Response {
 		GinkgoHelper()
-		played := harness.Given("brazos", seed)
+		played := harness.StartReadyFleet("brazos", seed)
 		head := played.Machine(harness.ChainView(played, played.Machines[1]).Chain[0][:3])
 		played.FreezeFor([]*fleet.Machine{head}, 20*time.Second)
 		played.Run(5 * time.Second)
@@ -84,14 +84,14 @@
 		head.Wake()
 		answer := played.Operate(head, ask)
 		played.Run(10 * time.Second)
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 		return answer
 	}
 
 	It("does not refuse an order that builds on what it has missed", func() {
 		for seed := uint64(310); seed < 314; seed++ {
 			answer := woken(seed, func(played *fleet.Fleet, other *fleet.Machine) contract.OperatorRequest {
-				written := harness.Patched(played, other, 1)
+				written := harness.SendPatch(played, other, 1)
 				Expect(written.Status).To(BeElementOf(200, 202))
 				ask := based(played, 2, written.Accepted.Revision)
 				ask.ReplyOnCommit = true
@@ -117,9 +117,9 @@
 	for step := range 8 {
 		span := time.Duration(step) * 400 * time.Millisecond
 		It(fmt.Sprintf("%v after a replacement started loses nothing, and the core serves again", span), func() {
-			played := harness.Given("seri", uint64(320+step))
+			played := harness.StartReadyFleet("seri", uint64(320+step))
 			for number := range 3 {
-				Expect(harness.Patched(played, played.Machines[1], number).Status).To(BeElementOf(200, 202))
+				Expect(harness.SendPatch(played, played.Machines[1], number).Status).To(BeElementOf(200, 202))
 			}
 			cores := played.Cores()
 			played.Swap(cores[0])
@@ -127,15 +127,15 @@
 			played.KillFor(cores[1:2], 2*time.Second)
 			played.Run(20 * time.Second)
 			Expect(harness.ChainView(played, played.Machines[2]).Chain).To(HaveLen(3))
-			Expect(harness.Patched(played, played.Machines[2], 9).Status).To(BeElementOf(200, 202))
-			harness.NothingWrong(played)
+			Expect(harness.SendPatch(played, played.Machines[2], 9).Status).To(BeElementOf(200, 202))
+			harness.ExpectNoBreaches(played)
 		})
 	}
 })
 
 var _ = Describe("a member that missed hundreds of changes", func() {
 	It("catches up, is not in the chain before, and leads with nothing old", func() {
-		played := harness.Given("brazos", 340)
+		played := harness.StartReadyFleet("brazos", 340)
 		member := played.Cores()[0]
 		identity := harness.ChainView(played, played.Machines[1]).Chain[0]
 		member.Kill()
@@ -161,38 +161,38 @@
 		played.Run(8 * time.Second)
 		_, after := played.Manifest(played.Machines[2])
 		Expect(after).To(Equal(newest))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 })
 
 var _ = Describe("a core machine that restarts with its disk", func() {
 	It("is the same member, without a change of view when it is back at once", func() {
-		played := harness.Given("brazos", 350)
+		played := harness.StartReadyFleet("brazos", 350)
 		before := harness.ChainView(played, played.Machines[1])
 		played.KillFor(played.Cores()[:1], 300*time.Millisecond)
 		played.Run(6 * time.Second)
 		Expect(harness.ChainView(played, played.Machines[1])).To(Equal(before))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("counts when all of the core restarted, while one of them stays away", func() {
-		played := harness.Given("brazos", 351)
-		Expect(harness.Patched(played, played.Machines[1], 1).Status).To(BeElementOf(200, 202))
+		played := harness.StartReadyFleet("brazos", 351)
+		Expect(harness.SendPatch(played, played.Machines[1], 1).Status).To(BeElementOf(200, 202))
 		cores := played.Cores()
 		played.KillFor(cores[:1], 20*time.Second)
 		played.KillFor(cores[1:], time.Second)
 		Expect(played.Until(8*time.Second, func() bool {
 			return played.Operate(played.Machines[5], contract.OperatorRequest{Verb: contract.VerbGet}).Status == 200
 		})).To(BeTrue(), "two of three serve the configuration")
-		Expect(harness.Patched(played, played.Machines[5], 2).Status).To(BeElementOf(200, 202))
+		Expect(harness.SendPatch(played, played.Machines[5], 2).Status).To(BeElementOf(200, 202))
 		played.Run(20 * time.Second)
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 })
 
 var _ = Describe("two operators under one number, with lost answers", func() {
 	It("sees one of them confirmed, however often both send again, in a later view too", func() {
-		played := harness.Given("seri", 360)
+		played := harness.StartReadyFleet("seri", 360)
 		_, revision := played.Manifest(played.Machines[1])
 		orders := []contract.OperatorRequest{based(played, 1, revision), based(played, 2, revision)}
 		orders[1].Operation += "-other"
@@ -219,6 +219,6 @@
 		for _, revisions := range accepted {
 			Expect(revisions).To(HaveLen(1), "as one version")
 		}
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 })
--- a/stories/days/calm_test.go
+++ b/stories/days/calm_test.go
@@ -9,16 +9,16 @@
 )
 
 var _ = Describe("a calm day", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("serves every caller of "+name, func() {
-			played := harness.Given(name, 1)
+			played := harness.StartReadyFleet(name, 1)
 			played.Traffic(30*time.Second, 1)
 			played.Run(30 * time.Second)
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 			GinkgoWriter.Println(played.Ledger.Stats.Summary())
 			for _, class := range []string{"long", "short", "lookup"} {
-				Expect(harness.Outcomes(played, class)).To(HaveKey("done"))
-				Expect(harness.Outcomes(played, class)).To(HaveLen(1), "every call is done")
+				Expect(harness.OutcomeCounts(played, class)).To(HaveKey("done"))
+				Expect(harness.OutcomeCounts(played, class)).To(HaveLen(1), "every call is done")
 			}
 		})
 	}
--- a/stories/days/planted_test.go
+++ b/stories/days/planted_test.go
@@ -35,7 +35,7 @@
 
 // troubled is a fleet in which much is excused at the same time: a cut machine, a frozen one, a dead one.
 func troubled(seed uint64) *fleet.Fleet {
-	played := harness.Given("brazos", seed)
+	played := harness.StartReadyFleet("brazos", seed)
 	played.CutFor([]string{"m12"}, 25*time.Second, true)
 	played.World.Cut([]string{"m02"}, []string{"m03", "platform-central"})
 	played.FreezeFor([]*fleet.Machine{played.Machine("m07")}, 20*time.Second)
@@ -70,7 +70,7 @@
 				return !fine || message.Kind != feed.MessageDelivery
 			}}
 		})
-		Expect(harness.Patched(played, played.Machines[3], 1).Status).To(Equal(202))
+		Expect(harness.SendPatch(played, played.Machines[3], 1).Status).To(Equal(202))
 		played.Run(8 * time.Second)
 		Expect(found(played, ledger.StaleManifest)).To(BeTrue())
 	})
@@ -78,9 +78,9 @@
 
 var _ = Describe("an accepted manifest that does not hold what its operator sent", func() {
 	It("is found, though it reads back as it was kept", func() {
-		played := harness.Given("brazos", 133)
-		Expect(harness.Patched(played, played.Machines[3], 1).Status).To(Equal(200))
-		Expect(harness.Patched(played, played.Machines[5], 2).Status).To(Equal(200))
+		played := harness.StartReadyFleet("brazos", 133)
+		Expect(harness.SendPatch(played, played.Machines[3], 1).Status).To(Equal(200))
+		Expect(harness.SendPatch(played, played.Machines[5], 2).Status).To(Equal(200))
 		last := &played.Writes[len(played.Writes)-1]
 		last.Ask.Body = []byte(strings.Replace(string(last.Ask.Body), "guest-2", "guest-3", 1))
 		Expect(found(played, ledger.LostManifest)).To(BeTrue())
--- a/stories/days/regions_test.go
+++ b/stories/days/regions_test.go
@@ -13,44 +13,44 @@
 )
 
 var _ = Describe("a region", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		for place := range 2 {
 			It("of "+name+" that returns serves again within its bound", func() {
-				played := harness.Given(name, uint64(101+place))
+				played := harness.StartReadyFleet(name, uint64(101+place))
 				region := played.Site.Regions()[place]
 				played.Traffic(40*time.Second, 1)
 				played.Run(5 * time.Second)
 				played.KillRegion(region, 6*time.Second)
 				played.Run(35 * time.Second)
-				harness.NothingWrong(played)
+				harness.ExpectNoBreaches(played)
 				Expect(played.Ledger.Stats.Return).To(BeNumerically(">", 0), "the return was judged")
 			})
 		}
 
 		It("of "+name+" that is cut from the other goes on serving by its last manifest, and learns the next when healed", func() {
-			played := harness.Given(name, 103)
+			played := harness.StartReadyFleet(name, 103)
 			regions := played.Site.Regions()
 			played.Traffic(40*time.Second, 0.5)
 			played.Run(5 * time.Second)
 			played.World.CutBoth(fleet.Names(played.InRegion(regions[1])), fleet.Names(played.InRegion(regions[0])))
 			played.Run(10 * time.Second)
 			Expect(played.Serves()).To(BeTrue())
-			written := harness.Patched(played, played.InRegion(regions[0])[1], 1)
+			written := harness.SendPatch(played, played.InRegion(regions[0])[1], 1)
 			Expect(written.Status).To(Equal(202))
 			Expect(written.Accepted.MissingNodes).NotTo(BeEmpty())
 			played.World.Heal()
 			played.Run(6 * time.Second)
 			_, revision := played.Manifest(played.InRegion(regions[1])[3])
 			Expect(revision).To(Equal(written.Accepted.Revision))
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 	}
 })
 
 var _ = Describe("the whole fleet", func() {
 	It("killed at once comes back with what its disks kept, and serves", func() {
-		played := harness.Given("brazos", 111)
-		Expect(harness.Patched(played, played.Machines[1], 1).Status).To(Equal(200))
+		played := harness.StartReadyFleet("brazos", 111)
+		Expect(harness.SendPatch(played, played.Machines[1], 1).Status).To(Equal(200))
 		played.Traffic(40*time.Second, 0.5)
 		played.Run(5 * time.Second)
 		played.KillFor(played.Machines, 2*time.Second)
@@ -62,26 +62,26 @@
 		played.Run(30 * time.Second)
 		_, revision := played.Manifest(played.Machines[3])
 		Expect(revision).To(Equal(int64(2)))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("frozen at once and woken hours later picks nothing by what it knew before", func() {
-		played := harness.Given("seri", 112)
+		played := harness.StartReadyFleet("seri", 112)
 		played.Traffic(10*time.Second, 0.5)
 		played.Run(5 * time.Second)
 		played.FreezeFor(played.Machines, 3*time.Hour)
-		server := harness.ModelPool(played)[0]
+		server := harness.ModelServers(played)[0]
 		played.World.After(2*time.Hour, func() { server.Mark(0) })
 		played.Run(3*time.Hour + time.Millisecond)
 		before := server.Taken
 		played.Traffic(15*time.Second, 1)
 		played.Run(15 * time.Second)
 		Expect(server.Taken).To(Equal(before))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("finds itself again when all three seeds are dead and a split heals", func() {
-		played := harness.Given("brazos", 113)
+		played := harness.StartReadyFleet("brazos", 113)
 		for _, machine := range played.Cores() {
 			machine.Kill()
 		}
@@ -99,11 +99,11 @@
 			machine.Start()
 		}
 		played.Run(12 * time.Second)
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("two processes of one machine know each other though all their seeds are dead", func() {
-		played := fleet.New(harness.SiteOf("brazos"), 115)
+		played := fleet.New(harness.LoadSite("brazos"), 115)
 		lone := played.Machine("m07")
 		lone.Start()
 		played.Run(2 * time.Second)
@@ -112,7 +112,7 @@
 	})
 
 	It("keeps its memory bounded over a long day", func() {
-		played := harness.Given("seri", 114, fleet.WithBounds(func(bounds *env.Bounds) { bounds.DeadlineMs = 5000 }))
+		played := harness.StartReadyFleet("seri", 114, fleet.WithBounds(func(bounds *env.Bounds) { bounds.DeadlineMs = 5000 }))
 		records := func() int64 {
 			total := int64(0)
 			for _, machine := range played.Machines {
@@ -132,9 +132,9 @@
 })
 
 var _ = Describe("a manifest that is accepted", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("is in force everywhere in "+name+" in time: idle, in a storm, on slow and lossy links", func() {
-			played := harness.Given(name, 121)
+			played := harness.StartReadyFleet(name, 121)
 			played.World.Loss, played.World.Slow = 0.05, 100*time.Millisecond
 			for index := range 40 {
 				played.World.After(time.Duration(index)*100*time.Millisecond, func() {
@@ -148,36 +148,36 @@
 			}
 			Expect(statuses[200] + statuses[202]).To(BeNumerically(">", 30))
 			played.World.Loss, played.World.Slow = 0, 0
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 	}
 
 	It("reaches a node that can speak with one neighbour alone, in time", func() {
 		for seed := uint64(123); seed < 131; seed++ {
-			played := harness.Given("brazos", seed)
+			played := harness.StartReadyFleet("brazos", seed)
 			lone, friend := played.Machine("m12"), played.Machine("m11")
 			others := fleet.Names(played.Pick(func(machine *fleet.Machine) bool { return machine != lone && machine != friend }))
 			played.World.CutBoth([]string{"m12"}, others)
 			played.Run(5 * time.Second)
-			written := harness.Patched(played, played.Machines[0], 1)
+			written := harness.SendPatch(played, played.Machines[0], 1)
 			Expect(written.Status).To(BeElementOf(200, 202))
 			Expect(played.Until(3*time.Second, func() bool {
 				return lone.Data.Gauges["manifest_revision"] == written.Accepted.Revision
 			})).To(BeTrue(), "seed %d", seed)
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		}
 	})
 
 	It("is honest about a node that is out of reach", func() {
-		played := harness.Given("brazos", 122)
+		played := harness.StartReadyFleet("brazos", 122)
 		played.CutFor([]string{"m12"}, 20*time.Second, true)
 		played.Run(4 * time.Second)
-		written := harness.Patched(played, played.Machines[0], 1)
+		written := harness.SendPatch(played, played.Machines[0], 1)
 		Expect(written.Status).To(Equal(202))
 		Expect(written.Accepted.MissingNodes).To(ContainElements("m12-control", "m12-data"))
 		alone := played.Operate(played.Machine("m12"), contract.OperatorRequest{Verb: contract.VerbPatch, Body: []byte(`{}`), Operation: "alone"})
 		Expect(alone.Status).To(Equal(504))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 })
 
@@ -187,7 +187,7 @@
 // cleanDays plays seeded days of a site side by side and wants nothing wrong in any.
 func cleanDays(name string, seeds []uint64) {
 	GinkgoHelper()
-	described, rounds, group := harness.SiteOf(name), make([]fleet.Round, len(seeds)), sync.WaitGroup{}
+	described, rounds, group := harness.LoadSite(name), make([]fleet.Round, len(seeds)), sync.WaitGroup{}
 	for place, seed := range seeds {
 		group.Add(1)
 		go func() {
@@ -203,7 +203,7 @@
 }
 
 var _ = Describe("seeded days of trouble", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("leave nothing wrong in "+name, func() {
 			seeds := []uint64{}
 			for place := range uint64(8) {
@@ -220,7 +220,7 @@
 	It("leave nothing wrong in brazos on the days of seeds 9003 and 9018", func() { cleanDays("brazos", []uint64{9003, 9018}) })
 
 	It("are the same day for the same seed", func() {
-		described := harness.SiteOf("brazos")
+		described := harness.LoadSite("brazos")
 		first, second := fleet.Day(described, 77, fleet.Usual(6, "")), fleet.Day(described, 77, fleet.Usual(6, ""))
 		Expect(first.Figures.Summary()).To(Equal(second.Figures.Summary()))
 		Expect(first.Faults).To(Equal(second.Faults))
--- a/stories/harness/harness.go
+++ b/stories/harness/harness.go
@@ -1,6 +1,6 @@
-// Package harness holds what the stories share: fleets of a site, orders of an operator and what is wanted at the end. The stories say, in
-// given-when-then over the in-memory fleet, what must never
-// happen and that it does not; they stand in packages of their own so that they run side by side.
+// Package harness holds the helpers that the behaviour tests below stories share: starting a fleet of a site, sending operator requests
+// and checking the ledger at the end. The tests run the in-memory fleet; each topic is a package of its own so that go test runs them in
+// parallel.
 package harness
 
 import (
@@ -16,78 +16,87 @@
 	. "github.com/onsi/gomega"
 )
 
-const garbage = 600
+// gcPercent is the garbage collection target of the test processes: collecting less often costs memory and saves time.
+const gcPercent = 600
 
-// Run runs a package of stories.
-func Run(t *testing.T, name string) {
-	debug.SetGCPercent(garbage)
+// RunSuite runs all specs of a test package under the given suite name.
+func RunSuite(t *testing.T, name string) {
+	debug.SetGCPercent(gcPercent)
 	RegisterFailHandler(Fail)
 	RunSpecs(t, name)
 }
 
-var Sites = []string{"brazos", "seri"}
+// SiteNames lists the sites below deploy that the tests run on.
+var SiteNames = []string{"brazos", "seri"}
 
-func SiteOf(name string) site.Site {
-	described, err := site.Load("../../deploy/" + name)
+// LoadSite reads the description of a site from its folder below deploy; it fails the spec if that is invalid.
+func LoadSite(name string) site.Site {
+	loaded, err := site.Load("../../deploy/" + name)
 	Expect(err).NotTo(HaveOccurred())
-	return described
+	return loaded
 }
 
-// Given is a fleet of a site that serves.
-func Given(name string, seed uint64, options ...fleet.Option) *fleet.Fleet {
+// StartReadyFleet starts an in-memory fleet of a site and returns it once it serves calls; the seed determines the whole run.
+func StartReadyFleet(name string, seed uint64, options ...fleet.Option) *fleet.Fleet {
 	GinkgoHelper()
-	started := fleet.New(SiteOf(name), seed, options...)
-	Expect(started.Ready()).To(BeTrue(), "the fleet serves")
-	return started
+	testFleet := fleet.New(LoadSite(name), seed, options...)
+	Expect(testFleet.Ready()).To(BeTrue(), "the fleet serves")
+	return testFleet
 }
 
-// NothingWrong ends a story: patience, a read-back of all that was accepted, and the ledger's last look.
-func NothingWrong(played *fleet.Fleet) {
+// ExpectNoBreaches closes the fleet: it waits for what is pending, reads back every accepted write and runs the ledger's final checks. It
+// fails the spec if the ledger found a breach of a rule, and prints the first five.
+func ExpectNoBreaches(testFleet *fleet.Fleet) {
 	GinkgoHelper()
-	breaches := played.Close()
+	breaches := testFleet.Close()
 	for index, breach := range breaches {
 		if index < 5 {
 			GinkgoWriter.Println(breach.Rule, breach.At, breach.Detail)
 		}
 	}
-	Expect(breaches).To(BeEmpty(), played.Ledger.Stats.Summary())
+	Expect(breaches).To(BeEmpty(), testFleet.Ledger.Stats.Summary())
 }
 
-func Outcomes(played *fleet.Fleet, class string) map[string]int {
-	known := played.Ledger.Stats.Classes[class]
-	if known == nil {
+// OutcomeCounts returns how many calls of a class ended with each outcome; it is empty for a class without calls.
+func OutcomeCounts(testFleet *fleet.Fleet, class string) map[string]int {
+	stats := testFleet.Ledger.Stats.Classes[class]
+	if stats == nil {
 		return map[string]int{}
 	}
-	return known.Outcomes
+	return stats.Outcomes
 }
 
-func Text(value any) []byte {
+// EncodeJSON returns the JSON encoding of a value and fails the spec if there is none.
+func EncodeJSON(value any) []byte {
 	content, err := json.Marshal(value)
 	Expect(err).NotTo(HaveOccurred())
 	return content
 }
 
-func Home(played *fleet.Fleet) string { return played.Site.Regions()[0] }
+// HomeRegion returns the first region of the site, which the tests use as the home of their calls.
+func HomeRegion(testFleet *fleet.Fleet) string { return testFleet.Site.Regions()[0] }
 
-func Patched(played *fleet.Fleet, machine *fleet.Machine, number int) fleet.Written {
-	return played.Do(machine, played.Patch(number))
+// SendPatch sends the numbered test patch of the configuration to a machine and waits for the result.
+func SendPatch(testFleet *fleet.Fleet, machine *fleet.Machine, number int) fleet.Written {
+	return testFleet.Do(machine, testFleet.Patch(number))
 }
 
-// ChainView asks the authority for the core's view, as long as it takes for one to answer.
-func ChainView(played *fleet.Fleet, machine *fleet.Machine) contract.View {
+// ChainView returns the control plane's current view of the replication chain. It repeats the request through the given machine until the
+// view is returned, for up to 30 s.
+func ChainView(testFleet *fleet.Fleet, machine *fleet.Machine) contract.View {
 	GinkgoHelper()
-	var answer contract.Response
-	Expect(played.Until(30*time.Second, func() bool {
-		answer = played.Operate(machine, contract.OperatorRequest{Verb: contract.VerbChain})
-		return answer.Status == 200
+	var response contract.Response
+	Expect(testFleet.Until(30*time.Second, func() bool {
+		response = testFleet.Operate(machine, contract.OperatorRequest{Verb: contract.VerbChain})
+		return response.Status == 200
 	})).To(BeTrue(), "an authority answers")
-	return answer.Body.(map[string]any)["view"].(contract.View)
+	return response.Body.(map[string]any)["view"].(contract.View)
 }
 
-// Pool gives the servers of a pool; ModelPool those of the first region's models.
-func Pool(played *fleet.Fleet, pool string) []*fleet.Server {
+// PoolServers returns the servers of a pool.
+func PoolServers(testFleet *fleet.Fleet, pool string) []*fleet.Server {
 	servers := []*fleet.Server{}
-	for _, server := range played.Servers {
+	for _, server := range testFleet.Servers {
 		if server.Pool == pool {
 			servers = append(servers, server)
 		}
@@ -95,9 +104,13 @@
 	return servers
 }
 
-func ModelPool(played *fleet.Fleet) []*fleet.Server { return Pool(played, played.Servers[0].Pool) }
+// ModelServers returns the servers of the first server's pool: the models of the first region.
+func ModelServers(testFleet *fleet.Fleet) []*fleet.Server {
+	return PoolServers(testFleet, testFleet.Servers[0].Pool)
+}
 
-func Unloaded(servers []*fleet.Server) int {
+// CountUnloaded returns how many of the servers have unloaded their model.
+func CountUnloaded(servers []*fleet.Server) int {
 	count := 0
 	for _, server := range servers {
 		if server.Unloaded() {
--- a/stories/sight/sight_test.go
+++ b/stories/sight/sight_test.go
@@ -52,12 +52,12 @@
 	outside := func(played *fleet.Fleet, zone string) []string {
 		return fleet.Names(played.Pick(func(machine *fleet.Machine) bool { return machine.Zone != zone }))
 	}
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("in "+name+", are brought together by two relays, so that the node goes on to pick", func() {
 			const patience = 3 * time.Second
 			for seed := uint64(701); seed < 704; seed++ {
-				played := harness.Given(name, seed)
-				owner := played.Owner(harness.Home(played), 0)
+				played := harness.StartReadyFleet(name, seed)
+				owner := played.Owner(harness.HomeRegion(played), 0)
 				asker := played.Pick(func(machine *fleet.Machine) bool { return machine.Region == owner.Region && machine.Zone != owner.Zone })[0]
 				played.Traffic(20*time.Second, 0.3)
 				played.Run(3 * time.Second)
@@ -81,15 +81,15 @@
 		},
 		"everybody else": func(played *fleet.Fleet, _ *fleet.Machine) []string { return fleet.Names(played.Machines) },
 	}
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		for _, end := range []string{"the platform", "one data node", "its peers", "everybody else"} {
 			It("in "+name+", cut from "+end+" either way or both, stops no shard of the others for long, and duties do not flap", func() {
 				for way := range 3 {
-					if name == harness.Sites[1] && way != len(end)%3 {
+					if name == harness.SiteNames[1] && way != len(end)%3 {
 						continue
 					}
-					played := harness.Given(name, uint64(401+way))
-					owner := played.Owner(harness.Home(played), 0)
+					played := harness.StartReadyFleet(name, uint64(401+way))
+					owner := played.Owner(harness.HomeRegion(played), 0)
 					played.Traffic(30*time.Second, 0.5)
 					played.Run(3 * time.Second)
 					before := takeOvers(played)
@@ -103,15 +103,15 @@
 						Expect(longest).To(BeNumerically("<=", time.Second), "way %d", way)
 					}
 					Expect(takeOvers(played)-before).To(BeNumerically("<=", 8), "way %d", way)
-					harness.NothingWrong(played)
+					harness.ExpectNoBreaches(played)
 				}
 			})
 		}
 
 		It("in "+name+", cut from one server alone, leaves that server in the picks", func() {
 			for way := range 3 {
-				played := harness.Given(name, uint64(411+way))
-				server := harness.ModelPool(played)[0]
+				played := harness.StartReadyFleet(name, uint64(411+way))
+				server := harness.ModelServers(played)[0]
 				owner := played.Owner(server.Region, contract.ShardOf(server.Name, 2))
 				played.Traffic(30*time.Second, 1)
 				played.Run(9 * time.Second)
@@ -121,7 +121,7 @@
 				played.Run(8 * time.Second)
 				Expect(server.Taken).To(BeNumerically(">", before), "way %d", way)
 				played.World.Heal()
-				harness.NothingWrong(played)
+				harness.ExpectNoBreaches(played)
 			}
 		})
 	}
@@ -136,10 +136,10 @@
 }
 
 var _ = Describe("the number of shards", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("changes in "+name+" under traffic without a gap, and without an unload by the former division", func() {
-			played := harness.Given(name, 421)
-			pool, region := harness.ModelPool(played), harness.Home(played)
+			played := harness.StartReadyFleet(name, 421)
+			pool, region := harness.ModelServers(played), harness.HomeRegion(played)
 			played.Traffic(50*time.Second, 1)
 			played.Run(10 * time.Second)
 			scale := contract.OperatorRequest{Verb: contract.VerbScale, Subject: pool[0].Pool, Body: fmt.Appendf(nil, "%d", len(pool)-2)}
@@ -149,29 +149,29 @@
 				body := fmt.Appendf(nil, `{"regions":{%q:{"shards":%d}}}`, region, shards)
 				Expect(played.Do(played.Machines[4], contract.OperatorRequest{Verb: contract.VerbPatch, Body: body}).Status).To(Equal(200))
 				Expect(gap(played, 4*time.Second)).To(BeNumerically("<=", 500*time.Millisecond), "%d shards", shards)
-				Expect(harness.Unloaded(pool)).To(BeZero(), "each division starts the window again")
+				Expect(harness.CountUnloaded(pool)).To(BeZero(), "each division starts the window again")
 			}
 			played.Run(15 * time.Second)
-			Expect(harness.Unloaded(pool)).To(Equal(2))
+			Expect(harness.CountUnloaded(pool)).To(Equal(2))
 			Expect(played.Platform.Stale).To(BeZero())
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 	}
 })
 
 var _ = Describe("a server that is replaced in no time", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("is not flooded in "+name+" by a crowd that knew the former one", func() {
 			for seed := uint64(431); seed < 432; seed++ {
-				played := harness.Given(name, seed)
+				played := harness.StartReadyFleet(name, seed)
 				played.Run(10 * time.Second)
 				played.Traffic(30*time.Second, 3)
 				played.Run(8 * time.Second)
-				for index, server := range harness.ModelPool(played) {
+				for index, server := range harness.ModelServers(played) {
 					played.World.After(time.Duration(index)*2*time.Second, server.Replace)
 				}
 				played.Run(22 * time.Second)
-				harness.NothingWrong(played)
+				harness.ExpectNoBreaches(played)
 				Expect(played.Ledger.Stats.ColdShare).To(BeNumerically(">", 0))
 			}
 		})
--- a/stories/zones/drain_test.go
+++ b/stories/zones/drain_test.go
@@ -35,9 +35,9 @@
 }
 
 var _ = Describe("a drained zone", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("gets no call in "+name+" soon after the drain was accepted, and is taken back by ramp", func() {
-			played := harness.Given(name, 81)
+			played := harness.StartReadyFleet(name, 81)
 			zone := zonesOf(played)[1]
 			played.Traffic(60*time.Second, 1)
 			played.Run(10 * time.Second)
@@ -49,11 +49,11 @@
 			Expect(drain(played, played.Machines[1], contract.VerbUndrain, zone).Status).To(Equal(200))
 			played.Run(15 * time.Second)
 			Expect(taken(played, zone)).To(BeNumerically(">", before+10), "it serves again")
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 
 		It("holds beside another drained at the same moment in "+name, func() {
-			played := harness.Given(name, 82)
+			played := harness.StartReadyFleet(name, 82)
 			zones := zonesOf(played)
 			played.Traffic(20*time.Second, 0.5)
 			statuses := map[string]int{}
@@ -66,12 +66,12 @@
 			read, _ := played.Manifest(played.Machines[7])
 			Expect(read.Drained(zones[0])).To(BeTrue())
 			Expect(read.Drained(zones[1])).To(BeTrue())
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		})
 	}
 
 	It("is refused when the owners of its shards are out of reach, and nothing is committed", func() {
-		played := harness.Given("brazos", 83)
+		played := harness.StartReadyFleet("brazos", 83)
 		played.Traffic(20*time.Second, 0.5)
 		before, revision := played.Manifest(played.Machines[1])
 		Expect(before.Drained("coast-a")).To(BeFalse())
@@ -83,23 +83,23 @@
 		after, now := played.Manifest(played.Machines[1])
 		Expect(after.Drained("coast-a")).To(BeFalse())
 		Expect(now).To(Equal(revision))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("stays drained when its owner is killed right after the answer", func() {
-		played := harness.Given("seri", 84)
+		played := harness.StartReadyFleet("seri", 84)
 		zone := zonesOf(played)[0]
 		played.Traffic(30*time.Second, 1)
 		played.Run(5 * time.Second)
 		Expect(drain(played, played.Machines[9], contract.VerbDrain, zone).Status).To(Equal(200))
 		played.KillFor([]*fleet.Machine{played.Owner("klang", 0), played.Owner("klang", 1)}, 6*time.Second)
 		played.Run(20 * time.Second)
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("follows the last accepted word when drain and undrain race", func() {
 		for seed := uint64(85); seed < 90; seed++ {
-			played := harness.Given("brazos", seed)
+			played := harness.StartReadyFleet("brazos", seed)
 			played.Traffic(20*time.Second, 0.5)
 			words := map[int64]string{}
 			for index, verb := range []string{contract.VerbDrain, contract.VerbUndrain, contract.VerbDrain, contract.VerbUndrain} {
@@ -112,22 +112,22 @@
 			read, revision := played.Manifest(played.Machines[4])
 			Expect(words).To(HaveLen(4))
 			Expect(read.Drained("prairie-b")).To(Equal(words[revision] == contract.VerbDrain))
-			harness.NothingWrong(played)
+			harness.ExpectNoBreaches(played)
 		}
 	})
 
 	It("is not undone by a whole manifest with an old base", func() {
-		played := harness.Given("brazos", 91)
+		played := harness.StartReadyFleet("brazos", 91)
 		_, base := played.Manifest(played.Machines[0])
 		Expect(drain(played, played.Machines[1], contract.VerbDrain, "prairie-a").Status).To(Equal(200))
 		whole := contract.OperatorRequest{Verb: contract.VerbPut, HasBaseRevision: true, BaseRevision: base, Body: played.Site.Manifest}
 		Expect(played.Do(played.Machines[2], whole).Status).To(Equal(409))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 })
 
 var _ = It("an undrain that overtakes the drain's late answer is not taken for a breach, and holds", func() {
-	played := harness.Given("seri", 92)
+	played := harness.StartReadyFleet("seri", 92)
 	played.Traffic(30*time.Second, 0.5)
 	played.CutFor([]string{"m12"}, 25*time.Second, true)
 	played.Run(4 * time.Second)
@@ -138,5 +138,5 @@
 	played.Run(8 * time.Second)
 	read, _ := played.Manifest(played.Machines[3])
 	Expect(read.Drained("klang-b")).To(BeFalse())
-	harness.NothingWrong(played)
+	harness.ExpectNoBreaches(played)
 })
--- a/stories/zones/retire_test.go
+++ b/stories/zones/retire_test.go
@@ -33,46 +33,46 @@
 func longRuns(kind *site.Caller) { kind.Pieces = 600 }
 
 var _ = Describe("scale-down", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("withdraws, waits, reads and unloads in "+name+", and scaling up loads again", func() {
-			played := harness.Given(name, 61)
-			pool := harness.ModelPool(played)
+			played := harness.StartReadyFleet(name, 61)
+			pool := harness.ModelServers(played)
 			played.Traffic(40*time.Second, 0.5)
 			played.Run(5 * time.Second)
 			Expect(scaled(played, "3").Status).To(Equal(200))
 			played.Run(5 * time.Second)
-			Expect(harness.Unloaded(pool)).To(BeZero(), "the window is not over")
+			Expect(harness.CountUnloaded(pool)).To(BeZero(), "the window is not over")
 			played.Run(10 * time.Second)
-			Expect(harness.Unloaded(pool)).To(Equal(len(pool) - 3))
+			Expect(harness.CountUnloaded(pool)).To(Equal(len(pool) - 3))
 			Expect(scaled(played, "5").Status).To(Equal(200))
 			played.Run(5 * time.Second)
-			Expect(harness.Unloaded(pool)).To(Equal(len(pool) - 5))
-			harness.NothingWrong(played)
+			Expect(harness.CountUnloaded(pool)).To(Equal(len(pool) - 5))
+			harness.ExpectNoBreaches(played)
 		})
 	}
 
 	It("never unloads under a late prompt that the idle reports miss", func() {
-		played := harness.Given("brazos", 62)
-		pool := harness.ModelPool(played)
+		played := harness.StartReadyFleet("brazos", 62)
+		pool := harness.ModelServers(played)
 		for _, server := range pool {
 			server.ReportLag = 20 * time.Second
 		}
 		played.Run(10 * time.Second)
 		probes := []*fleet.Probe{}
 		for index := range 12 {
-			probes = append(probes, played.Probe("short", harness.Home(played)).With(longRuns).Send(played.InRegion(harness.Home(played))[index%8]))
+			probes = append(probes, played.Probe("short", harness.HomeRegion(played)).With(longRuns).Send(played.InRegion(harness.HomeRegion(played))[index%8]))
 		}
 		Expect(scaled(played, "1").Status).To(Equal(200))
 		played.Run(20 * time.Second)
 		for _, probe := range probes {
 			Expect(probe.Outcome(30 * time.Second)).To(Equal("done"))
 		}
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("holds a busy server and ends Aborted, counted and picked again", func() {
-		played := harness.Given("brazos", 63)
-		pool := harness.ModelPool(played)
+		played := harness.StartReadyFleet("brazos", 63)
+		pool := harness.ModelServers(played)
 		for _, server := range pool {
 			server.Mode = "partial"
 		}
@@ -84,30 +84,30 @@
 		Expect(retired(played, last.Name, retire.Aborted)).To(BeTrue())
 		Expect(last.Unloaded()).To(BeFalse())
 		Expect(listed(played, last.Name)).To(BeTrue(), "it is back in the picks")
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("to zero holds what is not shown empty, and never picks it again", func() {
-		played := harness.Given("brazos", 64)
-		pool := harness.ModelPool(played)
+		played := harness.StartReadyFleet("brazos", 64)
+		pool := harness.ModelServers(played)
 		pool[0].Mode = "partial"
 		Expect(scaled(played, "0").Status).To(Equal(200))
 		played.Run(70 * time.Second)
-		Expect(harness.Unloaded(pool)).To(Equal(len(pool) - 1))
+		Expect(harness.CountUnloaded(pool)).To(Equal(len(pool) - 1))
 		Expect(retired(played, pool[0].Name, retire.Held)).To(BeTrue())
 		Expect(listed(played, pool[0].Name)).To(BeFalse())
 		pool[0].Mode = ""
 		played.Run(20 * time.Second)
-		Expect(harness.Unloaded(pool)).To(Equal(len(pool)))
-		harness.NothingWrong(played)
+		Expect(harness.CountUnloaded(pool)).To(Equal(len(pool)))
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("goes on under a successor, which starts the window again", func() {
-		played := harness.Given("brazos", 65)
-		pool := harness.ModelPool(played)
+		played := harness.StartReadyFleet("brazos", 65)
+		pool := harness.ModelServers(played)
 		Expect(scaled(played, "9").Status).To(Equal(200))
 		last := pool[len(pool)-1]
-		region := harness.Home(played)
+		region := harness.HomeRegion(played)
 		owner := played.Owner(region, contract.ShardOf(last.Name, 2))
 		played.Run(4 * time.Second)
 		owner.Freeze()
@@ -117,14 +117,14 @@
 		owner.Wake()
 		played.Run(5 * time.Second)
 		Expect(played.Platform.Stale).To(BeZero())
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 })
 
 var _ = Describe("a server that runs and holds calls when it is retired", func() {
 	It("is let go once they have ended, within its budget, whatever was given up there", func() {
 		for _, cause := range []string{"scale-down", "scale-to-zero"} {
-			retired := fleet.Retire(harness.SiteOf("brazos"), 1, cause)
+			retired := fleet.Retire(harness.LoadSite("brazos"), 1, cause)
 			Expect(retired.Released).To(BeTrue(), "%s: %+v", cause, retired)
 			Expect(retired.Breaches).To(BeZero())
 		}
@@ -133,17 +133,17 @@
 
 func listed(played *fleet.Fleet, server string) bool {
 	answer := played.Operate(played.Machines[3], contract.OperatorRequest{Verb: contract.VerbShards})
-	return strings.Contains(strings.ReplaceAll(string(harness.Text(answer.Body)), `"server":"`+server, ""), `"`+server+`"`)
+	return strings.Contains(strings.ReplaceAll(string(harness.EncodeJSON(answer.Body)), `"server":"`+server, ""), `"`+server+`"`)
 }
 
 var _ = Describe("a server marked as leaving", func() {
-	for _, name := range harness.Sites {
+	for _, name := range harness.SiteNames {
 		It("gets no new work in "+name+" soon after, whoever is frozen or cut off", func() {
 			for seed := uint64(70); seed < 76; seed++ {
-				played := harness.Given(name, seed)
+				played := harness.StartReadyFleet(name, seed)
 				played.Traffic(40*time.Second, 1)
 				played.Run(8 * time.Second)
-				server := harness.ModelPool(played)[int(seed)%3]
+				server := harness.ModelServers(played)[int(seed)%3]
 				owner := played.Owner(server.Region, contract.ShardOf(server.Name, 2))
 				inside := played.InRegion(server.Region)
 				switch seed % 3 {
@@ -159,39 +159,39 @@
 				played.Run(15 * time.Second)
 				played.World.Heal()
 				played.World.After(20*time.Second, server.Replace)
-				harness.NothingWrong(played)
+				harness.ExpectNoBreaches(played)
 				Expect(played.Ledger.Stats.LatePick).To(BeNumerically("<", 4*time.Second))
 			}
 		})
 	}
 
 	It("is left by its sessions at once and cut at the platform's time; the next turn lands elsewhere", func() {
-		played := harness.Given("seri", 77)
+		played := harness.StartReadyFleet("seri", 77)
 		played.Run(10 * time.Second)
-		node := played.InRegion(harness.Home(played))[0]
-		probe := played.Probe("short", harness.Home(played)).With(longRuns).Send(node)
+		node := played.InRegion(harness.HomeRegion(played))[0]
+		probe := played.Probe("short", harness.HomeRegion(played)).With(longRuns).Send(node)
 		played.Run(time.Second)
 		server := played.Running()[0]
 		server.Mark(4 * time.Second)
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("interrupted"))
-		next := played.Probe("short", harness.Home(played)).Send(node)
+		next := played.Probe("short", harness.HomeRegion(played)).Send(node)
 		Expect(next.Outcome(10 * time.Second)).To(Equal("done"))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 
 	It("gives back the calls that it never started, and they run once, elsewhere", func() {
-		played := harness.Given("brazos", 78)
+		played := harness.StartReadyFleet("brazos", 78)
 		played.Run(10 * time.Second)
-		node := played.InRegion(harness.Home(played))[0]
-		pool := harness.ModelPool(played)
+		node := played.InRegion(harness.HomeRegion(played))[0]
+		pool := harness.ModelServers(played)
 		for _, server := range pool[1:] {
 			server.Crash()
 		}
 		played.Run(3 * time.Second)
 		probes := []*fleet.Probe{}
-		for _, at := range played.InRegion(harness.Home(played)) {
+		for _, at := range played.InRegion(harness.HomeRegion(played)) {
 			for range 3 {
-				probes = append(probes, played.Probe("short", harness.Home(played)).With(longRuns).Send(at))
+				probes = append(probes, played.Probe("short", harness.HomeRegion(played)).With(longRuns).Send(at))
 			}
 		}
 		played.Run(time.Second)
@@ -208,13 +208,13 @@
 		}
 		Expect(node).NotTo(BeNil())
 		Expect(done).To(BeNumerically(">", 4))
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 })
 
 var _ = Describe("a broken platform listing", func() {
 	It("is not an empty one, and stops the picks only after its grace", func() {
-		played := harness.Given("brazos", 79)
+		played := harness.StartReadyFleet("brazos", 79)
 		played.Traffic(20*time.Second, 0.5)
 		played.Run(5 * time.Second)
 		played.Platform.Broken = true
@@ -224,6 +224,6 @@
 		Expect(played.Serves()).To(BeFalse(), "a server could be leaving and nobody would know")
 		played.Platform.Broken = false
 		Expect(played.Until(3*time.Second, played.Serves)).To(BeTrue())
-		harness.NothingWrong(played)
+		harness.ExpectNoBreaches(played)
 	})
 })
--- a/stories/zones/suite_test.go
+++ b/stories/zones/suite_test.go
@@ -6,4 +6,4 @@
 	"github.com/cedarreel/cedarreel/stories/harness"
 )
 
-func TestStories(t *testing.T) { harness.Run(t, "zones") }
+func TestStories(t *testing.T) { harness.RunSuite(t, "zones") }
