--- a/stories/sight/sight_test.go
+++ b/stories/sight/sight_test.go
@@ -12,149 +12,155 @@
 	. "github.com/onsi/gomega"
 )
 
-// gap plays on for a while and gives the longest time for which any data node could not pick from a shard of its region.
-func gap(played *fleet.Fleet, span time.Duration, without ...*fleet.Machine) time.Duration {
-	longest, since := time.Duration(0), map[string]time.Duration{}
-	for _, machine := range played.Machines {
-		since[machine.Name] = played.World.Now
+// longestPickOutage runs the fleet for the duration and returns the longest time for which any data node, other than the excluded ones, could
+// not pick servers from some shard of its region.
+func longestPickOutage(testFleet *fleet.Fleet, duration time.Duration, excluded ...*fleet.Machine) time.Duration {
+	longest, lastPickable := time.Duration(0), map[string]time.Duration{}
+	for _, machine := range testFleet.Machines {
+		lastPickable[machine.Name] = testFleet.World.Now
 	}
-	for ends := played.World.Now + span; played.World.Now < ends; played.Run(50 * time.Millisecond) {
-		for _, machine := range played.Machines {
-			if machine.Data.Gauges["shards_lapsed"] == 0 || slices.Contains(without, machine) {
-				since[machine.Name] = played.World.Now
+	for deadline := testFleet.World.Now + duration; testFleet.World.Now < deadline; testFleet.Run(50 * time.Millisecond) {
+		for _, machine := range testFleet.Machines {
+			if machine.Data.Gauges["shards_lapsed"] == 0 || slices.Contains(excluded, machine) {
+				lastPickable[machine.Name] = testFleet.World.Now
 				continue
 			}
-			longest = max(longest, played.World.Now-since[machine.Name])
+			longest = max(longest, testFleet.World.Now-lastPickable[machine.Name])
 		}
 	}
 	return longest
 }
 
-func takeOvers(played *fleet.Fleet) int64 {
+// totalTakeOvers returns how often a control node has taken over a shard, summed over the fleet.
+func totalTakeOvers(testFleet *fleet.Fleet) int64 {
 	total := int64(0)
-	for _, machine := range played.Machines {
+	for _, machine := range testFleet.Machines {
 		total += machine.Control.Counts["take_overs"]
 	}
 	return total
 }
 
-func ways(played *fleet.Fleet, way int, left, right []string) {
-	if way != 0 {
-		played.World.Cut(left, right)
+// cutDirections cuts the link between two groups: direction 0 cuts right to left only, 1 left to right only, 2 both.
+func cutDirections(testFleet *fleet.Fleet, direction int, left, right []string) {
+	if direction != 0 {
+		testFleet.World.Cut(left, right)
 	}
-	if way != 1 {
-		played.World.Cut(right, left)
+	if direction != 1 {
+		testFleet.World.Cut(right, left)
 	}
 }
 
 var _ = Describe("a data node and an owner that each reach their own zone alone", func() {
-	// outside gives all machines but those of a zone.
-	outside := func(played *fleet.Fleet, zone string) []string {
-		return fleet.Names(played.Pick(func(machine *fleet.Machine) bool { return machine.Zone != zone }))
+	// machinesOutside returns the names of all machines that are not in the zone.
+	machinesOutside := func(testFleet *fleet.Fleet, zone string) []string {
+		return fleet.Names(testFleet.Pick(func(machine *fleet.Machine) bool { return machine.Zone != zone }))
 	}
 	for _, name := range harness.SiteNames {
 		It("in "+name+", are brought together by two relays, so that the node goes on to pick", func() {
-			const patience = 3 * time.Second
+			const maxOutage = 3 * time.Second
 			for seed := uint64(701); seed < 704; seed++ {
-				played := harness.StartReadyFleet(name, seed)
-				owner := played.Owner(harness.HomeRegion(played), 0)
-				asker := played.Pick(func(machine *fleet.Machine) bool { return machine.Region == owner.Region && machine.Zone != owner.Zone })[0]
-				played.Traffic(20*time.Second, 0.3)
-				played.Run(3 * time.Second)
-				ways(played, 2, []string{asker.Name}, outside(played, asker.Zone))
-				ways(played, 2, []string{owner.Name}, outside(played, owner.Zone))
-				without := played.Pick(func(machine *fleet.Machine) bool { return machine != asker })
-				Expect(gap(played, 12*time.Second, without...)).To(BeNumerically("<=", patience), "seed %d", seed)
+				testFleet := harness.StartReadyFleet(name, seed)
+				owner := testFleet.Owner(harness.HomeRegion(testFleet), 0)
+				dataNode := testFleet.Pick(func(machine *fleet.Machine) bool { return machine.Region == owner.Region && machine.Zone != owner.Zone })[0]
+				testFleet.Traffic(20*time.Second, 0.3)
+				testFleet.Run(3 * time.Second)
+				cutDirections(testFleet, 2, []string{dataNode.Name}, machinesOutside(testFleet, dataNode.Zone))
+				cutDirections(testFleet, 2, []string{owner.Name}, machinesOutside(testFleet, owner.Zone))
+				excluded := testFleet.Pick(func(machine *fleet.Machine) bool { return machine != dataNode })
+				Expect(longestPickOutage(testFleet, 12*time.Second, excluded...)).To(BeNumerically("<=", maxOutage), "seed %d", seed)
 				Expect(owner.Control.Gauges["shards_owned"]).To(BeNumerically(">", 0), "the owner stays: others reach it")
-				played.World.Heal()
+				testFleet.World.Heal()
 			}
 		})
 	}
 })
 
 var _ = Describe("an owner that is half blind", func() {
-	ends := map[string]func(*fleet.Fleet, *fleet.Machine) []string{
-		"the platform":  func(_ *fleet.Fleet, owner *fleet.Machine) []string { return []string{"platform-" + owner.Region} },
-		"one data node": func(played *fleet.Fleet, owner *fleet.Machine) []string { return []string{other(played, owner).Name} },
-		"its peers": func(played *fleet.Fleet, owner *fleet.Machine) []string {
-			return fleet.Names(played.InRegion(owner.Region))
+	cutTargets := map[string]func(*fleet.Fleet, *fleet.Machine) []string{
+		"the platform": func(_ *fleet.Fleet, owner *fleet.Machine) []string { return []string{"platform-" + owner.Region} },
+		"one data node": func(testFleet *fleet.Fleet, owner *fleet.Machine) []string {
+			return []string{otherMachine(testFleet, owner).Name}
 		},
-		"everybody else": func(played *fleet.Fleet, _ *fleet.Machine) []string { return fleet.Names(played.Machines) },
+		"its peers": func(testFleet *fleet.Fleet, owner *fleet.Machine) []string {
+			return fleet.Names(testFleet.InRegion(owner.Region))
+		},
+		"everybody else": func(testFleet *fleet.Fleet, _ *fleet.Machine) []string { return fleet.Names(testFleet.Machines) },
 	}
 	for _, name := range harness.SiteNames {
-		for _, end := range []string{"the platform", "one data node", "its peers", "everybody else"} {
-			It("in "+name+", cut from "+end+" either way or both, stops no shard of the others for long, and duties do not flap", func() {
-				for way := range 3 {
-					if name == harness.SiteNames[1] && way != len(end)%3 {
+		for _, target := range []string{"the platform", "one data node", "its peers", "everybody else"} {
+			It("in "+name+", cut from "+target+" either way or both, stops no shard of the others for long, and duties do not flap", func() {
+				for direction := range 3 {
+					if name == harness.SiteNames[1] && direction != len(target)%3 {
 						continue
 					}
-					played := harness.StartReadyFleet(name, uint64(401+way))
-					owner := played.Owner(harness.HomeRegion(played), 0)
-					played.Traffic(30*time.Second, 0.5)
-					played.Run(3 * time.Second)
-					before := takeOvers(played)
-					ways(played, way, []string{owner.Name}, ends[end](played, owner))
-					longest := gap(played, 14*time.Second, owner)
-					played.World.Heal()
-					gap(played, 8*time.Second)
-					fmt.Fprintln(GinkgoWriter, name, end, "way", way, "longest gap", longest, "take-overs", takeOvers(played)-before)
-					Expect(longest).To(BeNumerically("<=", played.Bounds.Return()/2), "way %d", way)
-					if end == "the platform" || end == "one data node" {
-						Expect(longest).To(BeNumerically("<=", time.Second), "way %d", way)
+					testFleet := harness.StartReadyFleet(name, uint64(401+direction))
+					owner := testFleet.Owner(harness.HomeRegion(testFleet), 0)
+					testFleet.Traffic(30*time.Second, 0.5)
+					testFleet.Run(3 * time.Second)
+					before := totalTakeOvers(testFleet)
+					cutDirections(testFleet, direction, []string{owner.Name}, cutTargets[target](testFleet, owner))
+					longest := longestPickOutage(testFleet, 14*time.Second, owner)
+					testFleet.World.Heal()
+					longestPickOutage(testFleet, 8*time.Second)
+					fmt.Fprintln(GinkgoWriter, name, target, "way", direction, "longest gap", longest, "take-overs", totalTakeOvers(testFleet)-before)
+					Expect(longest).To(BeNumerically("<=", testFleet.Bounds.Return()/2), "way %d", direction)
+					if target == "the platform" || target == "one data node" {
+						Expect(longest).To(BeNumerically("<=", time.Second), "way %d", direction)
 					}
-					Expect(takeOvers(played)-before).To(BeNumerically("<=", 8), "way %d", way)
-					harness.ExpectNoBreaches(played)
+					Expect(totalTakeOvers(testFleet)-before).To(BeNumerically("<=", 8), "way %d", direction)
+					harness.ExpectNoBreaches(testFleet)
 				}
 			})
 		}
 
 		It("in "+name+", cut from one server alone, leaves that server in the picks", func() {
-			for way := range 3 {
-				played := harness.StartReadyFleet(name, uint64(411+way))
-				server := harness.ModelServers(played)[0]
-				owner := played.Owner(server.Region, contract.ShardOf(server.Name, 2))
-				played.Traffic(30*time.Second, 1)
-				played.Run(9 * time.Second)
-				ways(played, way, []string{owner.Name}, []string{server.Name})
-				played.Run(4 * time.Second)
+			for direction := range 3 {
+				testFleet := harness.StartReadyFleet(name, uint64(411+direction))
+				server := harness.ModelServers(testFleet)[0]
+				owner := testFleet.Owner(server.Region, contract.ShardOf(server.Name, 2))
+				testFleet.Traffic(30*time.Second, 1)
+				testFleet.Run(9 * time.Second)
+				cutDirections(testFleet, direction, []string{owner.Name}, []string{server.Name})
+				testFleet.Run(4 * time.Second)
 				before := server.Taken
-				played.Run(8 * time.Second)
-				Expect(server.Taken).To(BeNumerically(">", before), "way %d", way)
-				played.World.Heal()
-				harness.ExpectNoBreaches(played)
+				testFleet.Run(8 * time.Second)
+				Expect(server.Taken).To(BeNumerically(">", before), "way %d", direction)
+				testFleet.World.Heal()
+				harness.ExpectNoBreaches(testFleet)
 			}
 		})
 	}
 })
 
-func other(played *fleet.Fleet, owner *fleet.Machine) *fleet.Machine {
-	inside := played.InRegion(owner.Region)
-	if inside[0] == owner {
-		return inside[1]
+// otherMachine returns a machine of the owner's region that is not the owner.
+func otherMachine(testFleet *fleet.Fleet, owner *fleet.Machine) *fleet.Machine {
+	regionMachines := testFleet.InRegion(owner.Region)
+	if regionMachines[0] == owner {
+		return regionMachines[1]
 	}
-	return inside[0]
+	return regionMachines[0]
 }
 
 var _ = Describe("the number of shards", func() {
 	for _, name := range harness.SiteNames {
 		It("changes in "+name+" under traffic without a gap, and without an unload by the former division", func() {
-			played := harness.StartReadyFleet(name, 421)
-			pool, region := harness.ModelServers(played), harness.HomeRegion(played)
-			played.Traffic(50*time.Second, 1)
-			played.Run(10 * time.Second)
-			scale := contract.OperatorRequest{Verb: contract.VerbScale, Subject: pool[0].Pool, Body: fmt.Appendf(nil, "%d", len(pool)-2)}
-			Expect(played.Do(played.Machines[5], scale).Status).To(Equal(200))
-			played.Run(4 * time.Second)
+			testFleet := harness.StartReadyFleet(name, 421)
+			pool, region := harness.ModelServers(testFleet), harness.HomeRegion(testFleet)
+			testFleet.Traffic(50*time.Second, 1)
+			testFleet.Run(10 * time.Second)
+			scaleRequest := contract.OperatorRequest{Verb: contract.VerbScale, Subject: pool[0].Pool, Body: fmt.Appendf(nil, "%d", len(pool)-2)}
+			Expect(testFleet.Do(testFleet.Machines[5], scaleRequest).Status).To(Equal(200))
+			testFleet.Run(4 * time.Second)
 			for _, shards := range []int{3, 1, 4} {
 				body := fmt.Appendf(nil, `{"regions":{%q:{"shards":%d}}}`, region, shards)
-				Expect(played.Do(played.Machines[4], contract.OperatorRequest{Verb: contract.VerbPatch, Body: body}).Status).To(Equal(200))
-				Expect(gap(played, 4*time.Second)).To(BeNumerically("<=", 500*time.Millisecond), "%d shards", shards)
+				Expect(testFleet.Do(testFleet.Machines[4], contract.OperatorRequest{Verb: contract.VerbPatch, Body: body}).Status).To(Equal(200))
+				Expect(longestPickOutage(testFleet, 4*time.Second)).To(BeNumerically("<=", 500*time.Millisecond), "%d shards", shards)
 				Expect(harness.CountUnloaded(pool)).To(BeZero(), "each division starts the window again")
 			}
-			played.Run(15 * time.Second)
+			testFleet.Run(15 * time.Second)
 			Expect(harness.CountUnloaded(pool)).To(Equal(2))
-			Expect(played.Platform.Stale).To(BeZero())
-			harness.ExpectNoBreaches(played)
+			Expect(testFleet.Platform.Stale).To(BeZero())
+			harness.ExpectNoBreaches(testFleet)
 		})
 	}
 })
@@ -163,16 +169,16 @@
 	for _, name := range harness.SiteNames {
 		It("is not flooded in "+name+" by a crowd that knew the former one", func() {
 			for seed := uint64(431); seed < 432; seed++ {
-				played := harness.StartReadyFleet(name, seed)
-				played.Run(10 * time.Second)
-				played.Traffic(30*time.Second, 3)
-				played.Run(8 * time.Second)
-				for index, server := range harness.ModelServers(played) {
-					played.World.After(time.Duration(index)*2*time.Second, server.Replace)
+				testFleet := harness.StartReadyFleet(name, seed)
+				testFleet.Run(10 * time.Second)
+				testFleet.Traffic(30*time.Second, 3)
+				testFleet.Run(8 * time.Second)
+				for index, server := range harness.ModelServers(testFleet) {
+					testFleet.World.After(time.Duration(index)*2*time.Second, server.Replace)
 				}
-				played.Run(22 * time.Second)
-				harness.ExpectNoBreaches(played)
-				Expect(played.Ledger.Stats.ColdShare).To(BeNumerically(">", 0))
+				testFleet.Run(22 * time.Second)
+				harness.ExpectNoBreaches(testFleet)
+				Expect(testFleet.Ledger.Stats.ColdShare).To(BeNumerically(">", 0))
 			}
 		})
 	}
