--- a/stories/soak/soak_test.go
+++ b/stories/soak/soak_test.go
@@ -1,4 +1,4 @@
-// Package soak plays a few long days of overlapping series of troubles; cedarrig --soak plays more of them.
+// Package soak tests the emulator on a few long runs with overlapping series of faults; cedarrig --soak runs more of them.
 package soak
 
 import (
@@ -11,43 +11,43 @@
 )
 
 const (
-	// part of the site's traffic that is played.
-	part   = 0.3
-	length = 100 * time.Second
-	// fewest is how many calls such a day has at least.
-	fewest = 5000
-	// tenants of the days with keys.
-	tenants = 9
+	// trafficShare is the fraction of the site's traffic that is generated.
+	trafficShare = 0.3
+	dayLength    = 100 * time.Second
+	// minAttempts is the number of call attempts that a run must exceed to be a useful test.
+	minAttempts = 5000
+	// tenantCount is the number of tenants in the runs with tenant keys.
+	tenantCount = 9
 )
 
 var _ = Describe("a long day of overlapping series", func() {
-	play := func(name string, seed uint64, tenants int) emulator.Result {
+	playDay := func(name string, seed uint64, tenantCount int) emulator.Result {
 		GinkgoHelper()
-		site, failure := emulator.LoadSite(filepath.Join("..", "..", "deploy", "emulated", name+".json"))
-		Expect(failure).NotTo(HaveOccurred())
-		site = site.Scaled(part, length)
-		site.Tenants = tenants
-		return emulator.Play(site, seed, emulator.Soak(site, seed))
+		emulatedSite, err := emulator.LoadSite(filepath.Join("..", "..", "deploy", "emulated", name+".json"))
+		Expect(err).NotTo(HaveOccurred())
+		emulatedSite = emulatedSite.Scaled(trafficShare, dayLength)
+		emulatedSite.Tenants = tenantCount
+		return emulator.Play(emulatedSite, seed, emulator.Soak(emulatedSite, seed))
 	}
 
 	for _, name := range []string{"brazos", "seri"} {
 		It("breaks no rule on "+name+" with tenants whose keys come and go", func() {
-			played := play(name, 2, tenants)
-			named := map[string]bool{}
-			for _, run := range played.Record.Arrivals {
-				named[run.Tenant] = true
+			result := playDay(name, 2, tenantCount)
+			seenTenants := map[string]bool{}
+			for _, arrival := range result.Record.Arrivals {
+				seenTenants[arrival.Tenant] = true
 			}
-			Expect(named).To(HaveLen(tenants))
-			Expect(played.Breaches).To(BeEmpty())
+			Expect(seenTenants).To(HaveLen(tenantCount))
+			Expect(result.Breaches).To(BeEmpty())
 		})
 
 		for _, seed := range []uint64{1, 5, 6} {
 			It("breaks no rule on "+name, func() {
-				played := play(name, seed, 0)
-				Expect(len(played.Record.Attempts)).To(BeNumerically(">", fewest))
-				Expect(len(played.Record.Departures)).To(BeNumerically(">", 50), "servers that left")
-				Expect(len(played.Record.Versions)).To(BeNumerically(">", 100), "changes of the configuration")
-				Expect(played.Breaches).To(BeEmpty(), "seed %d", seed)
+				result := playDay(name, seed, 0)
+				Expect(len(result.Record.Attempts)).To(BeNumerically(">", minAttempts))
+				Expect(len(result.Record.Departures)).To(BeNumerically(">", 50), "servers that left")
+				Expect(len(result.Record.Versions)).To(BeNumerically(">", 100), "changes of the configuration")
+				Expect(result.Breaches).To(BeEmpty(), "seed %d", seed)
 			})
 		}
 	}
