--- a/stories/core/links_test.go
+++ b/stories/core/links_test.go
@@ -11,45 +11,45 @@
 	. "github.com/onsi/gomega"
 )
 
-// Other nodes reach all members meanwhile, so that membership tells each of them to be alive.
+// All other nodes still reach every member during the cut, so membership reports each member as alive and can't detect the fault.
 var _ = Describe("a member that is cut off from its peers alone", func() {
-	for rank := range 3 {
+	for chainIndex := range 3 {
 		for _, bothWays := range []bool{true, false} {
-			It(fmt.Sprintf("does not hold up writes and reads for long (place %d in the chain, cut both ways: %v)", rank, bothWays), func() {
-				played := harness.StartReadyFleet("seri", uint64(380+rank))
-				view := harness.ChainView(played, played.Machines[1])
-				member := view.Chain[rank][:3]
+			It(fmt.Sprintf("does not hold up writes and reads for long (place %d in the chain, cut both ways: %v)", chainIndex, bothWays), func() {
+				testFleet := harness.StartReadyFleet("seri", uint64(380+chainIndex))
+				view := harness.ChainView(testFleet, testFleet.Machines[1])
+				member := view.Chain[chainIndex][:3]
 				others := []string{}
-				for _, core := range played.Cores() {
+				for _, core := range testFleet.Cores() {
 					if core.Name != member {
 						others = append(others, core.Name)
 					}
 				}
-				lifts := []func(){played.World.Cut([]string{member}, others)}
+				healLinks := []func(){testFleet.World.Cut([]string{member}, others)}
 				if bothWays {
-					lifts = append(lifts, played.World.Cut(others, []string{member}))
+					healLinks = append(healLinks, testFleet.World.Cut(others, []string{member}))
 				}
-				played.World.After(20*time.Second, func() {
-					for _, lift := range lifts {
-						lift()
+				testFleet.World.After(20*time.Second, func() {
+					for _, heal := range healLinks {
+						heal()
 					}
 				})
-				asker := played.Pick(func(machine *fleet.Machine) bool { return !machine.Core })[0]
-				began := played.World.Now
-				Expect(played.Until(12*time.Second, func() bool {
-					status := harness.SendPatch(played, asker, 1).Status
+				requester := testFleet.Pick(func(machine *fleet.Machine) bool { return !machine.Core })[0]
+				start := testFleet.World.Now
+				Expect(testFleet.Until(12*time.Second, func() bool {
+					status := harness.SendPatch(testFleet, requester, 1).Status
 					return status == 200 || status == 202
 				})).To(BeTrue(), "a write is acknowledged during the cut")
-				Expect(played.World.Now - began).To(BeNumerically("<", 12*time.Second))
-				Expect(played.Until(4*time.Second, func() bool {
-					return played.Operate(asker, contract.OperatorRequest{Verb: contract.VerbGet}).Status == 200
+				Expect(testFleet.World.Now - start).To(BeNumerically("<", 12*time.Second))
+				Expect(testFleet.Until(4*time.Second, func() bool {
+					return testFleet.Operate(requester, contract.OperatorRequest{Verb: contract.VerbGet}).Status == 200
 				})).To(BeTrue(), "a read is answered during the cut")
-				number := harness.ChainView(played, asker).Number
-				played.Run(4 * time.Second)
-				Expect(harness.ChainView(played, asker).Number).To(BeNumerically("<=", number+1), "the view rests during the cut")
-				played.Run(20 * time.Second)
-				Expect(harness.ChainView(played, asker).Chain).To(HaveLen(3), "all are back after it")
-				harness.ExpectNoBreaches(played)
+				viewNumber := harness.ChainView(testFleet, requester).Number
+				testFleet.Run(4 * time.Second)
+				Expect(harness.ChainView(testFleet, requester).Number).To(BeNumerically("<=", viewNumber+1), "the view rests during the cut")
+				testFleet.Run(20 * time.Second)
+				Expect(harness.ChainView(testFleet, requester).Chain).To(HaveLen(3), "all are back after it")
+				harness.ExpectNoBreaches(testFleet)
 			})
 		}
 	}
