--- a/stories/calls/calls_test.go
+++ b/stories/calls/calls_test.go
@@ -11,210 +11,212 @@
 	. "github.com/onsi/gomega"
 )
 
-func trouble(answer contract.Response) contract.ErrorBody {
-	told, _ := answer.Body.(contract.ErrorBody)
-	return told
+// errorBody returns the error in a response, or the zero value if the response is no error.
+func errorBody(answer contract.Response) contract.ErrorBody {
+	body, _ := answer.Body.(contract.ErrorBody)
+	return body
 }
 
-func slowly(kind *site.Caller) { kind.Pieces = 200 }
+// slowReply makes a reply long enough that the call still runs when the test injects its fault.
+func slowReply(caller *site.Caller) { caller.Pieces = 200 }
 
 var _ = Describe("a call runs at most once", func() {
 	for _, name := range harness.SiteNames {
 		It("in "+name+", when its node dies in the middle and it is repeated at every other node", func() {
-			played := harness.StartReadyFleet(name, 31)
-			nodes := played.InRegion(harness.HomeRegion(played))
-			probe := played.Probe("short", harness.HomeRegion(played)).With(slowly).Send(nodes[0])
-			Expect(played.Until(8*time.Second, func() bool { return len(played.Running()) == 1 })).To(BeTrue())
+			testFleet := harness.StartReadyFleet(name, 31)
+			nodes := testFleet.InRegion(harness.HomeRegion(testFleet))
+			probe := testFleet.Probe("short", harness.HomeRegion(testFleet)).With(slowReply).Send(nodes[0])
+			Expect(testFleet.Until(8*time.Second, func() bool { return len(testFleet.Running()) == 1 })).To(BeTrue())
 			nodes[0].Kill()
 			Expect(probe.Outcome(time.Second)).To(Equal("broken"))
 			for _, node := range nodes[1:] {
 				Expect(probe.Send(node).Outcome(5 * time.Second)).To(BeElementOf("running", "unknown"))
 			}
 			Expect(probe.Send(nodes[1]).Outcome(5 * time.Second)).To(Equal("unknown"))
-			harness.ExpectNoBreaches(played)
+			harness.ExpectNoBreaches(testFleet)
 		})
 	}
 
 	It("while it is sent to two nodes at the same moment by a careless caller", func() {
-		played := harness.StartReadyFleet("brazos", 32)
-		nodes := played.InRegion(harness.HomeRegion(played))
+		testFleet := harness.StartReadyFleet("brazos", 32)
+		nodes := testFleet.InRegion(harness.HomeRegion(testFleet))
 		for index := range 40 {
-			probe := played.Probe("short", harness.HomeRegion(played))
+			probe := testFleet.Probe("short", harness.HomeRegion(testFleet))
 			probe.Again(nodes[index%8])
 			probe.Again(nodes[(index+3)%8])
-			played.Run(300 * time.Millisecond)
+			testFleet.Run(300 * time.Millisecond)
 		}
-		harness.ExpectNoBreaches(played)
-		Expect(harness.OutcomeCounts(played, "short")["done"]).To(BeNumerically(">", 20))
+		harness.ExpectNoBreaches(testFleet)
+		Expect(harness.OutcomeCounts(testFleet, "short")["done"]).To(BeNumerically(">", 20))
 	})
 
 	It("and a repeat gets the finished reply as long as it is kept", func() {
-		played := harness.StartReadyFleet("seri", 33)
-		nodes := played.InRegion(harness.HomeRegion(played))
-		probe := played.Probe("short", harness.HomeRegion(played)).Send(nodes[0])
+		testFleet := harness.StartReadyFleet("seri", 33)
+		nodes := testFleet.InRegion(harness.HomeRegion(testFleet))
+		probe := testFleet.Probe("short", harness.HomeRegion(testFleet)).Send(nodes[0])
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
 		Expect(probe.Send(nodes[5]).Outcome(5 * time.Second)).To(Equal("done"))
-		Expect(played.Look(nodes[6], "desk", probe.Key(), harness.HomeRegion(played)).Body).To(HaveKeyWithValue("outcome", call.Done))
-		harness.ExpectNoBreaches(played)
+		Expect(testFleet.Look(nodes[6], "desk", probe.Key(), harness.HomeRegion(testFleet)).Body).To(HaveKeyWithValue("outcome", call.Done))
+		harness.ExpectNoBreaches(testFleet)
 	})
 
 	It("and a repeat is told unknown when all who could know have restarted", func() {
-		played := harness.StartReadyFleet("brazos", 34)
-		nodes := played.InRegion(harness.HomeRegion(played))
-		probe := played.Probe("short", harness.HomeRegion(played)).With(slowly).Send(nodes[0])
-		played.Run(time.Second)
-		played.KillFor(nodes, 500*time.Millisecond)
-		played.Run(8 * time.Second)
+		testFleet := harness.StartReadyFleet("brazos", 34)
+		nodes := testFleet.InRegion(harness.HomeRegion(testFleet))
+		probe := testFleet.Probe("short", harness.HomeRegion(testFleet)).With(slowReply).Send(nodes[0])
+		testFleet.Run(time.Second)
+		testFleet.KillFor(nodes, 500*time.Millisecond)
+		testFleet.Run(8 * time.Second)
 		Expect(probe.Send(nodes[2]).Outcome(5 * time.Second)).To(Equal("unknown"))
-		Expect(played.Probe("short", harness.HomeRegion(played)).Send(nodes[3]).Outcome(10 * time.Second)).To(Equal("done"))
-		harness.ExpectNoBreaches(played)
+		Expect(testFleet.Probe("short", harness.HomeRegion(testFleet)).Send(nodes[3]).Outcome(10 * time.Second)).To(Equal("done"))
+		harness.ExpectNoBreaches(testFleet)
 	})
 
 	It("when its node is frozen at any moment of it and woken after it was repeated elsewhere", func() {
-		for moment := range 24 {
-			played := harness.StartReadyFleet("brazos", 35)
-			nodes := played.InRegion(harness.HomeRegion(played))
-			probe := played.Probe("short", harness.HomeRegion(played)).Send(nodes[0])
-			played.Run(time.Duration(moment) * 400 * time.Microsecond)
-			played.FreezeFor(nodes[:1], 6*time.Second)
-			played.Run(3 * time.Second)
+		for step := range 24 {
+			testFleet := harness.StartReadyFleet("brazos", 35)
+			nodes := testFleet.InRegion(harness.HomeRegion(testFleet))
+			probe := testFleet.Probe("short", harness.HomeRegion(testFleet)).Send(nodes[0])
+			testFleet.Run(time.Duration(step) * 400 * time.Microsecond)
+			testFleet.FreezeFor(nodes[:1], 6*time.Second)
+			testFleet.Run(3 * time.Second)
 			probe.Send(nodes[1])
-			played.Run(8 * time.Second)
-			harness.ExpectNoBreaches(played)
+			testFleet.Run(8 * time.Second)
+			harness.ExpectNoBreaches(testFleet)
 		}
 	})
 })
 
 var _ = Describe("what a caller is told", func() {
 	It("is not run only when the call can never run: a line that is full, a server that refuses", func() {
-		played := harness.StartReadyFleet("brazos", 41)
-		for _, server := range played.Servers {
+		testFleet := harness.StartReadyFleet("brazos", 41)
+		for _, server := range testFleet.Servers {
 			if server.Kind == "model" {
 				server.Mode = "refuse"
 			}
 		}
-		probe := played.Probe("short", harness.HomeRegion(played)).Send(played.InRegion(harness.HomeRegion(played))[0])
+		probe := testFleet.Probe("short", harness.HomeRegion(testFleet)).Send(testFleet.InRegion(harness.HomeRegion(testFleet))[0])
 		Expect(probe.Outcome(30 * time.Second)).To(Equal("not_run"))
-		harness.ExpectNoBreaches(played)
+		harness.ExpectNoBreaches(testFleet)
 	})
 
 	It("is unknown, not a success, for a reply that is cut, truncated or another's", func() {
 		for _, mode := range []string{"cut", "truncate", "wrong"} {
-			played := harness.StartReadyFleet("seri", 42)
-			for _, server := range played.Servers {
+			testFleet := harness.StartReadyFleet("seri", 42)
+			for _, server := range testFleet.Servers {
 				server.Mode = mode
 			}
 			for _, class := range []string{"long", "short"} {
-				probe := played.Probe(class, harness.HomeRegion(played)).Send(played.InRegion(harness.HomeRegion(played))[0])
+				probe := testFleet.Probe(class, harness.HomeRegion(testFleet)).Send(testFleet.InRegion(harness.HomeRegion(testFleet))[0])
 				Expect(probe.Outcome(40*time.Second)).To(BeElementOf("unknown", "interrupted"), mode+" "+class)
 			}
-			harness.ExpectNoBreaches(played)
+			harness.ExpectNoBreaches(testFleet)
 		}
 	})
 
 	It("is its final answer at once, with when to come back, when it is given up on", func() {
-		played := harness.StartReadyFleet("brazos", 43)
-		played.Traffic(15*time.Second, 12)
-		played.Run(15 * time.Second)
-		harness.ExpectNoBreaches(played)
-		refused, worst := 0, time.Duration(0)
+		testFleet := harness.StartReadyFleet("brazos", 43)
+		testFleet.Traffic(15*time.Second, 12)
+		testFleet.Run(15 * time.Second)
+		harness.ExpectNoBreaches(testFleet)
+		refused, slowest := 0, time.Duration(0)
 		for _, class := range []string{"long", "short", "lookup"} {
-			refused += harness.OutcomeCounts(played, class)["not_run"]
-			worst = max(worst, played.Ledger.Stats.Classes[class].Refused)
+			refused += harness.OutcomeCounts(testFleet, class)["not_run"]
+			slowest = max(slowest, testFleet.Ledger.Stats.Classes[class].Refused)
 		}
 		Expect(refused).To(BeNumerically(">", 100))
-		Expect(played.Ledger.Stats.Hasty).To(BeZero(), "every refusal says when to come back")
-		GinkgoWriter.Println("slowest refusal", worst, played.Ledger.Stats.Summary())
+		Expect(testFleet.Ledger.Stats.Hasty).To(BeZero(), "every refusal says when to come back")
+		GinkgoWriter.Println("slowest refusal", slowest, testFleet.Ledger.Stats.Summary())
 	})
 
 	It("is refused at its own home when its home is down, and never sent elsewhere", func() {
-		played := harness.StartReadyFleet("seri", 44)
-		away := played.Site.Regions()[1]
-		for _, server := range played.Servers {
-			if server.Region == harness.HomeRegion(played) {
+		testFleet := harness.StartReadyFleet("seri", 44)
+		away := testFleet.Site.Regions()[1]
+		for _, server := range testFleet.Servers {
+			if server.Region == harness.HomeRegion(testFleet) {
 				server.Crash()
 			}
 		}
-		here := played.Probe("short", harness.HomeRegion(played)).Send(played.InRegion(harness.HomeRegion(played))[0])
-		Expect(here.Outcome(40 * time.Second)).To(Equal("not_run"))
-		there := played.Probe("short", harness.HomeRegion(played)).Send(played.InRegion(away)[0])
-		Expect(there.Outcome(40 * time.Second)).To(Equal("not_run"))
-		harness.ExpectNoBreaches(played)
+		atHome := testFleet.Probe("short", harness.HomeRegion(testFleet)).Send(testFleet.InRegion(harness.HomeRegion(testFleet))[0])
+		Expect(atHome.Outcome(40 * time.Second)).To(Equal("not_run"))
+		elsewhere := testFleet.Probe("short", harness.HomeRegion(testFleet)).Send(testFleet.InRegion(away)[0])
+		Expect(elsewhere.Outcome(40 * time.Second)).To(Equal("not_run"))
+		harness.ExpectNoBreaches(testFleet)
 	})
 
-	DescribeTable("is the right status for bad input", func(status int, change func(*call.Call)) {
-		played := harness.StartReadyFleet("brazos", 45)
-		asked := call.Call{Key: "k", Caller: "desk", Route: "replies", Home: harness.HomeRegion(played), Digest: "d"}
-		change(&asked)
-		answer := played.Arrive(played.InRegion(harness.HomeRegion(played))[0], asked)
+	DescribeTable("is the right status for bad input", func(status int, modify func(*call.Call)) {
+		testFleet := harness.StartReadyFleet("brazos", 45)
+		request := call.Call{Key: "k", Caller: "desk", Route: "replies", Home: harness.HomeRegion(testFleet), Digest: "d"}
+		modify(&request)
+		answer := testFleet.Arrive(testFleet.InRegion(harness.HomeRegion(testFleet))[0], request)
 		Expect(answer.Status).To(Equal(status))
-		Expect(trouble(answer).Outcome).To(Equal(string(call.NotRun)))
+		Expect(errorBody(answer).Outcome).To(Equal(string(call.NotRun)))
 	},
-		Entry("unknown route", 404, func(asked *call.Call) { asked.Route = "nowhere" }),
-		Entry("a lookup's route", 404, func(asked *call.Call) { asked.Route = "pings" }),
-		Entry("a home that is no region", 400, func(asked *call.Call) { asked.Home = "moon" }),
-		Entry("a hop that loops", 400, func(asked *call.Call) { asked.Home, asked.Forwarded = "coast", true }),
+		Entry("unknown route", 404, func(request *call.Call) { request.Route = "nowhere" }),
+		Entry("a lookup's route", 404, func(request *call.Call) { request.Route = "pings" }),
+		Entry("a home that is no region", 400, func(request *call.Call) { request.Home = "moon" }),
+		Entry("a hop that loops", 400, func(request *call.Call) { request.Home, request.Forwarded = "coast", true }),
 	)
 
 	It("is a refusal when a key is used with another body", func() {
-		played := harness.StartReadyFleet("brazos", 46)
-		nodes := played.InRegion(harness.HomeRegion(played))
-		probe := played.Probe("short", harness.HomeRegion(played)).Send(nodes[0])
+		testFleet := harness.StartReadyFleet("brazos", 46)
+		nodes := testFleet.InRegion(harness.HomeRegion(testFleet))
+		probe := testFleet.Probe("short", harness.HomeRegion(testFleet)).Send(nodes[0])
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
-		answer := played.Arrive(nodes[4], call.Call{Key: probe.Key(), Caller: "desk", Route: "replies", Digest: "another"})
+		answer := testFleet.Arrive(nodes[4], call.Call{Key: probe.Key(), Caller: "desk", Route: "replies", Digest: "another"})
 		Expect(answer.Status).To(Equal(422))
-		other := played.Arrive(nodes[4], call.Call{Key: probe.Key(), Caller: "someone else", Route: "nowhere", Digest: "another"})
-		Expect(other.Status).To(Equal(404), "keys are scoped by caller")
+		otherCaller := testFleet.Arrive(nodes[4], call.Call{Key: probe.Key(), Caller: "someone else", Route: "nowhere", Digest: "another"})
+		Expect(otherCaller.Status).To(Equal(404), "keys are scoped by caller")
 	})
 })
 
 var _ = Describe("why", func() {
 	It("tells from any node where a call went and why", func() {
-		played := harness.StartReadyFleet("brazos", 51)
-		probe := played.Probe("short", harness.HomeRegion(played)).Send(played.InRegion(harness.HomeRegion(played))[0])
+		testFleet := harness.StartReadyFleet("brazos", 51)
+		probe := testFleet.Probe("short", harness.HomeRegion(testFleet)).Send(testFleet.InRegion(harness.HomeRegion(testFleet))[0])
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
-		for _, machine := range played.Machines {
-			answer := played.Operate(machine, contract.OperatorRequest{Verb: contract.VerbWhy, Subject: probe.Key()})
+		for _, machine := range testFleet.Machines {
+			answer := testFleet.Operate(machine, contract.OperatorRequest{Verb: contract.VerbWhy, Subject: probe.Key()})
 			Expect(answer.Status).To(Equal(200))
-			told := string(harness.EncodeJSON(answer.Body))
-			for _, word := range []string{"chosen: ", "epoch", "number", `"revision":1`, `"outcome":"done"`, `"proof":"whole"`} {
-				Expect(told).To(ContainSubstring(word))
+			body := string(harness.EncodeJSON(answer.Body))
+			for _, expected := range []string{"chosen: ", "epoch", "number", `"revision":1`, `"outcome":"done"`, `"proof":"whole"`} {
+				Expect(body).To(ContainSubstring(expected))
 			}
 		}
-		Expect(played.Operate(played.Machines[0], contract.OperatorRequest{Verb: contract.VerbWhy, Subject: "never"}).Status).To(Equal(404))
+		Expect(testFleet.Operate(testFleet.Machines[0], contract.OperatorRequest{Verb: contract.VerbWhy, Subject: "never"}).Status).To(Equal(404))
 	})
 })
 
 var _ = It("a repeat on the heels of the reply gets it, even at a keeper that the end did not reach", func() {
-	played := harness.StartReadyFleet("seri", 36)
-	nodes := played.InRegion(harness.HomeRegion(played))
+	testFleet := harness.StartReadyFleet("seri", 36)
+	nodes := testFleet.InRegion(harness.HomeRegion(testFleet))
 	for index := range 21 {
-		other := nodes[1+index%7]
-		probe := played.Probe("short", harness.HomeRegion(played)).Send(nodes[0])
-		played.Run(300 * time.Millisecond)
-		played.World.Cut([]string{nodes[0].Name}, []string{other.Name})
+		otherNode := nodes[1+index%7]
+		probe := testFleet.Probe("short", harness.HomeRegion(testFleet)).Send(nodes[0])
+		testFleet.Run(300 * time.Millisecond)
+		testFleet.World.Cut([]string{nodes[0].Name}, []string{otherNode.Name})
 		Expect(probe.Outcome(10 * time.Second)).To(Equal("done"))
-		Expect(probe.Send(other).Outcome(5 * time.Second)).To(Equal("done"))
-		played.World.Heal()
-		played.Run(time.Second)
+		Expect(probe.Send(otherNode).Outcome(5 * time.Second)).To(Equal("done"))
+		testFleet.World.Heal()
+		testFleet.Run(time.Second)
 	}
-	harness.ExpectNoBreaches(played)
+	harness.ExpectNoBreaches(testFleet)
 })
 
 var _ = Describe("repeats", func() {
 	for _, name := range harness.SiteNames {
 		It("stay a small share in "+name+" while half of the servers of each kind turn calls away", func() {
-			played := harness.StartReadyFleet(name, 131)
-			played.Run(10 * time.Second)
-			played.Traffic(25*time.Second, 0.6)
-			for place, server := range played.Servers {
-				if place%2 == 0 {
+			testFleet := harness.StartReadyFleet(name, 131)
+			testFleet.Run(10 * time.Second)
+			testFleet.Traffic(25*time.Second, 0.6)
+			for index, server := range testFleet.Servers {
+				if index%2 == 0 {
 					server.Mode = "refuse"
 				}
 			}
-			played.Run(25 * time.Second)
-			harness.ExpectNoBreaches(played)
-			GinkgoWriter.Println(played.Ledger.Stats.Summary())
+			testFleet.Run(25 * time.Second)
+			harness.ExpectNoBreaches(testFleet)
+			GinkgoWriter.Println(testFleet.Ledger.Stats.Summary())
 		})
 	}
 })
--- a/stories/calls/fair_test.go
+++ b/stories/calls/fair_test.go
@@ -12,30 +12,30 @@
 var _ = Describe("a caller that sends far more than all others", func() {
 	for _, name := range harness.SiteNames {
 		It("does not keep a small one of the same route from being served in "+name, func() {
-			played := harness.StartReadyFleet(name, 381)
-			played.Run(8 * time.Second)
-			home := harness.HomeRegion(played)
-			nodes := played.InRegion(home)
-			small := []*fleet.Probe{}
+			testFleet := harness.StartReadyFleet(name, 381)
+			testFleet.Run(8 * time.Second)
+			home := harness.HomeRegion(testFleet)
+			nodes := testFleet.InRegion(home)
+			smallProbes := []*fleet.Probe{}
 			for index := range 6000 {
-				played.World.After(time.Duration(index)*2*time.Millisecond, func() {
-					played.Probe("long", home).Of("greedy").Send(nodes[index%len(nodes)])
+				testFleet.World.After(time.Duration(index)*2*time.Millisecond, func() {
+					testFleet.Probe("long", home).Of("greedy").Send(nodes[index%len(nodes)])
 				})
 			}
 			for index := range 40 {
-				played.World.After(4*time.Second+time.Duration(index)*200*time.Millisecond, func() {
-					small = append(small, played.Probe("long", home).Of("small").Send(nodes[index%len(nodes)]))
+				testFleet.World.After(4*time.Second+time.Duration(index)*200*time.Millisecond, func() {
+					smallProbes = append(smallProbes, testFleet.Probe("long", home).Of("small").Send(nodes[index%len(nodes)]))
 				})
 			}
-			played.Run(24 * time.Second)
-			ends, slowest := map[string]int{}, time.Duration(0)
-			for _, probe := range small {
-				ends[probe.Ended]++
+			testFleet.Run(24 * time.Second)
+			outcomes, slowest := map[string]int{}, time.Duration(0)
+			for _, probe := range smallProbes {
+				outcomes[probe.Ended]++
 				slowest = max(slowest, probe.Took())
 			}
-			Expect(ends["done"]).To(Equal(len(small)), "%v, slowest %v", ends, slowest)
+			Expect(outcomes["done"]).To(Equal(len(smallProbes)), "%v, slowest %v", outcomes, slowest)
 			Expect(slowest).To(BeNumerically("<", 8*time.Second))
-			harness.ExpectNoBreaches(played)
+			harness.ExpectNoBreaches(testFleet)
 		})
 	}
 })
