--- a/cmd/cedarrig/play.go
+++ b/cmd/cedarrig/play.go
@@ -41,9 +41,9 @@
 		}
 		changes = append(changes, change)
 	}
-	plan := emulator.Plan{Drawn: given.Faults}
+	plan := emulator.Plan{DrawCount: given.Faults}
 	if given.Fault != "" {
-		plan = emulator.Plan{Troubles: described.Named(given.Fault)}
+		plan = emulator.Plan{Troubles: described.TroublesNamed(given.Fault)}
 		if len(plan.Troubles) == 0 {
 			return false, eris.Errorf("no trouble %q; there are %s", given.Fault, strings.Join(emulator.Kinds(), " "))
 		}
@@ -65,7 +65,7 @@
 		options = append(options, emulator.WithOracle())
 	}
 	if given.Tell {
-		options = append(options, emulator.WithTell(func(text string) { fmt.Print(text) }))
+		options = append(options, emulator.WithLog(func(text string) { fmt.Print(text) }))
 	}
 	figures, clean := make([]emulator.Figures, given.Play), true
 	places, lock, group := make(chan int), sync.Mutex{}, sync.WaitGroup{}
@@ -74,7 +74,7 @@
 		go func() {
 			defer group.Done()
 			for place := range places {
-				site, seed := described.Scaled(given.Rate, described.Length()), given.Seed+uint64(place)
+				site, seed := described.Scaled(given.Rate, described.TrafficDuration()), given.Seed+uint64(place)
 				result := emulator.Play(site, seed, plan(site, seed), options...)
 				lock.Lock()
 				figures[place] = result.Figures
@@ -96,12 +96,12 @@
 }
 
 func tellDay(given arguments, result emulator.Result, setting string) bool {
-	if len(result.Breaches) == 0 {
+	if len(result.Violations) == 0 {
 		return true
 	}
-	fmt.Printf("seed %d %s: %d breaches, troubles %v\n", result.Seed, setting, len(result.Breaches), result.Troubles)
+	fmt.Printf("seed %d %s: %d breaches, troubles %v\n", result.Seed, setting, len(result.Violations), result.Troubles)
 	told := map[string]int{}
-	for _, breach := range result.Breaches {
+	for _, breach := range result.Violations {
 		if told[breach.Rule]++; told[breach.Rule] <= mostBreaches {
 			fmt.Println("  ", breach)
 		}
--- a/emulator/account.go
+++ b/emulator/account.go
@@ -10,28 +10,28 @@
 
 // Reasons why a call was not served inside its aim.
 const (
-	reasonEarlier  = "earlier tries"
-	reasonNode     = "held at the node"
-	reasonDistance = "way to the server"
-	reasonBehind   = "behind other prompts"
-	reasonReread   = "shared parts unread there"
-	reasonOwn      = "its own prompt"
-	reasonPause    = "pause between pieces"
-	reasonUnserved = "not served: "
+	reasonEarlierAttempts = "earlier tries"
+	reasonNodeQueue       = "held at the node"
+	reasonNetwork         = "way to the server"
+	reasonOtherPrompts    = "behind other prompts"
+	reasonUncachedShared  = "shared parts unread there"
+	reasonOwnPrompt       = "its own prompt"
+	reasonPause           = "pause between pieces"
+	reasonUnserved        = "not served: "
 )
 
-// waits are the parts of the time until the first piece of a call's last try came.
-type waits struct {
-	earlier, node, distance, behind, reread, own time.Duration
+// latencyBreakdown splits the time until the first piece of a call's last attempt.
+type latencyBreakdown struct {
+	earlierAttempts, nodeQueue, network, otherPrompts, uncachedShared, ownPrompt time.Duration
 }
 
-// largest names the longest wait.
-func (waits waits) largest() string {
-	reason, most := reasonEarlier, waits.earlier
+// largest names the longest part.
+func (waits latencyBreakdown) largest() string {
+	reason, most := reasonEarlierAttempts, waits.earlierAttempts
 	for _, one := range []struct {
 		reason string
 		span   time.Duration
-	}{{reasonNode, waits.node}, {reasonDistance, waits.distance}, {reasonBehind, waits.behind}, {reasonReread, waits.reread}, {reasonOwn, waits.own}} {
+	}{{reasonNodeQueue, waits.nodeQueue}, {reasonNetwork, waits.network}, {reasonOtherPrompts, waits.otherPrompts}, {reasonUncachedShared, waits.uncachedShared}, {reasonOwnPrompt, waits.ownPrompt}} {
 		if one.span > most {
 			reason, most = one.reason, one.span
 		}
@@ -39,26 +39,26 @@
 	return reason
 }
 
-// explain notes what a call waited for, when its first token is made.
-func (batch *batch) explain(job *task) {
+// recordLatency records where the time of a call went, when its first token is generated. Probes have no figures.
+func (batch *batch) recordLatency(job *task) {
 	figure := job.request.figure
 	if figure == nil {
 		return
 	}
-	engine, arrival, try := batch.engine, job.arrival, job.request.try
+	engine, arrival, try := batch.engine, job.arrival, job.request.attempt
 	read := func(tokens int64) time.Duration {
 		return seconds(float64(tokens) / engine.TokensPerMs * batch.server.speed / 1000)
 	}
-	reread, own := read(job.state.reread), read(job.state.fresh)
-	figure.waits = waits{earlier: try.Sent - job.request.began, node: job.sent - try.Sent, distance: 2 * (arrival.ArrivedAt - job.sent), reread: reread, own: own}
-	figure.waits.behind = max(0, batch.server.day.world.Now-arrival.ArrivedAt-reread-own-seconds(engine.FirstMs/1000))
+	reread, own := read(job.progress.rereadTokens), read(job.progress.freshTokens)
+	figure.latency = latencyBreakdown{earlierAttempts: try.Sent - job.request.startedAt, nodeQueue: job.sent - try.Sent, network: 2 * (arrival.ArrivedAt - job.sent), uncachedShared: reread, ownPrompt: own}
+	figure.latency.otherPrompts = max(0, batch.server.day.world.Now-arrival.ArrivedAt-reread-own-seconds(engine.FirstMs/1000))
 }
 
-// Account counts, by class and reason, the calls that were not served inside their aim.
-type Account map[string]map[string]int
+// MissReasons counts the calls that missed their latency target, by class and reason.
+type MissReasons map[string]map[string]int
 
-func (day *Day) account() Account {
-	account := Account{}
+func (day *Day) missReasons() MissReasons {
+	account := MissReasons{}
 	for _, one := range day.figures {
 		reason := ""
 		switch {
@@ -69,7 +69,7 @@
 		case one.Paused:
 			reason = reasonPause
 		default:
-			reason = one.waits.largest()
+			reason = one.latency.largest()
 		}
 		if account[one.Class] == nil {
 			account[one.Class] = map[string]int{}
@@ -80,7 +80,7 @@
 }
 
 // values gives the counts by class and reason.
-func (account Account) values() map[string]float64 {
+func (account MissReasons) values() map[string]float64 {
 	values := map[string]float64{}
 	for class, reasons := range account {
 		for reason, count := range reasons {
@@ -90,7 +90,7 @@
 	return values
 }
 
-func (account Account) text() string {
+func (account MissReasons) text() string {
 	text := strings.Builder{}
 	for _, class := range slices.Sorted(maps.Keys(account)) {
 		for _, reason := range slices.Sorted(maps.Keys(account[class])) {
--- a/emulator/batch.go
+++ b/emulator/batch.go
@@ -8,54 +8,55 @@
 	"github.com/cedarreel/cedarreel/emulator/rules"
 )
 
-// batch is the engine of a server: it works in steps, one token for each request that it has read, and a chunk of the prompts that it
-// has not. What runs and what is kept share one memory.
+// batch simulates an inference engine with continuous batching. Each step generates one token for every request whose prompt is
+// read, and reads a chunk of the prompts that are not. Running requests and the prefix cache share one memory of tokens.
 type batch struct {
-	server *server
-	engine *Engine
-	parts  map[string]*keptPart
-	used   int64
-	clock  int64
-	awake  bool
-	// keeps bounds the tokens of unused kept parts when it is above 0; had are all parts that were ever kept here.
-	keeps int64
-	had   map[string]bool
-	// lost tells that parts were hidden from new requests.
-	lost bool
+	server     *server
+	engine     *Engine
+	cached     map[string]*cachedPart
+	usedTokens int64
+	useCounter int64
+	stepping   bool
+	// cacheLimit bounds the tokens of unused cached parts; 0 sets no bound. everCached has the keys of all parts that were ever
+	// cached here.
+	cacheLimit int64
+	everCached map[string]bool
+	// hasHidden tells whether parts are hidden from new requests by a simulated cache loss.
+	hasHidden bool
 }
 
-type keptPart struct {
-	tokens int64
-	users  int
-	used   int64
-	after  string
+type cachedPart struct {
+	tokens  int64
+	users   int
+	lastUse int64
+	parent  string
 }
 
-// reading is what a server knows of a request beyond the queue.
-type reading struct {
-	unread int64
-	// reread and fresh are what of the prompt was not kept when the request was let in: shared parts, and the rest.
-	reread   int64
-	fresh    int64
-	reserved int64
-	made     int64
-	sent     int
-	parts    []string
-	own      []string
-	ready    time.Duration
+// progress is the state of a request in the engine.
+type progress struct {
+	unreadTokens int64
+	// rereadTokens and freshTokens split what was not cached when the request was admitted: parts that prompts share, and the rest.
+	rereadTokens    int64
+	freshTokens     int64
+	reservedTokens  int64
+	generatedTokens int64
+	sentPieces      int
+	cachedKeys      []string
+	uncachedKeys    []string
+	readyAt         time.Duration
 }
 
 func newBatch(server *server, engine *Engine) *batch {
-	return &batch{server: server, engine: engine, parts: map[string]*keptPart{}, had: map[string]bool{}}
+	return &batch{server: server, engine: engine, cached: map[string]*cachedPart{}, everCached: map[string]bool{}}
 }
 
-// fits tells whether a request can ever run here.
+// fits tells whether a request is small enough to run here at all.
 func (batch *batch) fits(job *task) bool {
 	return job.request.prompt.Input+job.request.prompt.Output <= batch.engine.Tokens
 }
 
-// keys gives a key for each part of a prompt that stands for all parts up to it.
-func keys(job *task) []string {
+// prefixKeys gives a cache key for each part of a prompt; a key stands for the whole prefix up to that part.
+func prefixKeys(job *task) []string {
 	all, key := []string{}, job.request.prompt.Model
 	for _, part := range job.request.prompt.Parts {
 		key += "/" + part.ID
@@ -64,132 +65,133 @@
 	return all
 }
 
-// let takes a request in when its memory can be had, pushing out kept parts that nobody uses.
-func (batch *batch) let(job *task) bool {
-	if job.state == nil {
-		job.state = &reading{sent: job.after, made: int64(job.after * batch.engine.Stride)}
+// tryAdmit reserves memory for a request and evicts unused cached parts for it. It reports false if memory does
+// not suffice.
+func (batch *batch) tryAdmit(job *task) bool {
+	if job.progress == nil {
+		job.progress = &progress{sentPieces: job.resumeAfter, generatedTokens: int64(job.resumeAfter * batch.engine.Stride)}
 	}
-	state, held, prompt := job.state, int64(0), job.request.prompt
-	all := keys(job)
-	state.parts, state.own = nil, nil
+	state, held, prompt := job.progress, int64(0), job.request.prompt
+	all := prefixKeys(job)
+	state.cachedKeys, state.uncachedKeys = nil, nil
 	for index, key := range all {
-		part, there := batch.parts[key]
+		part, there := batch.cached[key]
 		if !there {
-			state.own = all[index:]
+			state.uncachedKeys = all[index:]
 			break
 		}
 		part.users++
-		state.parts = append(state.parts, key)
+		state.cachedKeys = append(state.cachedKeys, key)
 		held += prompt.Parts[index].Tokens
 	}
-	need := prompt.Input - held + state.made + int64(batch.engine.Stride)
-	if !batch.room(need) {
-		for _, key := range state.parts {
-			batch.parts[key].users--
+	need := prompt.Input - held + state.generatedTokens + int64(batch.engine.Stride)
+	if !batch.makeRoom(need) {
+		for _, key := range state.cachedKeys {
+			batch.cached[key].users--
 		}
-		state.parts, state.own = nil, nil
+		state.cachedKeys, state.uncachedKeys = nil, nil
 		return false
 	}
-	batch.clock++
-	for _, key := range state.parts {
-		batch.parts[key].used = batch.clock
+	batch.useCounter++
+	for _, key := range state.cachedKeys {
+		batch.cached[key].lastUse = batch.useCounter
 	}
-	batch.used += need
-	state.reserved, state.unread = need, prompt.Input-held+state.made
-	state.ready = batch.server.day.world.Now + seconds(batch.engine.FirstMs/1000)
-	state.reread = max(0, prompt.Shared()-held)
-	state.fresh = state.unread - state.reread
-	batch.compare(job, held)
-	batch.count(job, held)
+	batch.usedTokens += need
+	state.reservedTokens, state.unreadTokens = need, prompt.Input-held+state.generatedTokens
+	state.readyAt = batch.server.day.world.Now + seconds(batch.engine.FirstMs/1000)
+	state.rereadTokens = max(0, prompt.Shared()-held)
+	state.freshTokens = state.unreadTokens - state.rereadTokens
+	batch.recordMismatch(job, held)
+	batch.countReads(job, held)
 	return true
 }
 
-// count notes what is read, and what of it has been read before at some server.
-func (batch *batch) count(job *task, held int64) {
+// countReads counts the tokens to be read, and those among them that some server has read before.
+func (batch *batch) countReads(job *task, held int64) {
 	day, prompt, sum := batch.server.day, job.request.prompt, int64(0)
-	for index, key := range keys(job) {
+	for index, key := range prefixKeys(job) {
 		tokens := prompt.Parts[index].Tokens
 		if sum += tokens; sum <= held {
 			continue
 		}
-		if index+1 < len(prompt.Parts) && day.shared[key] {
-			day.again += tokens
+		if index+1 < len(prompt.Parts) && day.sharedSeen[key] {
+			day.rereadTokens += tokens
 		}
-		day.shared[key] = true
+		day.sharedSeen[key] = true
 	}
-	day.read += job.state.unread
+	day.readTokens += job.progress.unreadTokens
 }
 
-// room makes room for tokens out of the kept parts that have been unused for the longest.
-func (batch *batch) room(tokens int64) bool {
-	for batch.used+tokens > batch.engine.Tokens {
+// makeRoom evicts the least recently used parts until the tokens fit; it reports false if that is not enough.
+func (batch *batch) makeRoom(tokens int64) bool {
+	for batch.usedTokens+tokens > batch.engine.Tokens {
 		oldest := ""
-		for key, part := range batch.parts {
+		for key, part := range batch.cached {
 			if part.users > 0 {
 				continue
 			}
-			if oldest == "" || batch.older(key, oldest) {
+			if oldest == "" || batch.lessRecentlyUsed(key, oldest) {
 				oldest = key
 			}
 		}
 		if oldest == "" {
 			return false
 		}
-		batch.drop(oldest)
+		batch.evict(oldest)
 	}
 	return true
 }
 
-// keep turns a prompt that was read whole into parts that others may share.
-func (batch *batch) keep(job *task) {
-	state, prompt := job.state, job.request.prompt
-	first := len(prompt.Parts) - len(state.own)
-	for index, key := range state.own {
+// cachePrompt turns a prompt that has been read into cached parts that other requests may use.
+func (batch *batch) cachePrompt(job *task) {
+	state, prompt := job.progress, job.request.prompt
+	first := len(prompt.Parts) - len(state.uncachedKeys)
+	for index, key := range state.uncachedKeys {
 		tokens := prompt.Parts[first+index].Tokens
-		if len(state.parts) > 0 {
-			key = besideLost(state.parts[len(state.parts)-1], key)
+		if len(state.cachedKeys) > 0 {
+			key = hideAfterLost(state.cachedKeys[len(state.cachedKeys)-1], key)
 		}
-		if part, there := batch.parts[key]; there {
+		if part, there := batch.cached[key]; there {
 			part.users++
-			state.parts = append(state.parts, key)
+			state.cachedKeys = append(state.cachedKeys, key)
 			continue
 		}
-		batch.clock++
-		part := &keptPart{tokens: tokens, users: 1, used: batch.clock}
-		if len(state.parts) > 0 {
-			part.after = state.parts[len(state.parts)-1]
-			batch.parts[part.after].users++
+		batch.useCounter++
+		part := &cachedPart{tokens: tokens, users: 1, lastUse: batch.useCounter}
+		if len(state.cachedKeys) > 0 {
+			part.parent = state.cachedKeys[len(state.cachedKeys)-1]
+			batch.cached[part.parent].users++
 		}
-		batch.parts[key], batch.had[key] = part, true
-		state.parts = append(state.parts, key)
-		state.reserved -= tokens
+		batch.cached[key], batch.everCached[key] = part, true
+		state.cachedKeys = append(state.cachedKeys, key)
+		state.reservedTokens -= tokens
 	}
-	state.own = nil
+	state.uncachedKeys = nil
 }
 
-// release gives back what a request held; its parts are kept.
+// release frees the memory of a request; its cached parts stay until they are evicted.
 func (batch *batch) release(job *task) {
-	state := job.state
+	state := job.progress
 	if state == nil {
 		return
 	}
-	batch.used -= state.reserved
-	state.reserved = 0
-	for _, key := range state.parts {
-		if part := batch.parts[key]; part != nil {
+	batch.usedTokens -= state.reservedTokens
+	state.reservedTokens = 0
+	for _, key := range state.cachedKeys {
+		if part := batch.cached[key]; part != nil {
 			part.users--
 		}
 	}
-	state.parts, state.own = nil, nil
+	state.cachedKeys, state.uncachedKeys = nil, nil
 	batch.trim()
 }
 
 func (batch *batch) admit() {
 	server := batch.server
-	slices.SortStableFunc(server.queue, func(left, right *task) int { return cmp.Compare(left.rank(), right.rank()) })
+	slices.SortStableFunc(server.queue, func(left, right *task) int { return cmp.Compare(left.priority(), right.priority()) })
 	for len(server.queue) > 0 && len(server.running) < server.service.Slots {
 		job := server.queue[0]
-		if !batch.let(job) {
+		if !batch.tryAdmit(job) {
 			return
 		}
 		server.queue = server.queue[1:]
@@ -197,104 +199,105 @@
 	}
 }
 
-func (job *task) rank() int {
-	if job.urgency < 0 {
-		return usualRank
+func (job *task) priority() int {
+	if job.priorityClass < 0 {
+		return defaultPriority
 	}
-	return job.urgency
+	return job.priorityClass
 }
 
-func (batch *batch) wake() {
-	if batch.awake {
+func (batch *batch) resume() {
+	if batch.stepping {
 		return
 	}
 	batch.admit()
 	if len(batch.server.running) > 0 {
-		batch.awake = true
+		batch.stepping = true
 		batch.step()
 	}
 }
 
-// step takes the time of one pass over all that runs.
+// step takes the time of one pass over all running requests.
 func (batch *batch) step() {
 	server, engine := batch.server, batch.engine
 	chunk, context, read, pairs := engine.Chunk, int64(0), int64(0), 0.0
 	decoding := []*task{}
 	for _, job := range server.running {
-		context += job.request.prompt.Input + job.state.made
-		if job.state.unread > 0 {
-			part := min(chunk, job.state.unread)
-			pairs += float64(part) * (float64(job.request.prompt.Input+job.state.made-job.state.unread) + float64(part)/2)
-			job.state.unread, chunk, read = job.state.unread-part, chunk-part, read+part
+		context += job.request.prompt.Input + job.progress.generatedTokens
+		if job.progress.unreadTokens > 0 {
+			part := min(chunk, job.progress.unreadTokens)
+			pairs += float64(part) * (float64(job.request.prompt.Input+job.progress.generatedTokens-job.progress.unreadTokens) + float64(part)/2)
+			job.progress.unreadTokens, chunk, read = job.progress.unreadTokens-part, chunk-part, read+part
 		}
-		if job.state.unread == 0 && job.state.ready <= server.day.world.Now {
+		if job.progress.unreadTokens == 0 && job.progress.readyAt <= server.day.world.Now {
 			decoding = append(decoding, job)
 		}
 	}
 	span := engine.StepMs + engine.PerRunningMs*float64(len(server.running)) + engine.ContextMsPerK*float64(context)/1000 + float64(read)/engine.TokensPerMs + engine.PairsMsPerM*pairs/1e6
 	server.day.world.After(seconds(span*server.speed/1000), func() {
-		batch.awake = false
+		batch.stepping = false
 		if !server.up {
 			return
 		}
 		for _, job := range decoding {
-			if !job.over && job.state.unread == 0 {
-				batch.token(job)
+			if !job.over && job.progress.unreadTokens == 0 {
+				batch.generateToken(job)
 			}
 		}
-		batch.wake()
+		batch.resume()
 	})
 }
 
-// token makes one token of a request; every stride of them is a piece of its stream.
-func (batch *batch) token(job *task) {
-	state, stride := job.state, int64(batch.engine.Stride)
-	if state.own != nil {
-		batch.keep(job)
+// generateToken generates one token of a request; every stride of tokens is sent as a piece of its stream.
+func (batch *batch) generateToken(job *task) {
+	state, stride := job.progress, int64(batch.engine.Stride)
+	if state.uncachedKeys != nil {
+		batch.cachePrompt(job)
 	}
 	if slices.Index(batch.server.running, job) < 0 {
 		return
 	}
-	if state.reserved < state.made+1 {
-		if !batch.room(stride) && !batch.putBack(job) {
+	if state.reservedTokens < state.generatedTokens+1 {
+		if !batch.makeRoom(stride) && !batch.preempt(job) {
 			return
 		}
-		batch.used += stride
-		state.reserved += stride
+		batch.usedTokens += stride
+		state.reservedTokens += stride
 	}
-	state.made++
+	state.generatedTokens++
 	server, now := batch.server, batch.server.day.world.Now
 	if !job.arrival.Executed {
-		batch.explain(job)
+		batch.recordLatency(job)
 	}
-	server.began(job)
-	if state.sent == job.after && state.made == int64(job.after)*stride+1 {
-		server.reply(job, head{status: 200})
+	server.markExecuted(job)
+	if state.sentPieces == job.resumeAfter && state.generatedTokens == int64(job.resumeAfter)*stride+1 {
+		server.reply(job, serverHead{status: 200})
 	}
-	for total := job.request.try.TotalPieces; state.sent < total && state.made > int64(state.sent)*stride; {
-		state.sent++
-		piece, take := rules.Piece{Number: state.sent, ExecutionID: job.arrival.ExecutionID, MadeAt: now}, job.piece
-		job.conn.send(far, pieceBytes, func() { take(piece) })
+	for total := job.request.attempt.TotalPieces; state.sentPieces < total && state.generatedTokens > int64(state.sentPieces)*stride; {
+		state.sentPieces++
+		piece, take := rules.Piece{Number: state.sentPieces, ExecutionID: job.arrival.ExecutionID, MadeAt: now}, job.piece
+		job.conn.send(acceptor, pieceBytes, func() { take(piece) })
 	}
-	if state.sent >= job.request.try.TotalPieces {
+	if state.sentPieces >= job.request.attempt.TotalPieces {
 		job.over, job.arrival.Ended = true, now
 		server.remove(job)
 		server.finish(job)
 	}
 }
 
-// putBack frees memory by the newest of the least urgent requests; it tells whether another one gave way.
-func (batch *batch) putBack(asking *task) bool {
+// preempt returns the newest of the least urgent requests to the queue to free memory. It reports whether that was another request
+// than the asking one and made enough room.
+func (batch *batch) preempt(asking *task) bool {
 	server := batch.server
 	worst := asking
 	for _, job := range server.running {
-		if job.rank() > worst.rank() || job.rank() == worst.rank() && job.number > worst.number {
+		if job.priority() > worst.priority() || job.priority() == worst.priority() && job.number > worst.number {
 			worst = job
 		}
 	}
-	batch.server.day.putBacks++
+	batch.server.day.preemptions++
 	server.running = slices.DeleteFunc(server.running, func(other *task) bool { return other == worst })
 	batch.release(worst)
 	server.queue = slices.Insert(server.queue, 0, worst)
-	return worst != asking && batch.room(int64(batch.engine.Stride))
+	return worst != asking && batch.makeRoom(int64(batch.engine.Stride))
 }
--- a/emulator/cache.go
+++ b/emulator/cache.go
@@ -12,46 +12,46 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// cacheLoss is one moment when a server lost what it kept, and who came to know of it.
+// cacheLoss is one loss of a server's cache, and who noticed it.
 type cacheLoss struct {
 	server string
 	at     time.Duration
-	// noticed is when the first node had the index of the server thrown away; everywhere is when all nodes had.
-	noticed, everywhere time.Duration
-	told                map[string]bool
-	// suspected tells that the owner of the index found the whole cache lost.
-	suspected bool
+	// firstNoticed is when the first node saw that the server's index was reset, noticedByAll when all nodes had.
+	firstNoticed, noticedByAll time.Duration
+	noticedBy                  map[string]bool
+	// detected tells whether the owner of the index recognised the loss.
+	detected bool
 }
 
-// mismatch is a call that was sent to a server in the belief that it kept more of the shared prompt than it did.
+// mismatch is a call that a node sent to a server in the belief that more of the shared prompt was cached there than was.
 type mismatch struct {
-	server string
-	at     time.Duration
-	tokens int64
-	aim    time.Duration
-	try    *rules.Attempt
-	anchor uint64
-	// long tells that the prompt has a place in the index.
-	long bool
-	// noticed tells that the owner of the index found it.
-	noticed bool
+	server  string
+	at      time.Duration
+	tokens  int64
+	aim     time.Duration
+	attempt *rules.Attempt
+	anchor  uint64
+	// indexed tells whether the prompt is long enough to have an entry in the index.
+	indexed bool
+	// detected tells whether the owner of the index recognised the mismatch.
+	detected bool
 }
 
-// caches is what the stand-ins know of lost caches.
-type caches struct {
-	losses     []*cacheLoss
-	mismatches []mismatch
-	counts     map[string]int64
-	// oracle has all nodes told of each loss at once, as no product can; told counts the losses of each server.
-	oracle bool
-	told   map[string]int64
-	alarms int
-	thrown int
-	// found and falsely count what the owner of the index took for mismatches, suspected and wrongly what it took for losses of a server's cache.
-	found, falsely, suspected, wrongly int
+// cacheObservations compares lost caches with what the product noticed of them.
+type cacheObservations struct {
+	losses      []*cacheLoss
+	mismatches  []mismatch
+	resetCounts map[string]int64
+	// oracle informs all nodes of each loss at once, which no product can do; oracleResets counts the losses of each server.
+	oracle       bool
+	oracleResets map[string]int64
+	falseResets  int
+	resets       int
+	// What the index's owner reported: all mismatches, those without a real one, real losses, and losses without a real one.
+	detectedMismatches, falseMismatches, detectedLosses, falseLosses int
 }
 
-// cacheTroubles are no part of any site's file, so that drawn days stay what they were.
+// cacheTroubles are in no site's file, so that the troubles drawn from a site's list don't change.
 var cacheTroubles = []Trouble{
 	{Kind: "cache_lost", How: "one", AtS: 12, Count: 1, Service: "model"},
 	{Kind: "cache_lost", How: "several", AtS: 12, Share: 0.3, Service: "model"},
@@ -59,88 +59,89 @@
 	{Kind: "cache_lost", How: "small", AtS: 8, ForS: 20, X: 0.05, Share: 0.2, Service: "model"},
 }
 
-// loseCaches empties the caches of servers, once or with "again" in each gap; with "small" a cache keeps a part of what is told for a while.
-func (day *Day) loseCaches(trouble Trouble) {
-	for _, server := range day.some(trouble) {
+// beginCacheLoss empties the caches of servers: once; with "again" once in each interval; with "small" the cache also keeps only a
+// share X of its size for a while.
+func (day *Day) beginCacheLoss(trouble Trouble) {
+	for _, server := range day.pickServers(trouble) {
 		if server.batch == nil {
 			continue
 		}
 		switch {
 		case strings.Contains(trouble.How, "small"):
-			day.lost(server)
-			server.batch.keeps = int64(max(0.01, trouble.X) * float64(server.batch.engine.Tokens))
+			day.recordCacheLoss(server)
+			server.batch.cacheLimit = int64(max(0.01, trouble.X) * float64(server.batch.engine.Tokens))
 			server.batch.trim()
-			day.world.After(trouble.span(), func() { server.batch.keeps = 0 })
+			day.world.After(trouble.duration(), func() { server.batch.cacheLimit = 0 })
 		case strings.Contains(trouble.How, "again"):
-			for passed := time.Duration(0); passed < trouble.span(); passed += trouble.gap() {
-				day.world.After(passed, func() { day.empty(server) })
+			for passed := time.Duration(0); passed < trouble.duration(); passed += trouble.interval() {
+				day.world.After(passed, func() { day.emptyCache(server) })
 			}
 		default:
-			day.empty(server)
+			day.emptyCache(server)
 		}
 	}
 }
 
-func (day *Day) lost(server *server) {
+func (day *Day) recordCacheLoss(server *server) {
 	if day.caches.oracle {
-		day.caches.told[server.name]++
+		day.caches.oracleResets[server.name]++
 		day.world.After(0, func() {
 			for _, machine := range day.machines {
 				if machine.data == nil || !machine.up() {
 					continue
 				}
 				for _, region := range manifest.SortedKeys(machine.data.listed) {
-					machine.data.traffic.Handle(machine.data.now(), day.foretold(machine.data.listed[region]))
+					machine.data.traffic.Handle(machine.data.now(), day.withOracleResets(machine.data.listed[region]))
 				}
 			}
 		})
 	}
-	day.caches.losses = append(day.caches.losses, &cacheLoss{server: server.name, at: day.world.Now, told: map[string]bool{}})
+	day.caches.losses = append(day.caches.losses, &cacheLoss{server: server.name, at: day.world.Now, noticedBy: map[string]bool{}})
 }
 
-// empty takes all kept parts; calls that run go on with what they have read, which nobody finds any more.
-func (day *Day) empty(server *server) {
+// emptyCache hides all cached parts from new requests; requests that run keep what they use.
+func (day *Day) emptyCache(server *server) {
 	if !server.up {
 		return
 	}
-	day.lost(server)
+	day.recordCacheLoss(server)
 	batch := server.batch
 	hidden := func(key string) string {
 		if key == "" || strings.HasPrefix(key, "lost ") {
 			return key
 		}
-		return "lost " + name(len(day.caches.losses)) + " " + key
+		return "lost " + twoDigits(len(day.caches.losses)) + " " + key
 	}
-	parts := map[string]*keptPart{}
-	for key, part := range batch.parts {
-		part.after = hidden(part.after)
+	parts := map[string]*cachedPart{}
+	for key, part := range batch.cached {
+		part.parent = hidden(part.parent)
 		parts[hidden(key)] = part
 	}
-	batch.parts, batch.lost = parts, true
+	batch.cached, batch.hasHidden = parts, true
 	for _, job := range server.running {
-		for index, key := range job.state.parts {
-			job.state.parts[index] = hidden(key)
+		for index, key := range job.progress.cachedKeys {
+			job.progress.cachedKeys[index] = hidden(key)
 		}
 	}
 	batch.trim()
 }
 
-// besideLost gives the key of a part that is kept after another one: what follows a lost part is found by nobody either.
-func besideLost(former, key string) string {
+// hideAfterLost gives the key for a part that follows another one: what follows a lost part is hidden as well.
+func hideAfterLost(former, key string) string {
 	if !strings.HasPrefix(former, "lost ") {
 		return key
 	}
 	return strings.Join(strings.SplitN(former, " ", 3)[:2], " ") + " " + key
 }
 
-// trim drops unused parts: those that were lost, and those that are more than the server keeps.
+// trim evicts unused parts that are hidden or exceed the cache limit.
 func (batch *batch) trim() {
-	if batch.keeps == 0 && !batch.lost {
+	if batch.cacheLimit == 0 && !batch.hasHidden {
 		return
 	}
 	for {
 		unused, sum, oldest := []string{}, int64(0), ""
-		for key, part := range batch.parts {
+		for key, part := range batch.cached {
 			if part.users > 0 {
 				continue
 			}
@@ -149,145 +150,148 @@
 				continue
 			}
 			sum += part.tokens
-			if oldest == "" || batch.older(key, oldest) {
+			if oldest == "" || batch.lessRecentlyUsed(key, oldest) {
 				oldest = key
 			}
 		}
-		if batch.keeps > 0 && sum > batch.keeps {
+		if batch.cacheLimit > 0 && sum > batch.cacheLimit {
 			unused = append(unused, oldest)
 		}
 		if len(unused) == 0 {
 			return
 		}
 		for _, key := range unused {
-			batch.drop(key)
+			batch.evict(key)
 		}
 	}
 }
 
-func (batch *batch) older(key, other string) bool {
-	part, oldest := batch.parts[key], batch.parts[other]
-	return part.used < oldest.used || part.used == oldest.used && key < other
+func (batch *batch) lessRecentlyUsed(key, other string) bool {
+	part, oldest := batch.cached[key], batch.cached[other]
+	return part.lastUse < oldest.lastUse || part.lastUse == oldest.lastUse && key < other
 }
 
-func (batch *batch) drop(key string) {
-	part := batch.parts[key]
-	batch.used -= part.tokens
-	if before := batch.parts[part.after]; before != nil {
+func (batch *batch) evict(key string) {
+	part := batch.cached[key]
+	batch.usedTokens -= part.tokens
+	if before := batch.cached[part.parent]; before != nil {
 		before.users--
 	}
-	delete(batch.parts, key)
+	delete(batch.cached, key)
 }
 
-// compare notes a call of which less is kept here than was presumed, though it was kept here before.
-func (batch *batch) compare(job *task, held int64) {
+// recordMismatch records a call of which less is cached here than the node presumed, though it was cached here before.
+func (batch *batch) recordMismatch(job *task, held int64) {
 	prompt, before, sum := job.request.prompt, int64(0), int64(0)
-	for index, key := range keys(job)[:len(prompt.Parts)-1] {
-		if sum += prompt.Parts[index].Tokens; !batch.had[key] {
+	for index, key := range prefixKeys(job)[:len(prompt.Parts)-1] {
+		if sum += prompt.Parts[index].Tokens; !batch.everCached[key] {
 			break
 		}
 		before = sum
 	}
-	if missing := min(job.presumed, before) - held; missing > 0 {
+	if missing := min(job.presumedTokens, before) - held; missing > 0 {
 		day := batch.server.day
-		day.caches.mismatches = append(day.caches.mismatches, mismatch{batch.server.name, day.world.Now, missing, seconds(job.request.class.AimMs / 1000), job.request.try, prompt.Anchor(), prompt.Shared() >= leastShared, false})
+		day.caches.mismatches = append(day.caches.mismatches, mismatch{batch.server.name, day.world.Now, missing, seconds(job.request.class.AimMs / 1000), job.request.attempt, prompt.Anchor(), prompt.Shared() >= minIndexedTokens, false})
 	}
 }
 
 const (
-	// mostWait is the longest that a mismatch may have been before it was found.
-	mostWait = 10 * time.Second
-	// leastShared is the least shared part of a prompt that has a place.
-	leastShared = 1000
+	// maxDetectionDelay is the longest time between a mismatch and its detection.
+	maxDetectionDelay = 10 * time.Second
+	// minIndexedTokens is the shortest shared prompt that has an entry in the index.
+	minIndexedTokens = 1000
 )
 
-// noticed compares what the owner of the index finds with what the servers truly held.
-func (day *Day) noticed(said contract.Log) {
-	switch said.Message {
+// recordDetection compares log lines of the index's owner with what the servers really held. It relies on the lines "cache mismatch"
+// and "cache loss noticed" and the order of their attributes.
+func (day *Day) recordDetection(entry contract.Log) {
+	switch entry.Message {
 	case "cache mismatch":
-		day.caches.found++
+		day.caches.detectedMismatches++
 		for place := range day.caches.mismatches {
 			one := &day.caches.mismatches[place]
-			if !one.noticed && one.server == said.Attributes[1] && one.anchor == said.Attributes[5] && day.world.Now-one.at < mostWait {
-				one.noticed = true
+			if !one.detected && one.server == entry.Attributes[1] && one.anchor == entry.Attributes[5] && day.world.Now-one.at < maxDetectionDelay {
+				one.detected = true
 				return
 			}
 		}
-		day.caches.falsely++
+		day.caches.falseMismatches++
 	case "cache loss noticed":
 		for place := len(day.caches.losses) - 1; place >= 0; place-- {
-			if loss := day.caches.losses[place]; loss.server == said.Attributes[1] {
-				if !loss.suspected {
-					loss.suspected = true
-					day.caches.suspected++
+			if loss := day.caches.losses[place]; loss.server == entry.Attributes[1] {
+				if !loss.detected {
+					loss.detected = true
+					day.caches.detectedLosses++
 				}
 				return
 			}
 		}
-		day.caches.wrongly++
+		day.caches.falseLosses++
 	}
 }
 
-// WithOracle has every node throw a server's index away at the moment of a loss: what noticing could bring at the most.
+// WithOracle resets a server's index in every node at the moment of a cache loss, as an upper bound of what detection can achieve.
 func WithOracle() Option { return func(day *Day) { day.caches.oracle = true } }
 
-func (day *Day) foretold(listed gateway.ServersListed) gateway.ServersListed {
+func (day *Day) withOracleResets(listed gateway.ServersListed) gateway.ServersListed {
 	listed.Servers = slices.Clone(listed.Servers)
 	for index := range listed.Servers {
-		listed.Servers[index].CacheResets += day.caches.told[listed.Servers[index].Name]
+		listed.Servers[index].CacheResets += day.caches.oracleResets[listed.Servers[index].Name]
 	}
 	return listed
 }
 
-// told follows the counts of thrown indexes as they come to the nodes.
-func (day *Day) told(machine *machine, listed gateway.ServersListed) {
+// observeResets records which nodes have learned of reset indexes.
+func (day *Day) observeResets(machine *machine, listed gateway.ServersListed) {
 	for _, candidate := range listed.Servers {
 		if candidate.CacheResets == 0 {
 			continue
 		}
 		known := slices.IndexFunc(day.caches.losses, func(loss *cacheLoss) bool { return loss.server == candidate.Name }) >= 0
-		raised := candidate.CacheResets > day.caches.counts[candidate.Name]
+		raised := candidate.CacheResets > day.caches.resetCounts[candidate.Name]
 		if raised {
-			day.caches.counts[candidate.Name] = candidate.CacheResets
-			if day.caches.thrown++; !known {
-				day.caches.alarms++
+			day.caches.resetCounts[candidate.Name] = candidate.CacheResets
+			if day.caches.resets++; !known {
+				day.caches.falseResets++
 			}
 		}
 		for _, loss := range day.caches.losses {
 			if loss.server != candidate.Name {
 				continue
 			}
-			if raised && loss.noticed == 0 {
-				loss.noticed = day.world.Now
+			if raised && loss.firstNoticed == 0 {
+				loss.firstNoticed = day.world.Now
 			}
-			if loss.noticed > 0 && !loss.told[machine.name] {
-				if loss.told[machine.name] = true; loss.everywhere == 0 && len(loss.told) == len(day.machines) {
-					loss.everywhere = day.world.Now
+			if loss.firstNoticed > 0 && !loss.noticedBy[machine.name] {
+				if loss.noticedBy[machine.name] = true; loss.noticedByAll == 0 && len(loss.noticedBy) == len(day.machines) {
+					loss.noticedByAll = day.world.Now
 				}
 			}
 		}
 	}
 }
 
-// CacheFigures sum the losses of caches, and calls by class that were sent on a mismatch.
+// CacheFigures summarise the losses of caches, and the calls by class that were sent on a mismatch. FalseResets are index resets
+// without a loss.
 type CacheFigures struct {
-	Losses, Noticed, Thrown, Alarms int
-	// Notice and Everywhere are medians from a loss until one node, and all, had thrown the index away; Settled until the last call that
-	// was sent on a mismatch and missed its aim.
-	Notice, Everywhere, Settled time.Duration
-	Mismatched, Late            map[string]int
-	Tokens                      int64
-	// Missed are the mismatches of prompts with a place by the servers' truth, Found what the owner of the index took for such, Falsely those of them that were none.
-	// Suspected are losses that its test found, Wrongly findings at servers that had lost nothing.
-	Missed, Found, Falsely, Suspected, Wrongly int
-	// Checked are the calls that showed whether their prompt was kept, Left the places that left a server which missed theirs again.
-	Checked, Left int64
+	Losses, Noticed, Resets, FalseResets int
+	// NoticeDelay and AllNoticeDelay are medians of the time from a loss until one node, and all nodes, had reset the index;
+	// LastLateDelay until the last call that was sent on a mismatch and missed its target.
+	NoticeDelay, AllNoticeDelay, LastLateDelay time.Duration
+	Mismatched, Late                           map[string]int
+	MissedTokens                               int64
+	// IndexedMismatches are the real mismatches of indexed prompts, DetectedMismatches those that the index's owner reported,
+	// FalseMismatches reports without a real one. DetectedLosses and FalseLosses are the same for losses of whole caches.
+	IndexedMismatches, DetectedMismatches, FalseMismatches, DetectedLosses, FalseLosses int
+	// Checks are the calls that showed whether their prompt was cached, PlacesRemoved the index entries that were removed after
+	// repeated misses.
+	Checks, PlacesRemoved int64
 }
 
 func (day *Day) cacheFigures() CacheFigures {
-	sum := CacheFigures{Losses: len(day.caches.losses), Thrown: day.caches.thrown, Alarms: day.caches.alarms, Mismatched: map[string]int{}, Late: map[string]int{}}
-	sum.Missed, sum.Found, sum.Falsely, sum.Suspected, sum.Wrongly = 0, day.caches.found, day.caches.falsely, day.caches.suspected, day.caches.wrongly
-	sum.Checked, sum.Left = day.counts["control index_checked"], day.counts["control index_places_left"]
+	sum := CacheFigures{Losses: len(day.caches.losses), Resets: day.caches.resets, FalseResets: day.caches.falseResets, Mismatched: map[string]int{}, Late: map[string]int{}}
+	sum.IndexedMismatches, sum.DetectedMismatches, sum.FalseMismatches, sum.DetectedLosses, sum.FalseLosses = 0, day.caches.detectedMismatches, day.caches.falseMismatches, day.caches.detectedLosses, day.caches.falseLosses
+	sum.Checks, sum.PlacesRemoved = day.counts["control index_checked"], day.counts["control index_places_left"]
 	noticed, everywhere, settled := []time.Duration{}, []time.Duration{}, []time.Duration{}
 	for index, loss := range day.caches.losses {
 		next := slices.IndexFunc(day.caches.losses[index+1:], func(other *cacheLoss) bool { return other.server == loss.server })
@@ -299,29 +303,29 @@
 			}
 		}
 		settled = append(settled, last-loss.at)
-		if loss.noticed > 0 {
-			noticed = append(noticed, loss.noticed-loss.at)
+		if loss.firstNoticed > 0 {
+			noticed = append(noticed, loss.firstNoticed-loss.at)
 		}
-		if loss.everywhere > 0 {
-			everywhere = append(everywhere, loss.everywhere-loss.at)
+		if loss.noticedByAll > 0 {
+			everywhere = append(everywhere, loss.noticedByAll-loss.at)
 		}
 	}
 	for _, one := range day.caches.mismatches {
-		sum.Mismatched[one.try.Class]++
-		if one.long {
-			sum.Missed++
+		sum.Mismatched[one.attempt.Class]++
+		if one.indexed {
+			sum.IndexedMismatches++
 		}
-		sum.Tokens += one.tokens
+		sum.MissedTokens += one.tokens
 		if one.late() {
-			sum.Late[one.try.Class]++
+			sum.Late[one.attempt.Class]++
 		}
 	}
-	sum.Noticed, sum.Notice, sum.Everywhere, sum.Settled = len(noticed), median(noticed), median(everywhere), median(settled)
+	sum.Noticed, sum.NoticeDelay, sum.AllNoticeDelay, sum.LastLateDelay = len(noticed), median(noticed), median(everywhere), median(settled)
 	return sum
 }
 
 func (one mismatch) late() bool {
-	return len(one.try.Pieces) == 0 || one.try.Pieces[0].ReceivedAt-one.try.Sent > one.aim
+	return len(one.attempt.Pieces) == 0 || one.attempt.Pieces[0].ReceivedAt-one.attempt.Sent > one.aim
 }
 
 func median(spans []time.Duration) time.Duration {
@@ -334,11 +338,11 @@
 
 // values gives every figure by name, times in milliseconds.
 func (figures CacheFigures) values() map[string]float64 {
-	values := map[string]float64{"cache losses": float64(figures.Losses), "cache losses noticed": float64(figures.Noticed), "cache indexes thrown": float64(figures.Thrown),
-		"cache false alarms": float64(figures.Alarms), "cache tokens missed": float64(figures.Tokens),
-		"cache mismatches": float64(figures.Missed), "cache mismatches found": float64(figures.Found), "cache mismatches found falsely": float64(figures.Falsely),
-		"cache losses tested": float64(figures.Suspected), "cache losses tested falsely": float64(figures.Wrongly),
-		"cache checks": float64(figures.Checked), "cache places left": float64(figures.Left)}
+	values := map[string]float64{"cache losses": float64(figures.Losses), "cache losses noticed": float64(figures.Noticed), "cache indexes thrown": float64(figures.Resets),
+		"cache false alarms": float64(figures.FalseResets), "cache tokens missed": float64(figures.MissedTokens),
+		"cache mismatches": float64(figures.IndexedMismatches), "cache mismatches found": float64(figures.DetectedMismatches), "cache mismatches found falsely": float64(figures.FalseMismatches),
+		"cache losses tested": float64(figures.DetectedLosses), "cache losses tested falsely": float64(figures.FalseLosses),
+		"cache checks": float64(figures.Checks), "cache places left": float64(figures.PlacesRemoved)}
 	for class, count := range figures.Mismatched {
 		values[class+" sent on a mismatch"] = float64(count)
 	}
@@ -346,17 +350,17 @@
 		values[class+" late on a mismatch"] = float64(count)
 	}
 	if figures.Noticed > 0 {
-		values["cache noticed after ms"], values["cache known by all after ms"] = figures.Notice.Seconds()*1000, figures.Everywhere.Seconds()*1000
+		values["cache noticed after ms"], values["cache known by all after ms"] = figures.NoticeDelay.Seconds()*1000, figures.AllNoticeDelay.Seconds()*1000
 	}
 	if figures.Losses > 0 {
-		values["cache last late mismatch after ms"] = figures.Settled.Seconds() * 1000
+		values["cache last late mismatch after ms"] = figures.LastLateDelay.Seconds() * 1000
 	}
 	return values
 }
 
 func (figures CacheFigures) text() string {
-	return fmt.Sprintf("mismatches %d, found %d, falsely %d, losses by the test %d, falsely %d\n", figures.Missed, figures.Found, figures.Falsely, figures.Suspected, figures.Wrongly) +
+	return fmt.Sprintf("mismatches %d, found %d, falsely %d, losses by the test %d, falsely %d\n", figures.IndexedMismatches, figures.DetectedMismatches, figures.FalseMismatches, figures.DetectedLosses, figures.FalseLosses) +
 		fmt.Sprintf("caches lost %d, noticed %d after %v, known by all after %v, last late mismatch after %v, indexes thrown %d, falsely %d, sent on a mismatch %v, late on it %v, tokens missed %d\n",
-			figures.Losses, figures.Noticed, figures.Notice.Round(time.Millisecond), figures.Everywhere.Round(time.Millisecond), figures.Settled.Round(time.Millisecond),
-			figures.Thrown, figures.Alarms, figures.Mismatched, figures.Late, figures.Tokens)
+			figures.Losses, figures.Noticed, figures.NoticeDelay.Round(time.Millisecond), figures.AllNoticeDelay.Round(time.Millisecond), figures.LastLateDelay.Round(time.Millisecond),
+			figures.Resets, figures.FalseResets, figures.Mismatched, figures.Late, figures.MissedTokens)
 }
--- a/emulator/cache_test.go
+++ b/emulator/cache_test.go
@@ -14,12 +14,12 @@
 		GinkgoHelper()
 		site, seed := given(name, 1, 16*time.Second), uint64(slices.Index(sites, name)+1)
 		calm := Play(site, seed, Plan{}).Figures
-		played := Play(site, seed, Plan{Troubles: site.Named("cache_lost/" + how)})
+		played := Play(site, seed, Plan{Troubles: site.TroublesNamed("cache_lost/" + how)})
 		GinkgoWriter.Println(played.Figures.Text())
-		Expect(played.Breaches).To(BeEmpty())
+		Expect(played.Violations).To(BeEmpty())
 		Expect(played.Figures.Caches.Losses).To(BeNumerically(">", 0))
 		Expect(played.Figures.Caches.Mismatched).NotTo(BeEmpty(), "the trouble is felt")
-		lost := seconds(site.LeadS + site.Named("cache_lost/" + how)[0].AtS)
+		lost := seconds(site.LeadS + site.TroublesNamed("cache_lost/" + how)[0].AtS)
 		for _, try := range played.Record.Attempts {
 			if try.Sent >= lost && !try.Probe {
 				Expect(try.Status == 200 && try.Complete).To(BeTrue(), try.Class+" "+try.Identity)
@@ -54,28 +54,28 @@
 			machine.start()
 		}
 		day.operator.begin()
-		day.traffic(8*time.Second, 12*time.Second)
+		day.startTraffic(8*time.Second, 12*time.Second)
 		day.world.RunUntil(11 * time.Second)
-		for _, server := range day.order {
+		for _, server := range day.serversInOrder {
 			if server.batch != nil {
-				day.empty(server)
-				for key, part := range server.batch.parts {
+				day.emptyCache(server)
+				for key, part := range server.batch.cached {
 					Expect(strings.HasPrefix(key, "lost ")).To(BeTrue())
 					Expect(part.users).To(BeNumerically(">", 0))
 				}
 			}
 		}
 		day.world.RunUntil(25 * time.Second)
-		for _, server := range day.order {
+		for _, server := range day.serversInOrder {
 			if server.batch == nil {
 				continue
 			}
 			sum := int64(0)
-			for key, part := range server.batch.parts {
+			for key, part := range server.batch.cached {
 				Expect(strings.HasPrefix(key, "lost ")).To(BeFalse())
 				sum += part.tokens
 			}
-			Expect(server.batch.used).To(Equal(sum))
+			Expect(server.batch.usedTokens).To(Equal(sum))
 		}
 	})
 })
--- a/emulator/caller.go
+++ b/emulator/caller.go
@@ -9,76 +9,77 @@
 	"github.com/cedarreel/cedarreel/engine"
 )
 
-// visitor is one of the callers of a zone: it looks nodes up, keeps the answer for its life, and keeps connections or opens new ones.
-type visitor struct {
-	day     *Day
-	name    string
-	zone    string
-	region  string
-	key     string
-	random  *rand.Rand
-	keeps   bool
-	hasty   bool
-	holds   time.Duration
-	known   []string
-	until   time.Duration
-	asking  bool
-	idle    []*kept
-	failed  map[string]time.Duration
-	waiting []func()
+// client is one of the callers of a zone. It looks nodes up, uses the answer for the look-up's life, and reuses connections or opens
+// new ones. Aggressive clients make more attempts and ignore the retry time that a node names.
+type client struct {
+	day               *Day
+	name              string
+	zone              string
+	region            string
+	key               string
+	random            *rand.Rand
+	reusesConnections bool
+	aggressive        bool
+	lookupLife        time.Duration
+	addresses         []string
+	lookupExpires     time.Duration
+	lookingUp         bool
+	idle              []*idleConnection
+	avoidUntil        map[string]time.Duration
+	waiting           []func()
 }
 
-type kept struct {
+type idleConnection struct {
 	conn    *conn
 	address string
 	used    time.Duration
 }
 
 const (
-	askPatience   = time.Second
-	mostAsked     = 3
-	longHolders   = 4
-	hastyOnes     = 6
-	hastyTries    = 3
-	longHold      = 3
-	failedFor     = 2 * time.Second
-	askPause      = 300 * time.Millisecond
-	connectTime   = time.Second
-	callerIdle    = 3 * time.Second
-	idlePerCaller = 16
+	lookupTimeout           = time.Second
+	maxLookupNodes          = 3
+	longLifeEvery           = 4
+	aggressiveEvery         = 6
+	aggressiveExtraAttempts = 3
+	longLifeFactor          = 3
+	avoidTime               = 2 * time.Second
+	lookupRetryPause        = 300 * time.Millisecond
+	connectTimeout          = time.Second
+	clientIdleTimeout       = 3 * time.Second
+	maxIdlePerClient        = 16
 )
 
-func (visitor *visitor) place() place {
-	return place{"callers-" + visitor.zone, visitor.zone, visitor.region, true}
+func (client *client) place() location {
+	return location{"callers-" + client.zone, client.zone, client.region, true}
 }
 
-// ask looks up nodes: near ones first, each for a second, three at most.
-func (visitor *visitor) ask() {
-	if visitor.asking {
+// lookUp asks nodes for addresses, near ones first, up to maxLookupNodes one after the other.
+func (client *client) lookUp() {
+	if client.lookingUp {
 		return
 	}
-	visitor.asking = true
-	targets := visitor.day.seen()
-	visitor.random.Shuffle(len(targets), func(left, right int) { targets[left], targets[right] = targets[right], targets[left] })
+	client.lookingUp = true
+	targets := client.day.listedMachines()
+	client.random.Shuffle(len(targets), func(left, right int) { targets[left], targets[right] = targets[right], targets[left] })
 	distance := func(machine *machine) int {
 		switch {
-		case machine.zone == visitor.zone:
+		case machine.zone == client.zone:
 			return 0
-		case machine.region == visitor.region:
+		case machine.region == client.region:
 			return 1
 		}
 		return 2
 	}
 	slices.SortStableFunc(targets, func(left, right *machine) int { return distance(left) - distance(right) })
-	visitor.askOne(targets[:min(mostAsked, len(targets))])
+	client.lookUpFrom(targets[:min(maxLookupNodes, len(targets))])
 }
 
-func (visitor *visitor) askOne(targets []*machine) {
-	world := visitor.day.world
+func (client *client) lookUpFrom(targets []*machine) {
+	world := client.day.world
 	if len(targets) == 0 {
-		world.After(askPause, func() {
-			visitor.asking = false
-			visitor.ask()
+		world.After(lookupRetryPause, func() {
+			client.lookingUp = false
+			client.lookUp()
 		})
 		return
 	}
@@ -89,147 +90,149 @@
 		}
 		given = true
 		if len(addresses) == 0 {
-			visitor.askOne(targets[1:])
+			client.lookUpFrom(targets[1:])
 			return
 		}
-		visitor.learned(addresses)
+		client.setAddresses(addresses)
 	}
-	world.After(askPatience, func() { end(nil) })
-	world.post(visitor.place(), target.place(), func() {
+	world.After(lookupTimeout, func() { end(nil) })
+	world.sendMessage(client.place(), target.place(), func() {
 		if !target.up() {
-			world.post(target.place(), visitor.place(), func() { end(nil) })
+			world.sendMessage(target.place(), client.place(), func() { end(nil) })
 			return
 		}
-		target.data.lookup(visitor.region, visitor.zone, func(addresses []string) {
-			world.post(target.place(), visitor.place(), func() { end(addresses) })
+		target.data.lookup(client.region, client.zone, func(addresses []string) {
+			world.sendMessage(target.place(), client.place(), func() { end(addresses) })
 		})
 	})
 }
 
-func (visitor *visitor) learned(addresses []string) {
-	visitor.asking, visitor.known = false, addresses
-	visitor.until = visitor.day.world.Now + visitor.holds
-	visitor.idle = slices.DeleteFunc(visitor.idle, func(one *kept) bool {
-		if visitor.day.stay || slices.Contains(addresses, one.address) {
+func (client *client) setAddresses(addresses []string) {
+	client.lookingUp, client.addresses = false, addresses
+	client.lookupExpires = client.day.world.Now + client.lookupLife
+	client.idle = slices.DeleteFunc(client.idle, func(one *idleConnection) bool {
+		if client.day.keepsConnections || slices.Contains(addresses, one.address) {
 			return false
 		}
-		one.conn.close(near)
+		one.conn.close(dialer)
 		return true
 	})
-	waiting := visitor.waiting
-	visitor.waiting = nil
+	waiting := client.waiting
+	client.waiting = nil
 	for _, then := range waiting {
 		then()
 	}
 }
 
-// addressed waits until nodes are known, and asks anew when the answer has lived its life.
-func (visitor *visitor) addressed(then func()) {
-	if visitor.day.world.Now >= visitor.until {
-		visitor.ask()
+// withAddresses calls then once addresses are known, and looks them up again when they have expired.
+func (client *client) withAddresses(then func()) {
+	if client.day.world.Now >= client.lookupExpires {
+		client.lookUp()
 	}
-	if len(visitor.known) == 0 {
-		visitor.waiting = append(visitor.waiting, then)
+	if len(client.addresses) == 0 {
+		client.waiting = append(client.waiting, then)
 		return
 	}
 	then()
 }
 
-func (visitor *visitor) choose() string {
-	now := visitor.day.world.Now
-	open := slices.DeleteFunc(slices.Clone(visitor.known), func(address string) bool { return visitor.failed[address] > now })
+func (client *client) chooseAddress() string {
+	now := client.day.world.Now
+	open := slices.DeleteFunc(slices.Clone(client.addresses), func(address string) bool { return client.avoidUntil[address] > now })
 	if len(open) == 0 {
-		open = visitor.known
+		open = client.addresses
 	}
-	return open[visitor.random.IntN(len(open))]
+	return open[client.random.IntN(len(open))]
 }
 
-func (visitor *visitor) fail(address string) {
-	visitor.failed[address] = visitor.day.world.Now + failedFor
+func (client *client) avoid(address string) {
+	client.avoidUntil[address] = client.day.world.Now + avoidTime
 }
 
-// connected gives a kept connection or a new one; there is none when the node doesn't answer.
-func (visitor *visitor) connected(fresh bool, then func(opened *conn, address string)) {
-	for visitor.keeps && !fresh && len(visitor.idle) > 0 {
-		last := visitor.idle[len(visitor.idle)-1]
-		visitor.idle = visitor.idle[:len(visitor.idle)-1]
-		if last.conn.live[near] && (visitor.day.stay || visitor.day.world.Now-last.used < callerIdle) {
+// withConnection gives an idle connection or a new one, nil if the node doesn't answer.
+func (client *client) withConnection(fresh bool, then func(opened *conn, address string)) {
+	for client.reusesConnections && !fresh && len(client.idle) > 0 {
+		last := client.idle[len(client.idle)-1]
+		client.idle = client.idle[:len(client.idle)-1]
+		if last.conn.open[dialer] && (client.day.keepsConnections || client.day.world.Now-last.used < clientIdleTimeout) {
 			then(last.conn, last.address)
 			return
 		}
-		last.conn.close(near)
+		last.conn.close(dialer)
 	}
-	address := visitor.choose()
-	visitor.day.connect(visitor.place(), address, then)
+	address := client.chooseAddress()
+	client.day.connect(client.place(), address, then)
 }
 
 // connect opens a connection to the node at an address.
-func (day *Day) connect(from place, address string, then func(opened *conn, address string)) {
+func (day *Day) connect(from location, address string, then func(opened *conn, address string)) {
 	machine := day.machineAt(address)
-	accept, to := func(*conn) bool { return false }, place{name: address, zone: from.zone, region: from.region}
+	accept, to := func(*conn) bool { return false }, location{name: address, zone: from.zone, region: from.region}
 	if machine != nil {
 		to = machine.place()
 		accept = func(conn *conn) bool { return machine.data != nil && machine.data.accept(conn) }
 	}
-	day.world.dial(from, to, connectTime, accept, func(opened *conn) { then(opened, address) })
+	day.world.dial(from, to, connectTimeout, accept, func(opened *conn) { then(opened, address) })
 }
 
-func (visitor *visitor) keep(opened *conn, address string) {
-	if !visitor.keeps || len(visitor.idle) >= idlePerCaller || !opened.live[near] {
-		opened.close(near)
+func (client *client) release(opened *conn, address string) {
+	if !client.reusesConnections || len(client.idle) >= maxIdlePerClient || !opened.open[dialer] {
+		opened.close(dialer)
 		return
 	}
-	opened.closed[near] = nil
-	visitor.idle = append(visitor.idle, &kept{opened, address, visitor.day.world.Now})
+	opened.onClose[dialer] = nil
+	client.idle = append(client.idle, &idleConnection{opened, address, client.day.world.Now})
 }
 
-// call is what a visitor wants: one try, and further ones as it is told or allowed.
+// call is what a client wants: one attempt, and further ones where a retry is allowed.
 type call struct {
 	*Figure
-	day      *Day
-	visitor  *visitor
-	class    *Class
-	route    string
-	key      string
-	prompt   engine.Prompt
-	work     time.Duration
-	pieces   int
-	began    time.Duration
-	ends     time.Duration
-	tries    int
-	got      int
-	last     time.Duration
-	straight *machine
+	day          *Day
+	client       *client
+	class        *Class
+	route        string
+	key          string
+	prompt       engine.Prompt
+	work         time.Duration
+	pieces       int
+	startedAt    time.Duration
+	deadline     time.Duration
+	attemptsLeft int
+	lastPiece    int
+	lastPieceAt  time.Duration
+	// machine is the only machine to call, nil to use the client's look-up; probes set it.
+	machine *machine
 }
 
-// traffic lets the callers of each zone come, at a rate that swings; what they ask is drawn apart from all that the product does.
-func (day *Day) traffic(from, until time.Duration) {
+// startTraffic starts the callers of each zone at a varying rate. What they ask is drawn from random sources of its own, so that it
+// doesn't depend on the product's behaviour.
+func (day *Day) startTraffic(from, until time.Duration) {
 	for _, source := range day.site.Traffic {
-		visitors := []*visitor{}
+		clients := []*client{}
 		for index := range max(1, source.Callers) {
-			made := &visitor{day: day, name: source.Zone + name(index), zone: source.Zone, region: day.site.region(source.Zone),
-				random: day.world.source("visitor " + source.Zone + name(index)), failed: map[string]time.Duration{}, keeps: index%3 > 0 || day.stay, hasty: index%hastyOnes == 1}
-			made.key = day.operator.heldKey(made.random.IntN)
-			made.holds = seconds(day.site.Bounds.LookupLifeS) / 5
-			if index%longHolders == 0 {
-				made.holds *= longHold
+			created := &client{day: day, name: source.Zone + twoDigits(index), zone: source.Zone, region: day.site.region(source.Zone),
+				random: day.world.randomSource("visitor " + source.Zone + twoDigits(index)), avoidUntil: map[string]time.Duration{}, reusesConnections: index%3 > 0 || day.keepsConnections, aggressive: index%aggressiveEvery == 1}
+			created.key = day.operator.heldKey(created.random.IntN)
+			created.lookupLife = seconds(day.site.Bounds.LookupLifeS) / 5
+			if index%longLifeEvery == 0 {
+				created.lookupLife *= longLifeFactor
 			}
-			visitors = append(visitors, made)
+			clients = append(clients, created)
 		}
-		day.visitors[source.Zone] = visitors
+		day.clients[source.Zone] = clients
 		day.arrivals(source, from, until)
 	}
 }
 
 func (day *Day) arrivals(source Source, from, until time.Duration) {
-	random := day.world.source("traffic " + source.Zone)
+	random := day.world.randomSource("traffic " + source.Zone)
 	var next func()
 	next = func() {
 		if day.world.Now >= until {
 			return
 		}
 		zone := source.Zone
-		if share := day.shifts[zone]; share.share > 0 && random.Float64() < share.share {
+		if share := day.clientShifts[zone]; share.share > 0 && random.Float64() < share.share {
 			zone = share.to
 		}
 		clump := 1
@@ -237,16 +240,16 @@
 			clump++
 		}
 		for range clump {
-			day.visit(random, zone)
+			day.sendRandomCall(random, zone)
 		}
-		rate := source.PerS / max(1, source.Clump) * day.swing(source, day.world.Now-from) * day.burst()
+		rate := source.PerS / max(1, source.Clump) * day.swingFactor(source, day.world.Now-from) * day.trafficFactor()
 		day.world.After(time.Duration(random.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	day.world.At(from+time.Duration(random.ExpFloat64()/source.PerS*float64(time.Second)), next)
 }
 
-// visit draws a call and sends it.
-func (day *Day) visit(random *rand.Rand, zone string) {
+// sendRandomCall draws a class and a client, and sends a call.
+func (day *Day) sendRandomCall(random *rand.Rand, zone string) {
 	sum := 0.0
 	for index := range day.site.Classes {
 		sum += day.weight(&day.site.Classes[index])
@@ -259,17 +262,17 @@
 			break
 		}
 	}
-	visitors := day.visitors[zone]
-	day.call(visitors[random.IntN(len(visitors))], class, random).send(false)
+	clients := day.clients[zone]
+	day.newCall(clients[random.IntN(len(clients))], class, random).send(false)
 }
 
-// call makes one call of a class, with its prompt and its work.
-func (day *Day) call(visitor *visitor, class *Class, random *rand.Rand) *call {
-	day.calls++
-	one := &call{day: day, visitor: visitor, class: class, route: class.Name, key: visitor.key, began: day.world.Now, tries: class.Tries + 1,
-		ends: day.world.Now + seconds(class.DeadlineMs/1000), work: seconds(class.WorkMs.draw(random) / 1000)}
-	if visitor.hasty {
-		one.tries += hastyTries
+// newCall makes a call of a class, with its prompt and its work.
+func (day *Day) newCall(client *client, class *Class, random *rand.Rand) *call {
+	day.callCount++
+	one := &call{day: day, client: client, class: class, route: class.Name, key: client.key, startedAt: day.world.Now, attemptsLeft: class.Tries + 1,
+		deadline: day.world.Now + seconds(class.DeadlineMs/1000), work: seconds(class.WorkMs.draw(random) / 1000)}
+	if client.aggressive {
+		one.attemptsLeft += aggressiveExtraAttempts
 	}
 	one.Figure = &Figure{Class: class.Name}
 	day.figures = append(day.figures, one.Figure)
@@ -280,7 +283,7 @@
 	return one
 }
 
-// prompt draws the kind of the last shared part; the parts before it are always the same ones.
+// prompt draws a variant of the shared parts; part lengths depend only on the part's identity.
 func (day *Day) prompt(class *Class, random *rand.Rand, pieces int) engine.Prompt {
 	prompt := engine.Prompt{Model: "m"}
 	kinds := make([]int, len(class.Parts))
@@ -289,11 +292,11 @@
 	}
 	for level, part := range class.Parts {
 		kind := kinds[len(kinds)-1] % part.Kinds
-		id := class.Name + "-" + name(level) + "-" + name(kind)
-		drawn := day.world.source(id)
+		id := class.Name + "-" + twoDigits(level) + "-" + twoDigits(kind)
+		drawn := day.world.randomSource(id)
 		prompt.Parts = append(prompt.Parts, engine.Part{ID: id, Tokens: max(1, int64(part.Tokens.draw(drawn)))})
 	}
-	prompt.Parts = append(prompt.Parts, engine.Part{ID: "own-" + name(int(day.calls)), Tokens: max(1, int64(class.Tokens.draw(random)))})
+	prompt.Parts = append(prompt.Parts, engine.Part{ID: "own-" + twoDigits(int(day.callCount)), Tokens: max(1, int64(class.Tokens.draw(random)))})
 	for _, part := range prompt.Parts {
 		prompt.Input += part.Tokens
 	}
@@ -301,10 +304,10 @@
 	return prompt
 }
 
-func (call *call) try() *rules.Attempt {
+func (call *call) newAttempt() *rules.Attempt {
 	class, day := call.class, call.day
-	day.tries++
-	return &rules.Attempt{Identity: "t" + name(int(day.tries)), Call: "", Class: class.Name, Route: call.route, Service: class.Service, Kind: class.Kind,
-		Zone: call.visitor.zone, Region: call.visitor.region, Repeatable: class.Kind == "read_only" || class.Resumable, Resumable: class.Resumable,
-		Stream: class.Kind == "streaming", Regions: class.Regions, TotalPieces: call.pieces, Deadline: call.ends, ResumeAfter: call.got, Key: call.key}
+	day.attemptCount++
+	return &rules.Attempt{Identity: "t" + twoDigits(int(day.attemptCount)), Call: "", Class: class.Name, Route: call.route, Service: class.Service, Kind: class.Kind,
+		Zone: call.client.zone, Region: call.client.region, Repeatable: class.Kind == "read_only" || class.Resumable, Resumable: class.Resumable,
+		Stream: class.Kind == "streaming", Regions: class.Regions, TotalPieces: call.pieces, Deadline: call.deadline, ResumeAfter: call.lastPiece, Key: call.key}
 }
--- a/emulator/calm_test.go
+++ b/emulator/calm_test.go
@@ -20,7 +20,7 @@
 		It("is served whole on "+name, func() {
 			played := Play(given(name, 0.5, 12*time.Second), 1, Plan{})
 			GinkgoWriter.Println(played.Figures.Text())
-			Expect(played.Breaches).To(BeEmpty())
+			Expect(played.Violations).To(BeEmpty())
 			for _, class := range played.Figures.Classes {
 				Expect(class.Asked).To(BeNumerically(">", 20))
 				Expect(class.Failed + class.Refused).To(BeZero())
--- a/emulator/change.go
+++ b/emulator/change.go
@@ -10,25 +10,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// Change sets one setting of the product, as "bounds.withdrawMs=3000" or "gateway.repeatRatio=0.1"; spans read as "800ms".
+// Change sets one setting of the product, written as "bounds.withdrawMs=3000" or "gateway.repeatRatio=0.1"; durations as "800ms".
 type Change struct {
 	text  string
 	apply func(*env.Env)
 }
 
+// ReadChange parses such a text; it fails if the setting does not exist or the value does not fit.
 func ReadChange(text string) (Change, error) {
 	path, value, found := strings.Cut(text, "=")
 	if !found {
 		return Change{}, eris.Errorf("%q: want setting=value", text)
 	}
 	var probe env.Env
-	if failure := set(&probe, path, value); failure != nil {
+	if failure := setField(&probe, path, value); failure != nil {
 		return Change{}, failure
 	}
-	return Change{text: text, apply: func(settings *env.Env) { _ = set(settings, path, value) }}, nil
+	return Change{text: text, apply: func(settings *env.Env) { _ = setField(settings, path, value) }}, nil
 }
 
-func set(settings *env.Env, path, value string) error {
+func setField(settings *env.Env, path, value string) error {
 	target := reflect.ValueOf(settings).Elem()
 	for _, step := range strings.Split(path, ".") {
 		if target.Kind() != reflect.Struct {
--- a/emulator/checks_test.go
+++ b/emulator/checks_test.go
@@ -37,7 +37,7 @@
 	for place, seed := range seeds {
 		plan := Plan{}
 		if how != "" {
-			plan.Troubles = site.Named("cache_lost/" + how)
+			plan.Troubles = site.TroublesNamed("cache_lost/" + how)
 		}
 		beside <- struct{}{}
 		group.Go(func() {
@@ -49,7 +49,7 @@
 	}
 	group.Wait()
 	for _, played := range days {
-		Expect(played.Breaches).To(BeEmpty(), "no call is doubled or lost")
+		Expect(played.Violations).To(BeEmpty(), "no call is doubled or lost")
 		for class, figures := range played.Figures.Classes {
 			if site.class(class).Service != "model" {
 				Expect(figures.Aim+figures.Late).To(Equal(figures.Asked), class+" is answered at last, also after refusals")
@@ -57,9 +57,9 @@
 		}
 		one := played.Figures.Caches
 		sum.Losses += one.Losses
-		sum.Missed, sum.Found, sum.Falsely = sum.Missed+one.Missed, sum.Found+one.Found, sum.Falsely+one.Falsely
-		sum.Suspected, sum.Wrongly = sum.Suspected+one.Suspected, sum.Wrongly+one.Wrongly
-		sum.Checked, sum.Left = sum.Checked+one.Checked, sum.Left+one.Left
+		sum.IndexedMismatches, sum.DetectedMismatches, sum.FalseMismatches = sum.IndexedMismatches+one.IndexedMismatches, sum.DetectedMismatches+one.DetectedMismatches, sum.FalseMismatches+one.FalseMismatches
+		sum.DetectedLosses, sum.FalseLosses = sum.DetectedLosses+one.DetectedLosses, sum.FalseLosses+one.FalseLosses
+		sum.Checks, sum.PlacesRemoved = sum.Checks+one.Checks, sum.PlacesRemoved+one.PlacesRemoved
 	}
 	GinkgoWriter.Printf("%s %s: %+v\n", name, how, sum)
 	return sum
@@ -71,24 +71,24 @@
 
 		It("given calm days on "+name+", when calls are checked, then few are taken for mismatches and no place is left", func() {
 			sum := calm()
-			Expect(sum.Checked).To(BeNumerically(">", 100))
-			Expect(float64(sum.Falsely)).To(BeNumerically("<=", 0.05*float64(sum.Checked)))
-			Expect(sum.Left).To(BeZero())
+			Expect(sum.Checks).To(BeNumerically(">", 100))
+			Expect(float64(sum.FalseMismatches)).To(BeNumerically("<=", 0.05*float64(sum.Checks)))
+			Expect(sum.PlacesRemoved).To(BeZero())
 		})
 
 		It("given calm days on "+name+", when calls are checked, then no loss of a whole cache is found", func() {
 			sum := calm()
-			Expect(sum.Suspected + sum.Wrongly).To(BeZero())
+			Expect(sum.DetectedLosses + sum.FalseLosses).To(BeZero())
 		})
 
 		for _, how := range []string{"several", "again", "small"} {
 			It("given "+how+" on "+name+", when what was noticed is held against what the servers kept, then much is found, most of it truly", func() {
 				sum := checked(name, how, manyDays()...)
-				Expect(sum.Missed).To(BeNumerically(">", 0))
-				Expect(float64(sum.Found-sum.Falsely)).To(BeNumerically(">=", 0.35*float64(sum.Missed)), "recall")
-				Expect(float64(sum.Found-sum.Falsely)).To(BeNumerically(">=", 0.6*float64(sum.Found)), "precision")
-				Expect(sum.Suspected).To(BeNumerically(">", 0))
-				Expect(sum.Wrongly).To(BeNumerically("<=", 1))
+				Expect(sum.IndexedMismatches).To(BeNumerically(">", 0))
+				Expect(float64(sum.DetectedMismatches-sum.FalseMismatches)).To(BeNumerically(">=", 0.35*float64(sum.IndexedMismatches)), "recall")
+				Expect(float64(sum.DetectedMismatches-sum.FalseMismatches)).To(BeNumerically(">=", 0.6*float64(sum.DetectedMismatches)), "precision")
+				Expect(sum.DetectedLosses).To(BeNumerically(">", 0))
+				Expect(sum.FalseLosses).To(BeNumerically("<=", 1))
 			})
 		}
 	}
@@ -100,17 +100,17 @@
 			machine.start()
 		}
 		day.operator.begin()
-		day.traffic(10*time.Second, 26*time.Second)
+		day.startTraffic(10*time.Second, 26*time.Second)
 		day.world.RunUntil(20 * time.Second)
-		for _, server := range day.order {
-			if server.batch != nil && slices.Index(day.order, server)%3 == 0 {
-				day.empty(server)
+		for _, server := range day.serversInOrder {
+			if server.batch != nil && slices.Index(day.serversInOrder, server)%3 == 0 {
+				day.emptyCache(server)
 			}
 		}
 		day.world.RunUntil(30 * time.Second)
 		answers := []any{}
 		for _, number := range []int{0, 5, len(day.machines) - 1} {
-			day.machines[number].control.ask(contract.OperatorRequest{Verb: contract.VerbCache}, func(answer contract.Response) {
+			day.machines[number].control.handleRequest(contract.OperatorRequest{Verb: contract.VerbCache}, func(answer contract.Response) {
 				Expect(answer.Status).To(Equal(200))
 				answers = append(answers, answer.Body)
 			})
--- a/emulator/control.go
+++ b/emulator/control.go
@@ -14,15 +14,15 @@
 	"github.com/cedarreel/cedarreel/shard"
 )
 
-// controlShell carries out what the owner in a control process wants.
-type controlShell struct {
+// controlProcess carries out the commands of the state machine in a control process.
+type controlProcess struct {
 	*process
 	settings env.Env
-	asks     map[int64]func(contract.Response)
+	pending  map[int64]func(contract.Response)
 	token    int64
 }
 
-func newControlShell(machine *machine, settings env.Env) *controlShell {
+func newControlProcess(machine *machine, settings env.Env) *controlProcess {
 	var recovered *chain.Recovered
 	if machine.disk != nil {
 		loaded, failure := image.Load(machine.disk)
@@ -31,7 +31,7 @@
 		}
 		recovered = &loaded
 	}
-	shell := &controlShell{settings: settings, asks: map[int64]func(contract.Response){}}
+	process := &controlProcess{settings: settings, pending: map[int64]func(contract.Response){}}
 	owner := control.New(settings, machine.boot(), recovered, machine.random())
 	if machine.disk != nil {
 		snapshot, damaged := image.LoadIndex(machine.disk)
@@ -39,61 +39,61 @@
 		machine.day.counts["control index_places_restored"] += int64(len(snapshot.Places))
 		owner.RestoreIndex(snapshot)
 	}
-	shell.process = machine.process(contract.KindControl, owner)
-	shell.perform = shell.act
-	return shell
+	process.process = machine.process(contract.KindControl, owner)
+	process.perform = process.execute
+	return process
 }
 
-func (shell *controlShell) act(command contract.Command) bool {
+func (process *controlProcess) execute(command contract.Command) bool {
 	switch command := command.(type) {
 	case chain.Persist:
-		shell.machine.disk.Save(func() {
+		process.machine.disk.Save(func() {
 			persisted := chain.Persisted{Token: command.Token}
-			if failure := image.Save(shell.machine.disk, command); failure != nil {
+			if failure := image.Save(process.machine.disk, command); failure != nil {
 				persisted.Error = failure.Error()
 			}
-			shell.event(persisted)
+			process.event(persisted)
 		})
 	case index.Persist:
-		shell.machine.disk.Save(func() {
+		process.machine.disk.Save(func() {
 			persisted := index.Persisted{}
-			if failure := image.SaveIndex(shell.machine.disk, command.Snapshot); failure != nil {
+			if failure := image.SaveIndex(process.machine.disk, command.Snapshot); failure != nil {
 				persisted.Error = failure.Error()
 			}
-			shell.event(persisted)
+			process.event(persisted)
 		})
 	case shard.ReadPlatform:
-		shell.readList()
+		process.readList()
 	case shard.ReadReport:
-		shell.readReport(command)
+		process.readReport(command)
 	case shard.Order:
-		shell.event(shard.OrderResult{Server: command.Server, Load: command.Load})
+		process.event(shard.OrderResult{Server: command.Server, Load: command.Load})
 	case contract.Response:
-		take := shell.asks[command.Token]
-		delete(shell.asks, command.Token)
+		take := process.pending[command.Token]
+		delete(process.pending, command.Token)
 		if take != nil {
 			take(command)
 		}
 	case contract.Forward:
-		forward(shell.process, command, func(answer contract.Response) { shell.act(answer) })
+		forwardRequest(process.process, command, func(answer contract.Response) { process.execute(answer) })
 	default:
 		return false
 	}
 	return true
 }
 
-// ask puts an operator's question to this process.
-func (shell *controlShell) ask(ask contract.OperatorRequest, take func(contract.Response)) {
-	shell.Run(func() {
-		shell.token++
-		ask.Token = shell.token
-		shell.asks[ask.Token] = take
-		shell.handle(ask)
+// handleRequest passes an operator's request to this process and calls take with the answer.
+func (process *controlProcess) handleRequest(ask contract.OperatorRequest, take func(contract.Response)) {
+	process.Run(func() {
+		process.token++
+		ask.Token = process.token
+		process.pending[ask.Token] = take
+		process.handle(ask)
 	})
 }
 
-// forward carries an ask to the authority; an answer that is lost is unknown.
-func forward(process *process, forward contract.Forward, give func(contract.Response)) {
+// forwardRequest carries a request to the authority. If the answer is lost, the outcome is reported as unknown.
+func forwardRequest(process *process, forward contract.Forward, give func(contract.Response)) {
 	day, given := process.day, false
 	end := func(answer contract.Response) {
 		if !given {
@@ -110,33 +110,33 @@
 		end(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0))
 		return
 	}
-	day.world.post(process.machine.place(), target.machine.place(), func() {
+	day.world.sendMessage(process.machine.place(), target.machine.place(), func() {
 		if !target.Up {
-			day.world.post(target.machine.place(), process.machine.place(), func() { end(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0)) })
+			day.world.sendMessage(target.machine.place(), process.machine.place(), func() { end(contract.ErrorResponse(0, 503, "the authority cannot be reached; nothing was done", 0)) })
 			return
 		}
-		target.machine.control.ask(forward.Request, func(answer contract.Response) {
-			day.world.post(target.machine.place(), process.machine.place(), func() { end(answer) })
+		target.machine.control.handleRequest(forward.Request, func(answer contract.Response) {
+			day.world.sendMessage(target.machine.place(), process.machine.place(), func() { end(answer) })
 		})
 	})
 }
 
-// readList reads the list page by page, each within the time for it.
-func (shell *controlShell) readList() {
-	read, limit := shard.ListingResult{StartedAt: shell.now()}, shell.settings.Bounds.PlatformPoll()
+// readList reads the list of servers page by page, each within the poll timeout.
+func (process *controlProcess) readList() {
+	read, limit := shard.ListingResult{StartedAt: process.now()}, process.settings.Bounds.PlatformPoll()
 	var page func(number int)
 	page = func(number int) {
-		question(shell.process, shell.day.list.place(), limit, func() (any, time.Duration) {
-			rows, more, fine := shell.day.list.page(number)
-			if !fine {
+		queryExternal(process.process, process.day.list.place(), limit, func() (any, time.Duration) {
+			rows, more, valid := process.day.list.page(number)
+			if !valid {
 				return nil, 0
 			}
 			return listPage{rows, more}, 0
 		}, func(answer any) {
-			got, fine := answer.(listPage)
-			if !fine {
+			got, valid := answer.(listPage)
+			if !valid {
 				read.Listing, read.Error = contract.Listing{}, "the list could not be read"
-				shell.handle(read)
+				process.handle(read)
 				return
 			}
 			read.Listing.Servers = append(read.Listing.Servers, got.rows...)
@@ -144,7 +144,7 @@
 				page(number + 1)
 				return
 			}
-			shell.handle(read)
+			process.handle(read)
 		})
 	}
 	page(0)
@@ -155,32 +155,32 @@
 	more bool
 }
 
-func (shell *controlShell) readReport(command shard.ReadReport) {
-	read := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: shell.now()}}
-	server := shell.day.at(command.Address)
+func (process *controlProcess) readReport(command shard.ReadReport) {
+	read := shard.ReportResult{Server: command.Server, Request: command, ReadResult: retire.ReadResult{StartedAt: process.now()}}
+	server := process.day.serverAt(command.Address)
 	if server == nil {
 		read.Error = "nobody is there"
-		shell.event(read)
+		process.event(read)
 		return
 	}
-	question(shell.process, server.place(), shell.settings.Bounds.PlatformPoll(), func() (any, time.Duration) {
-		report, fine := server.report(command.Server)
-		if !fine {
+	queryExternal(process.process, server.place(), process.settings.Bounds.PlatformPoll(), func() (any, time.Duration) {
+		report, valid := server.report(command.Server)
+		if !valid {
 			return nil, 0
 		}
 		return report, time.Millisecond
 	}, func(answer any) {
-		if report, fine := answer.(contract.LoadReport); fine {
+		if report, valid := answer.(contract.LoadReport); valid {
 			read.Report = report
 		} else {
 			read.Error = "no report"
 		}
-		shell.handle(read)
+		process.handle(read)
 	})
 }
 
-// question asks something outside and takes its answer, or nothing when the limit is over.
-func question(process *process, there place, limit time.Duration, look func() (any, time.Duration), take func(any)) {
+// queryExternal asks something outside of the process and gives nil after the limit.
+func queryExternal(process *process, found location, limit time.Duration, look func() (any, time.Duration), take func(any)) {
 	world, here, done := process.day.world, process.machine.place(), false
 	end := func(answer any) {
 		if !done {
@@ -189,13 +189,13 @@
 		}
 	}
 	process.after(limit, func() { end(nil) })
-	world.post(here, there, func() {
+	world.sendMessage(here, found, func() {
 		answer, span := look()
-		world.After(span, func() { world.post(there, here, func() { end(answer) }) })
+		world.After(span, func() { world.sendMessage(found, here, func() { end(answer) }) })
 	})
 }
 
-func content(value any) json.RawMessage {
+func encodeJSON(value any) json.RawMessage {
 	text, failure := json.Marshal(value)
 	if failure != nil {
 		panic(failure)
@@ -203,14 +203,14 @@
 	return text
 }
 
-// leads tells whether this process numbers writes now.
-func (shell *controlShell) leads() bool {
-	member, there := shell.owner.(*control.Controller).Feed.View().Head()
-	return there && member.Identity() == shell.owner.(*control.Controller).Identity()
+// isHead tells whether this process is the head of the chain, which numbers writes.
+func (process *controlProcess) isHead() bool {
+	member, found := process.owner.(*control.Controller).Feed.View().Head()
+	return found && member.Identity() == process.owner.(*control.Controller).Identity()
 }
 
-// leave tells the others, and ends after the time that this takes.
-func (shell *controlShell) leave(then func()) {
-	shell.event(control.Leave{})
-	shell.after(shell.settings.Bounds.GossipInterval(), then)
+// leave tells the other members, and calls then after the gossip interval that this takes.
+func (process *controlProcess) leave(then func()) {
+	process.event(control.Leave{})
+	process.after(process.settings.Bounds.GossipInterval(), then)
 }
--- a/emulator/cutcost_test.go
+++ b/emulator/cutcost_test.go
@@ -32,16 +32,16 @@
 				for _, how := range []string{"alone", "near"} {
 					without := Play(site, uint64(place+1), Plan{})
 					with := Play(site, uint64(place+1), Plan{Troubles: []Trouble{{Kind: "core_cut", How: how, AtS: cutAt, Zone: zone.Name, ForS: cutFor}}})
-					Expect(with.Breaches).To(BeEmpty())
-					calm.Read, calm.Again, cut.Read, cut.Again = calm.Read+without.Figures.Read, calm.Again+without.Figures.Again, cut.Read+with.Figures.Read, cut.Again+with.Figures.Again
+					Expect(with.Violations).To(BeEmpty())
+					calm.ReadTokens, calm.RereadTokens, cut.ReadTokens, cut.RereadTokens = calm.ReadTokens+without.Figures.ReadTokens, calm.RereadTokens+without.Figures.RereadTokens, cut.ReadTokens+with.Figures.ReadTokens, cut.RereadTokens+with.Figures.RereadTokens
 					count, all := late(without.Figures)
 					calmLate, asked = calmLate+count, asked+all
 					count, _ = late(with.Figures)
 					cutLate += count
 				}
 			}
-			fmt.Fprintln(GinkgoWriter, name, "tokens read", calm.Read, cut.Read, "shared ones again", calm.Again, cut.Again, "not in aim", calmLate, cutLate, "of", asked)
-			Expect(float64(cut.Read)).To(BeNumerically("<=", mostRead*float64(calm.Read)), "tokens read with and without the cuts")
+			fmt.Fprintln(GinkgoWriter, name, "tokens read", calm.ReadTokens, cut.ReadTokens, "shared ones again", calm.RereadTokens, cut.RereadTokens, "not in aim", calmLate, cutLate, "of", asked)
+			Expect(float64(cut.ReadTokens)).To(BeNumerically("<=", mostRead*float64(calm.ReadTokens)), "tokens read with and without the cuts")
 			Expect(100*float64(cutLate-calmLate)/float64(asked)).To(BeNumerically("<=", mostLate), "calls in a hundred that the cuts make late")
 		})
 	}
--- a/emulator/data.go
+++ b/emulator/data.go
@@ -12,48 +12,49 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// dataShell carries out what the two owners in a data process want: one follows feed and lists, the other has the calls.
-type dataShell struct {
+// dataProcess carries out the commands of the two state machines in a data process: the node follows the feed and the lists, the
+// router decides on calls.
+type dataProcess struct {
 	*process
-	settings  env.Env
-	traffic   *gateway.Router
-	pool      map[string][]*pooled
-	token     int64
-	answers   map[int64]func(contract.Response)
-	callers   map[*conn]func()
-	servers   map[*conn]bool
-	exchanges int
-	leaving   bool
-	shut      bool
-	touched   time.Duration
-	listed    map[string]gateway.ServersListed
-}
-
-func newDataShell(machine *machine, settings env.Env) *dataShell {
-	shell := &dataShell{settings: settings, traffic: gateway.NewRouter(settings, machine.random()), pool: map[string][]*pooled{}, answers: map[int64]func(contract.Response){},
-		callers: map[*conn]func(){}, servers: map[*conn]bool{}, listed: map[string]gateway.ServersListed{}}
-	shell.process = machine.process(contract.KindData, gateway.NewNode(settings, machine.boot(), shell.traffic, machine.random()))
-	shell.perform = shell.act
-	shell.sweep()
-	return shell
-}
-
-func (shell *dataShell) act(command contract.Command) bool {
+	settings        env.Env
+	traffic         *gateway.Router
+	idleServers     map[string][]*pooledConn
+	token           int64
+	pending         map[int64]func(contract.Response)
+	clientConns     map[*conn]func()
+	serverConns     map[*conn]bool
+	activeExchanges int
+	leaving         bool
+	closedToClients bool
+	lastCallAt      time.Duration
+	listed          map[string]gateway.ServersListed
+}
+
+func newDataProcess(machine *machine, settings env.Env) *dataProcess {
+	data := &dataProcess{settings: settings, traffic: gateway.NewRouter(settings, machine.random()), idleServers: map[string][]*pooledConn{}, pending: map[int64]func(contract.Response){},
+		clientConns: map[*conn]func(){}, serverConns: map[*conn]bool{}, listed: map[string]gateway.ServersListed{}}
+	data.process = machine.process(contract.KindData, gateway.NewNode(settings, machine.boot(), data.traffic, machine.random()))
+	data.perform = data.execute
+	data.closeExpired()
+	return data
+}
+
+func (data *dataProcess) execute(command contract.Command) bool {
 	switch command := command.(type) {
 	case gateway.Update:
-		if listed, fine := command.Event.(gateway.ServersListed); fine {
-			shell.day.told(shell.machine, listed)
-			shell.listed[listed.Region] = listed
-			command.Event = shell.day.foretold(listed)
+		if listed, valid := command.Event.(gateway.ServersListed); valid {
+			data.day.observeResets(data.machine, listed)
+			data.listed[listed.Region] = listed
+			command.Event = data.day.withOracleResets(listed)
 		}
-		if event := command.Event; shell.day.sieve == nil || shell.day.sieve(shell.machine, &event) {
-			shell.traffic.Handle(shell.now(), event)
+		if event := command.Event; data.day.eventFilter == nil || data.day.eventFilter(data.machine, &event) {
+			data.traffic.Handle(data.now(), event)
 		}
 	case contract.Forward:
-		forward(shell.process, command, func(answer contract.Response) { shell.act(answer) })
+		forwardRequest(data.process, command, func(answer contract.Response) { data.execute(answer) })
 	case contract.Response:
-		take := shell.answers[command.Token]
-		delete(shell.answers, command.Token)
+		take := data.pending[command.Token]
+		delete(data.pending, command.Token)
 		if take != nil {
 			take(command)
 		}
@@ -63,115 +64,115 @@
 	return true
 }
 
-// decide gives the one command that the owner of the calls answers with.
-func (shell *dataShell) decide(event contract.Event) contract.Command {
-	commands := shell.traffic.Handle(shell.now(), event)
+// decide passes an event of a call to the router, which must answer with exactly one command.
+func (data *dataProcess) decide(event contract.Event) contract.Command {
+	commands := data.traffic.Handle(data.now(), event)
 	if len(commands) != 1 {
 		panic("an event of a call wants one command")
 	}
 	return commands[0]
 }
 
-func (shell *dataShell) ready() bool { return shell.traffic.Ready(shell.now()) && !shell.leaving }
+func (data *dataProcess) ready() bool { return data.traffic.Ready(data.now()) && !data.leaving }
 
-// lookup answers a caller that asks where to go, with the machines' addresses.
-func (shell *dataShell) lookup(region, zone string, take func([]string)) {
-	shell.Run(func() {
-		shell.token++
-		shell.answers[shell.token] = func(answer contract.Response) {
+// lookup answers a client's look-up with the addresses of machines.
+func (data *dataProcess) lookup(region, zone string, take func([]string)) {
+	data.Run(func() {
+		data.token++
+		data.pending[data.token] = func(answer contract.Response) {
 			found := answer.Body.(gateway.Addresses)
 			take(found.Addresses)
 		}
-		shell.handle(gateway.Lookup{Token: shell.token, Region: region, Zone: zone})
+		data.handle(gateway.Lookup{Token: data.token, Region: region, Zone: zone})
 	})
 }
 
-// ask puts a question about a prompt's place and goes on after its patience; a late answer serves later calls.
-func (shell *dataShell) ask(asked gateway.PlaceQuery, take func(gateway.PlaceAnswer)) {
-	shell.token++
-	token, over := shell.token, false
+// queryPlace asks where a prompt is cached and goes on without an answer after the timeout; a late answer is used for later calls.
+func (data *dataProcess) queryPlace(asked gateway.PlaceQuery, take func(gateway.PlaceAnswer)) {
+	data.token++
+	token, over := data.token, false
 	end := func(placed gateway.PlaceAnswer) {
 		if !over {
 			over = true
 			take(placed)
 		}
 	}
-	shell.answers[token] = func(answer contract.Response) {
-		place, fine := answer.Body.(index.Place)
-		if fine {
-			shell.traffic.Handle(shell.now(), gateway.PlacesMoved{Places: []index.Place{place}})
+	data.pending[token] = func(answer contract.Response) {
+		place, valid := answer.Body.(index.Place)
+		if valid {
+			data.traffic.Handle(data.now(), gateway.PlacesMoved{Places: []index.Place{place}})
 		}
-		end(gateway.PlaceAnswer{Token: asked.Token, Place: place, TimedOut: !fine && !gateway.IsRefusalStatus(answer.Status)})
+		end(gateway.PlaceAnswer{Token: asked.Token, Place: place, TimedOut: !valid && !gateway.IsRefusalStatus(answer.Status)})
 	}
-	shell.after(asked.Timeout, func() { end(gateway.PlaceAnswer{Token: asked.Token, TimedOut: true}) })
-	shell.handle(gateway.AskPlace{Token: token, Ask: asked.Ask})
+	data.after(asked.Timeout, func() { end(gateway.PlaceAnswer{Token: asked.Token, TimedOut: true}) })
+	data.handle(gateway.AskPlace{Token: token, Ask: asked.Ask})
 }
 
 const (
-	leaveParts = 80
-	endParts   = 8
+	leaveChecks = 80
+	finalParts  = 8
 )
 
-// leave steers callers away first, then lets what runs come to its end within the grace.
-func (shell *dataShell) leave(then func()) {
-	shell.leaving = true
-	shell.event(gateway.Leave{})
-	grace, life, began := shell.settings.Gateway.Grace, shell.settings.Gateway.LookupLife, shell.now()
+// leave steers clients away first, then lets running calls finish within the grace period.
+func (data *dataProcess) leave(then func()) {
+	data.leaving = true
+	data.event(gateway.Leave{})
+	grace, life, began := data.settings.Gateway.Grace, data.settings.Gateway.LookupLife, data.now()
 	var look func()
 	look = func() {
-		passed := shell.now() - began
-		quiet := shell.now() - shell.touched
-		if shell.shut = shell.shut || passed >= grace*(endParts-1)/endParts || passed > life*2 && shell.exchanges == 0 && quiet > life; shell.shut && shell.exchanges == 0 {
+		passed := data.now() - began
+		quiet := data.now() - data.lastCallAt
+		if data.closedToClients = data.closedToClients || passed >= grace*(finalParts-1)/finalParts || passed > life*2 && data.activeExchanges == 0 && quiet > life; data.closedToClients && data.activeExchanges == 0 {
 			then()
 			return
 		}
-		shell.after(grace/leaveParts, look)
+		data.after(grace/leaveChecks, look)
 	}
-	shell.after(grace/leaveParts, look)
+	data.after(grace/leaveChecks, look)
 }
 
-// reset ends every connection so that the other end hears of it; vanish does so without a word.
-func (shell *dataShell) reset() {
-	for _, conn := range shell.connections() {
-		conn.close(shell.side(conn))
+// closeConnections closes every connection so that the other end is notified; dropConnections does so without notice.
+func (data *dataProcess) closeConnections() {
+	for _, conn := range data.connections() {
+		conn.close(data.ownSide(conn))
 	}
 }
 
-func (shell *dataShell) vanish() {
-	for _, conn := range shell.connections() {
-		conn.lose(shell.side(conn))
+func (data *dataProcess) dropConnections() {
+	for _, conn := range data.connections() {
+		conn.drop(data.ownSide(conn))
 	}
 }
 
-func (shell *dataShell) side(conn *conn) int {
-	if _, caller := shell.callers[conn]; caller {
-		return far
+func (data *dataProcess) ownSide(conn *conn) int {
+	if _, caller := data.clientConns[conn]; caller {
+		return acceptor
 	}
-	return near
+	return dialer
 }
 
-func (shell *dataShell) connections() []*conn {
-	all := slices.Collect(maps.Keys(shell.callers))
-	all = append(all, slices.Collect(maps.Keys(shell.servers))...)
+func (data *dataProcess) connections() []*conn {
+	all := slices.Collect(maps.Keys(data.clientConns))
+	all = append(all, slices.Collect(maps.Keys(data.serverConns))...)
 	slices.SortFunc(all, func(left, right *conn) int { return int(left.number - right.number) })
 	return all
 }
 
-// pooled is a connection to a server that waits for its next call.
-type pooled struct {
-	conn *conn
-	used time.Duration
-	life time.Duration
+// pooledConn is an idle connection to a server.
+type pooledConn struct {
+	conn     *conn
+	lastUsed time.Duration
+	maxIdle  time.Duration
 }
 
 const idlePerServer = 64
 
-func (shell *dataShell) take(address string, idle time.Duration) *conn {
-	for kept := shell.pool[address]; len(kept) > 0; kept = shell.pool[address] {
+func (data *dataProcess) takeIdle(address string, idle time.Duration) *conn {
+	for kept := data.idleServers[address]; len(kept) > 0; kept = data.idleServers[address] {
 		last := kept[len(kept)-1]
-		shell.pool[address] = kept[:len(kept)-1]
-		if shell.now()-last.used > min(idle, last.life) || !last.conn.live[near] {
-			shell.drop(last.conn)
+		data.idleServers[address] = kept[:len(kept)-1]
+		if data.now()-last.lastUsed > min(idle, last.maxIdle) || !last.conn.open[dialer] {
+			data.closeServer(last.conn)
 			continue
 		}
 		return last.conn
@@ -179,38 +180,38 @@
 	return nil
 }
 
-func (shell *dataShell) keep(address string, conn *conn, told time.Duration) {
-	life := shell.settings.Gateway.Contact * 2
+func (data *dataProcess) putIdle(address string, conn *conn, told time.Duration) {
+	life := data.settings.Gateway.Contact * 2
 	if told > 0 {
 		life = min(life, told/2)
 	}
-	if len(shell.pool[address]) >= idlePerServer || !conn.live[near] {
-		shell.drop(conn)
+	if len(data.idleServers[address]) >= idlePerServer || !conn.open[dialer] {
+		data.closeServer(conn)
 		return
 	}
-	conn.closed[near] = nil
-	shell.pool[address] = append(shell.pool[address], &pooled{conn, shell.now(), life})
+	conn.onClose[dialer] = nil
+	data.idleServers[address] = append(data.idleServers[address], &pooledConn{conn, data.now(), life})
 }
 
-func (shell *dataShell) drop(conn *conn) {
-	conn.close(near)
-	delete(shell.servers, conn)
+func (data *dataProcess) closeServer(conn *conn) {
+	conn.close(dialer)
+	delete(data.serverConns, conn)
 }
 
-func (shell *dataShell) sweep() {
-	shell.after(shell.settings.Gateway.Contact, func() {
-		for _, address := range manifest.SortedKeys(shell.pool) {
-			kept := shell.pool[address]
+func (data *dataProcess) closeExpired() {
+	data.after(data.settings.Gateway.Contact, func() {
+		for _, address := range manifest.SortedKeys(data.idleServers) {
+			kept := data.idleServers[address]
 			left := kept[:0]
 			for _, one := range kept {
-				if shell.now()-one.used > one.life {
-					shell.drop(one.conn)
+				if data.now()-one.lastUsed > one.maxIdle {
+					data.closeServer(one.conn)
 					continue
 				}
 				left = append(left, one)
 			}
-			shell.pool[address] = left
+			data.idleServers[address] = left
 		}
-		shell.sweep()
+		data.closeExpired()
 	})
 }
--- a/emulator/day.go
+++ b/emulator/day.go
@@ -12,84 +12,85 @@
 	"github.com/cedarreel/cedarreel/emulator/rules"
 )
 
-// Day is one seeded day of a site.
+// Day is one day of a site, determined by its seed.
 type Day struct {
-	world     *World
-	site      Site
-	record    *rules.Record
-	machines  []*machine
-	byName    map[string]*machine
-	servers   map[string]*server
-	byAddress map[string]*server
-	order     []*server
-	started   map[string]int
-	free      []string
-	addresses int
-	list      *list
-	operator  *operator
-	visitors  map[string][]*visitor
-	shifts    map[string]shift
-	bursts    []*surge
-	changes   []Change
-	figures   []*Figure
-	counts    map[string]int64
-	shared    map[string]bool
-	chance    *rand.Rand
-	tell      func(string)
-	sieve     func(*machine, *contract.Event) bool
-	plan      []string
-	calls     int64
-	tries     int64
-	runs      int64
-	reports   int64
-	opened    int64
-	read      int64
-	again     int64
-	putBacks  int64
-	caches    caches
-	stay      bool
-	// relayLoss is the share of the messages that members carry for others that is lost now.
+	world             *World
+	site              Site
+	record            *rules.Record
+	machines          []*machine
+	byName            map[string]*machine
+	servers           map[string]*server
+	byAddress         map[string]*server
+	serversInOrder    []*server
+	started           map[string]int
+	freeAddresses     []string
+	addresses         int
+	list              *serverList
+	operator          *operator
+	clients           map[string][]*client
+	clientShifts      map[string]clientShift
+	surges            []*surge
+	changes           []Change
+	figures           []*Figure
+	counts            map[string]int64
+	sharedSeen        map[string]bool
+	chance            *rand.Rand
+	log               func(string)
+	eventFilter       func(*machine, *contract.Event) bool
+	plan              []string
+	callCount         int64
+	attemptCount      int64
+	executions        int64
+	reportCount       int64
+	connectionsOpened int64
+	readTokens        int64
+	rereadTokens      int64
+	preemptions       int64
+	caches            cacheObservations
+	keepsConnections  bool
+	// relayLoss is the share of relayed messages that is lost at present.
 	relayLoss float64
 }
 
-type shift struct {
+type clientShift struct {
 	share float64
 	to    string
 }
 
-// surge raises the rate of all calls, or of one class, for a while.
+// surge multiplies the rate of all calls, or of one class, for a while.
 type surge struct {
-	class string
-	times float64
+	class  string
+	factor float64
 }
 
+// Option sets an option of a new day.
 type Option func(*Day)
 
-// WithTell gives every change of state that a process tells of.
-func WithTell(tell func(string)) Option { return func(day *Day) { day.tell = tell } }
+// WithLog passes each log line of a process, and each trouble that begins, to a function.
+func WithLog(tell func(string)) Option { return func(day *Day) { day.log = tell } }
 
-// WithChanges plays with other settings of the product.
+// WithChanges runs the product with other settings.
 func WithChanges(changes ...Change) Option { return func(day *Day) { day.changes = changes } }
 
-// withSieve puts a fault into every node: what its calls learn goes through a sieve.
-func withSieve(sieve func(*machine, *contract.Event) bool) Option {
-	return func(day *Day) { day.sieve = sieve }
+// withEventFilter plants a fault: events for the routers pass a filter, which may change or drop them.
+func withEventFilter(sieve func(*machine, *contract.Event) bool) Option {
+	return func(day *Day) { day.eventFilter = sieve }
 }
 
-// New makes a day that has not begun.
+// New makes a day that has not started.
 func New(site Site, seed uint64, options ...Option) *Day {
 	bounds := site.Bounds
 	day := &Day{world: newWorld(seed, site.Net), site: site, byName: map[string]*machine{}, servers: map[string]*server{}, byAddress: map[string]*server{},
-		started: map[string]int{}, visitors: map[string][]*visitor{}, shifts: map[string]shift{}, counts: map[string]int64{}, shared: map[string]bool{}, caches: caches{counts: map[string]int64{}, told: map[string]int64{}}}
+		started: map[string]int{}, clients: map[string][]*client{}, clientShifts: map[string]clientShift{}, counts: map[string]int64{}, sharedSeen: map[string]bool{}, caches: cacheObservations{resetCounts: map[string]int64{}, oracleResets: map[string]int64{}}}
 	for _, option := range options {
 		option(day)
 	}
-	day.chance = day.world.source("troubles")
+	day.chance = day.world.randomSource("troubles")
 	day.record = &rules.Record{CoreSize: 2*bounds.ToleratedMachines + 1, Services: map[string]rules.Service{}, Bounds: rules.Bounds{Contact: milliseconds(bounds.ContactMs), Ack: milliseconds(bounds.AckMs),
 		Drain: milliseconds(bounds.DrainMs), Grace: seconds(bounds.GraceS), Loss: milliseconds(bounds.LossMs), Propagate: milliseconds(bounds.PropagateMs),
 		Revert: milliseconds(bounds.RevertMs), Evacuate: milliseconds(bounds.EvacuateMs), Recover: seconds(bounds.RecoverS), RetryRatio: bounds.RetryRatio,
 		RetryWindow: seconds(bounds.RetryWindowS), RetryAllowance: bounds.RetryAllowance, WarmupOverage: bounds.WarmupOverage, WarmupAllowance: bounds.WarmupAllowance}}
-	day.list = &list{day: day}
+	day.list = &serverList{day: day}
 	for _, service := range site.Services {
 		day.record.Services[service.Name] = rules.Service{ColdPerS: service.ColdPerS}
 		for _, group := range service.Servers {
@@ -109,25 +110,25 @@
 
 func (day *Day) addMachine(zone string, core bool) *machine {
 	number := len(day.machines) + 1
-	made := &machine{day: day, name: "node-" + name(number), zone: zone, region: day.site.region(zone), core: core, number: number,
+	created := &machine{day: day, name: "node-" + twoDigits(number), zone: zone, region: day.site.region(zone), core: core, number: number,
 		address: fmt.Sprintf("10.1.%d.%d", number/200, number%200+1)}
 	if core {
-		made.disk = newDisk(day.world)
+		created.disk = newDisk(day.world)
 	}
-	made.record = &rules.Machine{Name: made.name, Region: made.region, Core: core}
-	day.record.Machines = append(day.record.Machines, made.record)
-	day.machines = append(day.machines, made)
-	day.byName[made.name] = made
-	return made
+	created.record = &rules.Machine{Name: created.name, Region: created.region, Core: core}
+	day.record.Machines = append(day.record.Machines, created.record)
+	day.machines = append(day.machines, created)
+	day.byName[created.name] = created
+	return created
 }
 
-func name(number int) string { return fmt.Sprintf("%02d", number) }
+func twoDigits(number int) string { return fmt.Sprintf("%02d", number) }
 
-// seeds are the control addresses of three core machines, as they stood when the machine's settings were written.
+// seeds are the control addresses of up to three core machines, as they stood when the machine started.
 func (day *Day) seeds(machine *machine) []string {
 	seeds := []string{}
 	for _, other := range day.machines {
-		if other.core && !other.gone && len(seeds) < 3 {
+		if other.core && !other.removed && len(seeds) < 3 {
 			seeds = append(seeds, other.address+":"+controlPort)
 		}
 	}
@@ -156,19 +157,19 @@
 	return nil
 }
 
-// seen is the list of nodes that callers and the operator have, as it was a while ago.
-func (day *Day) seen() []*machine {
+// listedMachines is the list of nodes that callers and the operator have, which lags behind.
+func (day *Day) listedMachines() []*machine {
 	return slices.DeleteFunc(slices.Clone(day.machines), func(machine *machine) bool {
-		return machine.boots == 0 || machine.listed > day.world.Now || machine.gone && machine.removed+day.listDelay() <= day.world.Now
+		return machine.boots == 0 || machine.listedAt > day.world.Now || machine.removed && machine.removedAt+day.listDelay() <= day.world.Now
 	})
 }
 
-// operable gives those of the list that operators may call: where a control process runs.
-func (day *Day) operable() []*machine {
-	return slices.DeleteFunc(day.seen(), func(machine *machine) bool { return !machine.controls() })
+// operatorTargets are the listed machines that run a control process.
+func (day *Day) operatorTargets() []*machine {
+	return slices.DeleteFunc(day.listedMachines(), func(machine *machine) bool { return !machine.runsControl() })
 }
 
-// listDelay is how late the list of nodes is; those that are there from the start are on it.
+// listDelay is the lag of the list of nodes; machines that start with the day are listed at once.
 func (day *Day) listDelay() time.Duration {
 	if day.world.Now == 0 {
 		return 0
@@ -176,7 +177,7 @@
 	return seconds(day.site.Bounds.SeedDelayS)
 }
 
-func (day *Day) at(address string) *server {
+func (day *Day) serverAt(address string) *server {
 	server := day.byAddress[address]
 	if server == nil || !server.up {
 		return nil
@@ -184,11 +185,11 @@
 	return server
 }
 
-// address gives a new server one that was free for long enough, or a fresh one.
+// address reuses the address of a server that ended long enough ago, or gives a new one.
 func (day *Day) address(service string) string {
-	if len(day.free) > 0 {
-		first := day.free[0]
-		day.free = day.free[1:]
+	if len(day.freeAddresses) > 0 {
+		first := day.freeAddresses[0]
+		day.freeAddresses = day.freeAddresses[1:]
 		return first
 	}
 	day.addresses++
@@ -197,39 +198,39 @@
 
 func (day *Day) host() string { return day.site.Name + ".example" }
 
-func (day *Day) say(who, what string, detail ...any) {
-	if day.tell != nil {
-		day.tell(fmt.Sprintln(day.world.Now.Round(time.Millisecond), who, what, detail))
+func (day *Day) logEvent(who, what string, detail ...any) {
+	if day.log != nil {
+		day.log(fmt.Sprintln(day.world.Now.Round(time.Millisecond), who, what, detail))
 	}
 }
 
 func (day *Day) weight(class *Class) float64 {
 	weight := class.Weight
-	for _, surge := range day.bursts {
+	for _, surge := range day.surges {
 		if surge.class == class.Name {
-			weight *= surge.times
+			weight *= surge.factor
 		}
 	}
 	return weight
 }
 
-// burst is what the rate of all calls together grows by.
-func (day *Day) burst() float64 {
+// trafficFactor is the factor on the rate of all calls that results from the current surges.
+func (day *Day) trafficFactor() float64 {
 	plain, now := 0.0, 0.0
 	for index := range day.site.Classes {
 		class := &day.site.Classes[index]
 		plain, now = plain+class.Weight, now+day.weight(class)
 	}
 	times := now / plain
-	for _, surge := range day.bursts {
+	for _, surge := range day.surges {
 		if surge.class == "" {
-			times *= surge.times
+			times *= surge.factor
 		}
 	}
 	return times
 }
 
-func (day *Day) swing(source Source, passed time.Duration) float64 {
+func (day *Day) swingFactor(source Source, passed time.Duration) float64 {
 	if source.PeriodS == 0 {
 		return 1
 	}
@@ -248,33 +249,34 @@
 	return value
 }
 
-// Play plays a whole day: its troubles are drawn unless they are given.
+// Play runs a whole day and checks it. Troubles are drawn from the site's list if plan.DrawCount is above 0, otherwise taken from
+// the plan.
 func Play(site Site, seed uint64, plan Plan, options ...Option) Result {
 	day := New(site, seed, options...)
 	lead, length := seconds(site.LeadS), seconds(site.DayS)
 	for _, machine := range day.machines {
 		machine.start()
-		machine.ill(0, 0)
+		machine.recordTrouble(0, 0)
 	}
 	day.operator.begin()
-	troubles, closing := plan.Troubles, plan.Closing
-	if plan.Drawn > 0 {
-		troubles, closing = day.draw(plan.Drawn)
+	troubles, closing := plan.Troubles, plan.FinalFault
+	if plan.DrawCount > 0 {
+		troubles, closing = day.drawTroubles(plan.DrawCount)
 	}
 	until := lead + length
 	if closing != "" {
-		until += seconds(site.Bounds.RecoverS) + closingTail
+		until += seconds(site.Bounds.RecoverS) + finalFaultTail
 	}
 	day.record.Traffic = rules.Span{From: lead, Until: until}
-	day.stay = plan.Stay
-	day.traffic(lead, until)
+	day.keepsConnections = plan.KeepsConnections
+	day.startTraffic(lead, until)
 	for _, trouble := range troubles {
 		day.schedule(trouble)
 	}
 	if closing != "" {
-		day.world.At(lead+length, func() { day.close(closing) })
+		day.world.At(lead+length, func() { day.beginFinalFault(closing) })
 	}
-	last := until + settleTime
+	last := until + quietEnd
 	day.world.RunUntil(last - day.record.Bounds.Contact)
 	day.operator.readBack(last + time.Second)
 	day.world.RunUntil(last + 2*time.Second)
@@ -283,29 +285,29 @@
 }
 
 const (
-	closingTail = 6 * time.Second
-	settleTime  = 9 * time.Second
+	finalFaultTail = 6 * time.Second
+	quietEnd       = 9 * time.Second
 )
 
-// Plan is what happens in a day: so many drawn troubles, or given ones and a closing fault. With Stay callers use connections that are
-// open until the other end closes them, wherever a look-up sends them.
+// Plan is what happens in a day: DrawCount troubles that are drawn, or given ones and a final fault. With KeepsConnections clients
+// use a connection until the other end closes it, whatever a look-up says.
 type Plan struct {
-	Drawn    int
-	Troubles []Trouble
-	Closing  string
-	Stay     bool
+	DrawCount        int
+	Troubles         []Trouble
+	FinalFault       string
+	KeepsConnections bool
 }
 
-// Result is a day as it was judged.
+// Result is the outcome of a day: its troubles, rule violations, figures and counters.
 type Result struct {
-	Seed     uint64
-	Troubles []string
-	Breaches []rules.Violation
-	Figures  Figures
-	Record   *rules.Record
-	Counts   map[string]int64
+	Seed       uint64
+	Troubles   []string
+	Violations []rules.Violation
+	Figures    Figures
+	Record     *rules.Record
+	Counts     map[string]int64
 }
 
 func (day *Day) result(seed uint64) Result {
-	return Result{Seed: seed, Troubles: day.plan, Breaches: rules.Check(day.record), Figures: day.sum(), Record: day.record, Counts: day.counts}
+	return Result{Seed: seed, Troubles: day.plan, Violations: rules.Check(day.record), Figures: day.summary(), Record: day.record, Counts: day.counts}
 }
--- a/emulator/disk.go
+++ b/emulator/disk.go
@@ -6,8 +6,8 @@
 	"github.com/cedarreel/cedarreel/virtual"
 )
 
-// disk is a core machine's folder. What is written counts as synced when the save is over; a loss of power takes the rest. Troubles that
-// overlap add up.
+// disk is the storage of a core machine. Data counts as synced when a save has ended; a power loss takes the rest. Overlapping
+// faults are counted, so that each ends on its own.
 type disk struct {
 	*virtual.Disk
 	full    int
@@ -16,15 +16,15 @@
 }
 
 const (
-	syncTime     = 500 * time.Microsecond
-	syncsPerSave = 3
-	diskPause    = 20 * time.Millisecond
+	syncTime           = 500 * time.Microsecond
+	syncsPerSave       = 3
+	stallRetryInterval = 20 * time.Millisecond
 )
 
 func newDisk(world *World) *disk {
 	made := &disk{}
 	latency := func() time.Duration { return time.Duration(float64(syncTime*syncsPerSave) * max(1, made.slow)) }
-	made.Disk = virtual.NewDisk(&world.Scheduler, virtual.DiskOptions{Latency: latency, LosesUnsynced: true, Serial: true, StallRetryInterval: diskPause})
+	made.Disk = virtual.NewDisk(&world.Scheduler, virtual.DiskOptions{Latency: latency, LosesUnsynced: true, Serial: true, StallRetryInterval: stallRetryInterval})
 	return made
 }
 
--- a/emulator/exchange.go
+++ b/emulator/exchange.go
@@ -11,64 +11,64 @@
 	"strconv"
 )
 
-// request is one try of a caller as it travels.
+// request is one attempt of a client as it travels to a node.
 type request struct {
-	try    *rules.Attempt
-	class  *Class
-	host   string
-	path   string
-	prompt engine.Prompt
-	left   time.Duration
-	work   time.Duration
-	size   int64
-	// began is when the caller wanted it first, and figure how it fares; probes have none.
-	began  time.Duration
-	figure *Figure
+	attempt *rules.Attempt
+	class   *Class
+	host    string
+	path    string
+	prompt  engine.Prompt
+	timeout time.Duration
+	work    time.Duration
+	size    int64
+	// startedAt is when the client first wanted the call, and figure its statistics; probes have none.
+	startedAt time.Duration
+	figure    *Figure
 }
 
-// answer is what a caller gets before or in the place of a stream.
-type answer struct {
-	status int
-	after  time.Duration
-	close  bool
-	sealed bool
-	of     string
-	whole  bool
+// clientAnswer is what a client gets before or instead of a stream.
+type clientAnswer struct {
+	status     int
+	retryAfter time.Duration
+	close      bool
+	sealed     bool
+	identity   string
+	complete   bool
 }
 
-// caller takes what comes back on a connection.
-type caller interface {
-	answered(answer answer)
+// answerReceiver receives what comes back on a connection.
+type answerReceiver interface {
+	answered(answer clientAnswer)
 	piece(piece rules.Piece)
 }
 
-// head is the beginning of a server's answer.
-type head struct {
-	identity string
-	sealed   bool
-	status   int
-	notRun   bool
-	moved    bool
-	load     *gateway.Load
-	close    bool
-	keep     time.Duration
+// serverHead is the head of a server's answer. wrongServer means that the address now belongs to another server.
+type serverHead struct {
+	identity    string
+	sealed      bool
+	status      int
+	notRun      bool
+	wrongServer bool
+	load        *gateway.Load
+	close       bool
+	keepAlive   time.Duration
 }
 
-// query is a request as it travels to a server; it answers through take, whole tells the end.
-type query struct {
-	request *request
-	target  string
-	tenant  string
-	left    time.Duration
-	after   int
-	urgency int
-	// presumed is how many tokens of the prompt the node believes to be kept at the server.
-	presumed int64
-	machine  *machine
-	sent     time.Duration
-	head     func(head)
-	piece    func(rules.Piece)
-	whole    func()
+// serverRequest is a request as it travels to a server; head, piece and complete are called with the parts of the answer.
+type serverRequest struct {
+	request       *request
+	target        string
+	tenant        string
+	timeout       time.Duration
+	resumeAfter   int
+	priorityClass int
+	// presumedTokens is how many tokens of the prompt the node believes to be cached at the server.
+	presumedTokens int64
+	machine        *machine
+	sent           time.Duration
+	head           func(serverHead)
+	piece          func(rules.Piece)
+	complete       func()
 }
 
 const (
@@ -76,36 +76,37 @@
 	pieceBytes = 60
 )
 
-// exchange carries one call to servers, one after the other, and the answer back.
+// exchange carries one call to one server after the other, and the answer back. A new generation invalidates callbacks of earlier
+// dispatches.
 type exchange struct {
-	shell    *dataShell
-	conn     *conn
-	request  *request
-	back     caller
-	token    int64
-	after    int
-	begun    bool
-	over     bool
-	number   int
-	dispatch gateway.Dispatch
-	upstream *conn
-	limit    time.Duration
-	touched  time.Duration
-	patience time.Duration
-	reply    head
-	ended    gateway.DispatchEnded
+	process        *dataProcess
+	conn           *conn
+	request        *request
+	receiver       answerReceiver
+	token          int64
+	lastPiece      int
+	answerStarted  bool
+	over           bool
+	generation     int
+	dispatch       gateway.Dispatch
+	upstream       *conn
+	deadline       time.Duration
+	lastActivity   time.Duration
+	silenceTimeout time.Duration
+	reply          serverHead
+	result         gateway.DispatchEnded
 }
 
-// accept takes a caller's connection.
-func (shell *dataShell) accept(conn *conn) bool {
-	if !shell.Up || shell.shut {
+// accept accepts a client's connection.
+func (data *dataProcess) accept(conn *conn) bool {
+	if !data.Up || data.closedToClients {
 		return false
 	}
-	shell.callers[conn] = nil
-	conn.closed[far] = func() {
-		shell.Run(func() {
-			left := shell.callers[conn]
-			delete(shell.callers, conn)
+	data.clientConns[conn] = nil
+	conn.onClose[acceptor] = func() {
+		data.Run(func() {
+			left := data.clientConns[conn]
+			delete(data.clientConns, conn)
 			if left != nil {
 				left()
 			}
@@ -114,255 +115,255 @@
 	return true
 }
 
-// serve takes one call, has it decided, and carries out what was decided until it is over.
-func (shell *dataShell) serve(conn *conn, request *request, back caller) {
-	shell.Run(func() {
-		if _, there := shell.callers[conn]; !there {
+// serve passes one call to the router and carries out its commands until the call is over.
+func (data *dataProcess) serve(conn *conn, request *request, back answerReceiver) {
+	data.Run(func() {
+		if _, found := data.clientConns[conn]; !found {
 			return
 		}
-		shell.token++
-		shell.exchanges++
-		shell.touched = shell.now()
-		request.try.ReadAt = shell.day.world.Now
-		one := &exchange{shell: shell, conn: conn, request: request, back: back, token: shell.token, after: request.try.ResumeAfter}
-		shell.callers[conn] = one.left
-		arrive := gateway.CallArrived{Token: one.token, Host: request.host, Path: request.path, Timeout: request.left, Prompt: request.prompt, Size: request.size}
-		if request.try.Key != "" {
-			digest := manifest.DigestKey(request.try.Key)
+		data.token++
+		data.activeExchanges++
+		data.lastCallAt = data.now()
+		request.attempt.ReadAt = data.day.world.Now
+		exchange := &exchange{process: data, conn: conn, request: request, receiver: back, token: data.token, lastPiece: request.attempt.ResumeAfter}
+		data.clientConns[conn] = exchange.clientLeft
+		arrive := gateway.CallArrived{Token: exchange.token, Host: request.host, Path: request.path, Timeout: request.timeout, Prompt: request.prompt, Size: request.size}
+		if request.attempt.Key != "" {
+			digest := manifest.DigestKey(request.attempt.Key)
 			arrive.KeyDigest = &digest
 		}
-		if request.try.ResumeAfter > 0 {
-			arrive.LastEventID = strconv.Itoa(request.try.ResumeAfter)
+		if request.attempt.ResumeAfter > 0 {
+			arrive.LastEventID = strconv.Itoa(request.attempt.ResumeAfter)
 		}
-		one.perform(shell.decide(arrive))
+		exchange.perform(data.decide(arrive))
 	})
 }
 
-func (one *exchange) perform(command contract.Command) {
+func (exchange *exchange) perform(command contract.Command) {
 	switch command := command.(type) {
 	case gateway.Dispatch:
-		one.run(command)
+		exchange.dispatchTo(command)
 	case gateway.PlaceQuery:
-		one.shell.ask(command, func(placed gateway.PlaceAnswer) {
-			if !one.over {
-				one.perform(one.shell.decide(placed))
+		exchange.process.queryPlace(command, func(placed gateway.PlaceAnswer) {
+			if !exchange.over {
+				exchange.perform(exchange.process.decide(placed))
 			}
 		})
 	case gateway.PassAnswer:
-		one.answer(answer{status: one.reply.status, sealed: one.reply.sealed, of: one.reply.identity, whole: true})
+		exchange.answer(clientAnswer{status: exchange.reply.status, sealed: exchange.reply.sealed, identity: exchange.reply.identity, complete: true})
 	case gateway.Refuse:
-		one.request.try.Reason = command.Reason
-		one.answer(answer{status: command.Status, after: command.RetryAfter, whole: true})
+		exchange.request.attempt.Reason = command.Reason
+		exchange.answer(clientAnswer{status: command.Status, retryAfter: command.RetryAfter, complete: true})
 	case gateway.Fail:
-		one.request.try.Reason = command.Reason
-		if one.begun {
-			one.end()
-			one.conn.close(far)
-			delete(one.shell.callers, one.conn)
+		exchange.request.attempt.Reason = command.Reason
+		if exchange.answerStarted {
+			exchange.end()
+			exchange.conn.close(acceptor)
+			delete(exchange.process.clientConns, exchange.conn)
 			return
 		}
-		one.answer(answer{status: command.Status, whole: true})
+		exchange.answer(clientAnswer{status: command.Status, complete: true})
 	default:
 		panic("a command that nobody carries out")
 	}
 }
 
-func (one *exchange) end() {
-	one.over = true
-	one.number++
-	one.shell.exchanges--
-	if _, there := one.shell.callers[one.conn]; there {
-		one.shell.callers[one.conn] = nil
+func (exchange *exchange) end() {
+	exchange.over = true
+	exchange.generation++
+	exchange.process.activeExchanges--
+	if _, found := exchange.process.clientConns[exchange.conn]; found {
+		exchange.process.clientConns[exchange.conn] = nil
 	}
 }
 
-func (one *exchange) answer(answer answer) {
-	one.end()
-	if answer.close = one.shell.leaving; answer.close {
-		delete(one.shell.callers, one.conn)
+func (exchange *exchange) answer(answer clientAnswer) {
+	exchange.end()
+	if answer.close = exchange.process.leaving; answer.close {
+		delete(exchange.process.clientConns, exchange.conn)
 	}
-	back := one.back
-	one.conn.send(far, headBytes, func() { back.answered(answer) })
+	back := exchange.receiver
+	exchange.conn.send(acceptor, headBytes, func() { back.answered(answer) })
 	if answer.close {
-		one.conn.close(far)
+		exchange.conn.close(acceptor)
 	}
 }
 
-// left follows a caller that went away.
-func (one *exchange) left() {
-	if one.over {
+// clientLeft handles a client that closed its connection.
+func (exchange *exchange) clientLeft() {
+	if exchange.over {
 		return
 	}
-	one.abandon()
-	one.decide(gateway.OutcomeCallerLeft, "the caller went away")
+	exchange.abandon()
+	exchange.decide(gateway.OutcomeCallerLeft, "the caller went away")
 }
 
-// abandon ends the connection to the server that has the call now.
-func (one *exchange) abandon() {
-	one.number++
-	if one.upstream != nil {
-		one.upstream.closed[near] = nil
-		one.shell.drop(one.upstream)
-		one.upstream = nil
+// abandon closes the connection to the current server.
+func (exchange *exchange) abandon() {
+	exchange.generation++
+	if exchange.upstream != nil {
+		exchange.upstream.onClose[dialer] = nil
+		exchange.process.closeServer(exchange.upstream)
+		exchange.upstream = nil
 	}
 }
 
-func (one *exchange) decide(outcome gateway.Outcome, reason string) {
-	one.ended.Outcome, one.ended.AnswerStarted, one.ended.Reason = outcome, one.begun, reason
-	one.perform(one.shell.decide(one.ended))
+func (exchange *exchange) decide(outcome gateway.Outcome, reason string) {
+	exchange.result.Outcome, exchange.result.AnswerStarted, exchange.result.Reason = outcome, exchange.answerStarted, reason
+	exchange.perform(exchange.process.decide(exchange.result))
 }
 
-// lost ends a dispatch whose answer is unclear.
-func (one *exchange) lost(reason string) {
-	one.abandon()
-	if one.shell.now() >= one.limit {
-		one.decide(gateway.OutcomeDeadlineExceeded, reason)
+// endUnclear ends a dispatch after which it is unknown whether the server executed the call.
+func (exchange *exchange) endUnclear(reason string) {
+	exchange.abandon()
+	if exchange.process.now() >= exchange.deadline {
+		exchange.decide(gateway.OutcomeDeadlineExceeded, reason)
 		return
 	}
-	one.decide(gateway.OutcomeBroken, reason)
+	exchange.decide(gateway.OutcomeBroken, reason)
 }
 
-// run sends the call to one server.
-func (one *exchange) run(dispatch gateway.Dispatch) {
-	shell := one.shell
-	one.number++
-	number := one.number
-	one.dispatch, one.ended = dispatch, gateway.DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt}
-	one.limit, one.patience, one.upstream = shell.now()+dispatch.Timeout, dispatch.SilenceTimeout, nil
-	if kept := shell.take(dispatch.Server.Address, dispatch.MaxIdle); kept != nil {
-		one.write(kept)
+// dispatchTo sends the call to one server, on an idle or a new connection.
+func (exchange *exchange) dispatchTo(dispatch gateway.Dispatch) {
+	data := exchange.process
+	exchange.generation++
+	number := exchange.generation
+	exchange.dispatch, exchange.result = dispatch, gateway.DispatchEnded{Token: dispatch.Token, Attempt: dispatch.Attempt}
+	exchange.deadline, exchange.silenceTimeout, exchange.upstream = data.now()+dispatch.Timeout, dispatch.SilenceTimeout, nil
+	if kept := data.takeIdle(dispatch.Server.Address, dispatch.MaxIdle); kept != nil {
+		exchange.sendUpstream(kept)
 		return
 	}
-	server := shell.day.at(dispatch.Server.Address)
-	to := place{name: dispatch.Server.Address, zone: dispatch.Server.Zone, region: shell.day.site.region(dispatch.Server.Zone)}
+	server := data.day.serverAt(dispatch.Server.Address)
+	to := location{name: dispatch.Server.Address, zone: dispatch.Server.Zone, region: data.day.site.region(dispatch.Server.Zone)}
 	accept := func(*conn) bool { return false }
 	if server != nil {
 		to, accept = server.place(), server.accept
 	}
-	shell.day.opened++
-	shell.day.world.dial(shell.machine.place(), to, min(dispatch.ConnectTimeout, dispatch.Timeout), accept, func(opened *conn) {
-		if !shell.Up {
+	data.day.connectionsOpened++
+	data.day.world.dial(data.machine.place(), to, min(dispatch.ConnectTimeout, dispatch.Timeout), accept, func(opened *conn) {
+		if !data.Up {
 			if opened != nil {
-				opened.close(near)
+				opened.close(dialer)
 			}
 			return
 		}
-		shell.Run(func() {
+		data.Run(func() {
 			switch {
-			case one.over || one.number != number:
+			case exchange.over || exchange.generation != number:
 				if opened != nil {
-					opened.close(near)
+					opened.close(dialer)
 				}
 			case opened == nil:
-				one.decide(gateway.OutcomeNotSent, "no connection")
+				exchange.decide(gateway.OutcomeNotSent, "no connection")
 			default:
-				shell.servers[opened] = true
-				one.write(opened)
+				data.serverConns[opened] = true
+				exchange.sendUpstream(opened)
 			}
 		})
 	})
 }
 
-func (one *exchange) write(upstream *conn) {
-	shell, number, dispatch := one.shell, one.number, one.dispatch
+func (exchange *exchange) sendUpstream(upstream *conn) {
+	data, number, dispatch := exchange.process, exchange.generation, exchange.dispatch
 	guard := func(then func()) {
-		shell.Run(func() {
-			if !one.over && one.number == number {
+		data.Run(func() {
+			if !exchange.over && exchange.generation == number {
 				then()
 			}
 		})
 	}
-	one.upstream, one.touched = upstream, shell.now()
-	upstream.closed[near] = func() { guard(func() { one.lost("the server broke off") }) }
-	asked := &query{request: one.request, target: dispatch.Server.Name, tenant: dispatch.Tenant, left: dispatch.Timeout, after: one.after, urgency: dispatch.Priority, presumed: dispatch.CachedTokens, machine: shell.machine,
-		sent: shell.day.world.Now}
-	asked.head = func(head head) { guard(func() { one.head(head) }) }
-	asked.piece = func(piece rules.Piece) { guard(func() { one.piece(piece) }) }
-	asked.whole = func() { guard(one.whole) }
-	upstream.send(near, one.request.size, func() { shell.day.servers[upstream.ends[far].name].receive(upstream, asked) })
-	shell.after(one.limit-shell.now(), func() { guard(func() { one.lost("its time is over") }) })
-	one.watch(number)
+	exchange.upstream, exchange.lastActivity = upstream, data.now()
+	upstream.onClose[dialer] = func() { guard(func() { exchange.endUnclear("the server broke off") }) }
+	asked := &serverRequest{request: exchange.request, target: dispatch.Server.Name, tenant: dispatch.Tenant, timeout: dispatch.Timeout, resumeAfter: exchange.lastPiece, priorityClass: dispatch.Priority, presumedTokens: dispatch.CachedTokens, machine: data.machine,
+		sent: data.day.world.Now}
+	asked.head = func(head serverHead) { guard(func() { exchange.head(head) }) }
+	asked.piece = func(piece rules.Piece) { guard(func() { exchange.piece(piece) }) }
+	asked.complete = func() { guard(exchange.complete) }
+	upstream.send(dialer, exchange.request.size, func() { data.day.servers[upstream.ends[acceptor].name].receive(upstream, asked) })
+	data.after(exchange.deadline-data.now(), func() { guard(func() { exchange.endUnclear("its time is over") }) })
+	exchange.watchSilence(number)
 }
 
-// watch asks the owner of the calls what to do about a server that says nothing.
-func (one *exchange) watch(number int) {
-	shell := one.shell
-	shell.after(one.patience-(shell.now()-one.touched), func() {
-		if one.over || one.number != number {
+// watchSilence asks the router what to do about a server that sends nothing.
+func (exchange *exchange) watchSilence(number int) {
+	data := exchange.process
+	data.after(exchange.silenceTimeout-(data.now()-exchange.lastActivity), func() {
+		if exchange.over || exchange.generation != number {
 			return
 		}
-		if shell.now()-one.touched < one.patience {
-			one.watch(number)
+		if data.now()-exchange.lastActivity < exchange.silenceTimeout {
+			exchange.watchSilence(number)
 			return
 		}
-		command := shell.decide(gateway.ServerSilent{Token: one.dispatch.Token, Attempt: one.dispatch.Attempt})
-		if wait, fine := command.(gateway.Wait); fine {
-			if one.patience = wait.SilenceTimeout; wait.SilenceTimeout > 0 {
-				one.touched = shell.now()
-				one.watch(number)
+		command := data.decide(gateway.ServerSilent{Token: exchange.dispatch.Token, Attempt: exchange.dispatch.Attempt})
+		if wait, valid := command.(gateway.Wait); valid {
+			if exchange.silenceTimeout = wait.SilenceTimeout; wait.SilenceTimeout > 0 {
+				exchange.lastActivity = data.now()
+				exchange.watchSilence(number)
 			}
 			return
 		}
-		one.abandon()
-		one.perform(command)
+		exchange.abandon()
+		exchange.perform(command)
 	})
 }
 
-func (one *exchange) head(head head) {
-	one.ended.Load = head.load
-	if head.identity != "" && head.identity != one.request.try.Identity {
-		one.lost("the answer is another call's")
+func (exchange *exchange) head(head serverHead) {
+	exchange.result.Load = head.load
+	if head.identity != "" && head.identity != exchange.request.attempt.Identity {
+		exchange.endUnclear("the answer is another call's")
 		return
 	}
-	one.touched = one.shell.now()
-	one.reply = head
-	if head.moved || head.notRun {
+	exchange.lastActivity = exchange.process.now()
+	exchange.reply = head
+	if head.wrongServer || head.notRun {
 		return
 	}
-	fine := head.status/100 == 2
-	if fine && (!head.sealed || head.identity == "") {
-		one.lost("not a server's answer")
+	valid := head.status/100 == 2
+	if valid && (!head.sealed || head.identity == "") {
+		exchange.endUnclear("not a server's answer")
 		return
 	}
-	one.shell.traffic.Handle(one.shell.now(), gateway.HeadReceived{Token: one.dispatch.Token, Attempt: one.dispatch.Attempt, Load: head.load})
-	one.ended.ServerError = head.status >= 500
-	if one.begun && !fine {
-		one.lost("no going on")
+	exchange.process.traffic.Handle(exchange.process.now(), gateway.HeadReceived{Token: exchange.dispatch.Token, Attempt: exchange.dispatch.Attempt, Load: head.load})
+	exchange.result.ServerError = head.status >= 500
+	if exchange.answerStarted && !valid {
+		exchange.endUnclear("no going on")
 	}
 }
 
-func (one *exchange) piece(piece rules.Piece) {
-	one.touched = one.shell.now()
-	if !one.begun {
-		one.begun = true
-		reply := answer{status: one.reply.status, sealed: one.reply.sealed, of: one.reply.identity}
-		back := one.back
-		one.conn.send(far, headBytes, func() { back.answered(reply) })
+func (exchange *exchange) piece(piece rules.Piece) {
+	exchange.lastActivity = exchange.process.now()
+	if !exchange.answerStarted {
+		exchange.answerStarted = true
+		reply := clientAnswer{status: exchange.reply.status, sealed: exchange.reply.sealed, identity: exchange.reply.identity}
+		back := exchange.receiver
+		exchange.conn.send(acceptor, headBytes, func() { back.answered(reply) })
 	}
-	if piece.Number == one.after+1 || one.after == 0 {
-		one.shell.traffic.Handle(one.shell.now(), gateway.StreamStarted{Token: one.dispatch.Token, Attempt: one.dispatch.Attempt})
+	if piece.Number == exchange.lastPiece+1 || exchange.lastPiece == 0 {
+		exchange.process.traffic.Handle(exchange.process.now(), gateway.StreamStarted{Token: exchange.dispatch.Token, Attempt: exchange.dispatch.Attempt})
 	}
-	one.after = piece.Number
-	back := one.back
-	one.conn.send(far, pieceBytes, func() { back.piece(piece) })
+	exchange.lastPiece = piece.Number
+	back := exchange.receiver
+	exchange.conn.send(acceptor, pieceBytes, func() { back.piece(piece) })
 }
 
-// whole ends a dispatch with a complete answer; the connection is kept for the next call.
-func (one *exchange) whole() {
-	upstream, reply := one.upstream, one.reply
-	one.number++
-	one.upstream = nil
+// complete ends a dispatch with a complete answer; the connection is reused.
+func (exchange *exchange) complete() {
+	upstream, reply := exchange.upstream, exchange.reply
+	exchange.generation++
+	exchange.upstream = nil
 	if reply.close {
-		one.shell.drop(upstream)
+		exchange.process.closeServer(upstream)
 	} else {
-		one.shell.keep(one.dispatch.Server.Address, upstream, reply.keep)
+		exchange.process.putIdle(exchange.dispatch.Server.Address, upstream, reply.keepAlive)
 	}
 	switch {
-	case reply.moved:
-		one.decide(gateway.OutcomeWrongServer, "another server has the address")
+	case reply.wrongServer:
+		exchange.decide(gateway.OutcomeWrongServer, "another server has the address")
 	case reply.notRun:
-		one.decide(gateway.OutcomeNotRun, "the server did not run it")
+		exchange.decide(gateway.OutcomeNotRun, "the server did not run it")
 	default:
-		one.decide(gateway.OutcomeComplete, "")
+		exchange.decide(gateway.OutcomeComplete, "")
 	}
 }
--- a/emulator/figures.go
+++ b/emulator/figures.go
@@ -10,34 +10,35 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// Figure is how one call ended.
+// Figure is how one call ended. First is the time until its first piece; Paused marks a gap between pieces above the class's bound.
 type Figure struct {
 	Class   string
 	Outcome string
 	First   time.Duration
 	Ended   time.Duration
 	Paused  bool
-	waits   waits
+	latency latencyBreakdown
 }
 
-// ClassFigures sums the calls of a class: those served inside their aim, late, refused and failed.
+// ClassFigures sums the calls of a class: those served within their latency target, late, refused and failed, and the median and
+// 99th percentile of the time until the first piece.
 type ClassFigures struct {
 	Asked, Aim, Late, Refused, Failed int
 	Median, Slowest                   time.Duration
 }
 
-// Figures sum a day.
+// Figures summarise a day.
 type Figures struct {
-	Classes                       map[string]ClassFigures
-	Read, Again, Far              int64
-	Opened, PutBacks, Lists, Runs int64
-	Caches                        CacheFigures
-	Account                       Account
+	Classes                                                  map[string]ClassFigures
+	ReadTokens, RereadTokens, CrossRegionBytes               int64
+	ConnectionsOpened, Preemptions, ListRequests, Executions int64
+	Caches                                                   CacheFigures
+	MissReasons                                              MissReasons
 }
 
-func (day *Day) sum() Figures {
-	sum := Figures{Classes: map[string]ClassFigures{}, Read: day.read, Again: day.again, Far: day.world.far, Opened: day.opened, PutBacks: day.putBacks,
-		Lists: day.list.Asked + day.list.Declined, Runs: day.runs, Caches: day.cacheFigures(), Account: day.account()}
+func (day *Day) summary() Figures {
+	sum := Figures{Classes: map[string]ClassFigures{}, ReadTokens: day.readTokens, RereadTokens: day.rereadTokens, CrossRegionBytes: day.world.crossRegionBytes, ConnectionsOpened: day.connectionsOpened, Preemptions: day.preemptions,
+		ListRequests: day.list.Asked + day.list.Declined, Executions: day.executions, Caches: day.cacheFigures(), MissReasons: day.missReasons()}
 	firsts := map[string][]time.Duration{}
 	for _, one := range day.figures {
 		class := sum.Classes[one.Class]
@@ -66,17 +67,17 @@
 	return sum
 }
 
-// Values gives every figure by name, shares in percent and times in milliseconds.
+// Values gives every figure by name; shares in percent, times in milliseconds.
 func (figures Figures) Values() map[string]float64 {
-	values := map[string]float64{"prompt tokens read": float64(figures.Read), "shared tokens read again": float64(figures.Again), "bytes between regions": float64(figures.Far),
-		"connections opened": float64(figures.Opened), "put back": float64(figures.PutBacks), "lists asked": float64(figures.Lists)}
+	values := map[string]float64{"prompt tokens read": float64(figures.ReadTokens), "shared tokens read again": float64(figures.RereadTokens), "bytes between regions": float64(figures.CrossRegionBytes),
+		"connections opened": float64(figures.ConnectionsOpened), "put back": float64(figures.Preemptions), "lists asked": float64(figures.ListRequests)}
 	for name, class := range figures.Classes {
 		share := func(count int) float64 { return 100 * float64(count) / float64(max(1, class.Asked)) }
 		values[name+" in aim %"], values[name+" late %"] = share(class.Aim), share(class.Late)
 		values[name+" refused %"], values[name+" failed %"] = share(class.Refused), share(class.Failed)
 		values[name+" p50 ms"], values[name+" p99 ms"] = class.Median.Seconds()*1000, class.Slowest.Seconds()*1000
 	}
-	for name, value := range figures.Account.values() {
+	for name, value := range figures.MissReasons.values() {
 		values[name] = value
 	}
 	for name, value := range figures.Caches.values() {
@@ -85,6 +86,7 @@
 	return values
 }
 
+// Text gives the figures as lines for the terminal.
 func (figures Figures) Text() string {
 	text := strings.Builder{}
 	for _, name := range manifest.SortedKeys(figures.Classes) {
@@ -92,14 +94,14 @@
 		fmt.Fprintf(&text, "%s: asked %d, in aim %d, late %d, refused %d, failed %d, first piece p50 %v p99 %v\n", name, class.Asked, class.Aim, class.Late, class.Refused,
 			class.Failed, class.Median.Round(time.Millisecond), class.Slowest.Round(time.Millisecond))
 	}
-	fmt.Fprintf(&text, "tokens read %d, shared read again %d, bytes between regions %d, connections opened %d, put back %d, lists asked %d\n", figures.Read, figures.Again,
-		figures.Far, figures.Opened, figures.PutBacks, figures.Lists)
-	text.WriteString(figures.Account.text())
+	fmt.Fprintf(&text, "tokens read %d, shared read again %d, bytes between regions %d, connections opened %d, put back %d, lists asked %d\n", figures.ReadTokens, figures.RereadTokens,
+		figures.CrossRegionBytes, figures.ConnectionsOpened, figures.Preemptions, figures.ListRequests)
+	text.WriteString(figures.MissReasons.text())
 	text.WriteString(figures.Caches.text())
 	return text.String()
 }
 
-// Spreads gives median, least and most of each figure over several days.
+// Spreads gives the median, minimum and maximum of each figure over several days.
 func Spreads(days []Figures) map[string][3]float64 {
 	all := map[string][]float64{}
 	for _, day := range days {
--- a/emulator/found_test.go
+++ b/emulator/found_test.go
@@ -36,7 +36,7 @@
 			site.Services = slices.Clone(site.Services)
 			site.Services[0].ColdPerS = 10
 			dark := Trouble{Kind: "cold_return", How: "dark", AtS: 2, Zone: "prairie-a", ForS: 3}
-			Expect(Play(site, seed, Plan{Troubles: []Trouble{dark}}).Breaches).To(BeEmpty())
+			Expect(Play(site, seed, Plan{Troubles: []Trouble{dark}}).Violations).To(BeEmpty())
 		}
 	})
 
--- a/emulator/index_test.go
+++ b/emulator/index_test.go
@@ -37,7 +37,7 @@
 			machine.start()
 		}
 		day.operator.begin()
-		day.traffic(8*time.Second, 8*time.Second+lasts)
+		day.startTraffic(8*time.Second, 8*time.Second+lasts)
 		return day
 	}
 	dayWith := func(lasts time.Duration) *Day { return dayOf("brazos", lasts) }
@@ -67,7 +67,7 @@
 		day.world.RunUntil(8 * time.Second)
 		ask := func(lasts time.Duration) (refused, late int) {
 			for _, machine := range day.machines {
-				machine.data.ask(gateway.PlaceQuery{Ask: index.Ask{Key: index.Key{Scope: "nobody's"}}, Timeout: lasts / 2}, func(placed gateway.PlaceAnswer) {
+				machine.data.queryPlace(gateway.PlaceQuery{Ask: index.Ask{Key: index.Key{Scope: "nobody's"}}, Timeout: lasts / 2}, func(placed gateway.PlaceAnswer) {
 					Expect(placed.Place.Server).To(BeEmpty())
 					if placed.TimedOut {
 						late++
@@ -84,7 +84,7 @@
 		}
 		refused, late := ask(500 * time.Millisecond)
 		Expect([]int{refused, late}).To(Equal([]int{len(names), 0}))
-		day.world.cut(names, names)
+		day.world.cutBetween(names, names)
 		refused, late = ask(500 * time.Millisecond)
 		Expect([]int{refused, late}).To(Equal([]int{1, len(names) - 1}), "the owner's own machine still hears it")
 	})
@@ -98,7 +98,7 @@
 			Expect(len(places)).To(BeNumerically(">", 10), name)
 		}
 		for _, machine := range day.machines {
-			day.down(machine, closingDown, true, false)
+			day.takeDown(machine, finalFaultDowntime, true, false)
 		}
 		day.world.RunUntil(32 * time.Second)
 		Expect(day.counts["control index_places_restored"]).To(BeNumerically(">", 30))
--- a/emulator/list.go
+++ b/emulator/list.go
@@ -9,61 +9,61 @@
 	"github.com/cedarreel/cedarreel/emulator/rules"
 )
 
-// list stands in for the list of servers: it is late, it takes so many questions a second, and it may be out of reach.
-type list struct {
-	day      *Day
-	shows    []row
-	asked    []time.Duration
-	down     int
-	Asked    int64
-	Declined int64
+// serverList simulates the platform's list of servers: it lags, limits requests per second, and may be unavailable.
+type serverList struct {
+	day            *Day
+	changes        []listChange
+	recentRequests []time.Duration
+	outages        int
+	Asked          int64
+	Declined       int64
 }
 
-// row is a server as the list tells of it from a moment on.
-type row struct {
-	server  *server
-	from    time.Duration
-	leaving bool
-	gone    bool
-	ends    time.Duration
+// listChange is a server as the list shows it from a given time on.
+type listChange struct {
+	server    *server
+	visibleAt time.Duration
+	leaving   bool
+	gone      bool
+	endsAt    time.Duration
 }
 
 const (
-	crashStays = 3 * time.Second
+	crashListedTime = 3 * time.Second
 )
 
-func (list *list) place() place {
+func (list *serverList) place() location {
 	zone := list.day.site.Zones[0]
-	return place{"list", zone.Name, zone.Region, false}
+	return location{"list", zone.Name, zone.Region, false}
 }
 
-// show makes a change visible after the list's lag.
-func (list *list) show(change row) {
+// publish makes a change visible after the list's lag.
+func (list *serverList) publish(change listChange) {
 	lag := seconds(list.day.site.List.LagMs / 1000)
 	if list.day.world.Now == 0 {
 		lag = 0
 	}
-	change.from = list.day.world.Now + lag
-	list.shows = append(list.shows, change)
+	change.visibleAt = list.day.world.Now + lag
+	list.changes = append(list.changes, change)
 	if change.leaving || change.gone {
-		list.day.record.Departures = append(list.day.record.Departures, rules.Departure{Server: change.server.name, ListedAt: change.from})
+		list.day.record.Departures = append(list.day.record.Departures, rules.Departure{Server: change.server.name, ListedAt: change.visibleAt})
 	}
 }
 
-func (list *list) crashed(server *server) {
-	list.day.world.After(crashStays, func() { list.show(row{server: server, gone: true}) })
+func (list *serverList) crashed(server *server) {
+	list.day.world.After(crashListedTime, func() { list.publish(listChange{server: server, gone: true}) })
 }
 
-// page gives a part of the list, and whether more follows.
-func (list *list) page(number int) ([]contract.ListedServer, bool, bool) {
+// page gives one page of the list, whether more follow, and whether the request was accepted.
+func (list *serverList) page(number int) ([]contract.ListedServer, bool, bool) {
 	now, site := list.day.world.Now, list.day.site
-	list.asked = slices.DeleteFunc(list.asked, func(at time.Duration) bool { return at <= now-time.Second })
-	if list.down > 0 || float64(len(list.asked)) >= site.List.PerS {
+	list.recentRequests = slices.DeleteFunc(list.recentRequests, func(at time.Duration) bool { return at <= now-time.Second })
+	if list.outages > 0 || float64(len(list.recentRequests)) >= site.List.PerS {
 		list.Declined++
 		return nil, false, false
 	}
 	list.Asked++
-	list.asked = append(list.asked, now)
+	list.recentRequests = append(list.recentRequests, now)
 	rows := list.rows(now)
 	first, last := number*site.List.Page, (number+1)*site.List.Page
 	if first >= len(rows) {
@@ -72,10 +72,10 @@
 	return rows[first:min(last, len(rows))], last < len(rows), true
 }
 
-func (list *list) rows(now time.Duration) []contract.ListedServer {
-	newest := map[*server]row{}
-	for _, change := range list.shows {
-		if change.from <= now {
+func (list *serverList) rows(now time.Duration) []contract.ListedServer {
+	newest := map[*server]listChange{}
+	for _, change := range list.changes {
+		if change.visibleAt <= now {
 			newest[change.server] = change
 		}
 	}
@@ -86,8 +86,8 @@
 		}
 		row := contract.ListedServer{Name: server.name, Incarnation: server.name, Address: server.address, Zone: server.zone, Region: server.region,
 			Pool: server.service.Name, Leaving: change.leaving, AssumedReady: true}
-		if change.ends > 0 {
-			row.RemainingMs = max(1, (change.ends - now).Milliseconds())
+		if change.endsAt > 0 {
+			row.RemainingMs = max(1, (change.endsAt - now).Milliseconds())
 		}
 		if seen := now - seconds(list.day.site.List.LagMs/1000); server.coldUntil > seen {
 			row.WarmupMs = (server.coldUntil - seen).Milliseconds()
@@ -98,7 +98,7 @@
 	return rows
 }
 
-// place a new server; at the start of the day it is warm.
+// addServer starts a server; those that start with the day are warm.
 func (day *Day) addServer(service Service, zone string) *server {
 	day.started[service.Name]++
 	number := day.started[service.Name]
@@ -106,42 +106,42 @@
 	if len(service.Speeds) > 0 {
 		speed = service.Speeds[(number-1)%len(service.Speeds)]
 	}
-	made := &server{day: day, name: service.Name + "-" + name(number), address: day.address(service.Name), service: service, zone: zone, region: day.site.region(zone),
+	created := &server{day: day, name: service.Name + "-" + twoDigits(number), address: day.address(service.Name), service: service, zone: zone, region: day.site.region(zone),
 		speed: speed, up: true, conns: map[*conn]time.Duration{}, jobs: map[*conn]*task{}}
 	if service.Engine != nil {
-		made.batch = newBatch(made, service.Engine)
+		created.batch = newBatch(created, service.Engine)
 	}
 	if day.world.Now > 0 {
-		made.coldUntil = day.world.Now + seconds(service.ColdS)
+		created.coldUntil = day.world.Now + seconds(service.ColdS)
 	}
-	day.servers[made.name] = made
-	day.byAddress[made.address] = made
-	day.order = append(day.order, made)
-	day.list.show(row{server: made})
-	return made
+	day.servers[created.name] = created
+	day.byAddress[created.address] = created
+	day.serversInOrder = append(day.serversInOrder, created)
+	day.list.publish(listChange{server: created})
+	return created
 }
 
-// depart makes a server leave: it is listed as draining, and ends after a span.
-func (server *server) depart(span time.Duration, told bool) {
+// leave lists the server as draining and ends it after a span, which the list shows if told.
+func (server *server) leave(span time.Duration, told bool) {
 	if !server.up || server.leaving {
 		return
 	}
 	server.leaving = true
-	server.ends = server.day.world.Now + span
-	shown := row{server: server, leaving: true}
+	server.endsAt = server.day.world.Now + span
+	shown := listChange{server: server, leaving: true}
 	if told {
-		shown.ends = server.ends
+		shown.endsAt = server.endsAt
 	}
-	server.day.list.show(shown)
-	server.day.world.After(span, server.vanish)
+	server.day.list.publish(shown)
+	server.day.world.After(span, server.terminate)
 }
 
-// vanish ends a server that left; its address is free for others after a while.
-func (server *server) vanish() {
+// terminate ends a server that left; its address can be reused after a while.
+func (server *server) terminate() {
 	if server.up {
 		server.crash()
 	}
 	day := server.day
-	day.list.show(row{server: server, gone: true})
-	day.world.After(seconds(day.site.Bounds.ReuseS), func() { day.free = append(day.free, server.address) })
+	day.list.publish(listChange{server: server, gone: true})
+	day.world.After(seconds(day.site.Bounds.ReuseS), func() { day.freeAddresses = append(day.freeAddresses, server.address) })
 }
--- a/emulator/machine.go
+++ b/emulator/machine.go
@@ -11,29 +11,29 @@
 	"github.com/cedarreel/cedarreel/virtual"
 )
 
-// machine runs a control and a data process; one of the core has a disk.
+// machine runs a data process and, where the site says so, a control process. Core machines have a disk.
 type machine struct {
-	day     *Day
-	name    string
-	zone    string
-	region  string
-	core    bool
-	number  int
-	address string
-	disk    *disk
-	control *controlShell
-	data    *dataShell
-	boots   int
-	freezes int
-	founded bool
-	gone    bool
-	listed  time.Duration
-	removed time.Duration
-	wall    time.Duration
-	record  *rules.Machine
-}
-
-// process is one life of a program.
+	day         *Day
+	name        string
+	zone        string
+	region      string
+	core        bool
+	number      int
+	address     string
+	disk        *disk
+	control     *controlProcess
+	data        *dataProcess
+	boots       int
+	freezeCount int
+	joined      bool
+	removed     bool
+	listedAt    time.Duration
+	removedAt   time.Duration
+	clockOffset time.Duration
+	record      *rules.Machine
+}
+
+// process is one life of a program, from start to exit.
 type process struct {
 	virtual.Process
 	day     *Day
@@ -53,15 +53,15 @@
 	lookupPort  = "7602"
 )
 
-func (machine *machine) place() place {
-	return place{machine.name, machine.zone, machine.region, false}
+func (machine *machine) place() location {
+	return location{machine.name, machine.zone, machine.region, false}
 }
 
 func (machine *machine) settings() env.Env {
 	day, bounds := machine.day, machine.day.site.Bounds
 	settings := env.New(env.WithName(machine.name), env.WithZone(machine.zone), env.WithRegion(machine.region), env.WithSeeds(day.seeds(machine)),
 		env.WithControl(machine.address+":"+controlPort), env.WithData(machine.address+":"+dataPort), env.WithPlatform("http://10.200.0.1:80"))
-	if !machine.controls() {
+	if !machine.runsControl() {
 		settings.Control = ""
 	}
 	settings.Zones = map[string]string{}
@@ -69,7 +69,7 @@
 		settings.Zones[zone.Name] = zone.Region
 	}
 	settings.Founders = settings.Seeds
-	settings.Joins, settings.Wide = machine.founded, true
+	settings.Joins, settings.Wide = machine.joined, true
 	settings.CoreSize = min(2*int64(bounds.ToleratedMachines)+1, 9)
 	settings.Bounds.WithdrawMs, settings.Bounds.EvacuateMs, settings.Bounds.DeliverMs = bounds.DrainMs, bounds.EvacuateMs, bounds.PropagateMs
 	settings.Bounds.ReturnMs, settings.Bounds.BodyBytes = int64(bounds.RecoverS*1000), 32<<20
@@ -84,31 +84,31 @@
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// start begins a new life of both processes.
+// start starts both processes.
 func (machine *machine) start() {
-	if machine.gone || machine.up() {
+	if machine.removed || machine.up() {
 		return
 	}
 	machine.boots++
 	settings := machine.settings()
-	if !machine.founded || machine.listed == 0 {
-		machine.listed = machine.day.world.Now + machine.day.listDelay()
+	if !machine.joined || machine.listedAt == 0 {
+		machine.listedAt = machine.day.world.Now + machine.day.listDelay()
 	}
-	machine.founded = true
-	if machine.controls() {
-		machine.control = newControlShell(machine, settings)
+	machine.joined = true
+	if machine.runsControl() {
+		machine.control = newControlProcess(machine, settings)
 	}
 	settings.Bounds.History = env.FollowerHistory
-	machine.data = newDataShell(machine, settings)
+	machine.data = newDataProcess(machine, settings)
 	for _, process := range machine.processes() {
 		process.after(time.Duration(machine.day.world.random.Int64N(int64(settings.Bounds.Tick()))), func() { process.tick(settings.Bounds.Tick()) })
 	}
 }
 
-// controls tells whether a control process runs here.
-func (machine *machine) controls() bool { return machine.core || !machine.day.site.ControlOnCore }
+// runsControl tells whether the machine has a control process.
+func (machine *machine) runsControl() bool { return machine.core || !machine.day.site.ControlOnCore }
 
-// processes gives those that run here, once it has started.
+// processes gives the processes of a machine that has been started.
 func (machine *machine) processes() []*process {
 	if machine.control == nil {
 		return []*process{machine.data.process}
@@ -119,8 +119,8 @@
 func (machine *machine) up() bool { return machine.data != nil && machine.data.Up }
 
 func (machine *machine) process(kind string, owner contract.StateMachine) *process {
-	made := &process{day: machine.day, machine: machine, kind: kind, boot: machine.boot(), began: machine.day.world.Now, owner: owner, Process: virtual.Process{Up: true}}
-	return made
+	created := &process{day: machine.day, machine: machine, kind: kind, boot: machine.boot(), began: machine.day.world.Now, owner: owner, Process: virtual.Process{Up: true}}
+	return created
 }
 
 func (machine *machine) boot() string { return fmt.Sprintf("b%d", machine.boots) }
@@ -151,8 +151,8 @@
 			process.day.counts[process.kind+" "+command.Name] += command.Delta
 		case contract.SetGauge, contract.ObserveDuration:
 		case contract.Log:
-			process.day.noticed(command)
-			process.day.say(process.machine.name+"-"+process.kind, command.Message, command.Attributes...)
+			process.day.recordDetection(command)
+			process.day.logEvent(process.machine.name+"-"+process.kind, command.Message, command.Attributes...)
 		default:
 			if !process.perform(command) {
 				panic(fmt.Sprintf("a command that nobody carries out: %T", command))
@@ -166,29 +166,29 @@
 	if target == nil || process.day.losesRelayed(command.Kind) {
 		return
 	}
-	message := contract.Message{Kind: command.Kind, From: process.machine.name + "-" + process.kind, Boot: process.boot, Body: content(command.Body)}
-	process.day.world.post(process.machine.place(), target.machine.place(), func() {
+	message := contract.Message{Kind: command.Kind, From: process.machine.name + "-" + process.kind, Boot: process.boot, Body: encodeJSON(command.Body)}
+	process.day.world.sendMessage(process.machine.place(), target.machine.place(), func() {
 		if current := process.day.listening(command.To); current != nil {
 			current.event(message)
 		}
 	})
 }
 
-// kill ends both processes; their connections are reset.
+// kill ends both processes; the other ends of their connections are notified.
 func (machine *machine) kill() {
-	machine.end(func(shell *dataShell) { shell.reset() })
+	machine.end(func(shell *dataProcess) { shell.closeConnections() })
 }
 
-// powerLost ends them without a word, and takes what was not synced.
+// powerLost ends both processes without notice and loses what was not synced to disk.
 func (machine *machine) powerLost() {
-	machine.end(func(shell *dataShell) { shell.vanish() })
+	machine.end(func(shell *dataProcess) { shell.dropConnections() })
 	if machine.disk != nil {
 		machine.disk.LosePower()
 	}
 }
 
-func (machine *machine) end(connections func(*dataShell)) {
-	machine.freezes = 0
+func (machine *machine) end(connections func(*dataProcess)) {
+	machine.freezeCount = 0
 	if !machine.up() {
 		return
 	}
@@ -206,15 +206,15 @@
 		return func() {}
 	}
 	boots := machine.boots
-	machine.freezes++
+	machine.freezeCount++
 	for _, process := range machine.processes() {
 		process.Frozen = true
 	}
 	return func() {
-		if machine.boots != boots || machine.freezes == 0 {
+		if machine.boots != boots || machine.freezeCount == 0 {
 			return
 		}
-		if machine.freezes--; machine.freezes > 0 {
+		if machine.freezeCount--; machine.freezeCount > 0 {
 			return
 		}
 		for _, process := range machine.processes() {
@@ -223,8 +223,8 @@
 	}
 }
 
-// lose notes a span in which a machine is down, frozen or cut off; back ends it sooner than was foreseen.
-func (machine *machine) lose(from, until time.Duration) (back func(at time.Duration)) {
+// recordOutage records a period in which the machine is down, frozen or cut off; back corrects its end.
+func (machine *machine) recordOutage(from, until time.Duration) (back func(at time.Duration)) {
 	span, record := rules.Span{From: from, Until: until}, machine.record
 	record.Troubles = append(record.Troubles, span)
 	trouble, lost := len(record.Troubles)-1, len(record.Outages)
@@ -239,8 +239,8 @@
 	}
 }
 
-// ill notes other trouble on a machine.
-func (machine *machine) ill(from, until time.Duration) {
+// recordTrouble records another trouble of the machine; on core machines it makes the core count as unstable.
+func (machine *machine) recordTrouble(from, until time.Duration) {
 	span := rules.Span{From: from, Until: until}
 	machine.record.Troubles = append(machine.record.Troubles, span)
 	if machine.core {
--- a/emulator/mischief.go
+++ b/emulator/mischief.go
@@ -8,128 +8,129 @@
 	"github.com/cedarreel/cedarreel/relay"
 )
 
-func (trouble Trouble) leads() bool { return strings.Contains(trouble.How, "leader") }
+func (trouble Trouble) targetsLeader() bool { return strings.Contains(trouble.How, "leader") }
 
-// head names the machine that heads the chain, as this one knows it.
-func (machine *machine) head() string {
+// chainHead names the machine that heads the chain, empty without one.
+func (machine *machine) chainHead() string {
 	for _, member := range machine.day.machines {
-		if member.core && member.up() && member.control.leads() {
+		if member.core && member.up() && member.control.isHead() {
 			return member.name
 		}
 	}
 	return ""
 }
 
-func (day *Day) rush(trouble Trouble) {
-	surge := &surge{class: trouble.Class, times: trouble.times()}
-	day.bursts = append(day.bursts, surge)
-	day.world.After(trouble.span(), func() { surge.times = 1 })
+func (day *Day) beginBurst(trouble Trouble) {
+	surge := &surge{class: trouble.Class, factor: trouble.factorOrDefault()}
+	day.surges = append(day.surges, surge)
+	day.world.After(trouble.duration(), func() { surge.factor = 1 })
 }
 
-// move sends a share of a zone's callers to another zone.
-func (day *Day) move(trouble Trouble) {
+// shiftClients moves a share of the callers of one zone to another.
+func (day *Day) shiftClients(trouble Trouble) {
 	from, to := day.chance.IntN(len(day.site.Zones)), day.chance.IntN(len(day.site.Zones)-1)
 	if to >= from {
 		to++
 	}
 	zone := day.site.Zones[from].Name
-	day.shifts[zone] = shift{share: max(0.1, trouble.Share), to: day.site.Zones[to].Name}
-	day.world.After(trouble.span(), func() { delete(day.shifts, zone) })
+	day.clientShifts[zone] = clientShift{share: max(0.1, trouble.Share), to: day.site.Zones[to].Name}
+	day.world.After(trouble.duration(), func() { delete(day.clientShifts, zone) })
 }
 
-// crashServers ends servers; new ones come in their place unless they are gone. Dark ones are silent for a while and then go on.
+// crashServers ends servers; unless the variant is "gone", new ones replace them. With "dark" they only stop communicating for a
+// while.
 func (day *Day) crashServers(trouble Trouble) {
-	for _, server := range day.some(trouble) {
+	for _, server := range day.pickServers(trouble) {
 		if strings.Contains(trouble.How, "dark") {
-			light := day.world.darken(server.name)
-			server.dark = true
-			day.world.After(trouble.span(), func() {
-				server.dark = false
+			light := day.world.isolate(server.name)
+			server.silent = true
+			day.world.After(trouble.duration(), func() {
+				server.silent = false
 				light()
 			})
 			continue
 		}
 		server.crash()
 		if !strings.Contains(trouble.How, "gone") {
-			day.world.After(trouble.span(), func() { day.addServer(server.service, server.zone) })
+			day.world.After(trouble.duration(), func() { day.addServer(server.service, server.zone) })
 		}
-		day.world.After(crashStays+seconds(day.site.Bounds.ReuseS), func() { day.free = append(day.free, server.address) })
+		day.world.After(crashListedTime+seconds(day.site.Bounds.ReuseS), func() { day.freeAddresses = append(day.freeAddresses, server.address) })
 	}
 }
 
 func (day *Day) garble(trouble Trouble) {
-	for _, server := range day.some(trouble) {
-		server.garbled = max(0.01, trouble.X)
-		day.world.After(trouble.span(), func() { server.garbled = 0 })
+	for _, server := range day.pickServers(trouble) {
+		server.garbleShare = max(0.01, trouble.X)
+		day.world.After(trouble.duration(), func() { server.garbleShare = 0 })
 	}
 }
 
 func (day *Day) loseAnswers(trouble Trouble) {
-	for _, server := range day.some(trouble) {
-		server.lossy = max(0.01, trouble.X)
-		day.world.After(trouble.span(), func() { server.lossy = 0 })
+	for _, server := range day.pickServers(trouble) {
+		server.answerLossShare = max(0.01, trouble.X)
+		day.world.After(trouble.duration(), func() { server.answerLossShare = 0 })
 	}
 }
 
-const lingers = 1500 * time.Millisecond
+const departureMargin = 1500 * time.Millisecond
 
 func (day *Day) drainTime() time.Duration {
-	return seconds(day.site.List.LagMs/1000) + milliseconds(day.site.Bounds.DrainMs) + lingers
+	return seconds(day.site.List.LagMs/1000) + milliseconds(day.site.Bounds.DrainMs) + departureMargin
 }
 
-// release replaces servers one after the other: a new one comes, an old one leaves.
+// release replaces servers one after the other, each by a new one.
 func (day *Day) release(trouble Trouble) {
-	for index, server := range day.some(trouble) {
-		day.world.After(time.Duration(index)*trouble.gap(), func() {
+	for index, server := range day.pickServers(trouble) {
+		day.world.After(time.Duration(index)*trouble.interval(), func() {
 			if server.up && !server.leaving {
 				day.addServer(server.service, server.zone)
-				server.depart(day.drainTime(), false)
+				server.leave(day.drainTime(), false)
 			}
 		})
 	}
 }
 
-// scaleIn takes servers away: in order, or at short notice.
+// scaleIn removes servers after a regular drain, or with "spot" at short notice.
 func (day *Day) scaleIn(trouble Trouble) {
-	for _, server := range day.some(trouble) {
+	for _, server := range day.pickServers(trouble) {
 		if strings.Contains(trouble.How, "spot") {
-			server.depart(seconds(trouble.times()), true)
+			server.leave(seconds(trouble.factorOrDefault()), true)
 			continue
 		}
-		server.depart(day.drainTime(), false)
+		server.leave(day.drainTime(), false)
 	}
 }
 
-// coldReturn ends all servers of a zone and brings as many cold ones.
+// coldReturn ends all servers of a zone and brings back as many cold ones.
 func (day *Day) coldReturn(trouble Trouble) {
-	for _, server := range day.order {
-		if !server.up || server.zone != trouble.Zone || server.leaving || server.dark {
+	for _, server := range day.serversInOrder {
+		if !server.up || server.zone != trouble.Zone || server.leaving || server.silent {
 			continue
 		}
 		if strings.Contains(trouble.How, "dark") {
-			light := day.world.darken(server.name)
-			server.dark = true
-			day.world.After(trouble.span(), func() {
-				server.dark, server.coldUntil = false, day.world.Now+seconds(server.service.ColdS)
+			light := day.world.isolate(server.name)
+			server.silent = true
+			day.world.After(trouble.duration(), func() {
+				server.silent, server.coldUntil = false, day.world.Now+seconds(server.service.ColdS)
 				light()
 			})
 			continue
 		}
 		server.crash()
-		day.world.After(trouble.span(), func() { day.addServer(server.service, server.zone) })
+		day.world.After(trouble.duration(), func() { day.addServer(server.service, server.zone) })
 	}
 }
 
-// down takes a machine away for a span; a power loss says nothing to anybody.
-func (day *Day) down(machine *machine, span time.Duration, power, wiped bool) {
+// takeDown takes a machine down for a span; after a power loss no other end is notified.
+func (day *Day) takeDown(machine *machine, span time.Duration, power, wiped bool) {
 	if !machine.up() {
 		return
 	}
-	machine.lose(day.world.Now, day.world.Now+span)
+	machine.recordOutage(day.world.Now, day.world.Now+span)
 	light := func() {}
 	if power {
 		machine.powerLost()
-		light = day.world.darken(machine.name)
+		light = day.world.isolate(machine.name)
 	} else {
 		machine.kill()
 	}
@@ -146,57 +147,57 @@
 }
 
 func (day *Day) killNodes(trouble Trouble) {
-	for _, machine := range day.nodes(trouble) {
-		span := trouble.span()
+	for _, machine := range day.pickMachines(trouble) {
+		span := trouble.duration()
 		if trouble.ForS == 0 {
-			span = killReturn
+			span = killDowntime
 		}
-		day.down(machine, span, strings.Contains(trouble.How, "power"), false)
+		day.takeDown(machine, span, strings.Contains(trouble.How, "power"), false)
 	}
-	day.beside(trouble)
+	day.alsoBegin(trouble)
 }
 
-const killReturn = 500 * time.Millisecond
+const killDowntime = 500 * time.Millisecond
 
-// beside plays what a variant has at the same moment: a race, or an evacuation.
-func (day *Day) beside(trouble Trouble) {
+// alsoBegin begins what a variant adds at the same moment: a race of configurations, or a drain.
+func (day *Day) alsoBegin(trouble Trouble) {
 	if strings.Contains(trouble.How, "race") {
-		day.race(Trouble{Count: 1})
+		day.raceConfigurations(Trouble{Count: 1})
 	}
 	if strings.Contains(trouble.How, "drain") {
-		day.evacuate(Trouble{Zone: day.site.Zones[day.chance.IntN(len(day.site.Zones))].Name, ForS: usualSpan})
+		day.drainZone(Trouble{Zone: day.site.Zones[day.chance.IntN(len(day.site.Zones))].Name, ForS: defaultTroubleSeconds})
 	}
 }
 
 func (day *Day) freezeNodes(trouble Trouble) {
-	for _, machine := range day.nodes(trouble) {
-		machine.lose(day.world.Now, day.world.Now+trouble.span())
-		day.world.After(trouble.span(), machine.freeze())
+	for _, machine := range day.pickMachines(trouble) {
+		machine.recordOutage(day.world.Now, day.world.Now+trouble.duration())
+		day.world.After(trouble.duration(), machine.freeze())
 	}
-	day.beside(trouble)
+	day.alsoBegin(trouble)
 }
 
-// cutNodes cuts machines off from all other machines, the servers and the list, or from the callers too.
+// cutNodes cuts machines off from all other machines, the servers and the list, or from the callers as well.
 func (day *Day) cutNodes(trouble Trouble) {
-	for _, machine := range day.nodes(trouble) {
-		machine.lose(day.world.Now, day.world.Now+trouble.span())
+	for _, machine := range day.pickMachines(trouble) {
+		machine.recordOutage(day.world.Now, day.world.Now+trouble.duration())
 		if day.chance.IntN(2) == 0 {
-			day.world.After(trouble.span(), day.world.darken(machine.name))
+			day.world.After(trouble.duration(), day.world.isolate(machine.name))
 			continue
 		}
 		names := []string{"list"}
 		for _, other := range day.machines {
 			names = append(names, other.name)
 		}
-		for _, server := range day.order {
+		for _, server := range day.serversInOrder {
 			names = append(names, server.name)
 		}
-		day.world.After(trouble.span(), day.world.cut([]string{machine.name}, names))
+		day.world.After(trouble.duration(), day.world.cutBetween([]string{machine.name}, names))
 	}
 }
 
-// roll stops machines in turn and starts each again.
-func (day *Day) roll(trouble Trouble) {
+// rollingRestart stops machines in turn and starts each again.
+func (day *Day) rollingRestart(trouble Trouble) {
 	all := []*machine{}
 	for _, machine := range day.machines {
 		if machine.up() {
@@ -208,34 +209,35 @@
 		trouble.Share = 0.35
 	}
 	for index, machine := range all[:trouble.count(len(all))] {
-		day.world.After(time.Duration(index)*trouble.gap(), func() { day.term(machine) })
+		day.world.After(time.Duration(index)*trouble.interval(), func() { day.restartGracefully(machine) })
 	}
 }
 
 const (
-	termReturn = 300 * time.Millisecond
-	waitCore   = time.Second
+	restartDowntime = 300 * time.Millisecond
+	coreRetryPause  = time.Second
 )
 
-// term tells a machine to stop and starts it again when both processes have ended, or when the grace is over.
-func (day *Day) term(machine *machine) {
-	if !machine.up() || machine.freezes > 0 || machine.data.leaving {
+// restartGracefully asks a machine to stop, and starts it again when both processes have ended or the grace period is over. A core
+// machine waits until the core can spare it.
+func (day *Day) restartGracefully(machine *machine) {
+	if !machine.up() || machine.freezeCount > 0 || machine.data.leaving {
 		return
 	}
 	if machine.core && day.spareCore() == 0 {
-		day.world.After(waitCore, func() { day.term(machine) })
+		day.world.After(coreRetryPause, func() { day.restartGracefully(machine) })
 		return
 	}
 	grace, boots, left := seconds(day.site.Bounds.GraceS), machine.boots, len(machine.processes())
 	machine.record.Stops = append(machine.record.Stops, day.world.Now)
-	back := machine.lose(day.world.Now, day.world.Now+grace+termReturn)
+	back := machine.recordOutage(day.world.Now, day.world.Now+grace+restartDowntime)
 	end := func() {
 		if machine.boots != boots || !machine.up() {
 			return
 		}
 		machine.kill()
-		back(day.world.Now + termReturn)
-		day.world.After(termReturn, machine.start)
+		back(day.world.Now + restartDowntime)
+		day.world.After(restartDowntime, machine.start)
 	}
 	over := func() {
 		if left--; left == 0 {
@@ -249,71 +251,71 @@
 	day.world.After(grace, end)
 }
 
-func (day *Day) killHerd(trouble Trouble) {
-	for _, machine := range day.nodes(trouble) {
-		day.down(machine, trouble.span(), false, false)
+func (day *Day) killTogether(trouble Trouble) {
+	for _, machine := range day.pickMachines(trouble) {
+		day.takeDown(machine, trouble.duration(), false, false)
 	}
 }
 
 func (day *Day) stepClocks(trouble Trouble) {
 	for _, machine := range day.machines {
 		if day.chance.Float64() < max(0.1, trouble.Share) {
-			step := seconds(trouble.times())
+			step := seconds(trouble.factorOrDefault())
 			if strings.Contains(trouble.How, "back") {
 				step = -step
 			}
-			machine.wall += step
-			machine.ill(day.world.Now, day.world.Now)
-			day.world.After(trouble.span(), func() {
-				machine.wall -= step
-				machine.ill(day.world.Now, day.world.Now)
+			machine.clockOffset += step
+			machine.recordTrouble(day.world.Now, day.world.Now)
+			day.world.After(trouble.duration(), func() {
+				machine.clockOffset -= step
+				machine.recordTrouble(day.world.Now, day.world.Now)
 			})
 		}
 	}
 }
 
-// close is the last fault of a day: it comes right after a configuration was acknowledged.
-func (day *Day) close(how string) {
+// beginFinalFault begins the last fault of a day, right after a configuration was acknowledged.
+func (day *Day) beginFinalFault(how string) {
 	day.plan = append(day.plan, "closing:"+how)
 	day.record.FinalFaultAt = day.world.Now
-	day.change(Trouble{})
+	day.changeConfiguration(Trouble{})
 	day.operator.onAck = append(day.operator.onAck, func(acked *machine) {
-		day.record.FinalFaultAt, day.record.RestartedAt = day.world.Now, day.world.Now+closingDown
-		day.record.Unplanned = append(day.record.Unplanned, rules.Span{From: day.world.Now, Until: day.world.Now + closingDown})
+		day.record.FinalFaultAt, day.record.RestartedAt = day.world.Now, day.world.Now+finalFaultDowntime
+		day.record.Unplanned = append(day.record.Unplanned, rules.Span{From: day.world.Now, Until: day.world.Now + finalFaultDowntime})
 		for _, machine := range day.machines {
 			switch how {
 			case "kill_all":
-				day.down(machine, closingDown, false, false)
+				day.takeDown(machine, finalFaultDowntime, false, false)
 			case "power_off_all":
-				day.down(machine, closingDown, true, false)
+				day.takeDown(machine, finalFaultDowntime, true, false)
 			default:
 				if machine == acked || machine.core {
-					day.down(machine, closingDown, true, machine == day.wiped(acked))
+					day.takeDown(machine, finalFaultDowntime, true, machine == day.wipeTarget(acked))
 				}
 			}
 		}
 	})
 }
 
-// wiped is the machine that loses its disk: the one that acknowledged if it is of the core, or the first one of the core.
-func (day *Day) wiped(acked *machine) *machine {
+// wipeTarget is the machine that loses its disk: the acknowledging one if it is in the core, otherwise the first of the core.
+func (day *Day) wipeTarget(acked *machine) *machine {
 	if acked.core {
 		return acked
 	}
 	for _, machine := range day.machines {
-		if machine.core && !machine.gone {
+		if machine.core && !machine.removed {
 			return machine
 		}
 	}
 	return nil
 }
 
-const closingDown = 1200 * time.Millisecond
+const finalFaultDowntime = 1200 * time.Millisecond
 
-// loseRelayed loses a share x of what members carry for others, however often it is sent.
+// loseRelayed drops a share X of relayed messages; each retransmission is drawn anew.
 func (day *Day) loseRelayed(trouble Trouble) {
-	day.relayLoss = trouble.times()
-	day.world.After(trouble.span(), func() { day.relayLoss = 0 })
+	day.relayLoss = trouble.factorOrDefault()
+	day.world.After(trouble.duration(), func() { day.relayLoss = 0 })
 }
 
 func (day *Day) losesRelayed(kind string) bool {
--- a/emulator/operator.go
+++ b/emulator/operator.go
@@ -13,25 +13,25 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// operator keeps the configuration: whole ones and changes by name, on top of the newest that it knows, sent again until the answer
-// is clear.
+// operator simulates the operator: it sends whole configurations and changes on top of the newest version that it knows, and repeats
+// each until the answer is clear.
 type operator struct {
-	day     *Day
-	random  *rand.Rand
-	current *stored
-	busy    bool
-	rests   bool
-	next    []func()
-	spare   int
-	// keys is how many keys of tenants were ever named.
-	keys    int
-	sent    map[int64]*stored
-	highest int64
-	onAck   []func(*machine)
+	day            *Day
+	random         *rand.Rand
+	current        *configuration
+	changing       bool
+	stopped        bool
+	pendingChanges []func()
+	spareCount     int
+	// keyCount is the number of API keys that were ever created.
+	keyCount     int
+	sentByNumber map[int64]*configuration
+	highest      int64
+	onAck        []func(*machine)
 }
 
-// stored is one version with what it is meant to read as.
-type stored struct {
+// configuration is one version together with the content that a read must return.
+type configuration struct {
 	*rules.Version
 	routes   map[string]any
 	services map[string]any
@@ -40,21 +40,21 @@
 }
 
 const (
-	firstSent    = 2 * time.Second
-	answerTime   = time.Second
-	firstPause   = 100 * time.Millisecond
-	longestPause = time.Second
-	pauseGrows   = 3
-	pauseParts   = 2
+	firstConfigurationAt = 2 * time.Second
+	answerTimeout        = time.Second
+	minRetryPause        = 100 * time.Millisecond
+	maxRetryPause        = time.Second
+	pauseNumerator       = 3
+	pauseDenominator     = 2
 )
 
 func newOperator(day *Day) *operator {
-	return &operator{day: day, random: day.world.source("operator"), sent: map[int64]*stored{}}
+	return &operator{day: day, random: day.world.randomSource("operator"), sentByNumber: map[int64]*configuration{}}
 }
 
-// begin sends the first configuration until it is taken.
+// begin sends the first configuration until it is accepted.
 func (operator *operator) begin() {
-	first := &stored{Version: &rules.Version{}, routes: map[string]any{}, services: map[string]any{}, limits: map[string]any{"headerBytes": 16384, "bodyBytes": 4194304}}
+	first := &configuration{Version: &rules.Version{}, routes: map[string]any{}, services: map[string]any{}, limits: map[string]any{"headerBytes": 16384, "bodyBytes": 4194304}}
 	for _, service := range operator.day.site.Services {
 		item := map[string]any{"healthPath": "/healthz", "connections": service.Connections, "warmupS": service.ColdS, "warmupPerS": service.ColdPerS}
 		if service.Engine != nil {
@@ -70,12 +70,12 @@
 	}
 	first.tenants = operator.firstTenants()
 	operator.current = first
-	operator.busy = true
-	operator.day.world.At(firstSent, func() {
-		next, ask := operator.version(first, contract.VerbReplace, nil, nil)
+	operator.changing = true
+	operator.day.world.At(firstConfigurationAt, func() {
+		next, ask := operator.newVersion(first, contract.VerbReplace, nil, nil)
 		operator.send(next, ask, func() {
-			operator.busy = false
-			operator.advance()
+			operator.changing = false
+			operator.startNextChange()
 		})
 	})
 }
@@ -98,8 +98,8 @@
 	return route
 }
 
-// plain gives the class whose calls a spare route takes.
-func (operator *operator) plain() Class {
+// plainClass gives the class whose calls spare routes take.
+func (operator *operator) plainClass() Class {
 	for _, class := range operator.day.site.Classes {
 		if class.Pieces.Mean == 0 {
 			return class
@@ -108,31 +108,31 @@
 	return operator.day.site.Classes[0]
 }
 
-func (operator *operator) addSpare(to *stored) string {
-	operator.spare++
-	added := "spare-" + name(operator.spare)
-	to.routes[added] = operator.route(added, operator.plain())
+func (operator *operator) addSpare(to *configuration) string {
+	operator.spareCount++
+	added := "spare-" + twoDigits(operator.spareCount)
+	to.routes[added] = operator.route(added, operator.plainClass())
 	return added
 }
 
-func (operator *operator) copy() *stored {
-	return &stored{Version: &rules.Version{}, routes: maps.Clone(operator.current.routes), services: operator.current.services,
+func (operator *operator) copy() *configuration {
+	return &configuration{Version: &rules.Version{}, routes: maps.Clone(operator.current.routes), services: operator.current.services,
 		tenants: maps.Clone(operator.current.tenants), limits: operator.current.limits}
 }
 
-// version numbers what is sent, on top of the current one.
-func (operator *operator) version(next *stored, verb string, upsert, remove []string) (*stored, contract.OperatorRequest) {
+// newVersion numbers a configuration on top of the current one and builds the request that sends it.
+func (operator *operator) newVersion(next *configuration, verb string, upsert, remove []string) (*configuration, contract.OperatorRequest) {
 	operator.highest += 1 + int64(operator.random.IntN(3))
 	now := operator.day.world.Now
 	next.Version = &rules.Version{Number: operator.highest, Base: operator.current.Number, Sent: now, Routes: map[string]rules.Route{}}
 	for route, item := range next.routes {
 		tree := item.(map[string]any)
 		service, _ := tree["service"].(string)
-		known := rules.Route{Services: []string{service}, AddedLater: next.Version.Base > 0 && operator.late(route)}
+		known := rules.Route{Services: []string{service}, AddedLater: next.Version.Base > 0 && operator.addedLater(route)}
 		known.Regions, _ = tree["regions"].([]string)
 		next.Routes[route] = known
 	}
-	next.TenantsByKey = holders(next.tenants)
+	next.TenantsByKey = tenantsByKey(next.tenants)
 	section := map[string]any{"revision": next.Number}
 	if verb == contract.VerbReplace {
 		section["routes"], section["services"], section["limits"] = next.routes, next.services, next.limits
@@ -156,27 +156,27 @@
 		}
 		tree["regions"], tree["zones"] = regions, zones
 	}
-	body := content(tree)
+	body := encodeJSON(tree)
 	operation := contract.Digest(append(fmt.Appendf(nil, "%s%d", verb, next.Base), body...))[:32]
 	operator.day.record.Versions = append(operator.day.record.Versions, next.Version)
-	operator.sent[next.Number] = next
+	operator.sentByNumber[next.Number] = next
 	return next, contract.OperatorRequest{Verb: verb, BaseRevision: next.Base, HasBaseRevision: true, Body: body, Operation: operation, ReplyOnCommit: true}
 }
 
-func (operator *operator) late(route string) bool {
+func (operator *operator) addedLater(route string) bool {
 	first := operator.day.record.Versions
 	if len(first) == 0 {
 		return false
 	}
-	_, there := first[0].Routes[route]
-	return !there
+	_, found := first[0].Routes[route]
+	return !found
 }
 
-// send asks one node after the other until the answer is clear.
-func (operator *operator) send(next *stored, ask contract.OperatorRequest, then ...func()) {
+// send sends a version to one node after the other until the answer is clear.
+func (operator *operator) send(next *configuration, ask contract.OperatorRequest, then ...func()) {
 	version := next.Version
 	unclear := false
-	operator.order(ask, 0, func(status int, machine *machine) bool {
+	operator.sendUntilAccepted(ask, 0, func(status int, machine *machine) bool {
 		now := operator.day.world.Now
 		switch status {
 		case 200, 202:
@@ -187,7 +187,7 @@
 			operator.acknowledged(machine)
 		case 400, 409, 412, 413, 422:
 			version.Refused, version.Ended = !unclear, now
-			operator.day.say("operator", "refused", version.Number, status)
+			operator.day.logEvent("operator", "refused", version.Number, status)
 		default:
 			unclear = true
 			return false
@@ -207,17 +207,18 @@
 	}
 }
 
-// order puts an ask to nodes at random, again after a silence or an unclear answer, with a pause that grows; until, if given, ends it.
-func (operator *operator) order(ask contract.OperatorRequest, until time.Duration, take func(status int, machine *machine) bool) {
+// sendUntilAccepted sends a request to random nodes, again after a timeout or an unclear answer, with a growing pause, until take
+// reports true or the time until (if above 0) has come.
+func (operator *operator) sendUntilAccepted(ask contract.OperatorRequest, until time.Duration, take func(status int, machine *machine) bool) {
 	world, over, tries := operator.day.world, false, 0
-	from := place{"operator", operator.day.site.Zones[0].Name, operator.day.site.Zones[0].Region, true}
+	from := location{"operator", operator.day.site.Zones[0].Name, operator.day.site.Zones[0].Region, true}
 	var send func(pause time.Duration)
 	send = func(pause time.Duration) {
 		if over || until > 0 && world.Now >= until {
 			return
 		}
-		nodes := operator.day.operable()
-		next := min(longestPause, pause*pauseGrows/pauseParts)
+		nodes := operator.day.operatorTargets()
+		next := min(maxRetryPause, pause*pauseNumerator/pauseDenominator)
 		if len(nodes) == 0 {
 			world.After(pause, func() { send(next) })
 			return
@@ -234,44 +235,44 @@
 			}
 			world.After(pause, func() { send(next) })
 		}
-		world.After(answerTime, func() { end(contract.Response{}) })
-		world.post(from, node.place(), func() {
+		world.After(answerTimeout, func() { end(contract.Response{}) })
+		world.sendMessage(from, node.place(), func() {
 			if !node.up() {
-				world.post(node.place(), from, func() { end(contract.Response{}) })
+				world.sendMessage(node.place(), from, func() { end(contract.Response{}) })
 				return
 			}
 			own := ask
 			if ask.Verb == contract.VerbDrain || ask.Verb == contract.VerbUndrain {
 				own.Operation = fmt.Sprintf("%s-%d", ask.Verb, world.random.Uint64())
 			}
-			node.control.ask(own, func(answer contract.Response) { world.post(node.place(), from, func() { end(answer) }) })
+			node.control.handleRequest(own, func(answer contract.Response) { world.sendMessage(node.place(), from, func() { end(answer) }) })
 		})
 	}
-	send(firstPause)
+	send(minRetryPause)
 }
 
-// whenFree runs a change after the one before it has its answer.
+// whenFree runs a change once the one before it has been answered.
 func (operator *operator) whenFree(change func(done func())) {
-	operator.next = append(operator.next, func() {
+	operator.pendingChanges = append(operator.pendingChanges, func() {
 		change(func() {
-			operator.busy = false
-			operator.advance()
+			operator.changing = false
+			operator.startNextChange()
 		})
 	})
-	operator.advance()
+	operator.startNextChange()
 }
 
-func (operator *operator) advance() {
-	if operator.busy || operator.rests || len(operator.next) == 0 {
+func (operator *operator) startNextChange() {
+	if operator.changing || operator.stopped || len(operator.pendingChanges) == 0 {
 		return
 	}
-	operator.busy = true
-	first := operator.next[0]
-	operator.next = operator.next[1:]
+	operator.changing = true
+	first := operator.pendingChanges[0]
+	operator.pendingChanges = operator.pendingChanges[1:]
 	first()
 }
 
-// evacuate empties a zone or takes that back; the order is sent again for a limited time.
+// evacuate drains a zone or ends the drain; the order is repeated for a limited time.
 func (operator *operator) evacuate(zone string, off bool, then func()) {
 	verb, world := contract.VerbDrain, operator.day.world
 	if off {
@@ -279,7 +280,7 @@
 	}
 	order := &rules.Evacuation{Zone: zone, Cancel: off, Sent: world.Now}
 	operator.day.record.Evacuations = append(operator.day.record.Evacuations, order)
-	operator.order(contract.OperatorRequest{Verb: verb, Subject: zone, ReplyOnCommit: true}, world.Now+operator.day.record.Bounds.Ack*2, func(status int, machine *machine) bool {
+	operator.sendUntilAccepted(contract.OperatorRequest{Verb: verb, Subject: zone, ReplyOnCommit: true}, world.Now+operator.day.record.Bounds.Ack*2, func(status int, machine *machine) bool {
 		if status != 200 && status != 202 {
 			return status/100 == 4
 		}
@@ -292,29 +293,29 @@
 	})
 }
 
-const readPause = 500 * time.Millisecond
+const readInterval = 500 * time.Millisecond
 
-// readBack asks for the configuration again and again until a moment. No change begins any more, and the one that is under way is
-// waited for: what is acknowledged later than it is read says nothing about the reading.
+// readBack reads the configuration repeatedly until a given time. No further change begins, and reads wait for the one under way: a
+// version that is acknowledged after a read cannot be expected in it.
 func (operator *operator) readBack(until time.Duration) {
 	world := operator.day.world
-	operator.rests = true
-	from := place{"operator", operator.day.site.Zones[0].Name, operator.day.site.Zones[0].Region, true}
+	operator.stopped = true
+	from := location{"operator", operator.day.site.Zones[0].Name, operator.day.site.Zones[0].Region, true}
 	var read func()
 	read = func() {
 		if world.Now >= until {
 			return
 		}
-		world.After(readPause, read)
-		if operator.busy {
+		world.After(readInterval, read)
+		if operator.changing {
 			return
 		}
-		nodes := operator.day.operable()
+		nodes := operator.day.operatorTargets()
 		node := nodes[operator.random.IntN(len(nodes))]
-		world.post(from, node.place(), func() {
+		world.sendMessage(from, node.place(), func() {
 			if node.up() {
-				node.control.ask(contract.OperatorRequest{Verb: contract.VerbGet}, func(answer contract.Response) {
-					world.post(node.place(), from, func() { operator.took(answer) })
+				node.control.handleRequest(contract.OperatorRequest{Verb: contract.VerbGet}, func(answer contract.Response) {
+					world.sendMessage(node.place(), from, func() { operator.recordReadBack(answer) })
 				})
 			}
 		})
@@ -322,37 +323,37 @@
 	read()
 }
 
-func (operator *operator) took(answer contract.Response) {
+func (operator *operator) recordReadBack(answer contract.Response) {
 	if answer.Status != 200 {
 		return
 	}
 	var version struct {
 		Manifest map[string]any `json:"manifest"`
 	}
-	if json.Unmarshal(content(answer.Body), &version) != nil {
+	if json.Unmarshal(encodeJSON(answer.Body), &version) != nil {
 		return
 	}
 	section, _ := version.Manifest["gateway"].(map[string]any)
 	number, _ := section["revision"].(float64)
 	read := rules.ReadBack{At: operator.day.world.Now, Number: int64(number)}
-	if meant := operator.sent[read.Number]; meant != nil {
-		read.Same = same(section["routes"], meant.routes) && same(section["services"], meant.services) && same(section["limits"], meant.limits) &&
-			(len(meant.tenants) == 0 || same(section["tenants"], meant.tenants))
+	if meant := operator.sentByNumber[read.Number]; meant != nil {
+		read.Same = equalJSON(section["routes"], meant.routes) && equalJSON(section["services"], meant.services) && equalJSON(section["limits"], meant.limits) &&
+			(len(meant.tenants) == 0 || equalJSON(section["tenants"], meant.tenants))
 	}
 	operator.day.record.ReadBacks = append(operator.day.record.ReadBacks, read)
 }
 
-// same compares what was read with what was sent, as JSON.
-func same(read any, meant map[string]any) bool {
+// equalJSON compares what was read with what was sent, as JSON.
+func equalJSON(read any, meant map[string]any) bool {
 	var plain any
-	if json.Unmarshal(content(meant), &plain) != nil {
+	if json.Unmarshal(encodeJSON(meant), &plain) != nil {
 		return false
 	}
-	return slices.Equal(content(read), content(plain))
+	return slices.Equal(encodeJSON(read), encodeJSON(plain))
 }
 
-// spares gives the routes that no class uses, in the newest version that the operator knows.
-func (operator *operator) spares() []string {
+// spareRoutes gives the routes that no class uses, in the newest version that the operator knows.
+func (operator *operator) spareRoutes() []string {
 	names := []string{}
 	for _, route := range manifest.SortedKeys(operator.current.routes) {
 		if len(route) > 6 && route[:6] == "spare-" {
--- a/emulator/partition_test.go
+++ b/emulator/partition_test.go
@@ -24,7 +24,7 @@
 						played := Play(site, uint64(place+1), Plan{Troubles: []Trouble{
 							{Kind: "core_cut", How: how, AtS: cutAt, Zone: zone.Name, ForS: cutFor},
 							{Kind: "scale_in", AtS: cutAt + late, Share: 0.4, Service: "model"}}})
-						Expect(played.Breaches).To(BeEmpty(), "%s of %s cut off %s, servers leave %v after the cut", zone.Name, name, how, time.Duration(late*float64(time.Second)))
+						Expect(played.Violations).To(BeEmpty(), "%s of %s cut off %s, servers leave %v after the cut", zone.Name, name, how, time.Duration(late*float64(time.Second)))
 					}
 				}
 			})
@@ -45,7 +45,7 @@
 						{Kind: "core_cut", How: "alone", AtS: cutAt, Zone: zone.Name, ForS: cutFor},
 						{Kind: "relay_loss", AtS: cutAt, ForS: cutFor, X: 1},
 						{Kind: "scale_in", AtS: cutAt + late, Share: 0.4, Service: "model"}}})
-					Expect(played.Breaches).To(BeEmpty(), "%s of %s cut off, servers leave %vs after the cut", zone.Name, name, late)
+					Expect(played.Violations).To(BeEmpty(), "%s of %s cut off, servers leave %vs after the cut", zone.Name, name, late)
 				}
 			}
 		})
@@ -59,7 +59,7 @@
 				for _, emptied := range site.Zones {
 					played := Play(site, 1, Plan{Troubles: []Trouble{{Kind: "core_cut", How: "alone", AtS: cutAt, Zone: zone.Name, ForS: cutFor},
 						{Kind: "evacuate", AtS: cutAt + 3, Zone: emptied.Name, ForS: 4}}})
-					Expect(played.Breaches).To(BeEmpty())
+					Expect(played.Violations).To(BeEmpty())
 					order := played.Record.Evacuations[0]
 					Expect(order.Acknowledged).To(BeTrue())
 					Expect(order.AcknowledgedAt-order.Sent).To(BeNumerically("<=", played.Record.Bounds.Ack), "%s emptied, the member of %s cut off", emptied.Name, zone.Name)
--- a/emulator/planted_test.go
+++ b/emulator/planted_test.go
@@ -15,7 +15,7 @@
 
 // deaf lets nodes learn nothing of a kind any more once traffic runs.
 func deaf[Kind any]() Option {
-	return withSieve(func(machine *machine, event *contract.Event) bool {
+	return withEventFilter(func(machine *machine, event *contract.Event) bool {
 		_, kind := (*event).(Kind)
 		return !kind || machine.day.world.Now < plantedFrom
 	})
@@ -23,7 +23,7 @@
 
 func broken(result Result) []string {
 	names, known := []string{}, map[string]bool{}
-	for _, breach := range result.Breaches {
+	for _, breach := range result.Violations {
 		if !known[breach.Rule] {
 			known[breach.Rule] = true
 			names = append(names, breach.Rule)
@@ -39,7 +39,7 @@
 	},
 		Entry("lists are not followed: a server that leaves", "DRAIN", Trouble{Kind: "scale_in", Service: "model", Share: 0.3}, deaf[gateway.ServersListed]()),
 		Entry("configurations are not followed: a change", "CONFIG", Trouble{Kind: "config_change", How: "idle"}, deaf[gateway.ConfigurationChanged]()),
-		Entry("nothing is followed: an evacuation", "EVAC", Trouble{Kind: "evacuate", ForS: 12, Zone: "prairie-b"}, withSieve(func(machine *machine, event *contract.Event) bool {
+		Entry("nothing is followed: an evacuation", "EVAC", Trouble{Kind: "evacuate", ForS: 12, Zone: "prairie-b"}, withEventFilter(func(machine *machine, event *contract.Event) bool {
 			return machine.day.world.Now < plantedFrom
 		})),
 		Entry("further tries are not bounded", "BUDGET", Trouble{Kind: "answer_lost", Share: 1, X: 0.95, ForS: 8}, WithChanges(unbounded())),
@@ -50,7 +50,7 @@
 		site.Services = slices.Clone(site.Services)
 		site.Services[0].ColdPerS = 4
 		plan := Plan{Troubles: []Trouble{{Kind: "cold_return", AtS: 2, Zone: "prairie-a", ForS: 2}}}
-		blind := withSieve(func(_ *machine, event *contract.Event) bool {
+		blind := withEventFilter(func(_ *machine, event *contract.Event) bool {
 			if configured, fine := (*event).(gateway.ConfigurationChanged); fine {
 				services := maps.Clone(configured.Manifest.Gateway.Services)
 				for name, service := range services {
--- a/emulator/readback_test.go
+++ b/emulator/readback_test.go
@@ -25,14 +25,14 @@
 		It("is the newest one when changes still waited at the end of the day, on "+name, func() {
 			storm := Trouble{Kind: "config_storm", AtS: storyLength.Seconds() - 1, ForS: 8, GapS: 0.05}
 			played := Play(small(name), 1, Plan{Troubles: []Trouble{storm}})
-			Expect(played.Breaches).To(BeEmpty())
+			Expect(played.Violations).To(BeEmpty())
 			Expect(len(played.Record.ReadBacks)).To(BeNumerically(">", 3))
 		})
 	}
 
 	for _, seed := range []uint64{1, 3, 6} {
 		It(fmt.Sprintf("is the newest one after a harsh day: seed %d", seed), func() {
-			Expect(Play(small("seri"), seed, Plan{Troubles: harsh()}).Breaches).To(BeEmpty())
+			Expect(Play(small("seri"), seed, Plan{Troubles: harsh()}).Violations).To(BeEmpty())
 		})
 	}
 })
--- a/emulator/server_test.go
+++ b/emulator/server_test.go
@@ -12,7 +12,7 @@
 
 // asked is what one request sent straight to a server brought.
 type asked struct {
-	head   head
+	head   serverHead
 	pieces []rules.Piece
 	first  time.Duration
 	whole  bool
@@ -36,7 +36,7 @@
 	change(&service)
 	site.Services = []Service{service}
 	day := New(site, 1)
-	return &bench{day: day, server: day.order[0]}
+	return &bench{day: day, server: day.serversInOrder[0]}
 }
 
 func (bench *bench) ask(target string, pieces, urgency int, parts ...engine.Part) *asked {
@@ -46,10 +46,10 @@
 	for _, part := range parts {
 		prompt.Input += part.Tokens
 	}
-	query := &query{request: &request{try: one.try, prompt: prompt, size: 100}, target: target, left: 8 * time.Second, urgency: urgency, machine: bench.day.machines[0],
+	query := &serverRequest{request: &request{attempt: one.try, prompt: prompt, size: 100}, target: target, timeout: 8 * time.Second, priorityClass: urgency, machine: bench.day.machines[0],
 		sent: bench.day.world.Now}
-	query.head = func(head head) { one.head = head }
-	query.whole = func() { one.whole = true }
+	query.head = func(head serverHead) { one.head = head }
+	query.complete = func() { one.whole = true }
 	query.piece = func(piece rules.Piece) {
 		if one.first == 0 {
 			one.first = bench.day.world.Now
@@ -62,8 +62,8 @@
 			return
 		}
 		one.conn = opened
-		opened.closed[near] = func() { one.closed = true }
-		opened.send(near, 100, func() { bench.server.receive(opened, query) })
+		opened.onClose[dialer] = func() { one.closed = true }
+		opened.send(dialer, 100, func() { bench.server.receive(opened, query) })
 	})
 	return one
 }
@@ -84,7 +84,7 @@
 		bench.run(2 * time.Second)
 		Expect(first.whole && second.whole).To(BeTrue())
 		Expect(first.pieces).To(HaveLen(3))
-		Expect(bench.day.read).To(Equal(int64(20200)))
+		Expect(bench.day.readTokens).To(Equal(int64(20200)))
 		Expect(second.first - began).To(BeNumerically("<", first.first/3))
 	})
 
@@ -106,14 +106,14 @@
 			bench.ask(bench.server.name, 1, -1, part(id, 20000), part("own", 10))
 			bench.run(2 * time.Second)
 		}
-		read := bench.day.read
+		read := bench.day.readTokens
 		bench.ask(bench.server.name, 1, -1, part("one", 20000), part("own", 10))
 		bench.run(2 * time.Second)
-		Expect(bench.day.read-read).To(BeNumerically("<", 100), "one was used since two was")
-		Expect(bench.day.again).To(BeZero())
+		Expect(bench.day.readTokens-read).To(BeNumerically("<", 100), "one was used since two was")
+		Expect(bench.day.rereadTokens).To(BeZero())
 		bench.ask(bench.server.name, 1, -1, part("two", 20000), part("own", 10))
 		bench.run(2 * time.Second)
-		Expect(bench.day.again).To(Equal(int64(20000)))
+		Expect(bench.day.rereadTokens).To(Equal(int64(20000)))
 	})
 
 	It("puts the newest of the least urgent back when memory runs out, and ends it later whole", func() {
@@ -121,7 +121,7 @@
 		urgent := bench.ask(bench.server.name, 25, 0, part("own-1", 180))
 		patient := bench.ask(bench.server.name, 25, 9, part("own-2", 180))
 		bench.run(5 * time.Second)
-		Expect(bench.day.putBacks).To(BeNumerically(">", 0))
+		Expect(bench.day.preemptions).To(BeNumerically(">", 0))
 		Expect(urgent.whole && patient.whole).To(BeTrue())
 		Expect(urgent.pieces[24].MadeAt).To(BeNumerically("<", patient.pieces[24].MadeAt))
 		Expect(patient.pieces).To(HaveLen(25))
@@ -150,7 +150,7 @@
 		bench := benched(unchanged)
 		one := bench.ask("model-99", 1, -1, part("own", 10))
 		bench.run(time.Second)
-		Expect(one.head.moved).To(BeTrue())
+		Expect(one.head.wrongServer).To(BeTrue())
 		Expect(bench.day.record.Arrivals[0].Executed).To(BeFalse())
 	})
 
@@ -168,10 +168,10 @@
 		bench := benched(unchanged)
 		one := bench.ask(bench.server.name, 200, -1, part("own", 10))
 		bench.run(200 * time.Millisecond)
-		one.conn.close(near)
+		one.conn.close(dialer)
 		bench.run(200 * time.Millisecond)
 		Expect(bench.server.running).To(BeEmpty())
-		Expect(bench.server.batch.parts).To(HaveLen(1))
+		Expect(bench.server.batch.cached).To(HaveLen(1))
 	})
 
 	It("tells a load that is late", func() {
@@ -200,7 +200,7 @@
 		bench := benched(unchanged)
 		one := bench.ask(bench.server.name, 20, -1, part("own", 10))
 		bench.run(100 * time.Millisecond)
-		light, came := bench.day.world.darken(bench.server.name), len(one.pieces)
+		light, came := bench.day.world.isolate(bench.server.name), len(one.pieces)
 		bench.run(time.Second)
 		Expect(one.pieces).To(HaveLen(came))
 		light()
@@ -216,7 +216,7 @@
 	It("is late, and shows what leaves before it is gone", func() {
 		bench := benched(unchanged)
 		bench.run(time.Second)
-		bench.server.depart(4*time.Second, true)
+		bench.server.leave(4*time.Second, true)
 		rows, _, _ := bench.day.list.page(0)
 		Expect(rows[0].Leaving).To(BeFalse())
 		bench.run(time.Second)
