--- a/emulator/site.go
+++ b/emulator/site.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Site describes a deployment: its places, machines, services, callers and the bounds that are judged.
+// Site describes a deployment: its zones, machines, services, callers, and the bounds that the rules check.
 type Site struct {
 	Name     string    `json:"name"`
 	LeadS    float64   `json:"leadS"`
@@ -26,24 +26,27 @@
 	List     List      `json:"list"`
 	Spare    int       `json:"spareRoutes"`
 	Troubles []Trouble `json:"troubles"`
-	// Tenants is how many organisations the configuration names; without any, calls need no key.
+	// Tenants is the number of tenants in the configuration; with 0, calls need no key.
 	Tenants int `json:"tenants,omitempty"`
-	// ControlOnCore tells that control processes run on core machines alone; otherwise each machine has one.
+	// ControlOnCore runs control processes on core machines only; otherwise each machine has one.
 	ControlOnCore bool `json:"controlOnCore,omitempty"`
 }
 
+// Zone is a failure domain in a region.
 type Zone struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
 }
 
+// Group is a number of equal machines or servers in a zone.
 type Group struct {
 	Zone  string `json:"zone"`
 	Count int    `json:"count"`
 	Core  bool   `json:"core,omitempty"`
 }
 
-// Service is a set of servers; those with an engine work in batches.
+// Service is a set of servers; those with an Engine work in batches. ColdPerS is the rate that a server can take during its first
+// ColdS seconds.
 type Service struct {
 	Name        string    `json:"name"`
 	Servers     []Group   `json:"servers"`
@@ -57,13 +60,14 @@
 	Engine      *Engine   `json:"engine,omitempty"`
 }
 
-// Engine gives the times of a batching server.
+// Engine describes the timing of a batching server. Tokens is its memory, Chunk the prompt tokens read in a step, Stride the tokens
+// in a piece, LateMs the lag of its load figures.
 type Engine struct {
 	StepMs        float64 `json:"stepMs"`
 	PerRunningMs  float64 `json:"perRunningMs"`
 	ContextMsPerK float64 `json:"contextMsPerK"`
 	TokensPerMs   float64 `json:"tokensPerMs"`
-	// PairsMsPerM is the time for a million pairs of a token that is read and one that stands before it.
+	// PairsMsPerM is the attention cost: the time for a million pairs of a token that is read and one before it.
 	PairsMsPerM float64 `json:"pairsMsPerM,omitempty"`
 	FirstMs     float64 `json:"firstMs"`
 	Stride      int     `json:"stride"`
@@ -72,18 +76,20 @@
 	LateMs      float64 `json:"lateMs"`
 }
 
+// Spread is a log-normal distribution by mean and relative standard deviation, cut off at Most if that is above 0.
 type Spread struct {
 	Mean   float64 `json:"mean"`
 	Spread float64 `json:"spread,omitempty"`
 	Most   float64 `json:"most,omitempty"`
 }
 
+// Part is a shared part of prompts: its length, and how many variants there are.
 type Part struct {
 	Tokens Spread `json:"tokens"`
 	Kinds  int    `json:"kinds"`
 }
 
-// Class is a kind of call.
+// Class is a kind of call. AimMs is its target for the time until the first piece, GapMs the bound on pauses between pieces.
 type Class struct {
 	Name       string   `json:"name"`
 	Service    string   `json:"service"`
@@ -104,7 +110,8 @@
 	Parts      []Part   `json:"parts,omitempty"`
 }
 
-// Source is the traffic of a zone.
+// Source is the traffic of a zone: PerS calls a second from a number of callers, with a sine of period PeriodS and relative
+// amplitude Swing.
 type Source struct {
 	Zone    string  `json:"zone"`
 	PerS    float64 `json:"perS"`
@@ -112,10 +119,11 @@
 	Swing   float64 `json:"swing"`
 	PeriodS float64 `json:"periodS"`
 	Phase   float64 `json:"phase"`
-	// Clump is how many calls come at once, on average; 0 and 1 mean that each comes by itself.
+	// Clump is the mean number of calls that come at once; 0 and 1 mean single calls.
 	Clump float64 `json:"clump,omitempty"`
 }
 
+// Bounds are the limits that the rules check and that the product's settings are derived from.
 type Bounds struct {
 	SeedDelayS        float64 `json:"seedDelayS"`
 	ReuseS            float64 `json:"reuseS"`
@@ -137,7 +145,7 @@
 	ToleratedMachines int     `json:"toleratedMachines"`
 }
 
-// Net gives one-way delays.
+// Net gives one-way delays within a zone, between zones, between regions, and the addition for callers.
 type Net struct {
 	ZoneMs    float64 `json:"zoneMs"`
 	ZonesMs   float64 `json:"zonesMs"`
@@ -145,14 +153,15 @@
 	CallerMs  float64 `json:"callerMs"`
 }
 
-// List is how the list of servers behaves.
+// List is the behaviour of the list of servers: its lag, the requests per second that it accepts, and its page size.
 type List struct {
 	LagMs float64 `json:"lagMs"`
 	PerS  float64 `json:"perS"`
 	Page  int     `json:"page"`
 }
 
-// Trouble is one that may be drawn, or has been: its kind, its variant, and how many, how long, how strong.
+// Trouble is a trouble to draw from or to begin: its kind, its variant (How), its start and duration in seconds, and how many or
+// which share of machines or servers it affects. The meaning of X depends on the kind.
 type Trouble struct {
 	Kind    string  `json:"kind"`
 	How     string  `json:"how,omitempty"`
@@ -168,6 +177,7 @@
 	Class   string  `json:"class,omitempty"`
 }
 
+// LoadSite reads a site from a file.
 func LoadSite(path string) (Site, error) {
 	content, failure := os.ReadFile(path)
 	if failure != nil {
@@ -176,6 +186,7 @@
 	return ReadSite(content)
 }
 
+// ReadSite parses a site and rejects unknown fields and sites without zones, machines, services or classes.
 func ReadSite(content []byte) (Site, error) {
 	var read Site
 	decoder := json.NewDecoder(bytes.NewReader(content))
@@ -207,7 +218,7 @@
 	return Service{}
 }
 
-// Scaled gives the site with a part of its traffic and another length.
+// Scaled gives the site with a part of its traffic and another length of the day.
 func (site Site) Scaled(part float64, day time.Duration) Site {
 	sources := []Source{}
 	for _, source := range site.Traffic {
@@ -218,18 +229,18 @@
 	return site
 }
 
-// Length of the traffic of a day.
-func (site Site) Length() time.Duration { return seconds(site.DayS) }
+// TrafficDuration is the length of a day's traffic.
+func (site Site) TrafficDuration() time.Duration { return seconds(site.DayS) }
 
-// Named gives the site's troubles of a kind, or of a kind and variant as "kind/how", each at a moment of its own; those of caches are the
-// same at all sites and are played by name only.
-func (site Site) Named(name string) []Trouble {
+// TroublesNamed gives the site's troubles of a kind, or of a kind and variant as "kind/how", spread over the day. Cache troubles are
+// the same at all sites and begin only by name.
+func (site Site) TroublesNamed(name string) []Trouble {
 	kind, how, varied := strings.Cut(name, "/")
 	troubles := []Trouble{}
 	for _, one := range slices.Concat(site.Troubles, cacheTroubles) {
 		if one.Kind == kind && (!varied || one.How == how) {
 			if one.AtS == 0 {
-				one.AtS = earliest + float64(len(troubles))*usualSpan
+				one.AtS = firstTroubleSeconds + float64(len(troubles))*defaultTroubleSeconds
 			}
 			troubles = append(troubles, one)
 		}
--- a/emulator/tenants.go
+++ b/emulator/tenants.go
@@ -9,13 +9,13 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// keysPerTenant is how many keys a tenant has at first.
+// keysPerTenant is the number of keys that each tenant starts with.
 const keysPerTenant = 2
 
-// key names a key that was never given before.
-func (operator *operator) key() string {
-	operator.keys++
-	return "key-" + name(operator.keys)
+// newKey creates a key that was never used before.
+func (operator *operator) newKey() string {
+	operator.keyCount++
+	return "key-" + twoDigits(operator.keyCount)
 }
 
 func (operator *operator) firstTenants() map[string]any {
@@ -23,32 +23,32 @@
 	for number := range operator.day.site.Tenants {
 		keys := []any{}
 		for range keysPerTenant {
-			keys = append(keys, operator.key())
+			keys = append(keys, operator.newKey())
 		}
-		tenants["tenant-"+name(number+1)] = map[string]any{"keys": keys}
+		tenants["tenant-"+twoDigits(number+1)] = map[string]any{"keys": keys}
 	}
 	return tenants
 }
 
-func keysOf(tenant any) []any {
+func tenantKeys(tenant any) []any {
 	tree, _ := tenant.(map[string]any)
 	keys, _ := tree["keys"].([]any)
 	return keys
 }
 
-// holders gives the tenants by their keys.
-func holders(tenants map[string]any) map[string]string {
+// tenantsByKey maps each key to its tenant.
+func tenantsByKey(tenants map[string]any) map[string]string {
 	held := map[string]string{}
 	for tenant, item := range tenants {
-		for _, key := range keysOf(item) {
+		for _, key := range tenantKeys(item) {
 			held[key.(string)] = tenant
 		}
 	}
 	return held
 }
 
-// changeTenants adds to a change by name what makes the tenants of the current version those of the next.
-func (operator *operator) changeTenants(next *stored, section map[string]any) {
+// changeTenants adds to a change by name what turns the tenants of the current version into those of the next.
+func (operator *operator) changeTenants(next *configuration, section map[string]any) {
 	upsert, remove := map[string]any{}, []string{}
 	for tenant, item := range next.tenants {
 		if !reflect.DeepEqual(item, operator.current.tenants[tenant]) {
@@ -69,21 +69,20 @@
 	}
 }
 
-// heldKey gives a key that some tenant holds in the newest version that the operator knows, empty without tenants.
+// heldKey picks a key that some tenant holds in the newest known version; it is empty without tenants.
 func (operator *operator) heldKey(pick func(count int) int) string {
-	keys := slices.Sorted(maps.Keys(holders(operator.current.tenants)))
+	keys := slices.Sorted(maps.Keys(tenantsByKey(operator.current.tenants)))
 	if len(keys) == 0 {
 		return ""
 	}
 	return keys[pick(len(keys))]
 }
 
-// changeKeys gives some tenant another key, or takes one away; now and then a key moves to another tenant. It gives the keys that were
-// touched.
-func (day *Day) changeKeys(next *stored, taken bool) []string {
+// alterKey gives a tenant a new key, or withdraws one and sometimes moves it to another tenant. It returns the affected keys.
+func (day *Day) alterKey(next *configuration, taken bool) []string {
 	names := manifest.SortedKeys(next.tenants)
 	from := names[day.chance.IntN(len(names))]
-	keys := slices.Clone(keysOf(next.tenants[from]))
+	keys := slices.Clone(tenantKeys(next.tenants[from]))
 	touched := []string{}
 	switch {
 	case taken && len(keys) > 0:
@@ -91,18 +90,18 @@
 		touched = append(touched, keys[place].(string))
 		keys = slices.Delete(keys, place, place+1)
 		if to := names[day.chance.IntN(len(names))]; to != from && day.chance.IntN(3) == 0 {
-			next.tenants[to] = map[string]any{"keys": append(slices.Clone(keysOf(next.tenants[to])), touched[0])}
+			next.tenants[to] = map[string]any{"keys": append(slices.Clone(tenantKeys(next.tenants[to])), touched[0])}
 		}
 	default:
-		added := day.operator.key()
+		added := day.operator.newKey()
 		keys, touched = append(keys, added), append(touched, added)
 	}
 	next.tenants[from] = map[string]any{"keys": keys}
 	return touched
 }
 
-// keys moves the tenants on: a key that comes, or with "revoke" one that goes. Callers that hold it go on with it.
-func (day *Day) keys(trouble Trouble) {
+// changeTenantKeys adds a key, or with "revoke" withdraws one. Callers that have the key continue to use it.
+func (day *Day) changeTenantKeys(trouble Trouble) {
 	operator := day.operator
 	if day.site.Tenants == 0 {
 		return
@@ -110,42 +109,42 @@
 	for range max(1, trouble.Count) {
 		operator.whenFree(func(done func()) {
 			next := operator.copy()
-			touched := day.changeKeys(next, trouble.Kind == "revoke")
+			touched := day.alterKey(next, trouble.Kind == "revoke")
 			verb := contract.VerbUpdate
 			if day.chance.IntN(2) == 0 {
 				verb = contract.VerbReplace
 			}
-			sent, ask := operator.version(next, verb, nil, nil)
+			sent, ask := operator.newVersion(next, verb, nil, nil)
 			operator.send(sent, ask, func() {
 				for _, key := range append(touched, "never", "") {
 					day.probeKey(key)
 				}
-				day.world.After(trouble.gap(), done)
+				day.world.After(trouble.interval(), done)
 			})
 		})
 	}
 }
 
-// probeKey sends a request with a key straight to each machine, soon and once more when it has to be in force.
+// probeKey sends a request with a key directly to each machine, soon after the change and again once it must be in force.
 func (day *Day) probeKey(key string) {
 	for _, span := range []float64{0.5, day.record.Bounds.Propagate.Seconds() + 0.3} {
 		day.world.After(seconds(span), func() {
 			for _, machine := range day.machines {
 				if machine.up() && machine.data.ready() {
-					day.probeWith(machine, day.operator.plain().Name, key)
+					day.probeWith(machine, day.operator.plainClass().Name, key)
 				}
 			}
 		})
 	}
 }
 
-// sharedKey has two tenants hold one key, which makes a configuration invalid; it is false where no tenant has a key.
-func (operator *operator) sharedKey(next *stored) bool {
+// sharedKey gives one key to two tenants, which makes a configuration invalid; it reports false if no tenant has a key.
+func (operator *operator) sharedKey(next *configuration) bool {
 	key := operator.heldKey(operator.random.IntN)
-	holder := holders(next.tenants)[key]
+	holder := tenantsByKey(next.tenants)[key]
 	for _, other := range manifest.SortedKeys(next.tenants) {
 		if key != "" && other != holder {
-			next.tenants[other] = map[string]any{"keys": append(slices.Clone(keysOf(next.tenants[other])), key)}
+			next.tenants[other] = map[string]any{"keys": append(slices.Clone(tenantKeys(next.tenants[other])), key)}
 			return true
 		}
 	}
--- a/emulator/tenants_test.go
+++ b/emulator/tenants_test.go
@@ -16,7 +16,7 @@
 		It("given callers with keys on "+name+", when keys come, move and are taken away, then servers are told the holder, and what is in force decides", func() {
 			for seed := uint64(1); seed <= 3; seed++ {
 				played := Play(tenanted(name), seed, Plan{Troubles: []Trouble{{Kind: "revoke", AtS: 1, Count: 3, GapS: 1}, {Kind: "tenant", AtS: 2, Count: 2, GapS: 0.7}, {Kind: "bad_config", AtS: 4, Count: 4, GapS: 0.3}}})
-				Expect(played.Breaches).To(BeEmpty(), "seed %d", seed)
+				Expect(played.Violations).To(BeEmpty(), "seed %d", seed)
 				named, refused := map[string]bool{}, 0
 				for _, run := range played.Record.Arrivals {
 					named[run.Tenant] = true
@@ -36,8 +36,8 @@
 			func(troubles []Trouble, closing string) {
 				for seed := uint64(1); seed <= 2; seed++ {
 					keys := []Trouble{{Kind: "revoke", AtS: 1, Count: 6, GapS: 1}, {Kind: "tenant", AtS: 1.5, Count: 3, GapS: 1.5}}
-					played := Play(tenanted(name), seed, Plan{Troubles: append(keys, troubles...), Closing: closing})
-					Expect(played.Breaches).To(BeEmpty(), "seed %d", seed)
+					played := Play(tenanted(name), seed, Plan{Troubles: append(keys, troubles...), FinalFault: closing})
+					Expect(played.Violations).To(BeEmpty(), "seed %d", seed)
 				}
 			},
 			Entry("nodes killed and frozen", []Trouble{{Kind: "node_kill", Share: 0.4, AtS: 3, ForS: 1}, {Kind: "node_freeze", Share: 0.3, AtS: 4, ForS: 3}}, ""),
--- a/emulator/troubles.go
+++ b/emulator/troubles.go
@@ -9,30 +9,30 @@
 	"github.com/cedarreel/cedarreel/manifest"
 )
 
-// kind is one sort of trouble. Planned ones are work that is done on purpose.
-type kind struct {
+// troubleKind is a kind of trouble. Planned ones are deliberate work and excuse less than faults do.
+type troubleKind struct {
 	planned bool
 	begin   func(*Day, Trouble)
 }
 
-var kinds map[string]kind
+var troubleKinds map[string]troubleKind
 
 func init() {
-	kinds = map[string]kind{
-		"burst":          {false, (*Day).rush},
-		"shift":          {false, (*Day).move},
+	troubleKinds = map[string]troubleKind{
+		"burst":          {false, (*Day).beginBurst},
+		"shift":          {false, (*Day).shiftClients},
 		"srv_crash":      {false, (*Day).crashServers},
 		"garble":         {false, (*Day).garble},
 		"answer_lost":    {false, (*Day).loseAnswers},
-		"cache_lost":     {false, (*Day).loseCaches},
+		"cache_lost":     {false, (*Day).beginCacheLoss},
 		"release":        {true, (*Day).release},
 		"scale_in":       {true, (*Day).scaleIn},
 		"cold_return":    {false, (*Day).coldReturn},
 		"node_kill":      {false, (*Day).killNodes},
 		"node_freeze":    {false, (*Day).freezeNodes},
 		"node_cut":       {false, (*Day).cutNodes},
-		"roll_term":      {true, (*Day).roll},
-		"herd_kill":      {false, (*Day).killHerd},
+		"roll_term":      {true, (*Day).rollingRestart},
+		"herd_kill":      {false, (*Day).killTogether},
 		"disk_slow":      {false, (*Day).slowDisks},
 		"disk_full":      {false, (*Day).fillDisks},
 		"disk_stall":     {false, (*Day).stallDisks},
@@ -42,33 +42,33 @@
 		"after_ack_kill": {false, (*Day).killAfterAck},
 		"after_ack_wipe": {false, (*Day).wipeAfterAck},
 		"clock_step":     {false, (*Day).stepClocks},
-		"config_change":  {true, (*Day).change},
-		"config_race":    {true, (*Day).race},
-		"config_storm":   {true, (*Day).storm},
-		"bad_config":     {true, (*Day).bad},
-		"evacuate":       {true, (*Day).evacuate},
-		"tenant":         {true, (*Day).keys},
-		"revoke":         {true, (*Day).keys},
+		"config_change":  {true, (*Day).changeConfiguration},
+		"config_race":    {true, (*Day).raceConfigurations},
+		"config_storm":   {true, (*Day).stormConfigurations},
+		"bad_config":     {true, (*Day).sendInvalidConfigurations},
+		"evacuate":       {true, (*Day).drainZone},
+		"tenant":         {true, (*Day).changeTenantKeys},
+		"revoke":         {true, (*Day).changeTenantKeys},
 	}
 }
 
-// Kinds names the troubles.
-func Kinds() []string { return manifest.SortedKeys(kinds) }
+// Kinds names all kinds of trouble in alphabetical order.
+func Kinds() []string { return manifest.SortedKeys(troubleKinds) }
 
 const (
-	usualSpan   = 4.0
-	kindsAtOnce = 3
-	earliest    = 2.0
+	defaultTroubleSeconds   = 4.0
+	maxSimultaneousTroubles = 3
+	firstTroubleSeconds     = 2.0
 )
 
-// draw takes so many troubles out of the site's list: any moment, one to three at once, the same more than once. Every third day ends
-// with a closing fault.
-func (day *Day) draw(count int) ([]Trouble, string) {
+// drawTroubles draws from the site's list: at random times, one to three at once, possibly the same more than once. One day in three
+// ends with a final fault.
+func (day *Day) drawTroubles(count int) ([]Trouble, string) {
 	troubles := []Trouble{}
-	span := day.site.DayS - earliest
+	span := day.site.DayS - firstTroubleSeconds
 	for len(troubles) < count {
-		moment := earliest + day.chance.Float64()*span*3/4
-		for range min(count-len(troubles), 1+day.chance.IntN(kindsAtOnce)) {
+		moment := firstTroubleSeconds + day.chance.Float64()*span*3/4
+		for range min(count-len(troubles), 1+day.chance.IntN(maxSimultaneousTroubles)) {
 			one := day.site.Troubles[day.chance.IntN(len(day.site.Troubles))]
 			one.AtS = moment + day.chance.Float64()
 			if one.ForS > 0 {
@@ -89,6 +89,7 @@
 	return troubles, closing
 }
 
+// String gives start, kind and variant, as "2.50:node_kill(power)".
 func (trouble Trouble) String() string {
 	text := fmt.Sprintf("%.2f:%s", trouble.AtS, trouble.Kind)
 	if trouble.How != "" {
@@ -97,48 +98,48 @@
 	return text
 }
 
-func (trouble Trouble) span() time.Duration {
+func (trouble Trouble) duration() time.Duration {
 	if trouble.ForS > 0 {
 		return seconds(trouble.ForS)
 	}
-	return seconds(usualSpan)
+	return seconds(defaultTroubleSeconds)
 }
 
-func (trouble Trouble) gap() time.Duration {
+func (trouble Trouble) interval() time.Duration {
 	if trouble.GapS > 0 {
 		return seconds(trouble.GapS)
 	}
 	return time.Second
 }
 
-func (trouble Trouble) times() float64 {
+func (trouble Trouble) factorOrDefault() float64 {
 	if trouble.X > 0 {
 		return trouble.X
 	}
 	return 2
 }
 
-// schedule lets a trouble begin at its moment, counted from the start of traffic.
+// schedule begins a trouble at its time, counted from the start of traffic.
 func (day *Day) schedule(trouble Trouble) {
-	kind, there := kinds[trouble.Kind]
+	kind, there := troubleKinds[trouble.Kind]
 	if !there {
 		panic("no such trouble: " + trouble.Kind)
 	}
 	day.plan = append(day.plan, trouble.String())
 	day.world.At(seconds(day.site.LeadS+trouble.AtS), func() {
-		day.say("trouble", trouble.String())
+		day.logEvent("trouble", trouble.String())
 		if !kind.planned {
-			day.record.Unplanned = append(day.record.Unplanned, rules.Span{From: day.world.Now, Until: day.world.Now + trouble.span()})
+			day.record.Unplanned = append(day.record.Unplanned, rules.Span{From: day.world.Now, Until: day.world.Now + trouble.duration()})
 		}
 		kind.begin(day, trouble)
 	})
 }
 
-// some picks servers of a service, or of any, that serve now.
-func (day *Day) some(trouble Trouble) []*server {
+// pickServers picks running servers at random, of the trouble's service and zone if they are given.
+func (day *Day) pickServers(trouble Trouble) []*server {
 	picked := []*server{}
-	for _, server := range day.order {
-		fits := server.up && !server.leaving && !server.dark && (trouble.Service == "" || server.service.Name == trouble.Service) && (trouble.Zone == "" || server.zone == trouble.Zone)
+	for _, server := range day.serversInOrder {
+		fits := server.up && !server.leaving && !server.silent && (trouble.Service == "" || server.service.Name == trouble.Service) && (trouble.Zone == "" || server.zone == trouble.Zone)
 		if fits {
 			picked = append(picked, server)
 		}
@@ -147,7 +148,7 @@
 	return picked[:trouble.count(len(picked))]
 }
 
-// count gives how many of all are meant: one at least.
+// count gives how many of all are affected, at least one.
 func (trouble Trouble) count(all int) int {
 	count := trouble.Count
 	if trouble.Share > 0 {
@@ -156,14 +157,14 @@
 	return min(all, max(1, count))
 }
 
-// leader is the machine that heads the chain, as the first one up knows it.
+// leader is the running machine that heads the chain, nil without one.
 func (day *Day) leader() *machine {
 	best := (*machine)(nil)
 	for _, machine := range day.machines {
 		if !machine.up() || machine.data.Frozen {
 			continue
 		}
-		if head := machine.head(); head != "" && day.byName[head] != nil && day.byName[head].up() {
+		if head := machine.chainHead(); head != "" && day.byName[head] != nil && day.byName[head].up() {
 			best = day.byName[head]
 			break
 		}
@@ -171,13 +172,14 @@
 	return best
 }
 
-// nodes picks machines that run: of the core, its leader, or any. No more of the core are taken than may be lost at once.
-func (day *Day) nodes(trouble Trouble) []*machine {
+// pickMachines picks running machines: of the core, its leader, or any. It takes no more core machines than the site tolerates
+// losing.
+func (day *Day) pickMachines(trouble Trouble) []*machine {
 	running := slices.DeleteFunc(slices.Clone(day.machines), func(machine *machine) bool {
-		return !machine.up() || machine.freezes > 0 || trouble.Core && !machine.core || trouble.Zone != "" && trouble.Zone != machine.zone
+		return !machine.up() || machine.freezeCount > 0 || trouble.Core && !machine.core || trouble.Zone != "" && trouble.Zone != machine.zone
 	})
 	day.chance.Shuffle(len(running), func(left, right int) { running[left], running[right] = running[right], running[left] })
-	if leader := day.leader(); trouble.leads() && leader != nil {
+	if leader := day.leader(); trouble.targetsLeader() && leader != nil {
 		running = append([]*machine{leader}, slices.DeleteFunc(running, func(machine *machine) bool { return machine == leader })...)
 	}
 	picked, free := []*machine{}, day.spareCore()
@@ -196,7 +198,7 @@
 	return picked
 }
 
-// spareCore is how many more machines of the core may be lost now; one that came back counts as lost for a while.
+// spareCore is how many more core machines may fail now; a machine that returned counts as failed for recoveryTime.
 func (day *Day) spareCore() int {
 	size, well := 0, 0
 	for _, group := range day.site.Machines {
@@ -205,16 +207,16 @@
 		}
 	}
 	for _, machine := range day.machines {
-		if machine.core && !machine.gone && machine.up() && !within(machine.record.Troubles, day.world.Now-returnTime, day.world.Now) {
+		if machine.core && !machine.removed && machine.up() && !overlapsAny(machine.record.Troubles, day.world.Now-recoveryTime, day.world.Now) {
 			well++
 		}
 	}
 	return max(0, day.site.Bounds.ToleratedMachines-(size-well))
 }
 
-// returnTime is how long a machine that is back still counts as lost.
-const returnTime = 4 * time.Second
+// recoveryTime is how long a machine that is back still counts as failed.
+const recoveryTime = 4 * time.Second
 
-func within(spans []rules.Span, from, until time.Duration) bool {
+func overlapsAny(spans []rules.Span, from, until time.Duration) bool {
 	return slices.ContainsFunc(spans, func(span rules.Span) bool { return span.From > 0 && span.From <= until && from <= span.Until })
 }
--- a/emulator/troubles_test.go
+++ b/emulator/troubles_test.go
@@ -69,7 +69,7 @@
 				}
 				played := Play(small(name), uint64(index+1), Plan{Troubles: []Trouble{chosen}})
 				GinkgoWriter.Println(played.Figures.Text())
-				Expect(played.Breaches).To(BeEmpty())
+				Expect(played.Violations).To(BeEmpty())
 			})
 		}
 	}
@@ -77,7 +77,7 @@
 	It("changes nothing when clocks step", func() {
 		calm := Play(small("seri"), 3, Plan{})
 		stepped := Play(small("seri"), 3, Plan{Troubles: []Trouble{{Kind: "clock_step", AtS: 1.5, Share: 0.5, X: 2400, ForS: 4}}})
-		Expect(stepped.Breaches).To(BeEmpty())
+		Expect(stepped.Violations).To(BeEmpty())
 		Expect(stepped.Figures).To(Equal(calm.Figures))
 	})
 })
@@ -86,16 +86,16 @@
 	for index, how := range []string{"kill_all", "power_off_all", "wipe_after_ack"} {
 		It("wipes out nothing that was acknowledged: "+how, func() {
 			name := sites[index%len(sites)]
-			played := Play(small(name), uint64(index+1), Plan{Troubles: []Trouble{{Kind: "config_change", AtS: 2}}, Closing: how})
+			played := Play(small(name), uint64(index+1), Plan{Troubles: []Trouble{{Kind: "config_change", AtS: 2}}, FinalFault: how})
 			Expect(played.Record.RestartedAt).To(BeNumerically(">", 0))
-			Expect(played.Breaches).To(BeEmpty())
+			Expect(played.Violations).To(BeEmpty())
 		})
 	}
 })
 
 var _ = Describe("a seed", func() {
 	It("plays the same day again", func() {
-		first, second := Play(small("brazos"), 5, Plan{Drawn: 3}), Play(small("brazos"), 5, Plan{Drawn: 3})
+		first, second := Play(small("brazos"), 5, Plan{DrawCount: 3}), Play(small("brazos"), 5, Plan{DrawCount: 3})
 		Expect(second.Troubles).To(Equal(first.Troubles))
 		Expect(second.Figures).To(Equal(first.Figures))
 		Expect(second.Counts).To(Equal(first.Counts))
--- a/emulator/try.go
+++ b/emulator/try.go
@@ -6,190 +6,190 @@
 	"github.com/cedarreel/cedarreel/emulator/rules"
 )
 
-// attempt is one try of a call under way.
+// attempt is one attempt of a call under way.
 type attempt struct {
 	*call
-	try     *rules.Attempt
-	conn    *conn
-	address string
-	over    bool
-	touched time.Duration
-	after   time.Duration
+	record       *rules.Attempt
+	conn         *conn
+	address      string
+	finished     bool
+	lastActivity time.Duration
+	retryAfter   time.Duration
 }
 
 const (
-	silenceLeast = 2 * time.Second
-	silenceAims  = 4
-	silenceGaps  = 8
-	backOff      = 20 * time.Millisecond
+	minSilence       = 2 * time.Second
+	silenceAimFactor = 4
+	silenceGapFactor = 8
+	minBackoff       = 20 * time.Millisecond
 )
 
-// send makes one try.
+// send starts one attempt.
 func (call *call) send(fresh bool) {
-	call.tries--
-	one := &attempt{call: call}
+	call.attemptsLeft--
+	attempt := &attempt{call: call}
 	begin := func() {
-		if call.day.world.Now >= call.ends {
-			call.settle("failed")
+		if call.day.world.Now >= call.deadline {
+			call.finish("failed")
 			return
 		}
-		one.try = call.try()
-		one.try.Sent = call.day.world.Now
-		one.touched = one.try.Sent
-		call.day.record.Attempts = append(call.day.record.Attempts, one.try)
-		write := func(opened *conn, address string) { one.write(opened, address) }
-		if call.straight != nil {
-			call.day.connect(call.visitor.place(), call.straight.address+":"+trafficPort, write)
+		attempt.record = call.newAttempt()
+		attempt.record.Sent = call.day.world.Now
+		attempt.lastActivity = attempt.record.Sent
+		call.day.record.Attempts = append(call.day.record.Attempts, attempt.record)
+		write := func(opened *conn, address string) { attempt.send(opened, address) }
+		if call.machine != nil {
+			call.day.connect(call.client.place(), call.machine.address+":"+trafficPort, write)
 			return
 		}
-		call.visitor.connected(fresh, write)
+		call.client.withConnection(fresh, write)
 	}
-	if call.straight != nil {
+	if call.machine != nil {
 		begin()
 		return
 	}
-	call.visitor.addressed(begin)
+	call.client.withAddresses(begin)
 }
 
-func (one *attempt) write(opened *conn, address string) {
-	day, class := one.day, one.class
+func (attempt *attempt) send(opened *conn, address string) {
+	day, class := attempt.day, attempt.class
 	machine := day.machineAt(address)
 	if machine != nil {
-		one.try.Machine = machine.name
+		attempt.record.Machine = machine.name
 	}
 	if opened == nil {
-		one.visitor.fail(address)
-		one.end()
+		attempt.client.avoid(address)
+		attempt.finishAttempt()
 		return
 	}
-	one.conn, one.address = opened, address
-	one.try.Sent, one.touched = day.world.Now, day.world.Now
-	left := one.ends - day.world.Now
-	opened.closed[near] = func() {
-		if !one.over {
-			one.visitor.fail(address)
-			one.end()
+	attempt.conn, attempt.address = opened, address
+	attempt.record.Sent, attempt.lastActivity = day.world.Now, day.world.Now
+	left := attempt.deadline - day.world.Now
+	opened.onClose[dialer] = func() {
+		if !attempt.finished {
+			attempt.client.avoid(address)
+			attempt.finishAttempt()
 		}
 	}
-	asked := &request{try: one.try, class: class, host: day.host(), path: "/" + one.route + "/x", prompt: one.prompt, left: left, work: one.work, size: class.Bytes, began: one.began, figure: one.Figure}
-	opened.send(near, class.Bytes, func() { machine.data.serve(opened, asked, one) })
-	day.world.After(left, one.giveUp)
-	if one.try.Repeatable {
+	asked := &request{attempt: attempt.record, class: class, host: day.host(), path: "/" + attempt.route + "/x", prompt: attempt.prompt, timeout: left, work: attempt.work, size: class.Bytes, startedAt: attempt.startedAt, figure: attempt.Figure}
+	opened.send(dialer, class.Bytes, func() { machine.data.serve(opened, asked, attempt) })
+	day.world.After(left, attempt.giveUp)
+	if attempt.record.Repeatable {
 		day.world.After(min(time.Second, left/3), func() {
-			if one.try.ReadAt == 0 {
-				one.visitor.fail(address)
-				one.giveUp()
+			if attempt.record.ReadAt == 0 {
+				attempt.client.avoid(address)
+				attempt.giveUp()
 			}
 		})
 	}
-	if one.try.Stream {
-		one.listen()
+	if attempt.record.Stream {
+		attempt.watchSilence()
 	}
 }
 
-// listen gives a stream up after a silence.
-func (one *attempt) listen() {
-	patience := max(silenceLeast, seconds(one.class.AimMs/1000*silenceAims), seconds(one.class.GapMs/1000*silenceGaps))
-	one.day.world.At(one.touched+patience, func() {
+// watchSilence abandons a stream after a silence.
+func (attempt *attempt) watchSilence() {
+	patience := max(minSilence, seconds(attempt.class.AimMs/1000*silenceAimFactor), seconds(attempt.class.GapMs/1000*silenceGapFactor))
+	attempt.day.world.At(attempt.lastActivity+patience, func() {
 		switch {
-		case one.over:
-		case one.day.world.Now-one.touched >= patience:
-			one.visitor.fail(one.address)
-			one.giveUp()
+		case attempt.finished:
+		case attempt.day.world.Now-attempt.lastActivity >= patience:
+			attempt.client.avoid(attempt.address)
+			attempt.giveUp()
 		default:
-			one.listen()
+			attempt.watchSilence()
 		}
 	})
 }
 
-func (one *attempt) giveUp() {
-	if one.over {
+func (attempt *attempt) giveUp() {
+	if attempt.finished {
 		return
 	}
-	one.try.Abandoned = true
-	if one.conn != nil {
-		one.conn.closed[near] = nil
-		one.conn.close(near)
+	attempt.record.Abandoned = true
+	if attempt.conn != nil {
+		attempt.conn.onClose[dialer] = nil
+		attempt.conn.close(dialer)
 	}
-	one.end()
+	attempt.finishAttempt()
 }
 
-func (one *attempt) answered(answer answer) {
-	if one.over {
+func (attempt *attempt) answered(answer clientAnswer) {
+	if attempt.finished {
 		return
 	}
-	one.touched = one.day.world.Now
-	if one.try.Status == 0 {
-		one.try.Status, one.try.Sealed, one.try.AnswerIdentity = answer.status, answer.sealed, answer.of
+	attempt.lastActivity = attempt.day.world.Now
+	if attempt.record.Status == 0 {
+		attempt.record.Status, attempt.record.Sealed, attempt.record.AnswerIdentity = answer.status, answer.sealed, answer.identity
 	}
-	if !answer.whole {
+	if !answer.complete {
 		return
 	}
-	one.try.Complete, one.after = true, answer.after
-	if !one.try.Stream && answer.status/100 == 2 {
-		one.first(one.day.world.Now)
+	attempt.record.Complete, attempt.retryAfter = true, answer.retryAfter
+	if !attempt.record.Stream && answer.status/100 == 2 {
+		attempt.recordFirstPiece(attempt.day.world.Now)
 	}
 	if answer.close {
-		one.conn.closed[near] = nil
-		one.conn.close(near)
+		attempt.conn.onClose[dialer] = nil
+		attempt.conn.close(dialer)
 	} else {
-		one.visitor.keep(one.conn, one.address)
+		attempt.client.release(attempt.conn, attempt.address)
 	}
-	one.end()
+	attempt.finishAttempt()
 }
 
-func (one *attempt) piece(piece rules.Piece) {
-	if one.over {
+func (attempt *attempt) piece(piece rules.Piece) {
+	if attempt.finished {
 		return
 	}
-	now := one.day.world.Now
-	one.touched, piece.ReceivedAt = now, now
-	one.try.Pieces = append(one.try.Pieces, piece)
-	one.first(now)
-	if gap := seconds(one.class.GapMs / 1000); gap > 0 && one.call.last > 0 && now-one.call.last > gap {
-		one.Paused = true
+	now := attempt.day.world.Now
+	attempt.lastActivity, piece.ReceivedAt = now, now
+	attempt.record.Pieces = append(attempt.record.Pieces, piece)
+	attempt.recordFirstPiece(now)
+	if gap := seconds(attempt.class.GapMs / 1000); gap > 0 && attempt.call.lastPieceAt > 0 && now-attempt.call.lastPieceAt > gap {
+		attempt.Paused = true
 	}
-	one.call.last, one.got = now, piece.Number
+	attempt.call.lastPieceAt, attempt.lastPiece = now, piece.Number
 }
 
-func (call *call) first(now time.Duration) {
+func (call *call) recordFirstPiece(now time.Duration) {
 	if call.First == 0 {
-		call.First = now - call.began
+		call.First = now - call.startedAt
 	}
 }
 
-// end decides whether there is a further try.
-func (one *attempt) end() {
-	one.over = true
-	one.try.Ended = one.day.world.Now
-	status, left := one.try.Status, one.ends-one.day.world.Now
-	if status/100 == 2 && one.try.Complete {
-		one.settle("served")
+// finishAttempt decides whether the call is retried. A request that may have run is retried only if it is repeatable.
+func (attempt *attempt) finishAttempt() {
+	attempt.finished = true
+	attempt.record.Ended = attempt.day.world.Now
+	status, left := attempt.record.Status, attempt.deadline-attempt.day.world.Now
+	if status/100 == 2 && attempt.record.Complete {
+		attempt.finish("served")
 		return
 	}
 	promise := status == 429 || status == 503 || status == 408 || status == 421
 	final := status == 400 || status == 401 || status == 404 || status == 413 || status == 431
-	may := one.try.Repeatable || promise || one.try.ReadAt == 0 && !one.try.Abandoned
-	if one.call.tries <= 0 || final || !may || left <= 0 || one.try.Probe {
+	may := attempt.record.Repeatable || promise || attempt.record.ReadAt == 0 && !attempt.record.Abandoned
+	if attempt.call.attemptsLeft <= 0 || final || !may || left <= 0 || attempt.record.Probe {
 		if promise {
-			one.settle("refused")
+			attempt.finish("refused")
 		} else {
-			one.settle("failed")
+			attempt.finish("failed")
 		}
 		return
 	}
-	if !one.try.Resumable {
-		one.got = 0
+	if !attempt.record.Resumable {
+		attempt.lastPiece = 0
 	}
-	wait := max(backOff, min(one.after, left/3))
-	if one.visitor.hasty {
-		wait = backOff
+	wait := max(minBackoff, min(attempt.retryAfter, left/3))
+	if attempt.client.aggressive {
+		wait = minBackoff
 	}
-	one.day.world.After(wait, func() { one.call.send(true) })
+	attempt.day.world.After(wait, func() { attempt.call.send(true) })
 }
 
-// settle notes how a call ended.
-func (call *call) settle(outcome string) {
+// finish records how a call ended.
+func (call *call) finish(outcome string) {
 	if outcome == "served" && (call.First > seconds(call.class.AimMs/1000) || call.Paused) {
 		outcome = "late"
 	}
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -1,5 +1,6 @@
-// Package emulator plays days of a deployment in memory and in virtual time: the owners that the programs run, against stand-ins for
-// servers, callers, the operator and the list of servers, with troubles drawn by seed. Package rules judges what the stand-ins saw.
+// Package emulator runs days of a deployment in memory and in virtual time: the state machines of the real programs against
+// simulated servers, callers, an operator and a list of servers, with troubles drawn from a seed. Package rules checks what these
+// observed.
 package emulator
 
 import (
@@ -10,40 +11,43 @@
 	"github.com/cedarreel/cedarreel/virtual"
 )
 
-// World is virtual time and the links between places.
+// World is the virtual clock and the network between locations.
 type World struct {
 	virtual.Scheduler
-	seed   uint64
-	random *rand.Rand
-	net    Net
-	cuts   map[[2]string]int
-	dark   map[string]int
-	held   []parcel
-	far    int64
-	conns  int64
-}
-
-// place is where something stands: a machine, a server, or the callers of a zone.
-type place struct {
+	seed             uint64
+	random           *rand.Rand
+	net              Net
+	cuts             map[[2]string]int
+	isolated         map[string]int
+	delayed          []delayedDelivery
+	crossRegionBytes int64
+	connections      int64
+}
+
+// location is an end of a network link: a machine, a server, or the callers of a zone. External ones are outside the deployment and
+// have a longer delay.
+type location struct {
 	name, zone, region string
-	outside            bool
+	external           bool
 }
 
-type parcel struct {
-	from, to place
-	then     func()
+// delayedDelivery is something sent on a connection that a network cut holds up.
+type delayedDelivery struct {
+	from, to location
+	deliver  func()
 }
 
 func newWorld(seed uint64, net Net) *World {
-	return &World{seed: seed, random: rand.New(rand.NewPCG(seed, 7)), net: net, cuts: map[[2]string]int{}, dark: map[string]int{}}
+	return &World{seed: seed, random: rand.New(rand.NewPCG(seed, 7)), net: net, cuts: map[[2]string]int{}, isolated: map[string]int{}}
 }
 
-// source gives a stream of chance of its own, so that what draws from it is the same whatever the rest does.
-func (world *World) source(name string) *rand.Rand {
+// randomSource gives a random source that depends only on the seed and the name, so that its draws don't change with the behaviour
+// of the rest.
+func (world *World) randomSource(name string) *rand.Rand {
 	return rand.New(rand.NewPCG(world.seed, contract.RendezvousWeight(name)))
 }
 
-func (world *World) delay(from, to place) time.Duration {
+func (world *World) delay(from, to location) time.Duration {
 	span := seconds(world.net.ZoneMs / 1000)
 	switch {
 	case from.region != to.region:
@@ -51,58 +55,58 @@
 	case from.zone != to.zone:
 		span = seconds(world.net.ZonesMs / 1000)
 	}
-	if from.outside || to.outside {
+	if from.external || to.external {
 		span += seconds(world.net.CallerMs / 1000)
 	}
 	return span + time.Duration(world.random.Int64N(int64(span)/5+1))
 }
 
-func (world *World) broken(from, to place) bool {
-	return world.cuts[[2]string{from.name, to.name}] > 0 || world.dark[from.name] > 0 || world.dark[to.name] > 0
+func (world *World) linkDown(from, to location) bool {
+	return world.cuts[[2]string{from.name, to.name}] > 0 || world.isolated[from.name] > 0 || world.isolated[to.name] > 0
 }
 
-// post carries a message; a cut loses it.
-func (world *World) post(from, to place, then func()) {
-	if world.broken(from, to) {
+// sendMessage delivers a message after the link's delay, unless the link is cut when it is sent or when it arrives.
+func (world *World) sendMessage(from, to location, then func()) {
+	if world.linkDown(from, to) {
 		return
 	}
 	world.After(world.delay(from, to), func() {
-		if !world.broken(from, to) {
+		if !world.linkDown(from, to) {
 			then()
 		}
 	})
 }
 
-// carry brings something at a moment; a cut holds it up.
-func (world *World) carry(from, to place, moment time.Duration, then func()) {
+// deliverAt delivers something at a given time; while the link is cut, it is held until the cut is over.
+func (world *World) deliverAt(from, to location, moment time.Duration, then func()) {
 	world.At(moment, func() {
-		if world.broken(from, to) {
-			world.held = append(world.held, parcel{from, to, then})
+		if world.linkDown(from, to) {
+			world.delayed = append(world.delayed, delayedDelivery{from, to, then})
 			return
 		}
 		then()
 	})
 }
 
-// mended lets go on what was held up, in its order.
-func (world *World) mended() {
-	held := world.held
-	world.held = nil
+// deliverDelayed delivers what was held up on links that work again, in the order of sending.
+func (world *World) deliverDelayed() {
+	held := world.delayed
+	world.delayed = nil
 	for _, one := range held {
-		if world.broken(one.from, one.to) {
-			world.held = append(world.held, one)
+		if world.linkDown(one.from, one.to) {
+			world.delayed = append(world.delayed, one)
 			continue
 		}
-		world.After(world.delay(one.from, one.to), one.then)
+		world.After(world.delay(one.from, one.to), one.deliver)
 	}
 }
 
-// cut breaks the links between two sets of names, both ways, until mend.
-func (world *World) cut(left, right []string) (mend func()) {
+// cutBetween cuts the links between two sets of names in both directions, until mend is called.
+func (world *World) cutBetween(left, right []string) (mend func()) {
 	return world.cutLinks(world.links(left, right, false))
 }
 
-// links gives those from one set of names to another, and those back unless only one way is meant.
+// links gives the links from one set of names to another and, unless oneWay, those in the other direction.
 func (world *World) links(left, right []string, oneWay bool) [][2]string {
 	links := [][2]string{}
 	for _, one := range left {
@@ -127,94 +131,95 @@
 		for _, link := range links {
 			world.cuts[link]--
 		}
-		world.mended()
+		world.deliverDelayed()
 	}
 }
 
-// darken makes a place say and hear nothing until it is lit again.
-func (world *World) darken(name string) (light func()) {
-	world.dark[name]++
+// isolate cuts all links of a location until the returned function is called.
+func (world *World) isolate(name string) (light func()) {
+	world.isolated[name]++
 	return func() {
-		world.dark[name]--
-		world.mended()
+		world.isolated[name]--
+		world.deliverDelayed()
 	}
 }
 
-// conn is a connection; what is sent on it arrives in order, late when a cut holds it up.
+// conn is a connection. Data arrives in the order of sending, late while a cut holds it up. Arrays are indexed by side: dialer or
+// acceptor.
 type conn struct {
-	world  *World
-	ends   [2]place
-	last   [2]time.Duration
-	live   [2]bool
-	queue  [2][]func()
-	closed [2]func()
-	number int64
+	world       *World
+	ends        [2]location
+	lastArrival [2]time.Duration
+	open        [2]bool
+	inFlight    [2][]func()
+	onClose     [2]func()
+	number      int64
 }
 
 const (
-	near = 0
-	far  = 1
+	dialer   = 0
+	acceptor = 1
 )
 
 func (conn *conn) send(side int, size int64, then func()) {
-	if !conn.live[side] {
+	if !conn.open[side] {
 		return
 	}
 	world, from, to := conn.world, conn.ends[side], conn.ends[1-side]
 	if from.region != to.region {
-		world.far += size
+		world.crossRegionBytes += size
 	}
-	conn.bring(side, func() {
-		if conn.live[1-side] {
+	conn.deliver(side, func() {
+		if conn.open[1-side] {
 			then()
 			return
 		}
-		world.carry(to, from, world.Now+world.delay(to, from), func() { conn.gone(side) })
+		world.deliverAt(to, from, world.Now+world.delay(to, from), func() { conn.peerClosed(side) })
 	})
 }
 
-// bring carries something from one side to the other; what arrives first is always what was sent first.
-func (conn *conn) bring(side int, then func()) {
+// deliver transports something from one side to the other and keeps the order of sending.
+func (conn *conn) deliver(side int, then func()) {
 	world, from, to := conn.world, conn.ends[side], conn.ends[1-side]
-	conn.last[side] = max(conn.last[side]+1, world.Now+world.delay(from, to))
-	conn.queue[side] = append(conn.queue[side], then)
-	world.carry(from, to, conn.last[side], func() {
-		first := conn.queue[side][0]
-		conn.queue[side] = conn.queue[side][1:]
+	conn.lastArrival[side] = max(conn.lastArrival[side]+1, world.Now+world.delay(from, to))
+	conn.inFlight[side] = append(conn.inFlight[side], then)
+	world.deliverAt(from, to, conn.lastArrival[side], func() {
+		first := conn.inFlight[side][0]
+		conn.inFlight[side] = conn.inFlight[side][1:]
 		first()
 	})
 }
 
-func (conn *conn) gone(side int) {
-	if !conn.live[side] {
+func (conn *conn) peerClosed(side int) {
+	if !conn.open[side] {
 		return
 	}
-	conn.live[side] = false
-	if conn.closed[side] != nil {
-		conn.closed[side]()
+	conn.open[side] = false
+	if conn.onClose[side] != nil {
+		conn.onClose[side]()
 	}
 }
 
-// close ends one side; the other one hears of it.
+// close closes one side; the other side is notified.
 func (conn *conn) close(side int) {
-	if !conn.live[side] {
+	if !conn.open[side] {
 		return
 	}
-	conn.live[side] = false
-	conn.bring(side, func() { conn.gone(1 - side) })
+	conn.open[side] = false
+	conn.deliver(side, func() { conn.peerClosed(1 - side) })
 }
 
-// lose ends one side without a word.
-func (conn *conn) lose(side int) { conn.live[side] = false }
+// drop closes one side without notifying the other, as after a power loss.
+func (conn *conn) drop(side int) { conn.open[side] = false }
 
-// dial opens a connection; accept is asked at the other end. After limit, or when it is refused, there is none.
-func (world *World) dial(from, to place, limit time.Duration, accept func(*conn) bool, then func(*conn)) {
-	world.conns++
-	made, over := &conn{world: world, ends: [2]place{from, to}, live: [2]bool{true, true}, number: world.conns}, false
+// dial opens a connection if accept agrees at the other end. It gives nil after a refusal or when the limit has passed.
+func (world *World) dial(from, to location, limit time.Duration, accept func(*conn) bool, then func(*conn)) {
+	world.connections++
+	created, over := &conn{world: world, ends: [2]location{from, to}, open: [2]bool{true, true}, number: world.connections}, false
 	end := func(opened *conn) {
 		if over {
 			if opened != nil {
-				opened.close(near)
+				opened.close(dialer)
 			}
 			return
 		}
@@ -222,17 +227,17 @@
 		then(opened)
 	}
 	world.After(limit, func() { end(nil) })
-	made.last[near] = world.Now + world.delay(from, to)
-	world.carry(from, to, made.last[near], func() {
-		fine := accept(made)
-		made.last[far] = world.Now + world.delay(to, from)
-		world.carry(to, from, made.last[far], func() {
-			if !fine {
-				made.live = [2]bool{}
+	created.lastArrival[dialer] = world.Now + world.delay(from, to)
+	world.deliverAt(from, to, created.lastArrival[dialer], func() {
+		valid := accept(created)
+		created.lastArrival[acceptor] = world.Now + world.delay(to, from)
+		world.deliverAt(to, from, created.lastArrival[acceptor], func() {
+			if !valid {
+				created.open = [2]bool{}
 				end(nil)
 				return
 			}
-			end(made)
+			end(created)
 		})
 	})
 }
--- a/stories/soak/soak_test.go
+++ b/stories/soak/soak_test.go
@@ -38,7 +38,7 @@
 				named[run.Tenant] = true
 			}
 			Expect(named).To(HaveLen(tenants))
-			Expect(played.Breaches).To(BeEmpty())
+			Expect(played.Violations).To(BeEmpty())
 		})
 
 		for _, seed := range []uint64{1, 5, 6} {
@@ -47,7 +47,7 @@
 				Expect(len(played.Record.Attempts)).To(BeNumerically(">", fewest))
 				Expect(len(played.Record.Departures)).To(BeNumerically(">", 50), "servers that left")
 				Expect(len(played.Record.Versions)).To(BeNumerically(">", 100), "changes of the configuration")
-				Expect(played.Breaches).To(BeEmpty(), "seed %d", seed)
+				Expect(played.Violations).To(BeEmpty(), "seed %d", seed)
 			})
 		}
 	}
