--- a/cmd/cedarrig/play.go
+++ b/cmd/cedarrig/play.go
@@ -43,9 +43,9 @@
 		}
 		changes = append(changes, change)
 	}
-	plan := emulator.Plan{Drawn: args.FaultCount}
+	plan := emulator.Plan{DrawCount: args.FaultCount}
 	if args.FaultName != "" {
-		plan = emulator.Plan{Troubles: model.Named(args.FaultName)}
+		plan = emulator.Plan{Troubles: model.TroublesNamed(args.FaultName)}
 		if len(plan.Troubles) == 0 {
 			return false, eris.Errorf("no trouble %q; there are %s", args.FaultName, strings.Join(emulator.Kinds(), " "))
 		}
@@ -67,7 +67,7 @@
 		options = append(options, emulator.WithOracle())
 	}
 	if args.Trace {
-		options = append(options, emulator.WithTell(func(text string) { fmt.Print(text) }))
+		options = append(options, emulator.WithLog(func(text string) { fmt.Print(text) }))
 	}
 	figures, clean := make([]emulator.Figures, args.EmulatedDays), true
 	indexes, lock, group := make(chan int), sync.Mutex{}, sync.WaitGroup{}
@@ -76,7 +76,7 @@
 		go func() {
 			defer group.Done()
 			for index := range indexes {
-				site, seed := model.Scaled(args.Rate, model.Length()), args.Seed+uint64(index)
+				site, seed := model.Scaled(args.Rate, model.TrafficDuration()), args.Seed+uint64(index)
 				result := emulator.Play(site, seed, plan(site, seed), options...)
 				lock.Lock()
 				figures[index] = result.Figures
@@ -99,12 +99,12 @@
 
 // printDay prints the breaches of a day and its replay line, and reports whether there were none.
 func printDay(args arguments, result emulator.Result, setting string) bool {
-	if len(result.Breaches) == 0 {
+	if len(result.Violations) == 0 {
 		return true
 	}
-	fmt.Printf("seed %d %s: %d breaches, troubles %v\n", result.Seed, setting, len(result.Breaches), result.Troubles)
+	fmt.Printf("seed %d %s: %d breaches, troubles %v\n", result.Seed, setting, len(result.Violations), result.Troubles)
 	printed := map[string]int{}
-	for _, breach := range result.Breaches {
+	for _, breach := range result.Violations {
 		if printed[breach.Rule]++; printed[breach.Rule] <= maxPrintedBreaches {
 			fmt.Println("  ", breach)
 		}
--- a/stories/soak/soak_test.go
+++ b/stories/soak/soak_test.go
@@ -38,7 +38,7 @@
 				seenTenants[arrival.Tenant] = true
 			}
 			Expect(seenTenants).To(HaveLen(tenantCount))
-			Expect(result.Breaches).To(BeEmpty())
+			Expect(result.Violations).To(BeEmpty())
 		})
 
 		for _, seed := range []uint64{1, 5, 6} {
@@ -47,7 +47,7 @@
 				Expect(len(result.Record.Attempts)).To(BeNumerically(">", minAttempts))
 				Expect(len(result.Record.Departures)).To(BeNumerically(">", 50), "servers that left")
 				Expect(len(result.Record.Versions)).To(BeNumerically(">", 100), "changes of the configuration")
-				Expect(result.Breaches).To(BeEmpty(), "seed %d", seed)
+				Expect(result.Violations).To(BeEmpty(), "seed %d", seed)
 			})
 		}
 	}
