--- a/stories/harness/harness.go
+++ b/stories/harness/harness.go
@@ -109,7 +109,7 @@
 	return PoolServers(testFleet, testFleet.Servers[0].Pool)
 }
 
-// CountUnloaded returns how many of the servers have unloaded their model.
+// CountUnloaded returns how many of the servers an unload order has unloaded.
 func CountUnloaded(servers []*fleet.Server) int {
 	count := 0
 	for _, server := range servers {
