--- a/shard/shard.go
+++ b/shard/shard.go
@@ -16,7 +16,7 @@
 	MessageLeaseRequest  = "lease-request"   // a data node asks for a list: contract.LeaseRequest
 	MessageLease         = "lease"           // the list that answers it: contract.Lease
 	MessageNotOwner      = "lease-not-owner" // the node asked does not own the shard: contract.NotOwner
-	MessageServerNotices = "server-notices"  // servers that are leaving: contract.Notices
+	MessageServerNotices = "server-notices"  // servers that are leaving: contract.DepartureNotice
 	MessageReportRequest = "report-ask"      // ask a peer to read a server's report: ReadReport
 	MessageReportReply   = "report-told"     // what the peer read: ReportReply
 	MessageZoneWithdraw  = "zone-withdraw"   // take a zone's servers off the lists: ZoneWithdraw
