--- a/gateway/node.go
+++ b/gateway/node.go
@@ -28,7 +28,7 @@
 type Addresses struct{ Addresses []string }
 
 // AskPlace is the event that the Router wants a place query sent to the owner of the index, or with Ask.Known to the nearby replica. The body of the
-// answer is an index.Place.
+// answer is an index.Placement.
 type AskPlace struct {
 	Token int64
 	Ask   index.PlacementRequest
